--- a/crates/spardeal-drill/src/codec.rs
+++ b/crates/spardeal-drill/src/codec.rs
@@ -1,6 +1,6 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
-use spardeal::{
+use stonevane_policy::{
     Action, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine, Status,
 };
 
@@ -71,7 +71,7 @@
         number: u16,
     },
     /// Any other event of an instance.
-    Event(u16, spardeal::Event),
+    Event(u16, stonevane_policy::Event),
 }
 
 /// Reads event record `index` of the body of a frame with `records` records.
@@ -80,22 +80,22 @@
     let tail = &body[records * EVENT_SIZE..];
     let node = u16_at(r, 1);
     let event = match r[0] {
-        1 => spardeal::Event::ClientGone(u64_at(r, 3)),
-        2 => spardeal::Event::Timer(u32_at(r, 3)),
-        3 => spardeal::Event::Outcome(outcome(r)?),
-        4 => spardeal::Event::Request(request(r)),
+        1 => stonevane_policy::Event::ClientGone(u64_at(r, 3)),
+        2 => stonevane_policy::Event::Timer(u32_at(r, 3)),
+        3 => stonevane_policy::Event::Outcome(outcome(r)?),
+        4 => stonevane_policy::Event::Request(request(r)),
         5 => {
             let settings = tail_part(tail, r, 11, 1)?;
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
-        6 => spardeal::Event::Probed {
+        6 => stonevane_policy::Event::Probed {
             ok: u16_at(r, 3) == 200,
             took: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
         7 => return Ok(Record::Stop(node)),
-        8 => spardeal::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        8 => stonevane_policy::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
         9 => {
             let part = tail_part(tail, r, 3, LINE_SIZE)?;
             let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
@@ -113,7 +113,7 @@
         }
         11 => {
             let bytes = tail_part(tail, r, 7, 1)?.to_vec();
-            spardeal::Event::PeerMessage { from: u32_at(r, 3), bytes }
+            stonevane_policy::Event::PeerMessage { from: u32_at(r, 3), bytes }
         }
         other => return Err(format!("unknown event code {other}")),
     };
@@ -406,7 +406,7 @@
             cost: Some(50),
             size: 0.0,
         };
-        assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, spardeal::Event::Request(request))));
+        assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, stonevane_policy::Event::Request(request))));
         let load = Load { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
         let outcome = Outcome {
             request: 9,
@@ -419,6 +419,6 @@
             load,
             first_on_connection: false,
         };
-        assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, spardeal::Event::Outcome(outcome))));
+        assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, stonevane_policy::Event::Outcome(outcome))));
     }
 }
--- a/crates/spardeal-drill/src/main.rs
+++ b/crates/spardeal-drill/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
-use spardeal::{Action, Event, ListKind, Micros, Policy, ServerLine, settings};
+use stonevane_policy::{Action, Event, ListKind, Micros, Policy, ServerLine, settings};
 
 /// Numbered lists run from 0 to this, exclusive.
 const LISTS: usize = 16;
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use oorandom::Rand64;
-use spardeal::settings::Deployment;
-use spardeal::{Class, Effect, Micros, Settings, Tenant};
 use stonevane_codec::resp;
 use stonevane_config::operator;
 use stonevane_core::{Ask, ConnId, Core, Input, Listing, Output, Outputs, Setup};
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{Class, Effect, Micros, Settings, Tenant};
 
 use crate::cpu::CpuMeter;
 
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -1,8 +1,8 @@
 //! What a node holds of its cache servers, and what the placement of one request costs, with the real decision module.
 
 use oorandom::Rand64;
-use spardeal::{Action, Event, Load, Outcome, Policy, Request, ServerId, Status};
 use stonevane_core::Core;
+use stonevane_policy::{Action, Event, Load, Outcome, Policy, Request, ServerId, Status};
 
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
@@ -52,15 +52,15 @@
     deployment.settings.weights_are_sizes = sized;
     let mut policy = Policy::new(deployment.settings, seed);
     let known = known(servers)?;
-    let lines = known.endpoints.iter().enumerate().map(|(at, endpoint)| spardeal::ServerLine {
+    let lines = known.endpoints.iter().enumerate().map(|(at, endpoint)| stonevane_policy::ServerLine {
         id: (at as ServerId).wrapping_mul(2_654_435_761) | 1,
         zone: (at % 57) as u8,
         cell: endpoint.group,
         weight: 1.0 + (at % 3) as f32,
-        ..spardeal::ServerLine::default()
+        ..stonevane_policy::ServerLine::default()
     });
     let (mut now, mut actions) = (node::START, Vec::new());
-    let event = Event::ServerList { kind: spardeal::ListKind::Full, servers: lines.collect() };
+    let event = Event::ServerList { kind: stonevane_policy::ListKind::Full, servers: lines.collect() };
     policy.handle(now, event, &mut actions);
     let mut rng = Rand64::new(seed.into());
     let (mut placing, mut learning, mut placed) = (0, 0, 0);
@@ -88,7 +88,7 @@
             server,
             status: Status::Served,
             over: true,
-            note: spardeal::Note::default(),
+            note: stonevane_policy::Note::default(),
             took: TAKES,
             load: Load::default(),
             first_on_connection: false,
--- a/crates/stonevane-capacity/src/roles/reload.rs
+++ b/crates/stonevane-capacity/src/roles/reload.rs
@@ -3,8 +3,8 @@
 
 use std::fmt::Write as _;
 
-use spardeal::settings;
 use stonevane_core::{Core, Input, Outputs};
+use stonevane_policy::settings;
 
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
--- a/crates/stonevane-core/src/beside.rs
+++ b/crates/stonevane-core/src/beside.rs
@@ -5,7 +5,7 @@
 //! holds however late each hears of the other, as long as one that takes more says so first, and one that takes less
 //! says so afterwards.
 
-use spardeal::Micros;
+use stonevane_policy::Micros;
 
 /// Of the whole, a part as large as one by this is left for a process that is just starting.
 const SPARE: usize = 16;
--- a/crates/stonevane-core/src/clients/mod.rs
+++ b/crates/stonevane-core/src/clients/mod.rs
@@ -7,8 +7,8 @@
 
 use bytes::Bytes;
 use foldhash::{HashMap, HashMapExt};
-use spardeal::Micros;
 use stonevane_config::operator;
+use stonevane_policy::Micros;
 
 use crate::reply::ConnId;
 
--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -1,9 +1,9 @@
 //! RESP2 as clients speak it: commands are read, final answers are worded.
 
 use bytes::{Bytes, BytesMut};
-use spardeal::settings::Deployment;
-use spardeal::{Effect, Micros};
 use stonevane_codec::resp;
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{Effect, Micros};
 
 use crate::request::{Command, Final};
 
--- a/crates/stonevane-core/src/clients/session.rs
+++ b/crates/stonevane-core/src/clients/session.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use bytes::{Bytes, BytesMut};
-use spardeal::{Micros, RequestId};
 use stonevane_codec::resp::{self, Malformed};
+use stonevane_policy::{Micros, RequestId};
 
 use super::Limits;
 use crate::memory::Share;
--- a/crates/stonevane-core/src/io.rs
+++ b/crates/stonevane-core/src/io.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use spardeal::Micros;
-use spardeal::settings::Deployment;
+use stonevane_policy::Micros;
+use stonevane_policy::settings::Deployment;
 
 use crate::beside::Grant;
 use crate::list::{Era, Listing};
--- a/crates/stonevane-core/src/lib.rs
+++ b/crates/stonevane-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The node without sockets, clock or tasks. [`Core::handle`] takes what has happened and the time at which it did,
 //! and says what is to be done; whoever drives it opens, reads, writes, sleeps, and nothing else.
 //!
-//! It owns the decision module (`spardeal`), the connections of clients ([`clients`]) and to servers ([`servers`]), the
+//! It owns the decision module (`stonevane_policy`), the connections of clients ([`clients`]) and to servers ([`servers`]), the
 //! budgets of descriptors and memory, discovery's list and the drain at SIGTERM. It reads no clock, does no I/O, and
 //! has no randomness but the seed: the same inputs at the same times give the same outputs.
 
--- a/crates/stonevane-core/src/node.rs
+++ b/crates/stonevane-core/src/node.rs
@@ -6,13 +6,13 @@
 
 use bytes::Bytes;
 use foldhash::{HashMap, HashMapExt, HashSet};
-use spardeal::settings::Deployment;
-use spardeal::{
+use stonevane_codec::resp::{MAX_VALUE, Malformed};
+use stonevane_config::operator;
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{
     Action, Condition, Effect, Event, ListKind, Load, Micros, Outcome, Policy, Request, RequestId, ServerId,
     ServerLine, Settings, Status,
 };
-use stonevane_codec::resp::{MAX_VALUE, Malformed};
-use stonevane_config::operator;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::beside::{Grant, Room, Stage};
--- a/crates/stonevane-core/src/patience.rs
+++ b/crates/stonevane-core/src/patience.rs
@@ -1,6 +1,6 @@
 //! How long discovery is waited for, and how calls to it end. No clock, no sockets: the driver waits.
 
-use spardeal::{Micros, Settings};
+use stonevane_policy::{Micros, Settings};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A watch brings a line every so often, an empty one while nothing changes (protocol).
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -1,7 +1,7 @@
 //! What servers bring: answers, in no protocol's words.
 
 use bytes::Bytes;
-use spardeal::{Load, Note, RequestId, Status};
+use stonevane_policy::{Load, Note, RequestId, Status};
 
 /// Names a connection of either side; never used twice.
 pub type ConnId = u64;
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use bytes::Bytes;
-use spardeal::{Class, Key, Micros};
+use stonevane_policy::{Class, Key, Micros};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The length of the longest time left in decimal digits.
--- a/crates/stonevane-core/src/scope.rs
+++ b/crates/stonevane-core/src/scope.rs
@@ -4,8 +4,8 @@
 //! it was outside holds when it comes in.
 
 use foldhash::{HashMap, HashMapExt};
-use spardeal::{Condition, ListKind, Micros, ServerId, ServerLine, Settings};
 use stonevane_config::operator;
+use stonevane_policy::{Condition, ListKind, Micros, ServerId, ServerLine, Settings};
 use stonevane_subset::{Membership, Region, RegionSelector, Server};
 
 use crate::figures::RegionFigures;
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -1,8 +1,8 @@
 //! What is said to cache servers and what their answers mean.
 
 use bytes::{Bytes, BytesMut};
-use spardeal::{Load, Note, Status};
 use stonevane_codec::resp::{self, Value};
+use stonevane_policy::{Load, Note, Status};
 
 use crate::reply::{Broken, Reply};
 use crate::request::Command;
--- a/crates/stonevane-core/src/servers/conn.rs
+++ b/crates/stonevane-core/src/servers/conn.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use bytes::{Bytes, BytesMut};
-use spardeal::{Micros, ServerId};
 use stonevane_codec::resp::{self, MAX_VALUE};
+use stonevane_policy::{Micros, ServerId};
 
 use super::{cache, origin};
 use crate::memory::Share;
--- a/crates/stonevane-core/src/servers/mod.rs
+++ b/crates/stonevane-core/src/servers/mod.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 use foldhash::{HashMap, HashMapExt};
-use spardeal::{Micros, ServerId};
+use stonevane_policy::{Micros, ServerId};
 
 use crate::reply::{AttemptKey, ConnId};
 
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -1,8 +1,8 @@
 //! What is said to the origin, in HTTP/1.1, and what its answers mean.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use spardeal::Status;
 use stonevane_codec::http::{self, Chunks};
+use stonevane_policy::Status;
 
 use super::cache;
 use crate::reply::{Broken, Reply};
--- a/crates/stonevane-core/src/start_times.rs
+++ b/crates/stonevane-core/src/start_times.rs
@@ -3,7 +3,7 @@
 //! nor be held for cold for an hour. In doubt a start is taken to be now, and from then on the clock that is never
 //! stepped counts.
 
-use spardeal::Micros;
+use stonevane_policy::Micros;
 
 /// Discovery tells of a start by then, and a list that a process begins with names one that recent in a release. Where the
 /// newest start is older, the wall clock may be ahead by all of it.
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use spardeal::{Micros, RequestId};
+use stonevane_policy::{Micros, RequestId};
 
 use crate::reply::ConnId;
 
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use spardeal::settings::Deployment;
-use spardeal::{Class, Settings, Tenant};
 use stonevane_codec::resp;
 use stonevane_config::operator;
 use stonevane_core::{Core, Endpoint, Listing, Setup};
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{Class, Settings, Tenant};
 
 /// Unix time, microseconds.
 pub const START: u64 = 1_790_000_000_000_000;
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -9,10 +9,10 @@
 use common::{START, core_seeded};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use spardeal::Micros;
-use spardeal::settings::Deployment;
 use stonevane_core::patience::{Awaited, CallEnd, Patience};
 use stonevane_core::{Ask, Call, Core, Era, Input, Listing, Output, Outputs};
+use stonevane_policy::Micros;
+use stonevane_policy::settings::Deployment;
 
 /// What discovery has to tell counts as told so much later at the latest (protocol).
 const TOLD: Micros = 6_000_000;
@@ -318,8 +318,12 @@
     for ask_within in [1, 1_000_000, 10_000_000, DAY] {
         for drain_grace in [0, 50_000, 500_000, DAY] {
             for ask_discovery in [true, false] {
-                let settings =
-                    spardeal::Settings { ask_discovery, ask_within, drain_grace, ..Default::default() };
+                let settings = stonevane_policy::Settings {
+                    ask_discovery,
+                    ask_within,
+                    drain_grace,
+                    ..Default::default()
+                };
                 let waits = Patience::of(&settings);
                 let longest = [Awaited::Connection, Awaited::Answer, Awaited::Line].map(|w| waits.limit(w));
                 assert!(longest.iter().all(|wait| wait + waits.again + TURN <= TOLD), "{waits:?}");
--- a/crates/stonevane-node/src/beside.rs
+++ b/crates/stonevane-node/src/beside.rs
@@ -9,9 +9,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use spardeal::Micros;
 use stonevane_core::Input;
 use stonevane_core::beside::{Room, Stage, Standing, divide};
+use stonevane_policy::Micros;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
 
--- a/crates/stonevane-node/src/clock.rs
+++ b/crates/stonevane-node/src/clock.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use spardeal::Micros;
+use stonevane_policy::Micros;
 
 /// Writes a line to the log; a log that can't be written to is no reason to stop.
 pub fn log(line: &str) {
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -3,8 +3,8 @@
 use std::net::{SocketAddr, TcpListener};
 
 use serde::Deserialize;
-use spardeal::settings::{self, Deployment};
 use stonevane_config::operator::Operator;
+use stonevane_policy::settings::{self, Deployment};
 use xxhash_rust::xxh3::xxh3_64;
 
 use stonevane_core::Listing;
--- a/crates/stonevane-node/src/copies.rs
+++ b/crates/stonevane-node/src/copies.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use spardeal::Micros;
 use stonevane_codec::resp;
+use stonevane_policy::Micros;
 use stonevane_store::copies::{Copies, EditId, Limits};
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
--- a/crates/stonevane-node/src/discovery.rs
+++ b/crates/stonevane-node/src/discovery.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use spardeal::Micros;
 use stonevane_codec::http::{self, Chunks, Head};
 use stonevane_codec::lines::ObjectReader;
 use stonevane_core::patience::{Awaited, CallEnd, Patience};
 use stonevane_core::{Ask, Call, Era, Input};
+use stonevane_policy::Micros;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
--- a/crates/stonevane-node/src/driver.rs
+++ b/crates/stonevane-node/src/driver.rs
@@ -14,10 +14,10 @@
 use foldhash::{HashMap, HashMapExt};
 use rustix::io::retry_on_intr;
 use rustix::net::RecvFlags;
-use spardeal::Micros;
 use stonevane_core::beside::{Room, Stage};
 use stonevane_core::management::{Answer, Call};
 use stonevane_core::{ConnId, Core, Input, Note, Output, Outputs};
+use stonevane_policy::Micros;
 use tokio::io::Interest;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Notify, watch};
@@ -600,10 +600,10 @@
     use super::*;
     use std::io::Read;
 
-    use spardeal::settings::Deployment;
-    use spardeal::{Class, Settings, Tenant};
     use stonevane_config::operator;
     use stonevane_core::{Listing, Setup};
+    use stonevane_policy::settings::Deployment;
+    use stonevane_policy::{Class, Settings, Tenant};
 
     fn core(clock: Clock) -> Core {
         let one = |name: &str| vec![name.to_owned()];
--- a/crates/stonevane-node/src/fleet.rs
+++ b/crates/stonevane-node/src/fleet.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 use serde_json::{Value, json};
-use spardeal::Micros;
 use stonevane_config::operator;
 use stonevane_fleet::{Input as Heard, Machine, MemberStatus, Outputs, Setup, State};
+use stonevane_policy::Micros;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
--- a/crates/stonevane-node/src/store.rs
+++ b/crates/stonevane-node/src/store.rs
@@ -10,9 +10,9 @@
 
 use bytes::Bytes;
 use oorandom::Rand64;
-use spardeal::{Effect, Micros, Status};
 use stonevane_config::operator;
 use stonevane_core::{Job, Reply};
+use stonevane_policy::{Effect, Micros, Status};
 use stonevane_store::breaker::{self, Breaker, State, Word};
 use stonevane_store::flight::{FlightId, Flights, Joined, JoinerId, Limits};
 use stonevane_store::{Change, Edit, Postgres, Sqlite, Store, StoreError, postgres, quick, sqlite};
--- a/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use spardeal::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use stonevane_policy::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
@@ -36,5 +36,5 @@
 
 /// Runs the example of the README as a test.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../../README.md")]
 pub struct Readme;
--- a/tests/brain.rs
+++ b/crates/stonevane-policy/tests/brain.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use spardeal::*;
+use stonevane_policy::*;
 
 #[test]
 fn a_key_follows_one_order_at_every_balancer_and_little_moves_when_a_server_goes() {
--- a/tests/cold.rs
+++ b/crates/stonevane-policy/tests/cold.rs
@@ -8,7 +8,7 @@
 
 use common::*;
 use oorandom::Rand64;
-use spardeal::*;
+use stonevane_policy::*;
 
 /// When servers start, and how long requests come before and after.
 const START: Micros = 100 * SECOND;
--- a/tests/common/mod.rs
+++ b/crates/stonevane-policy/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A node in miniature: drives a policy event by event and keeps what it answered.
 #![allow(dead_code, missing_docs)]
 
-use spardeal::*;
+use stonevane_policy::*;
 
 pub const ORIGIN_KIND: u16 = 1;
 pub const ORIGIN: ServerId = 1000;
--- a/tests/draws.rs
+++ b/crates/stonevane-policy/tests/draws.rs
@@ -2,7 +2,7 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use spardeal::draws::{KeyDraws, unit_hash};
+use stonevane_policy::draws::{KeyDraws, unit_hash};
 
 proptest! {
     #[test]
--- a/tests/fleet.rs
+++ b/crates/stonevane-policy/tests/fleet.rs
@@ -9,7 +9,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use spardeal::*;
+use stonevane_policy::*;
 
 /// Discovery as one service that works calls off in turn, those too that nobody waits for any more, and turns away only
 /// what finds very many ahead of it: each of six nodes or more gets one call answered in [`Discovery::ALL`].
@@ -177,7 +177,7 @@
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
     let mut runner = TestRunner::new_with_rng(Config { cases: 500, ..Config::default() }, rng);
     let borne = |(text, sane): (String, bool)| {
-        let taken = spardeal::settings::read(text.as_bytes());
+        let taken = stonevane_policy::settings::read(text.as_bytes());
         prop_assert_eq!(taken.is_ok(), sane, "{:?}", taken.err());
         let settings = match taken {
             Ok(deployment) => deployment.settings,
--- a/tests/origin.rs
+++ b/crates/stonevane-policy/tests/origin.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use spardeal::*;
+use stonevane_policy::*;
 
 /// One of many nodes, so that a single slow answer holds the next fetch back.
 const NODES: u32 = 300;
--- a/tests/properties.rs
+++ b/crates/stonevane-policy/tests/properties.rs
@@ -8,7 +8,7 @@
 use common::{ORIGIN_KIND, take_due};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use spardeal::*;
+use stonevane_policy::*;
 
 #[derive(Debug, Clone)]
 enum Step {
--- a/tests/service.rs
+++ b/crates/stonevane-policy/tests/service.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::*;
-use spardeal::*;
+use stonevane_policy::*;
 
 fn exclude(node: &mut Node, server: ServerId, out: bool) {
     node.event(Event::Exclude { server, out });
--- a/tests/subset.rs
+++ b/crates/stonevane-policy/tests/subset.rs
@@ -6,7 +6,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use spardeal::*;
+use stonevane_policy::*;
 
 /// The server that has just been restarted.
 const COLD: ServerId = 1;
--- a/crates/stonevane-scale/src/hollow.rs
+++ b/crates/stonevane-scale/src/hollow.rs
@@ -8,10 +8,10 @@
 use std::net::SocketAddr;
 use std::ops::Range;
 
-use spardeal::settings::Deployment;
 use stonevane_config::operator;
 use stonevane_core::{Call, Core, Input as CoreInput, Listing, Output as CoreOutput};
 use stonevane_fleet::{Honest, Input as MachineInput, Machine, News, Number, State};
+use stonevane_policy::settings::Deployment;
 
 use crate::Micros;
 use crate::plan::Membership;
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -5,8 +5,8 @@
 
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
-use spardeal::settings::{self, Deployment};
 use stonevane_config::operator::Operator;
+use stonevane_policy::settings::{self, Deployment};
 
 use crate::Micros;
 use crate::layout::{Layout, LayoutError};
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -6,8 +6,6 @@
 
 use bytes::BytesMut;
 use oorandom::Rand64;
-use spardeal::settings::Deployment;
-use spardeal::{Class, Effect as Keeps, Group, Settings, Tenant};
 use stonevane_audit::{
     Auditor, ClassRule, Effect, Event, Kind, Line, OriginRule, Outcome, Report, Rules, Scope, Span,
 };
@@ -15,6 +13,8 @@
 use stonevane_config::operator;
 use stonevane_core::{Ask, ConnId, Core, Input, Listing, Mutant, Note, Output, Outputs, Setup};
 use stonevane_model::value::{digest, padded};
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{Class, Effect as Keeps, Group, Settings, Tenant};
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
 use crate::discovery::{Discovery, Entry};
