--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use oorandom::Rand64;
-use stonevane_fleet::{Input, Machine, Micros, Number, Outputs, Setup, State};
+use stonevane_membership::{Input, Machine, Micros, Number, Outputs, Setup, State};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -9,8 +9,8 @@
 use std::collections::BinaryHeap;
 
 use oorandom::Rand64;
-use stonevane_fleet::wire::{self, Kind, Message};
-use stonevane_fleet::{Input, Instance, Machine, Micros, Number, Outputs, Record, Setup, State};
+use stonevane_membership::wire::{self, Kind, Message};
+use stonevane_membership::{Input, Instance, Machine, Micros, Number, Outputs, Record, Setup, State};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -9,8 +9,8 @@
 
 use common::{START, core_seeded};
 use stonevane_core::{Ask, Call, Core, Input, Output, Outputs};
-use stonevane_model::service::Turns;
 use stonevane_policy::Micros;
+use stonevane_server_model::service::Turns;
 
 const SECOND: Micros = 1_000_000;
 /// What discovery has to tell counts as told so much later at the latest (protocol).
--- a/crates/stonevane-standin/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -10,8 +10,8 @@
 use bytes::{Bytes, BytesMut};
 use stonevane_audit::{Effect, Event, Line, Span};
 use stonevane_codec::resp;
-use stonevane_model::value::{digest, padded};
-use stonevane_model::work::{Cores, Window, able, drawn};
+use stonevane_server_model::value::{digest, padded};
+use stonevane_server_model::work::{Cores, Window, able, drawn};
 
 use crate::record::{Mono, Recorder};
 use crate::server::{Due, Fault, Place, Ports, Speaker, lock};
--- a/crates/stonevane-standin/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -10,7 +10,7 @@
 use oorandom::Rand64;
 use stonevane_audit::{Event, Line, Outcome, Span};
 use stonevane_codec::resp::{self, Value};
-use stonevane_model::value::{digest, padded};
+use stonevane_server_model::value::{digest, padded};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
--- a/crates/stonevane-standin/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -11,7 +11,7 @@
 use bytes::BytesMut;
 use stonevane_audit::{Event, Line, Span};
 use stonevane_codec::http;
-use stonevane_model::service::Turns;
+use stonevane_server_model::service::Turns;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/crates/stonevane-standin/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -8,8 +8,8 @@
 use bytes::{Buf, Bytes, BytesMut};
 use stonevane_audit::{Effect, Event, Line, Span};
 use stonevane_codec::{http, resp};
-use stonevane_model::value::{digest, padded};
-use stonevane_model::work::{Cores, Window, drawn};
+use stonevane_server_model::value::{digest, padded};
+use stonevane_server_model::work::{Cores, Window, drawn};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc;
 
--- a/crates/stonevane-standin/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -7,12 +7,12 @@
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp::{self, Value};
-use stonevane_standin::cache::{Cache, CacheSpec};
-use stonevane_standin::client::{Clients, Load, LoadClass, plan};
-use stonevane_standin::discovery::{Discovery, DiscoverySpec, Entry, Trouble};
-use stonevane_standin::origin::{Origin, OriginSpec};
-use stonevane_standin::peers::{PeerNet, Weather};
-use stonevane_standin::{Fault, Mono, Recorder};
+use stonevane_emulators::cache::{Cache, CacheSpec};
+use stonevane_emulators::client::{Clients, Load, LoadClass, plan};
+use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry, Trouble};
+use stonevane_emulators::origin::{Origin, OriginSpec};
+use stonevane_emulators::peers::{PeerNet, Weather};
+use stonevane_emulators::{Fault, Mono, Recorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -4,7 +4,7 @@
 use stonevane_config::{Document, Fault, Table, suggest};
 use stonevane_lab::scenario::Expect;
 use stonevane_lab::{SCENARIOS, Scenario};
-use stonevane_model::value::digest;
+use stonevane_server_model::value::digest;
 
 /// Runs of one experiment, at most.
 pub const MOST_RUNS: usize = 100_000;
--- a/crates/stonevane-experiment/src/runner.rs
+++ b/crates/stonevane-experiment/src/runner.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 use stonevane_lab::{Kind, Options, Program, RunError, Scenario, run};
-use stonevane_model::value::digest;
+use stonevane_server_model::value::digest;
 
 use crate::matrix::{Cell, Experiment, Search, Setting, per_mille};
 use crate::results::{self, Build, Found};
--- a/crates/stonevane-lab/src/crooked.rs
+++ b/crates/stonevane-lab/src/crooked.rs
@@ -7,8 +7,8 @@
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::{http, resp};
-use stonevane_standin::cache::{Asked, asked};
-use stonevane_standin::lock;
+use stonevane_emulators::cache::{Asked, asked};
+use stonevane_emulators::lock;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
--- a/crates/stonevane-lab/src/faults.rs
+++ b/crates/stonevane-lab/src/faults.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use stonevane_standin::Fault;
+use stonevane_emulators::Fault;
 
 /// A fault that a step has put in.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -12,15 +12,15 @@
 use stonevane_audit::{
     ClassRule, Event, Kind as ClassKind, Line, MembershipRules, OriginRule, Rules, Scope, Span,
 };
-use stonevane_fleet::Setup;
-use stonevane_model::value::padded;
-use stonevane_standin::cache::{Cache, CacheSpec};
-use stonevane_standin::client::{Clients, key};
-use stonevane_standin::discovery::{Discovery, Entry, Trouble};
-use stonevane_standin::origin::{Origin, OriginSpec};
-use stonevane_standin::peers::{PeerNet, Weather};
-use stonevane_standin::postgres::{PgFault, Postgres};
-use stonevane_standin::{Fault, Mono, Recorder, lock};
+use stonevane_emulators::cache::{Cache, CacheSpec};
+use stonevane_emulators::client::{Clients, key};
+use stonevane_emulators::discovery::{Discovery, Entry, Trouble};
+use stonevane_emulators::origin::{Origin, OriginSpec};
+use stonevane_emulators::peers::{PeerNet, Weather};
+use stonevane_emulators::postgres::{PgFault, Postgres};
+use stonevane_emulators::{Fault, Mono, Recorder, lock};
+use stonevane_membership::Setup;
+use stonevane_server_model::value::padded;
 use stonevane_store::{Edit, Sqlite, Store, postgres, sqlite};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
--- a/crates/stonevane-lab/src/member.rs
+++ b/crates/stonevane-lab/src/member.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use oorandom::Rand64;
-use stonevane_fleet::wire::{Kind, Message};
-use stonevane_fleet::{Input, Instance, Machine, Mutant, Outputs, Record, Setup, State};
-use stonevane_standin::Mono;
+use stonevane_emulators::Mono;
+use stonevane_membership::wire::{Kind, Message};
+use stonevane_membership::{Input, Instance, Machine, Mutant, Outputs, Record, Setup, State};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
--- a/crates/stonevane-lab/src/nodes.rs
+++ b/crates/stonevane-lab/src/nodes.rs
@@ -8,7 +8,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use stonevane_audit::{Event, Line, Span};
-use stonevane_standin::{Mono, Recorder};
+use stonevane_emulators::{Mono, Recorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -8,9 +8,9 @@
 
 use serde::Serialize;
 use stonevane_audit::{Event, HistoryError, Line, Report, Rules, audit};
-use stonevane_model::value::digest;
-use stonevane_standin::client::{Clients, plan};
-use stonevane_standin::{Mono, Recorder};
+use stonevane_emulators::client::{Clients, plan};
+use stonevane_emulators::{Mono, Recorder};
+use stonevane_server_model::value::digest;
 
 use crate::fleet::{Fleet, rules};
 use crate::nodes::Kind;
@@ -205,7 +205,7 @@
     scenario: &Scenario,
     options: &Options,
     seed: u64,
-    planned: Vec<stonevane_standin::client::Planned>,
+    planned: Vec<stonevane_emulators::client::Planned>,
     recorder: &Recorder,
 ) -> Result<Option<u64>, RunError> {
     let mono = Mono::default();
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use stonevane_config::{Document, Fault as Wrong, Table, suggest};
-use stonevane_fleet::Mutant;
-use stonevane_standin::Fault;
-use stonevane_standin::cache::CacheSpec;
-use stonevane_standin::client::{Load, LoadClass};
-use stonevane_standin::discovery::{DiscoverySpec, Trouble};
-use stonevane_standin::origin::OriginSpec;
-use stonevane_standin::postgres::PgFault;
+use stonevane_emulators::Fault;
+use stonevane_emulators::cache::CacheSpec;
+use stonevane_emulators::client::{Load, LoadClass};
+use stonevane_emulators::discovery::{DiscoverySpec, Trouble};
+use stonevane_emulators::origin::OriginSpec;
+use stonevane_emulators::postgres::PgFault;
+use stonevane_membership::Mutant;
 
 /// A scenario.
 #[derive(Debug, Clone)]
--- a/crates/stonevane-lab/src/summary.rs
+++ b/crates/stonevane-lab/src/summary.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use stonevane_audit::history;
 use stonevane_audit::{Effect, Event, HistoryError, Line, Outcome, Report, Rules};
-use stonevane_model::work::{Window, able};
+use stonevane_server_model::work::{Window, able};
 
 /// The width of a step of the chart, microseconds.
 pub const STEP_US: u64 = 250_000;
--- a/crates/stonevane-fleet/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -7,7 +7,7 @@
 //! anybody else are not accepted.
 //!
 //! ```
-//! use stonevane_fleet::{Honest, Input, Machine, Outputs, Setup, State};
+//! use stonevane_membership::{Honest, Input, Machine, Outputs, Setup, State};
 //!
 //! let setup = |me| Setup { me, members: 2, seed: 7 + u64::from(me), draw: 100 + u32::from(me), ..Setup::default() };
 //! let mut members = [Machine::<Honest>::new(0, setup(0)), Machine::new(0, setup(1))];
--- a/crates/stonevane-fleet/tests/dissemination.rs
+++ b/crates/stonevane-membership/tests/dissemination.rs
@@ -1,7 +1,7 @@
 //! The dissemination queue by itself.
 #![allow(missing_docs)]
 
-use stonevane_fleet::dissemination::UpdateQueue;
+use stonevane_membership::dissemination::UpdateQueue;
 
 #[test]
 fn each_update_is_transmitted_up_to_its_limit_and_new_ones_go_first() {
--- a/crates/stonevane-fleet/tests/health.rs
+++ b/crates/stonevane-membership/tests/health.rs
@@ -1,7 +1,7 @@
 //! Local health by itself.
 #![allow(missing_docs)]
 
-use stonevane_fleet::health::LocalHealth;
+use stonevane_membership::health::LocalHealth;
 
 #[test]
 fn it_stays_between_healthy_and_worst_and_counts_only_where_it_is_enabled() {
--- a/crates/stonevane-fleet/tests/machine.rs
+++ b/crates/stonevane-membership/tests/machine.rs
@@ -4,8 +4,8 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use stonevane_fleet::wire::{Kind, Message};
-use stonevane_fleet::{Honest, Input, Instance, Machine, Outputs, Record, Setup, State};
+use stonevane_membership::wire::{Kind, Message};
+use stonevane_membership::{Honest, Input, Instance, Machine, Outputs, Record, Setup, State};
 
 const S: u64 = 1_000_000;
 
--- a/crates/stonevane-fleet/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -2,8 +2,8 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use stonevane_fleet::wire::{Kind, MAX_DATAGRAM, Message, PARTITIONS, Refused, VERSION, room};
-use stonevane_fleet::{Instance, Record, State};
+use stonevane_membership::wire::{Kind, MAX_DATAGRAM, Message, PARTITIONS, Refused, VERSION, room};
+use stonevane_membership::{Instance, Record, State};
 
 const KINDS: [Kind; 7] =
     [Kind::Ping, Kind::Ack, Kind::PingReq, Kind::Nack, Kind::Gossip, Kind::Digests, Kind::DigestsReply];
--- a/crates/stonevane-node/src/clock.rs
+++ b/crates/stonevane-node/src/clock.rs
@@ -7,7 +7,7 @@
 
 /// Writes a line to the log; a log that can't be written to is no reason to stop.
 pub fn log(line: &str) {
-    let _ = writeln!(std::io::stderr(), "spardeal-node: {line}");
+    let _ = writeln!(std::io::stderr(), "stonevane-node: {line}");
 }
 
 /// The node's one clock: Unix time in microseconds at the start, and steady from there on.
--- a/crates/stonevane-node/src/fleet.rs
+++ b/crates/stonevane-node/src/fleet.rs
@@ -1,4 +1,4 @@
-//! This node among the others: the socket at `peer_listen` round the machine of `stonevane-fleet`, which decides all.
+//! This node among the others: the socket at `peer_listen` round the machine of `stonevane-membership`, which decides all.
 //!
 //! A turn reads a bounded number of datagrams, and a flood of them waits with the machine or is dropped there: no request
 //! is delayed for it. What is refused is counted and not logged.
@@ -12,7 +12,7 @@
 
 use serde_json::{Value, json};
 use stonevane_config::operator;
-use stonevane_fleet::{Input as Heard, Machine, MemberStatus, Outputs, Setup, State};
+use stonevane_membership::{Input as Heard, Machine, MemberStatus, Outputs, Setup, State};
 use stonevane_policy::Micros;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -168,11 +168,11 @@
 /// One node between clients and zone caches. The platform's configuration is named by ROUTER_CONFIG.
 #[derive(Parser)]
 #[command(
-    name = "spardeal-node",
+    name = "stonevane-node",
     version,
     after_help = "Examples:
-  ROUTER_CONFIG=config.json spardeal-node
-  ROUTER_CONFIG=config.json spardeal-node --operator deploy/operator.toml
+  ROUTER_CONFIG=config.json stonevane-node
+  ROUTER_CONFIG=config.json stonevane-node --operator deploy/operator.toml
 
 SIGTERM drains and exits 0; SIGHUP reads the configuration again; a bad configuration is exit 2."
 )]
--- a/crates/stonevane-node/tests/node/main.rs
+++ b/crates/stonevane-node/tests/node/main.rs
@@ -705,7 +705,7 @@
     let taken = good(&address.to_string());
     let texts = ["{", "{}", r#"{"settings":{"classes":3}}"#, &good("nowhere"), &taken];
     for text in texts.into_iter().map(Some).chain([None]) {
-        let mut run = Command::new(env!("CARGO_BIN_EXE_spardeal-node"));
+        let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
         run.env_remove("ROUTER_CONFIG").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
         let path = text.map(config_file);
         if let Some(path) = &path {
@@ -747,13 +747,13 @@
 #[test]
 fn a_bad_operator_file_is_a_line_for_each_fault_and_exit_code_2() {
     let path = config_file("[clients]\nidel_ms = 5\nfirst_ms = 0\n");
-    let mut run = Command::new(env!("CARGO_BIN_EXE_spardeal-node"));
+    let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     let run = run.arg("--operator").arg(&path).env_remove("ROUTER_CONFIG").output().unwrap();
     let _ = std::fs::remove_file(&path);
     let said = String::from_utf8_lossy(&run.stderr).into_owned();
     assert_eq!((run.status.code(), said.lines().count()), (Some(2), 2), "{said}");
     assert!(said.contains("line 2, column 1: unknown key `idel_ms`"), "{said}");
-    let mut run = Command::new(env!("CARGO_BIN_EXE_spardeal-node"));
+    let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     let run = run.args(["--operator", "/no/such/file"]).output().unwrap();
     assert_eq!((run.status.code(), run.stderr.iter().filter(|b| **b == b'\n').count()), (Some(2), 1));
 }
--- a/crates/stonevane-node/tests/node/service.rs
+++ b/crates/stonevane-node/tests/node/service.rs
@@ -204,9 +204,9 @@
     let text = config(discovery, &listing(1, true, &[]), 256, &allowed);
     let peers = r#"{"peer_listen":"nowhere","peers":["127.0.0.1:7001","127.0.0.1:70000","127.0.0.1:7001"],"#;
     let path = config_file(&text.replacen("{", peers, 1));
-    let operator = std::env::temp_dir().join(format!("stonevane-fleet-{}.toml", std::process::id()));
+    let operator = std::env::temp_dir().join(format!("stonevane-membership-{}.toml", std::process::id()));
     std::fs::write(&operator, "[fleet]\n").unwrap();
-    let run = std::process::Command::new(env!("CARGO_BIN_EXE_spardeal-node"))
+    let run = std::process::Command::new(env!("CARGO_BIN_EXE_stonevane-node"))
         .arg("--operator")
         .arg(&operator)
         .env("ROUTER_CONFIG", &path)
@@ -232,7 +232,7 @@
     for mgmt in ["nowhere".to_owned(), taken.local_addr().unwrap().to_string()] {
         let (discovery, _say, _calls) = quiet();
         let path = config_file(&config(discovery, &listing(1, true, &[]), 256, settings()));
-        let run = std::process::Command::new(env!("CARGO_BIN_EXE_spardeal-node"))
+        let run = std::process::Command::new(env!("CARGO_BIN_EXE_stonevane-node"))
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_MGMT", &mgmt)
             .output()
@@ -372,7 +372,7 @@
         let path = config_file(&config(discovery, &listing(1, true, &[]), 256, settings()));
         let run = std::process::Command::new("/bin/sh")
             .arg("-c")
-            .arg(format!("exec 4<&0 </dev/null; exec {}", env!("CARGO_BIN_EXE_spardeal-node")))
+            .arg(format!("exec 4<&0 </dev/null; exec {}", env!("CARGO_BIN_EXE_stonevane-node")))
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_LISTEN_FD", number)
             .stdin(socket.map_or_else(Stdio::null, Stdio::from))
--- a/crates/stonevane-node/tests/node/stand_in.rs
+++ b/crates/stonevane-node/tests/node/stand_in.rs
@@ -282,7 +282,7 @@
 /// An empty folder of its own.
 pub fn folder() -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("spardeal-node-test-{}-{number}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("stonevane-node-test-{}-{number}", std::process::id()));
     std::fs::create_dir_all(&path).unwrap();
     path
 }
@@ -292,7 +292,7 @@
 /// Writes a file of its own for each node.
 pub fn config_file(text: &str) -> PathBuf {
     let number = FILES.fetch_add(1, Ordering::Relaxed);
-    let name = format!("spardeal-node-test-{}-{number}.json", std::process::id());
+    let name = format!("stonevane-node-test-{}-{number}.json", std::process::id());
     let path = std::env::temp_dir().join(name);
     std::fs::write(&path, text).unwrap();
     path
@@ -387,7 +387,7 @@
         let mut command = Command::new("/bin/sh");
         command
             .arg("-c")
-            .arg(format!("{before} exec \"{}\" \"$@\"", env!("CARGO_BIN_EXE_spardeal-node")))
+            .arg(format!("{before} exec \"{}\" \"$@\"", env!("CARGO_BIN_EXE_stonevane-node")))
             .env("ROUTER_CONFIG", &path)
             .env_remove("ROUTER_LISTEN")
             .env("ROUTER_DISCOVERY", discovery.to_string())
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -306,7 +306,7 @@
     // One that starts all the same ends by the limit, with another status.
     let said = Command::new("timeout")
         .arg(LONG.as_secs().to_string())
-        .arg(env!("CARGO_BIN_EXE_spardeal-node"))
+        .arg(env!("CARGO_BIN_EXE_stonevane-node"))
         .arg("--operator")
         .arg(&operator)
         .env("ROUTER_CONFIG", &file)
--- a/crates/stonevane-node/tests/rooms.rs
+++ b/crates/stonevane-node/tests/rooms.rs
@@ -11,7 +11,7 @@
         let stem = path.file_stem().unwrap().to_string_lossy().into_owned();
         if path.is_dir() {
             imports(&path, Some(room.unwrap_or(&stem)), found);
-        } else if stem != "lib" && stem != "spardeal-node" {
+        } else if stem != "lib" && stem != "stonevane-node" {
             let here = room.unwrap_or(&stem).to_owned();
             let text = std::fs::read_to_string(&path).unwrap();
             let names = text.split("crate::").skip(1).map(|rest| {
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use stand_in::*;
-use stonevane_standin::postgres::{PgFault, Postgres as Server};
+use stonevane_emulators::postgres::{PgFault, Postgres as Server};
 use stonevane_store::sqlite::Options;
 use stonevane_store::{Edit, Postgres, Sqlite, Store, postgres};
 
@@ -327,7 +327,7 @@
     let foreign = b"these are somebody's notes".to_vec();
     std::fs::write(folder.file(), &foreign).unwrap();
     folder.operator("");
-    let mut run = Command::new(env!("CARGO_BIN_EXE_spardeal-node"));
+    let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     run.arg("--operator").arg(folder.0.join("operator.toml")).env("ROUTER_CONFIG", &config);
     let done = run.env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY").output().unwrap();
     let _ = std::fs::remove_file(&config);
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-use stonevane_standin::Mono;
+use stonevane_emulators::Mono;
 
 use crate::Micros;
 use crate::convergence::{Convergence, Reached};
--- a/crates/stonevane-scale/src/hollow.rs
+++ b/crates/stonevane-scale/src/hollow.rs
@@ -1,7 +1,7 @@
 //! One hollow node as a machine: the daemon's core and its membership machine, without sockets, clock or tasks.
 //!
 //! The core ([`stonevane_core::Core`]) keeps the list of cache servers and says when discovery is called; the
-//! membership machine ([`stonevane_fleet::Machine`]) knows the other nodes of the domain, by numbers that begin with 0
+//! membership machine ([`stonevane_membership::Machine`]) knows the other nodes of the domain, by numbers that begin with 0
 //! in each domain. Out here a node has its number in the whole fleet.
 
 use std::collections::VecDeque;
@@ -10,7 +10,7 @@
 
 use stonevane_config::operator;
 use stonevane_core::{Call, Core, Input as CoreInput, Listing, Output as CoreOutput};
-use stonevane_fleet::{Honest, Input as MachineInput, Machine, News, Number, State};
+use stonevane_membership::{Honest, Input as MachineInput, Machine, News, Number, State};
 use stonevane_policy::settings::Deployment;
 
 use crate::Micros;
@@ -78,7 +78,7 @@
     period: Micros,
     machine: Machine<Honest>,
     core: Core,
-    machine_outputs: stonevane_fleet::Outputs,
+    machine_outputs: stonevane_membership::Outputs,
     core_outputs: stonevane_core::Outputs,
     /// Other members that live, as far as is known.
     living: u32,
@@ -93,7 +93,7 @@
     /// A node that has heard nothing yet. Its first outputs come with the first input.
     pub fn new(now: Micros, setup: Setup) -> Hollow {
         let Setup { number, domain, membership, machine_seed: (draw, seed), .. } = setup;
-        let machine = stonevane_fleet::Setup {
+        let machine = stonevane_membership::Setup {
             me: (number - domain.start) as Number,
             members: (domain.end - domain.start) as Number,
             period: membership.period,
@@ -128,7 +128,7 @@
             period: membership.period,
             machine: Machine::new(now, machine),
             core: Core::new(now, core),
-            machine_outputs: stonevane_fleet::Outputs::default(),
+            machine_outputs: stonevane_membership::Outputs::default(),
             core_outputs: stonevane_core::Outputs::new(),
             living: 0,
             sharers: 0,
--- a/crates/stonevane-scale/src/lib.rs
+++ b/crates/stonevane-scale/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fleets of *hollow* nodes, which show what a node costs as its fleet grows.
 //!
 //! A hollow node is the daemon without clients and cache servers: the real core (`stonevane-core`) with the daemon's
-//! own calls to discovery over TCP, and the real membership machine (`stonevane-fleet`) with its datagrams over UDP,
+//! own calls to discovery over TCP, and the real membership machine (`stonevane-membership`) with its datagrams over UDP,
 //! all on loopback. Many of them run in one worker process; a coordinator starts the workers, waits until the fleet
 //! has converged, samples its cost, kills one node and waits until all others hold it dead.
 //!
--- a/crates/stonevane-scale/src/node.rs
+++ b/crates/stonevane-scale/src/node.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use stonevane_core::Input as CoreInput;
+use stonevane_emulators::Mono;
 use stonevane_node::discovery::{Discovery, Traffic};
-use stonevane_standin::Mono;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until};
--- a/crates/stonevane-scale/src/registry.rs
+++ b/crates/stonevane-scale/src/registry.rs
@@ -6,8 +6,8 @@
 use std::sync::mpsc;
 use std::thread::JoinHandle;
 
-use stonevane_standin::Recorder;
-use stonevane_standin::discovery::{Discovery, DiscoverySpec, Entry};
+use stonevane_emulators::Recorder;
+use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry};
 use tokio::sync::oneshot;
 
 use crate::plan::Plan;
--- a/crates/stonevane-scale/tests/hollow.rs
+++ b/crates/stonevane-scale/tests/hollow.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stonevane_core::{Ask, Call, Input as CoreInput, Listing};
-use stonevane_fleet::State;
+use stonevane_membership::State;
 use stonevane_scale::Micros;
 use stonevane_scale::hollow::{Hollow, Input, Outputs, Setup};
 use stonevane_scale::plan::{Membership, Plan};
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: who there is, and since which version.
 
 use stonevane_core::{Endpoint, Listing};
-use stonevane_model::service::Turns;
+use stonevane_server_model::service::Turns;
 
 use crate::servers::Server;
 
--- a/crates/stonevane-sim/src/members/world.rs
+++ b/crates/stonevane-sim/src/members/world.rs
@@ -5,8 +5,8 @@
 
 use oorandom::Rand64;
 use stonevane_audit::{Breach, Membership, MembershipFigures, Span};
-use stonevane_fleet::wire::MAX_DATAGRAM;
-use stonevane_fleet::{Counts, Input, Machine, Mutant, Outputs, Setup};
+use stonevane_membership::wire::MAX_DATAGRAM;
+use stonevane_membership::{Counts, Input, Machine, Mutant, Outputs, Setup};
 
 use super::plan::{FOR_GOOD, MemberPlan, Wrong};
 
--- a/crates/stonevane-sim/src/servers.rs
+++ b/crates/stonevane-sim/src/servers.rs
@@ -6,8 +6,8 @@
 use bytes::{Buf, BytesMut};
 use stonevane_audit::{Effect, able};
 use stonevane_codec::resp;
-use stonevane_model::value::digest;
-use stonevane_model::work::{Cores, drawn};
+use stonevane_server_model::value::digest;
+use stonevane_server_model::work::{Cores, drawn};
 
 /// Cores of a cache and of the origin.
 const CORES: usize = 4;
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -12,9 +12,9 @@
 use stonevane_codec::resp::{self, Value};
 use stonevane_config::operator;
 use stonevane_core::{Ask, ConnId, Core, Input, Listing, Mutant, Note, Output, Outputs, Setup};
-use stonevane_model::value::{digest, padded};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{Class, Effect as Keeps, Group, Settings, Tenant};
+use stonevane_server_model::value::{digest, padded};
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
 use crate::discovery::{Discovery, Entry};
--- a/crates/stonevane-sim/tests/members.rs
+++ b/crates/stonevane-sim/tests/members.rs
@@ -4,7 +4,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stonevane_fleet::Mutant;
+use stonevane_membership::Mutant;
 use stonevane_sim::members::{MemberOptions, MemberPlan, play, shrink_members};
 
 /// Plays seeds on all cores; those that fail.
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -201,7 +201,7 @@
             "libc",
             "socket2",
             "stonevane-node",
-            "stonevane-standin",
+            "stonevane-emulators",
             "stonevane-store",
         ],
         [
@@ -215,7 +215,7 @@
         ],
     );
     let mut lines = 0;
-    for package in ["stonevane-core", "stonevane-model", "stonevane-sim"] {
+    for package in ["stonevane-core", "stonevane-server-model", "stonevane-sim"] {
         let manifest = std::fs::read_to_string(root.join(package).join("Cargo.toml")).unwrap();
         let needs = manifest.split("[dependencies]").nth(1).unwrap().split("\n[").next().unwrap();
         for name in packages {
--- a/crates/stonevane-store/tests/postgres.rs
+++ b/crates/stonevane-store/tests/postgres.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stonevane_standin::postgres::{PgFault, Postgres as Server};
+use stonevane_emulators::postgres::{PgFault, Postgres as Server};
 use stonevane_store::postgres::Options;
 use stonevane_store::{Change, Edit, Postgres, Receipt, Store, StoreError};
 use tokio::time::{Instant, timeout};
--- a/crates/spardeal-drill/src/main.rs
+++ b/crates/stonevane-wire-adapter/src/main.rs
@@ -127,7 +127,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("spardeal-drill: {message}");
+            eprintln!("stonevane-wire-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/spardeal-drill/tests/drill.rs
+++ b/crates/stonevane-wire-adapter/tests/drill.rs
@@ -78,7 +78,7 @@
 }
 
 fn spawn() -> Child {
-    let mut command = Command::new(env!("CARGO_BIN_EXE_spardeal-drill"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_stonevane-wire-adapter"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
     command.spawn().expect("the wirehost starts")
 }
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -11,9 +11,9 @@
 
 use clap::Subcommand;
 use stonevane_audit::{Effect, Event, Line, Outcome, Rules, Span, audit};
+use stonevane_emulators::client::{Clients, plan};
+use stonevane_emulators::{Mono, Recorder};
 use stonevane_lab::{Fleet, Kind, Scenario, summarise};
-use stonevane_standin::client::{Clients, plan};
-use stonevane_standin::{Mono, Recorder};
 
 use crate::{NOT_RUN, node};
 
@@ -204,7 +204,7 @@
     // Behind a relay the node stands idle.
     let node = match program {
         Some(program) => program.to_owned(),
-        None => std::env::current_exe().map_err(text)?.with_file_name("spardeal-node"),
+        None => std::env::current_exe().map_err(text)?.with_file_name("stonevane-node"),
     };
     let (cpu, own_cpu) = runtime.block_on(async {
         let mono = Mono::default();
--- a/crates/stonevane/src/bench/store.rs
+++ b/crates/stonevane/src/bench/store.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+use stonevane_emulators::Mono;
+use stonevane_emulators::postgres::Postgres as Server;
 use stonevane_lab::{Kind, Options as RunOptions, Scenario};
-use stonevane_standin::Mono;
-use stonevane_standin::postgres::Postgres as Server;
 use stonevane_store::postgres::tokio_postgres::{self, NoTls};
 use stonevane_store::sqlite::{Options, rusqlite};
 use stonevane_store::{Edit, Postgres, Sqlite, Store, postgres, quick};
--- a/crates/stonevane/src/demo.rs
+++ b/crates/stonevane/src/demo.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use clap::Args;
+use stonevane_emulators::client::key;
+use stonevane_emulators::{Mono, Recorder};
 use stonevane_lab::scenario::StoreSpec;
 use stonevane_lab::{Fleet, Kind, Scenario, interrupted};
-use stonevane_standin::client::key;
-use stonevane_standin::{Mono, Recorder};
 
 use crate::{NOT_RUN, node};
 
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -12,8 +12,8 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 use stonevane_audit::MembershipFigures;
-use stonevane_fleet::Mutant;
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
+use stonevane_membership::Mutant;
 use stonevane_sim::members::{MemberOptions, MemberPlan, MemberVerdict, play, shrink_members};
 
 use crate::sim::seeds;
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -91,7 +91,7 @@
     /// A member in a node's place that breaks a rule of membership (`fleet simulate --mutants` lists them), to see it
     /// caught.
     #[arg(long, value_name = "MUTANT", value_parser = crate::fleet::mutant)]
-    crooked_member: Option<stonevane_fleet::Mutant>,
+    crooked_member: Option<stonevane_membership::Mutant>,
 }
 
 fn crime(name: &str) -> Result<Crime, String> {
@@ -123,7 +123,7 @@
 #[derive(Args)]
 #[command(after_help = "Examples:
   stonevane lab experiment baseline.toml
-  stonevane lab experiment mend.toml --node-program old/spardeal-node --against target/release/spardeal-node
+  stonevane lab experiment mend.toml --node-program old/stonevane-node --against target/release/stonevane-node
 
 The same command goes on where an interrupted one stopped. Exit codes: 0 all runs were played (what they showed is
 the report's), 2 the file, a build or the folder can't be used, 3 interrupted.")]
--- a/crates/stonevane/src/main.rs
+++ b/crates/stonevane/src/main.rs
@@ -54,7 +54,7 @@
 )]
 struct Cli {
     /// Logs of the lab and its stand-ins on standard error: a level, or levels by package
-    /// (`info`, `warn,stonevane_standin=debug`).
+    /// (`info`, `warn,stonevane_emulators=debug`).
     #[arg(long, global = true, value_name = "LEVELS", value_parser = levels)]
     log: Option<EnvFilter>,
     /// Logs as JSON lines.
--- a/crates/stonevane/src/node.rs
+++ b/crates/stonevane/src/node.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-const NAME: &str = "spardeal-node";
+const NAME: &str = "stonevane-node";
 
 /// The program that was named; else the one beside this program; else, run by cargo, one that is built now.
 ///
--- a/crates/stonevane/src/standin.rs
+++ b/crates/stonevane/src/standin.rs
@@ -11,13 +11,13 @@
 
 use clap::{Args, Subcommand};
 use stonevane_audit::{Event, Line, Rules};
+use stonevane_emulators::cache::{Cache, CacheSpec};
+use stonevane_emulators::client::{Clients, plan};
+use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry};
+use stonevane_emulators::origin::{Origin, OriginSpec};
+use stonevane_emulators::record::Writer;
+use stonevane_emulators::{Mono, Recorder, relay};
 use stonevane_lab::{Scenario, interrupted};
-use stonevane_standin::cache::{Cache, CacheSpec};
-use stonevane_standin::client::{Clients, plan};
-use stonevane_standin::discovery::{Discovery, DiscoverySpec, Entry};
-use stonevane_standin::origin::{Origin, OriginSpec};
-use stonevane_standin::record::Writer;
-use stonevane_standin::{Mono, Recorder, relay};
 use tokio::net::TcpListener;
 
 use crate::{NOT_RUN, UNUSABLE, faults};
--- a/crates/stonevane/tests/common/mod.rs
+++ b/crates/stonevane/tests/common/mod.rs
@@ -26,7 +26,7 @@
             build.arg("--release");
         }
         assert!(build.status().unwrap().success());
-        folder.join("spardeal-node").display().to_string()
+        folder.join("stonevane-node").display().to_string()
     })
 }
 
