--- a/crates/stonevane-capacity/src/roles/discovery.rs
+++ b/crates/stonevane-capacity/src/roles/discovery.rs
@@ -38,7 +38,7 @@
             let known: Listing =
                 serde_json::from_str(&known).map_err(|e| MeasureError::Broken(format!("no list: {e}")))?;
             let mut deployment = node::deployment(nodes as u32);
-            deployment.settings.me = number as u32;
+            deployment.settings.node_index = number as u32;
             let setup = node::setup(deployment, known, 1024, seed.wrapping_mul(65_537) + number);
             cores.push(Core::new(node::START, setup));
         }
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -10,7 +10,7 @@
 use stonevane_config::operator;
 use stonevane_core::{Ask, ConnId, Core, Input, Listing, Output, Outputs, Setup};
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{Class, Effect, Micros, Settings, Tenant};
+use stonevane_policy::{Idempotency, Micros, RequestClass, Settings, Tenant};
 
 use crate::cpu::CpuMeter;
 
@@ -32,13 +32,18 @@
 
 /// A deployment at the target's size, in the platform's defaults.
 pub fn deployment(nodes: u32) -> Deployment {
-    let class = Class { aim: SECOND, deadline: 2 * SECOND, effect: Effect::Safe, ..Class::default() };
+    let class = RequestClass {
+        latency_objective: SECOND,
+        deadline: 2 * SECOND,
+        idempotency: Idempotency::Idempotent,
+        ..RequestClass::default()
+    };
     let settings = Settings {
-        balancers: nodes,
+        nodes: nodes,
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: QUOTA }],
-        ask_discovery: true,
-        start_each: 0.0,
+        poll_discovery: true,
+        startup_attempts_per_server: 0.0,
         ..Settings::default()
     };
     Deployment {
@@ -46,11 +51,11 @@
         classes: vec!["read".into()],
         tenants: vec!["all".into()],
         zones: super::listing::zones(),
-        kinds: vec!["cache".into()],
+        machine_types: vec!["cache".into()],
         connect_timeout: 250_000,
         idle_close: IDLE_CLOSE,
         max_open: 20_000,
-        load_names: Vec::new(),
+        load_metric_names: Vec::new(),
     }
 }
 
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -2,7 +2,7 @@
 
 use oorandom::Rand64;
 use stonevane_core::Core;
-use stonevane_policy::{Action, Event, Load, Outcome, Policy, Request, ServerId, Status};
+use stonevane_policy::{Action, AttemptStatus, Event, LoadReport, Outcome, Policy, Request, ServerId};
 
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
@@ -52,15 +52,15 @@
     deployment.settings.weights_are_sizes = sized;
     let mut policy = Policy::new(deployment.settings, seed);
     let known = known(servers)?;
-    let lines = known.endpoints.iter().enumerate().map(|(at, endpoint)| stonevane_policy::ServerLine {
+    let lines = known.endpoints.iter().enumerate().map(|(at, endpoint)| stonevane_policy::ServerEntry {
         id: (at as ServerId).wrapping_mul(2_654_435_761) | 1,
         zone: (at % 57) as u8,
         cell: endpoint.group,
         weight: 1.0 + (at % 3) as f32,
-        ..stonevane_policy::ServerLine::default()
+        ..stonevane_policy::ServerEntry::default()
     });
     let (mut now, mut actions) = (node::START, Vec::new());
-    let event = Event::ServerList { kind: stonevane_policy::ListKind::Full, servers: lines.collect() };
+    let event = Event::ServerList { kind: stonevane_policy::ListUpdate::Full, servers: lines.collect() };
     policy.handle(now, event, &mut actions);
     let mut rng = Rand64::new(seed.into());
     let (mut placing, mut learning, mut placed) = (0, 0, 0);
@@ -86,11 +86,11 @@
             request: id,
             attempt: 0,
             server,
-            status: Status::Served,
-            over: true,
-            note: stonevane_policy::Note::default(),
-            took: TAKES,
-            load: Load::default(),
+            status: AttemptStatus::Served,
+            request_finished: true,
+            cache_status: stonevane_policy::CacheStatus::default(),
+            elapsed: TAKES,
+            load: LoadReport::default(),
             first_on_connection: false,
         };
         let answered = cpu::thread_nanos();
--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp;
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{Effect, Micros};
+use stonevane_policy::{Idempotency, Micros};
 
 use crate::request::{Command, Final};
 
@@ -93,7 +93,7 @@
     command.tenant = tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
     (command.rules, command.most) = (*class, deployment.settings.max_attempts);
-    if write && matches!(class.effect, Effect::Keyed { .. }) && !keyed {
+    if write && matches!(class.idempotency, Idempotency::WithKey { .. }) && !keyed {
         return Err("no k for a keyed write");
     }
     let wait = wait.ok_or("no d")?;
--- a/crates/stonevane-core/src/node.rs
+++ b/crates/stonevane-core/src/node.rs
@@ -10,8 +10,8 @@
 use stonevane_config::operator;
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{
-    Action, Condition, Effect, Event, ListKind, Load, Micros, Outcome, Policy, Request, RequestId, ServerId,
-    ServerLine, Settings, Status,
+    Action, AttemptStatus, Condition, Event, Idempotency, ListUpdate, LoadReport, Micros, Outcome, Policy,
+    Request, RequestId, ServerEntry, ServerId, Settings,
 };
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -103,7 +103,7 @@
     since_ms: u64,
     address: SocketAddr,
     /// Its entry in the list, in the module's form but for zone and kind, which are names here.
-    line: ServerLine,
+    line: ServerEntry,
     names: [Box<str>; 2],
     speaks: Speaks,
     condition: Condition,
@@ -247,7 +247,7 @@
         let Setup { mut deployment, sockets, known, others, excluded, replaced, regions, .. } = setup;
         if faults.plays(Mutant::LongWindow) {
             for class in &mut deployment.settings.classes {
-                if let Effect::Keyed { window, .. } = &mut class.effect {
+                if let Idempotency::WithKey { window, .. } = &mut class.idempotency {
                     *window *= 100;
                 }
             }
@@ -259,7 +259,7 @@
         let part = places * 2 / 3;
         let memory =
             Memory::new(setup.memory_mb - if replaced { SECOND_MB.min(setup.memory_mb / 4) } else { 0 });
-        let aim = deployment.settings.classes.iter().map(|class| class.aim).max().unwrap_or(0);
+        let aim = deployment.settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0);
         let rest = setup.servers.rest.as_micros() as Micros;
         let mut core = Core {
             faults,
@@ -274,7 +274,7 @@
             next_request: 1,
             next_conn: 1,
             servers: HashMap::new(),
-            scope: regions.map(|regions| Scope::new(regions, deployment.settings.me, now)),
+            scope: regions.map(|regions| Scope::new(regions, deployment.settings.node_index, now)),
             origin: if setup.store { Speaks::Call } else { Speaks::Origin },
             pool: Pool::new(deployment.idle_close, rest),
             clients: Clients::new(Limits::from(setup.clients)),
@@ -311,12 +311,12 @@
         };
         core.counted = core.figures.name(&core.deployment.classes).unwrap_or_default();
         excluded.into_iter().for_each(|name| core.exclude(name, true));
-        if core.deployment.settings.ask_discovery && !known.endpoints.is_empty() {
+        if core.deployment.settings.poll_discovery && !known.endpoints.is_empty() {
             let wait = before_first_call(&core.deployment.settings, setup.seed);
             core.first_watch = Some(now + wait);
         }
-        core.list(known, Some(ListKind::Cached));
-        if !core.deployment.settings.ask_discovery {
+        core.list(known, Some(ListUpdate::Cached));
+        if !core.deployment.settings.poll_discovery {
             core.ask(Ask::Follow);
         }
         core.timers.push(now + core.standstill().due, Due::Sweep);
@@ -425,15 +425,15 @@
             Input::List(_, listing) => self.list(listing, None),
             Input::ListFailed(_) => {
                 self.deaf |= self.faults.plays(Mutant::Deaf);
-                self.tell(Event::ServerList { kind: ListKind::Failed, servers: Vec::new() });
+                self.tell(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
             }
             Input::ListSilent(_, lasted, stood) => {
                 self.tell(Event::ServerList {
-                    kind: ListKind::Silent { lasted, stood },
+                    kind: ListUpdate::TimedOut { silent_for: lasted, was_established: stood },
                     servers: Vec::new(),
                 });
             }
-            Input::OriginShut(lasts) => self.tell(Event::OriginShut { lasts }),
+            Input::OriginShut(lasts) => self.tell(Event::OriginUnavailable { duration: lasts }),
             Input::Move(address) => self.move_to(address),
             Input::Settings(deployment) => self.settings(deployment),
             Input::Unusable => self.figures.reloads_failed += 1,
@@ -492,7 +492,7 @@
         match due {
             Due::Policy(token) => self.tell(Event::Timer(token)),
             Due::Attempt(id, number) => {
-                self.give_up((id, number), Status::TimedOut);
+                self.give_up((id, number), AttemptStatus::TimedOut);
                 self.run_events();
             }
             Due::Deadline(id) => {
@@ -501,7 +501,7 @@
                     && !self.faults.plays(Mutant::ForgetRefusal)
                 {
                     self.answer(id, Final::Failed);
-                    self.tell(Event::ClientGone(id));
+                    self.tell(Event::ClientDisconnected(id));
                 }
             }
             Due::Conn(id) => self.limit(id),
@@ -517,7 +517,7 @@
                 gone.into_iter().for_each(|id| self.closes(id, CloseReason::Idle));
                 self.timers.push(self.now + self.standstill().due, Due::Sweep);
             }
-            Due::Last => self.tell(Event::Ending),
+            Due::Last => self.tell(Event::ShuttingDown),
             Due::Drain => {
                 self.enter(Phase::Draining);
                 if !self.succeeded {
@@ -557,10 +557,10 @@
     }
 
     /// One line for each list that is taken in.
-    fn log_list(&mut self, kind: ListKind, lines: &[ServerLine]) {
+    fn log_list(&mut self, kind: ListUpdate, lines: &[ServerEntry]) {
         let count = |condition| lines.iter().filter(|line| line.condition == condition).count();
-        let warm_up = self.deployment.settings.warm_up;
-        let cold = |line: &&ServerLine| line.started != 0 && self.now < line.started.saturating_add(warm_up);
+        let warm_up = self.deployment.settings.slow_start_duration;
+        let cold = |line: &&ServerEntry| line.started != 0 && self.now < line.started.saturating_add(warm_up);
         let in_slow_start = lines.iter().filter(cold).count();
         self.log(format!(
             "list: version {} ({kind:?}), {} lines: {} ready, {} draining, {} gone, {in_slow_start} in slow start; {} \
@@ -678,8 +678,14 @@
             conn.noise(bytes);
             return;
         }
-        let read =
-            conn.bytes(self.now, bytes, &self.deployment.load_names, self.longest, self.half_told, keeps);
+        let read = conn.bytes(
+            self.now,
+            bytes,
+            &self.deployment.load_metric_names,
+            self.longest,
+            self.half_told,
+            keeps,
+        );
         match read {
             Read::More => {
                 if let Some(wants) = conn.wants(self.longest) {
@@ -887,7 +893,7 @@
                 }
                 let sent = self.open.get(&request).map_or(0, |open| open.sent);
                 self.close_request(request);
-                self.tell(Event::ClientGone(request));
+                self.tell(Event::ClientDisconnected(request));
                 (0..sent).for_each(|number| self.withdraw((request, number)));
                 self.run_events();
             }
@@ -899,7 +905,7 @@
         let conn = self.attempts.get(&key).map(|attempt| attempt.conn);
         if let Some(id) = conn.filter(|id| self.pool.get(*id).is_some_and(|c| c.state == State::Writing)) {
             self.close_server(id, CloseReason::GivenUp);
-            self.end(key, Status::NotSent);
+            self.end(key, AttemptStatus::NotSent);
         }
     }
 
@@ -977,7 +983,7 @@
             tenant: command.tenant,
             key: command.hashed_key(),
             write: command.write,
-            repeat: command.repeat,
+            is_retry: command.repeat,
             time_left: command.time_left,
             cost: command.cost,
             size: command.size,
@@ -1079,12 +1085,12 @@
                 }
                 self.send(request, server, give_up_after);
             }
-            Action::Refuse { .. } if self.faults.plays(Mutant::ForgetRefusal) => {}
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { .. } if self.faults.plays(Mutant::ForgetRefusal) => {}
+            Action::Reject { request, retry_after } => {
                 self.answer(request, Final::Refused { retry_after });
             }
             Action::Fail(request) => self.answer(request, Final::Failed),
-            Action::Cancel { request, attempt } => self.give_up((request, attempt), Status::Cancelled),
+            Action::Cancel { request, attempt } => self.give_up((request, attempt), AttemptStatus::Cancelled),
             Action::Timer { after, token } => {
                 self.timers.push(self.now + after.max(1), Due::Policy(token));
             }
@@ -1097,11 +1103,11 @@
             Action::Log(line) => self.out.push_back(Output::Log(Note::Module(line))),
             Action::Fault(line) => self.out.push_back(Output::Log(Note::Fault(line))),
             // This module neither probes nor speaks to peers; the sockets for it are not built.
-            Action::Probe(server) => {
-                let (took, load) = (0, Load::default());
-                self.events.push_back(Event::Probed { server, ok: false, took, load });
+            Action::HealthCheck(server) => {
+                let (took, load) = (0, LoadReport::default());
+                self.events.push_back(Event::HealthCheckFinished { server, ok: false, took, load });
             }
-            Action::Tell { .. } => {}
+            Action::SendToPeer { .. } => {}
         }
     }
 
@@ -1123,7 +1129,7 @@
         }
         self.attempts.insert(key, Attempt { server, sent: self.now, conn, first_on_connection: false });
         if conn == 0 {
-            return self.end(key, Status::NotSent);
+            return self.end(key, AttemptStatus::NotSent);
         }
         self.timers.push(limit, Due::Attempt(id, key.1));
         if up {
@@ -1209,7 +1215,7 @@
         let open = self.open.get(&key.0).filter(|open| !open.over && self.now < open.ends);
         let Some(open) = open.filter(|_| wanted) else {
             self.release(id, attempt.server);
-            return self.end(key, Status::NotSent);
+            return self.end(key, AttemptStatus::NotSent);
         };
         let Some(conn) = self.pool.get_mut(id) else { return };
         // Against a send that a drain came before, told while the process stood still and not read yet.
@@ -1226,7 +1232,7 @@
         match conn.speaks.encode(&open.command, left_ms, conn.address) {
             Some(bytes) => {
                 conn.state = State::Writing;
-                let sure = conn.carried > 1 && open.command.rules.effect != Effect::Safe;
+                let sure = conn.carried > 1 && open.command.rules.idempotency != Idempotency::Idempotent;
                 self.out.push_back(Output::Ask(id, bytes, sure));
             }
             None => {
@@ -1243,7 +1249,7 @@
         // What comes from a connection that was given up is late, and of no more interest.
         let Some(key) = self.pool.get(id).and_then(|conn| conn.attempt) else { return };
         self.heard(key);
-        self.pool.answered(id, reply.status == Status::Full);
+        self.pool.answered(id, reply.status == AttemptStatus::Rejected);
         match (reply.keep, self.attempts.get(&key).map(|attempt| attempt.server)) {
             (true, Some(server)) => self.release(id, server),
             _ => self.close_server(id, CloseReason::AnswerEnds),
@@ -1259,7 +1265,7 @@
         let open = self.open.get(&key.0).filter(|open| !open.over);
         let Some((client, slot, counted)) = open.map(|open| (open.client, open.slot, open.counted)) else {
             self.close_server(id, CloseReason::GivenUp);
-            return self.end(key, Status::Cancelled);
+            return self.end(key, AttemptStatus::Cancelled);
         };
         self.heard(key);
         let share = self.pool.get_mut(id).and_then(|conn| conn.begin((client, slot)));
@@ -1268,7 +1274,7 @@
         if !session.is_some_and(|session| session.begin(slot, id, counted, head, share)) {
             self.close_server(id, CloseReason::AnswerEnds);
         }
-        self.end_with(key, Reply::bare(Status::Served, true));
+        self.end_with(key, Reply::bare(AttemptStatus::Served, true));
         self.run_events();
         if let Some(conn) = self.pool.get_mut(id) {
             let Read::Piece(piece, last, end) = conn.piece(self.longest) else { return };
@@ -1333,7 +1339,7 @@
         self.close_server(id, CloseReason::Spoilt);
         if let Some(key) = key {
             self.heard(key);
-            self.end(key, Status::Spoilt);
+            self.end(key, AttemptStatus::Malformed);
             self.run_events();
         }
     }
@@ -1361,9 +1367,12 @@
             }
             match torn.filter(|_| self.faults.plays(Mutant::ServeTorn)) {
                 Some(value) => {
-                    self.end_with(key, Reply { value: Some(value), ..Reply::bare(Status::Served, false) });
+                    self.end_with(
+                        key,
+                        Reply { value: Some(value), ..Reply::bare(AttemptStatus::Served, false) },
+                    );
                 }
-                None => self.end(key, Status::Reset),
+                None => self.end(key, AttemptStatus::Reset),
             }
             return self.run_events();
         }
@@ -1376,7 +1385,7 @@
         match (fresh, self.attempts.get_mut(&key)) {
             (Some(conn), Some(attempt)) => attempt.conn = conn,
             _ => {
-                self.end(key, Status::ConnectFailed);
+                self.end(key, AttemptStatus::ConnectFailed);
                 self.run_events();
             }
         }
@@ -1453,7 +1462,7 @@
     }
 
     /// Stops waiting for an attempt, by closing its connection.
-    fn give_up(&mut self, key: AttemptKey, status: Status) {
+    fn give_up(&mut self, key: AttemptKey, status: AttemptStatus) {
         let Some(attempt) = self.attempts.get(&key) else { return };
         let (conn, server, sent) = (attempt.conn, attempt.server, attempt.sent);
         self.close_server(conn, CloseReason::GivenUp);
@@ -1465,7 +1474,7 @@
         self.end(key, status);
     }
 
-    fn end(&mut self, key: AttemptKey, status: Status) {
+    fn end(&mut self, key: AttemptKey, status: AttemptStatus) {
         self.end_with(key, Reply::bare(status, false));
     }
 
@@ -1474,27 +1483,27 @@
         let Some(attempt) = self.attempts.remove(&key) else { return };
         if self.trace.is_on() {
             let (name, took) = (self.server_name(attempt.server).to_owned(), self.now - attempt.sent);
-            let status = reply.status;
+            let status = reply.status.name();
             self.trace_request(
                 key.0,
-                format_args!("attempt {} at {name} ended: {status:?} after {took} us", key.1),
+                format_args!("attempt {} at {name} ended: {status} after {took} us", key.1),
             );
         }
         let mut reply = reply;
         reply.status = match reply.status {
-            Status::Reset if self.faults.plays(Mutant::ResetNotRun) => Status::ConnectFailed,
+            AttemptStatus::Reset if self.faults.plays(Mutant::ResetNotRun) => AttemptStatus::ConnectFailed,
             status => status,
         };
-        if reply.status == Status::Miss && self.faults.plays(Mutant::ServeMiss) {
-            (reply.status, reply.value) = (Status::Served, Some(Bytes::new()));
+        if reply.status == AttemptStatus::Miss && self.faults.plays(Mutant::ServeMiss) {
+            (reply.status, reply.value) = (AttemptStatus::Served, Some(Bytes::new()));
         }
         let Some(open) = self.open.get_mut(&key.0) else { return };
         open.out -= 1;
-        if reply.status == Status::Miss && self.origin == Speaks::Call {
+        if reply.status == AttemptStatus::Miss && self.origin == Speaks::Call {
             open.missed.push(attempt.server);
             open.at_least = open.at_least.max(reply.at_least);
         }
-        let over = open.over || reply.status == Status::Served;
+        let over = open.over || reply.status == AttemptStatus::Served;
         if let Some(value) = reply.value {
             self.answer(key.0, Final::Served(value));
         }
@@ -1506,9 +1515,9 @@
             attempt: key.1,
             server: attempt.server,
             status: reply.status,
-            over,
-            note: reply.note,
-            took: self.now - attempt.sent,
+            request_finished: over,
+            cache_status: reply.note,
+            elapsed: self.now - attempt.sent,
             load: reply.load,
             first_on_connection: attempt.first_on_connection,
         }));
@@ -1542,13 +1551,13 @@
         self.first_watch = None;
         (self.discovery, self.index) = (address, None);
         self.era += 1;
-        let pushed = !self.deployment.settings.ask_discovery;
+        let pushed = !self.deployment.settings.poll_discovery;
         self.ask(if pushed { Ask::Follow } else { Ask::Watch { after: None } });
     }
 
-    fn list(&mut self, listing: Listing, kind: Option<ListKind>) {
-        let kind = kind.unwrap_or(if listing.snapshot { ListKind::Full } else { ListKind::Delta });
-        if kind == ListKind::Delta
+    fn list(&mut self, listing: Listing, kind: Option<ListUpdate>) {
+        let kind = kind.unwrap_or(if listing.snapshot { ListUpdate::Full } else { ListUpdate::Delta });
+        if kind == ListUpdate::Delta
             && self.index.is_some_and(|held| listing.index < held)
             && !self.faults.plays(Mutant::OldList)
         {
@@ -1556,12 +1565,12 @@
         }
         // Against a list that was written before a server's drain was announced and is read after it. Whoever counts anew
         // has such a list too, so that the rest of it holds.
-        let old = kind == ListKind::Full && self.index.is_some_and(|held| listing.index < held);
+        let old = kind == ListUpdate::Full && self.index.is_some_and(|held| listing.index < held);
         // A node that was given no list at its start asks for the whole one, whatever its version.
-        let none = kind == ListKind::Cached && listing.endpoints.is_empty();
+        let none = kind == ListUpdate::Cached && listing.endpoints.is_empty();
         self.index = (!none).then_some(listing.index);
         let first_list = self.servers.is_empty().then(|| self.read_first_list(&listing));
-        let mut lines: Vec<ServerLine> = Vec::with_capacity(listing.endpoints.len());
+        let mut lines: Vec<ServerEntry> = Vec::with_capacity(listing.endpoints.len());
         for entry in &listing.endpoints {
             let condition = match entry.status.as_str() {
                 "active" => Condition::Ready,
@@ -1588,7 +1597,7 @@
             let speaks = self.speaks(kind);
             let cell = entry.group;
             let weight = entry.weight;
-            let line = ServerLine { id, zone, cell, kind, weight, started, condition, sharers: 0 };
+            let line = ServerEntry { id, zone, cell, kind, weight, started, condition, sharing_nodes: 0 };
             lines.push(line.clone());
             let heard = self.servers.get(&id).map_or(0, |server| server.heard);
             let before = self.servers.insert(
@@ -1608,7 +1617,7 @@
                 self.close_idle(id);
             }
         }
-        if kind != ListKind::Delta {
+        if kind != ListUpdate::Delta {
             let listed: HashSet<_> = lines.iter().map(|line| line.id).collect();
             let mut gone: Vec<_> = self.servers.keys().filter(|id| !listed.contains(id)).copied().collect();
             gone.sort_unstable();
@@ -1635,7 +1644,7 @@
     fn read_first_list(&self, listing: &Listing) -> FirstList {
         let starts = listing.endpoints.iter().map(|entry| entry.since_ms).filter(|since| *since != 0);
         let starts: Vec<_> = starts.map(|since| since.saturating_mul(1_000)).collect();
-        let warm_up = self.deployment.settings.warm_up;
+        let warm_up = self.deployment.settings.slow_start_duration;
         FirstList::new(self.now, warm_up, listing.endpoints.len(), &starts)
     }
 
@@ -1655,13 +1664,13 @@
 
     /// Tells the module of a list or of lines that changed: of these as they are, or of what the subset makes of the
     /// whole list held.
-    fn tell_servers(&mut self, kind: ListKind, lines: Vec<ServerLine>) {
+    fn tell_servers(&mut self, kind: ListUpdate, lines: Vec<ServerEntry>) {
         let servers = self.select_servers(kind).unwrap_or(lines);
         self.tell(Event::ServerList { kind, servers });
     }
 
     /// Selects the subset anew; what the module is to be told, where there is one.
-    fn select_servers(&mut self, kind: ListKind) -> Option<Vec<ServerLine>> {
+    fn select_servers(&mut self, kind: ListUpdate) -> Option<Vec<ServerEntry>> {
         let mut scope = self.scope.take()?;
         let listed = self.servers.iter().map(|(id, server)| Listed {
             line: &server.line,
@@ -1688,8 +1697,8 @@
 
     /// The subset follows what is no list: a server out by hand, other settings.
     fn subset_again(&mut self) {
-        if let Some(told) = self.select_servers(ListKind::Delta).filter(|lines| !lines.is_empty()) {
-            self.tell(Event::ServerList { kind: ListKind::Delta, servers: told });
+        if let Some(told) = self.select_servers(ListUpdate::Delta).filter(|lines| !lines.is_empty()) {
+            self.tell(Event::ServerList { kind: ListUpdate::Delta, servers: told });
         }
     }
 
@@ -1697,7 +1706,7 @@
     fn placed(&self, names: &[Box<str>; 2]) -> (u8, u16) {
         let place = |known: &[String], name: &str| known.iter().position(|known| known == name);
         let zone = place(&self.deployment.zones, &names[0]).unwrap_or(255) as u8;
-        let kind = place(&self.deployment.kinds, &names[1]).unwrap_or(usize::from(u16::MAX)) as u16;
+        let kind = place(&self.deployment.machine_types, &names[1]).unwrap_or(usize::from(u16::MAX)) as u16;
         (zone, kind)
     }
 
@@ -1752,22 +1761,22 @@
     fn adopt(&mut self, mut deployment: Deployment) {
         let before = &self.deployment;
         // How lists come is the platform's build, and changes with a new process only.
-        deployment.settings.ask_discovery = before.settings.ask_discovery;
-        deployment.settings.shares_fetches = before.settings.shares_fetches;
-        deployment.settings.start_each = before.settings.start_each;
+        deployment.settings.poll_discovery = before.settings.poll_discovery;
+        deployment.settings.coalesce_fetches = before.settings.coalesce_fetches;
+        deployment.settings.startup_attempts_per_server = before.settings.startup_attempts_per_server;
         let tenants = deployment.tenants.iter().map(|name| before.tenants.iter().position(|was| was == name));
         let tenants = tenants.collect();
         let moved = before.zones != deployment.zones
-            || before.kinds != deployment.kinds
+            || before.machine_types != deployment.machine_types
             || before.settings.origin_kind != deployment.settings.origin_kind;
-        let aim = deployment.settings.classes.iter().map(|class| class.aim).max().unwrap_or(0);
+        let aim = deployment.settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0);
         self.half_told = (aim / HALF_TOLD).clamp(10_000, 250_000);
         self.pool.retune(deployment.idle_close);
         self.counted = self.figures.name(&deployment.classes).unwrap_or_default();
         let waits = Patience::of(&self.deployment.settings);
         self.deployment = deployment;
         // The watch on pushed lists is opened again by itself, with the waits that it was begun with.
-        if !self.deployment.settings.ask_discovery && Patience::of(&self.deployment.settings) != waits {
+        if !self.deployment.settings.poll_discovery && Patience::of(&self.deployment.settings) != waits {
             self.ask(Ask::Follow);
         }
         self.tell_settings(tenants);
@@ -1785,7 +1794,7 @@
                 (server.line.zone, server.line.kind, server.speaks) = (zone, kind, speaks);
                 lines.push(server.line.clone());
             }
-            self.tell_servers(ListKind::Delta, lines);
+            self.tell_servers(ListUpdate::Delta, lines);
         } else {
             self.subset_again();
         }
@@ -1799,8 +1808,8 @@
     /// What the module is told of the settings: with what is known of other nodes and of servers that it does not know.
     fn settings_in_force(&self) -> Settings {
         let mut settings = self.deployment.settings.clone();
-        settings.balancers = settings.balancers.max(self.sharers);
-        settings.cache_weight = self.scope.as_ref().map_or(0.0, Scope::cache_weight);
+        settings.nodes = settings.nodes.max(self.sharers);
+        settings.total_cache_weight = self.scope.as_ref().map_or(0.0, Scope::cache_weight);
         settings
     }
 
@@ -1810,7 +1819,7 @@
     }
 
     fn sharers(&mut self, sharers: u32) {
-        let configured = self.deployment.settings.balancers;
+        let configured = self.deployment.settings.nodes;
         let changes = self.sharers.max(configured) != sharers.max(configured);
         self.sharers = sharers;
         if changes {
@@ -1834,7 +1843,7 @@
             true => drop(self.excluded.insert(server, name)),
             false => drop(self.excluded.remove(&server)),
         }
-        self.tell(Event::Exclude { server, out });
+        self.tell(Event::Exclude { server, excluded: out });
         if let Some(scope) = self.scope.as_mut().filter(|_| !out) {
             scope.put_back(server, self.now);
         }
@@ -1862,7 +1871,7 @@
             attempts: self.figures.attempts,
             in_flight: self.owed,
             cache_servers_known: self.servers.values().filter(|s| s.speaks == Speaks::Cache).count(),
-            cache_servers_excluded: self.policy.avoided(),
+            cache_servers_excluded: self.policy.avoided_server_count(),
             reloads_ok: self.figures.reloads_ok,
             reloads_failed: self.figures.reloads_failed,
             decisions: &self.figures.decisions,
@@ -1889,7 +1898,7 @@
         self.refusals = (self.part / 8).max(1);
         self.memory.limit(grant.room.memory);
         (self.succeeded, self.shared) = (grant.succeeded, grant.shared);
-        self.tell(Event::Part(grant.part));
+        self.tell(Event::ProcessShare(grant.part));
     }
 
     /// Counts of each class.
--- a/crates/stonevane-core/src/patience.rs
+++ b/crates/stonevane-core/src/patience.rs
@@ -52,8 +52,8 @@
 /// seed of its random numbers, so that processes that start together do not call together. A node that is the only one
 /// calls at once.
 pub fn before_first_call(settings: &Settings, seed: u64) -> Micros {
-    let nodes = Micros::from(settings.balancers.max(1));
-    let longest = (settings.ask_within / START.0).min(START.1) / nodes * (nodes - 1);
+    let nodes = Micros::from(settings.nodes.max(1));
+    let longest = (settings.list_staleness_limit / START.0).min(START.1) / nodes * (nodes - 1);
     let drawn = xxh3_64(&seed.to_le_bytes());
     ((u128::from(drawn) * u128::from(longest)) >> 64) as Micros
 }
@@ -109,9 +109,9 @@
 
     /// The waits that settings ask for.
     pub fn of(settings: &Settings) -> Patience {
-        if settings.ask_discovery {
+        if settings.poll_discovery {
             let (connect, late) = SHARED;
-            let answer = settings.ask_within.clamp(TURN.0, TURN.1);
+            let answer = settings.list_staleness_limit.clamp(TURN.0, TURN.1);
             return Patience { connect, answer, silence: BEAT + late, again: 0 };
         }
         let part = |of: Micros, most: Micros| (settings.drain_grace / of).clamp(AGENT_LEAST, most);
@@ -130,7 +130,7 @@
     #[test]
     fn an_agent_is_heard_again_within_the_grace_however_short_and_a_silent_watch_before_it_counts() {
         for drain_grace in [0, 50_000, 100_000, 500_000, 1_000_000, 10_000_000] {
-            let settings = Settings { ask_discovery: false, drain_grace, ..Settings::default() };
+            let settings = Settings { poll_discovery: false, drain_grace, ..Settings::default() };
             let waits = Patience::of(&settings);
             // The slack of all limits on sockets comes on top.
             let slack = 50_000;
@@ -155,7 +155,8 @@
     #[test]
     fn discovery_that_all_share_gets_its_turn_and_a_silent_watch_leaves_time_to_ask_anew() {
         for ask_within in [1, 1_000_000, 6_500_000, 86_400_000_000] {
-            let settings = Settings { ask_discovery: true, ask_within, ..Settings::default() };
+            let settings =
+                Settings { poll_discovery: true, list_staleness_limit: ask_within, ..Settings::default() };
             let waits = Patience::of(&settings);
             assert!((TURN.0..=TURN.1).contains(&waits.answer));
             assert!(waits.silence > BEAT && waits.silence + waits.connect < TOLD);
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -1,7 +1,7 @@
 //! What servers bring: answers, in no protocol's words.
 
 use bytes::Bytes;
-use stonevane_policy::{Load, Note, RequestId, Status};
+use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport, RequestId};
 
 /// Names a connection of either side; never used twice.
 pub type ConnId = u64;
@@ -16,11 +16,11 @@
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     /// How the attempt ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// What was said of the key.
-    pub note: Note,
+    pub note: CacheStatus,
     /// The load report.
-    pub load: Load,
+    pub load: LoadReport,
     /// The value or the receipt.
     pub value: Option<Bytes>,
     /// Of a miss: the version of the key that the cache was told of last, where it says so; else 0. What is older than
@@ -32,7 +32,7 @@
 
 impl Reply {
     /// One that says no more than how it ended.
-    pub fn bare(status: Status, keep: bool) -> Reply {
-        Reply { status, note: Note::None, load: Load::default(), value: None, at_least: 0, keep }
+    pub fn bare(status: AttemptStatus, keep: bool) -> Reply {
+        Reply { status, note: CacheStatus::None, load: LoadReport::default(), value: None, at_least: 0, keep }
     }
 }
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use bytes::Bytes;
-use stonevane_policy::{Class, Key, Micros};
+use stonevane_policy::{Key, Micros, RequestClass};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The length of the longest time left in decimal digits.
@@ -37,7 +37,7 @@
     /// Position of its class.
     pub class: usize,
     /// What that class means, for as long as the request lives.
-    pub rules: Class,
+    pub rules: RequestClass,
     /// How many attempts it may make.
     pub most: u32,
     /// Position of its tenant.
--- a/crates/stonevane-core/src/scope.rs
+++ b/crates/stonevane-core/src/scope.rs
@@ -5,7 +5,7 @@
 
 use foldhash::{HashMap, HashMapExt};
 use stonevane_config::operator;
-use stonevane_policy::{Condition, ListKind, Micros, ServerId, ServerLine, Settings};
+use stonevane_policy::{Condition, ListUpdate, Micros, ServerEntry, ServerId, Settings};
 use stonevane_subset::{Membership, Region, RegionSelector, Server};
 
 use crate::figures::RegionFigures;
@@ -17,7 +17,7 @@
 /// A listed server, as far as its place in the subset goes.
 pub struct Listed<'a> {
     /// What the module would be told of it.
-    pub line: &'a ServerLine,
+    pub line: &'a ServerEntry,
     /// Name of its zone.
     pub zone: &'a str,
     /// Whether it is a cache server.
@@ -33,7 +33,7 @@
 }
 
 /// When a server is warm at the latest that was put back by hand at a time, if it was.
-fn warm_at(line: &ServerLine, put_back: Option<&Micros>, warm_up: Micros) -> Micros {
+fn warm_at(line: &ServerEntry, put_back: Option<&Micros>, warm_up: Micros) -> Micros {
     match line.started.max(put_back.copied().unwrap_or(0)) {
         0 => 0,
         started => started.saturating_add(warm_up),
@@ -43,7 +43,7 @@
 /// What follows from a change of the list.
 pub struct Told {
     /// The lines that the module is to be told.
-    pub lines: Vec<ServerLine>,
+    pub lines: Vec<ServerEntry>,
     /// Servers that are listed still and have left the subset.
     pub left: Vec<ServerId>,
     /// A line for the log, where other regions are in use than before.
@@ -57,7 +57,7 @@
     /// Nodes in this node's region.
     nodes: u32,
     /// What the module was told last of each server that it knows.
-    told: HashMap<ServerId, ServerLine>,
+    told: HashMap<ServerId, ServerEntry>,
     /// Weight of all cache servers that are usable, those outside included.
     cache_weight: f64,
     /// Since when these regions are in use.
@@ -124,14 +124,14 @@
     pub fn update(
         &mut self,
         now: Micros,
-        kind: ListKind,
+        kind: ListUpdate,
         listed: &[Listed<'_>],
         settings: &Settings,
     ) -> Told {
-        let note = self.select(now, listed, settings.warm_up);
+        let note = self.select(now, listed, settings.slow_start_duration);
         let usable = listed.iter().filter(|server| server.cache && server.usable());
         self.cache_weight = usable.map(|server| settings.cache_weight_of(server.line.weight)).sum();
-        let lines = listed.iter().filter_map(|server| self.line(server, settings.balancers));
+        let lines = listed.iter().filter_map(|server| self.line(server, settings.nodes));
         let known: HashMap<_, _> = lines.map(|line| (line.id, line)).collect();
         let still_listed: Vec<_> = listed.iter().map(|server| server.line.id).collect();
         let before = std::mem::replace(&mut self.told, known);
@@ -139,7 +139,7 @@
         let mut gone: Vec<_> = gone.collect();
         gone.sort_unstable();
         let mut lines: Vec<_> = match kind {
-            ListKind::Delta => {
+            ListUpdate::Delta => {
                 self.told.values().filter(|line| before.get(&line.id) != Some(*line)).collect()
             }
             _ => self.told.values().collect::<Vec<_>>(),
@@ -147,8 +147,8 @@
         .into_iter()
         .cloned()
         .collect();
-        if kind == ListKind::Delta {
-            let line = |id: &ServerId| ServerLine { condition: Condition::Gone, ..before[id].clone() };
+        if kind == ListUpdate::Delta {
+            let line = |id: &ServerId| ServerEntry { condition: Condition::Gone, ..before[id].clone() };
             lines.extend(gone.iter().map(line));
         }
         lines.sort_unstable_by_key(|line| line.id);
@@ -206,14 +206,14 @@
     }
 
     /// What the module is told of a server; `None`: nothing.
-    fn line(&self, server: &Listed<'_>, balancers: u32) -> Option<ServerLine> {
+    fn line(&self, server: &Listed<'_>, balancers: u32) -> Option<ServerEntry> {
         let sharers = match self.selector.membership(server.zone) {
             _ if !server.cache => 0,
             Membership::Home => self.nodes.saturating_mul(HALVES),
             Membership::Fallback | Membership::LastResort => balancers.saturating_mul(HALVES),
             Membership::Outside => return None,
         };
-        Some(ServerLine { sharers, ..server.line.clone() })
+        Some(ServerEntry { sharing_nodes: sharers, ..server.line.clone() })
     }
 
     /// The figures.
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp::{self, Value};
-use stonevane_policy::{Load, Note, Status};
+use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport};
 
 use crate::reply::{Broken, Reply};
 use crate::request::Command;
@@ -39,7 +39,7 @@
             }
             let how = text(&how);
             let (note, load) = (note(how), load(text(&report), load_names));
-            let status = if value.is_some() { Status::Served } else { Status::Miss };
+            let status = if value.is_some() { AttemptStatus::Served } else { AttemptStatus::Miss };
             let at_least = how.strip_prefix("miss:").and_then(|version| version.parse().ok()).unwrap_or(0);
             Reply { note, load, value, at_least, ..reply(status) }
         }
@@ -47,8 +47,8 @@
             let line = std::str::from_utf8(&line).map_err(|_| Broken)?;
             let status = match line.split(' ').next() {
                 _ if line.chars().any(char::is_control) => return Err(Broken),
-                Some("BUSY") => Status::Full,
-                Some("ERR") => Status::Error,
+                Some("BUSY") => AttemptStatus::Rejected,
+                Some("ERR") => AttemptStatus::Error,
                 _ => return Err(Broken),
             };
             let last = line.rsplit(' ').next().unwrap_or("");
@@ -61,24 +61,24 @@
 
 /// How a read went, in a server's words. Caches that take voids from nodes say of a miss which version they were told
 /// of last (`miss:41`).
-pub fn note(word: &str) -> Note {
+pub fn note(word: &str) -> CacheStatus {
     match word.split(':').next().unwrap_or_default() {
-        "hit" => Note::Hit,
-        "miss" => Note::Miss,
-        "pending" => Note::MissBeingFetched,
-        _ => Note::None,
+        "hit" => CacheStatus::Hit,
+        "miss" => CacheStatus::Miss,
+        "pending" => CacheStatus::MissBeingFetched,
+        _ => CacheStatus::None,
     }
 }
 
 /// A load report in a server's words: names and values, put in the order that the settings name them.
-pub fn load(text: &str, names: &[String]) -> Load {
-    let mut load = Load::default();
+pub fn load(text: &str, names: &[String]) -> LoadReport {
+    let mut load = LoadReport::default();
     for (slot, name) in names.iter().take(load.values.len()).enumerate() {
         let pair = text.split(',').filter_map(|pair| pair.split_once('='));
         let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
         // Against reports that parse and tell nothing: not a number, endless or negative.
         let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
-            return Load::default();
+            return LoadReport::default();
         };
         load.values[slot] = value;
         load.count += 1;
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -2,7 +2,7 @@
 
 use bytes::{BufMut, Bytes, BytesMut};
 use stonevane_codec::http::{self, Chunks};
-use stonevane_policy::Status;
+use stonevane_policy::AttemptStatus;
 
 use super::cache;
 use crate::reply::{Broken, Reply};
@@ -79,11 +79,11 @@
         buffer.split_to(length).freeze()
     };
     let status = match head.status {
-        200 => Status::Served,
-        503 | 504 if head.unprocessed => Status::Full,
-        _ => Status::Error,
+        200 => AttemptStatus::Served,
+        503 | 504 if head.unprocessed => AttemptStatus::Rejected,
+        _ => AttemptStatus::Error,
     };
-    let value = (status == Status::Served).then_some(value);
+    let value = (status == AttemptStatus::Served).then_some(value);
     let load = cache::load(head.load.as_deref().unwrap_or(""), load_names);
     let note = cache::note(head.note.as_deref().unwrap_or(""));
     Ok(Some(Reply { status, note, load, value, at_least: 0, keep }))
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -9,7 +9,7 @@
 use stonevane_config::operator;
 use stonevane_core::{Core, Endpoint, Listing, Setup};
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{Class, Settings, Tenant};
+use stonevane_policy::{RequestClass, Settings, Tenant};
 
 /// Unix time, microseconds.
 pub const START: u64 = 1_790_000_000_000_000;
@@ -43,7 +43,7 @@
     differs: impl FnOnce(&mut Deployment),
 ) -> Setup {
     let names = |name: &str| vec![name.to_owned()];
-    let class = Class { aim: 1_000_000, deadline: 2_000_000, ..Class::default() };
+    let class = RequestClass { latency_objective: 1_000_000, deadline: 2_000_000, ..RequestClass::default() };
     let settings = Settings {
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: 1e6 }],
@@ -57,11 +57,11 @@
         classes: names("read"),
         tenants: names("all"),
         zones: names("a"),
-        kinds: vec!["cache".into(), "origin".into()],
+        machine_types: vec!["cache".into(), "origin".into()],
         connect_timeout: 100_000,
         idle_close: 10_000_000,
         max_open: 1_024,
-        load_names: Vec::new(),
+        load_metric_names: Vec::new(),
     };
     differs(&mut deployment);
     let endpoint = |name: &str, port: u16| Endpoint {
--- a/crates/stonevane-core/tests/crossings.rs
+++ b/crates/stonevane-core/tests/crossings.rs
@@ -200,7 +200,8 @@
         assert_eq!(it.asked_at(), [if drains { 7 } else { 1 }]);
     }
     // However short it was, where nothing else was due: with long aims little is.
-    let long = |d: &mut stonevane_policy::settings::Deployment| d.settings.classes[0].aim = 60_000_000;
+    let long =
+        |d: &mut stonevane_policy::settings::Deployment| d.settings.classes[0].latency_objective = 60_000_000;
     let mut it = World::of(common::core_with(false, 256, Duration::from_millis(15), long));
     it.pass(10_000_000);
     it.now += 400_000;
@@ -210,7 +211,7 @@
     assert_eq!(it.asked.len(), 1);
     // Whatever the grace is.
     let short = |d: &mut stonevane_policy::settings::Deployment| {
-        d.settings.classes[0].aim = 60_000_000;
+        d.settings.classes[0].latency_objective = 60_000_000;
         d.settings.drain_grace = 250_000;
     };
     let mut it = World::of(common::core_with(false, 256, Duration::from_millis(15), short));
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -135,7 +135,7 @@
     fn new(case: &'a Case) -> World<'a> {
         let mut deployment = None;
         let core = core_seeded(case.seed, false, 64, Duration::ZERO, |differs| {
-            differs.settings.ask_discovery = !case.pushed;
+            differs.settings.poll_discovery = !case.pushed;
             set(differs, case.timing);
             deployment = Some(differs.clone());
         });
@@ -237,7 +237,7 @@
 }
 
 fn set(deployment: &mut Deployment, timing: Timing) {
-    deployment.settings.ask_within = timing.ask_within;
+    deployment.settings.list_staleness_limit = timing.ask_within;
     deployment.settings.drain_grace = timing.drain_grace;
 }
 
@@ -319,8 +319,8 @@
         for drain_grace in [0, 50_000, 500_000, DAY] {
             for ask_discovery in [true, false] {
                 let settings = stonevane_policy::Settings {
-                    ask_discovery,
-                    ask_within,
+                    poll_discovery: ask_discovery,
+                    list_staleness_limit: ask_within,
                     drain_grace,
                     ..Default::default()
                 };
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -30,9 +30,9 @@
 
 fn node_of(nodes: u32, seed: u64, ask_within: Micros) -> Core {
     core_seeded(seed, false, 64, Duration::ZERO, |differs| {
-        differs.settings.ask_discovery = true;
-        differs.settings.balancers = nodes;
-        differs.settings.ask_within = ask_within;
+        differs.settings.poll_discovery = true;
+        differs.settings.nodes = nodes;
+        differs.settings.list_staleness_limit = ask_within;
     })
 }
 
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -65,7 +65,7 @@
     /// A node among so many, each with 50 requests a second as its part of the quota.
     fn among(balancers: u32, regions: Option<Regions>, known: Vec<Endpoint>) -> World {
         let mut setup = setup_with(false, 256, Duration::from_micros(1_000), |deployment| {
-            deployment.settings.balancers = balancers;
+            deployment.settings.nodes = balancers;
             deployment.settings.tenants[0].quota_per_s = 50.0 * f64::from(balancers);
             deployment.zones = ["a", "b", "c"].map(String::from).into();
         });
@@ -366,7 +366,7 @@
     let mut it = World::new(Some(regions(1)), all());
     it.used_by(MANY);
     let mut deployment = setup_with(false, 256, Duration::from_micros(1_000), |_| {}).deployment;
-    deployment.settings.balancers = 4;
+    deployment.settings.nodes = 4;
     deployment.zones = ["z", "c", "b", "a"].map(String::from).into();
     it.feed(Input::Settings(Box::new(deployment)));
     // Clients may name what was for a moment, then the new settings hold alone.
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -142,7 +142,7 @@
     pub fn regions_unfit(&self) -> Vec<String> {
         let Some(regions) = &self.operator.regions else { return Vec::new() };
         let mut lines = Vec::new();
-        let balancers = self.deployment.settings.balancers;
+        let balancers = self.deployment.settings.nodes;
         if regions.nodes > balancers {
             lines.push(format!(
                 "[regions] `nodes` is {}, and the settings have {balancers} balancers",
--- a/crates/stonevane-node/src/driver.rs
+++ b/crates/stonevane-node/src/driver.rs
@@ -603,12 +603,12 @@
     use stonevane_config::operator;
     use stonevane_core::{Listing, Setup};
     use stonevane_policy::settings::Deployment;
-    use stonevane_policy::{Class, Settings, Tenant};
+    use stonevane_policy::{RequestClass, Settings, Tenant};
 
     fn core(clock: Clock) -> Core {
         let one = |name: &str| vec![name.to_owned()];
         let settings = Settings {
-            classes: vec![Class::default()],
+            classes: vec![RequestClass::default()],
             tenants: vec![Tenant { quota_per_s: 1e3 }],
             ..Settings::default()
         };
@@ -617,11 +617,11 @@
             classes: one("read"),
             tenants: one("all"),
             zones: one("a"),
-            kinds: one("cache"),
+            machine_types: one("cache"),
             connect_timeout: 100_000,
             idle_close: 10_000_000,
             max_open: 100,
-            load_names: Vec::new(),
+            load_metric_names: Vec::new(),
         };
         let setup = Setup {
             deployment,
--- a/crates/stonevane-node/src/fleet.rs
+++ b/crates/stonevane-node/src/fleet.rs
@@ -55,7 +55,7 @@
             }
             peers.push(peer);
         }
-        let me = config.deployment.settings.me;
+        let me = config.deployment.settings.node_index;
         if !(1..=MOST).contains(&config.peers.len()) {
             wrong.push(format!("[fleet]: `peers` names {} nodes; 1 to {MOST}", config.peers.len()));
         } else if me as usize >= config.peers.len() {
@@ -79,7 +79,7 @@
                 return Err(listen.err().into_iter().chain(peers.err().into_iter().flatten()).collect());
             }
         };
-        let me = config.deployment.settings.me;
+        let me = config.deployment.settings.node_index;
         let micros = |time: Duration| time.as_micros() as Micros;
         let setup = Setup {
             me: me as u16,
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -74,8 +74,8 @@
     let excluded = if management.is_some() { kept.excluded() } else { Vec::new() };
     let mut deployment = config.deployment.clone();
     // Whoever takes the clients of a process over that runs meets no crowd that has waited for it.
-    deployment.settings.start_each = if replaced { 0.0 } else { config.operator.start.each };
-    deployment.settings.shares_fetches = store.as_ref().is_some_and(|store| store.shares());
+    deployment.settings.startup_attempts_per_server = if replaced { 0.0 } else { config.operator.start.each };
+    deployment.settings.coalesce_fetches = store.as_ref().is_some_and(|store| store.shares());
     let setup = Setup {
         deployment,
         seed: config.seed,
@@ -228,7 +228,7 @@
         return ExitCode::from(2);
     }
     let told = config.operator.fleet.as_ref();
-    let allowed = config.deployment.settings.may_tell_peers;
+    let allowed = config.deployment.settings.may_message_peers;
     if told.is_some() && !allowed {
         log("the settings allow no messages between nodes: [fleet] stays off");
     }
--- a/crates/stonevane-node/src/store.rs
+++ b/crates/stonevane-node/src/store.rs
@@ -12,7 +12,7 @@
 use oorandom::Rand64;
 use stonevane_config::operator;
 use stonevane_core::{Job, Reply};
-use stonevane_policy::{Effect, Micros, Status};
+use stonevane_policy::{AttemptStatus, Idempotency, Micros};
 use stonevane_store::breaker::{self, Breaker, State, Word};
 use stonevane_store::flight::{FlightId, Flights, Joined, JoinerId, Limits};
 use stonevane_store::{Change, Edit, Postgres, Sqlite, Store, StoreError, postgres, quick, sqlite};
@@ -223,12 +223,12 @@
 }
 
 /// What a call's end means: whether it may have run is the store's word.
-fn failed(e: &StoreError, edit: bool) -> (Status, Option<Bytes>) {
+fn failed(e: &StoreError, edit: bool) -> (AttemptStatus, Option<Bytes>) {
     match e {
         // Sent again it would end so again.
-        StoreError::Bounds(_) | StoreError::Conflict => (Status::Error, None),
-        e if !edit || e.proves_not_done() => (Status::Full, None),
-        _ => (Status::Error, None),
+        StoreError::Bounds(_) | StoreError::Conflict => (AttemptStatus::Error, None),
+        e if !edit || e.proves_not_done() => (AttemptStatus::Rejected, None),
+        _ => (AttemptStatus::Error, None),
     }
 }
 
@@ -454,7 +454,7 @@
     }
 }
 
-async fn fetch(inner: &Arc<Inner>, job: Job) -> (Status, Option<Bytes>) {
+async fn fetch(inner: &Arc<Inner>, job: Job) -> (AttemptStatus, Option<Bytes>) {
     let key = match text(&job.command.key) {
         Ok(key) => key,
         Err(e) => return failed(&e, false),
@@ -473,7 +473,7 @@
             if let Some(teller) = inner.teller.get().filter(|_| keep && !job.missed.is_empty()) {
                 teller.fill(job.missed, key, version, bytes.clone());
             }
-            (Status::Served, Some(bytes))
+            (AttemptStatus::Served, Some(bytes))
         }
         Err(e) => failed(&e, false),
     }
@@ -490,9 +490,9 @@
     }
 }
 
-async fn edit(inner: &Arc<Inner>, job: Job) -> (Status, Option<Bytes>) {
-    let window = match job.command.rules.effect {
-        Effect::Keyed { window, .. } => window / 1_000,
+async fn edit(inner: &Arc<Inner>, job: Job) -> (AttemptStatus, Option<Bytes>) {
+    let window = match job.command.rules.idempotency {
+        Idempotency::WithKey { window, .. } => window / 1_000,
         _ => 0,
     };
     let token = job.command.facts.split(',').find_map(|fact| fact.strip_prefix("k=")).map(str::to_owned);
@@ -544,5 +544,5 @@
             return failed(&StoreError::TimedOut, true);
         }
     }
-    (Status::Served, Some(receipt.version.to_string().into()))
+    (AttemptStatus::Served, Some(receipt.version.to_string().into()))
 }
--- a/crates/stonevane-policy/src/brain.rs
+++ b/crates/stonevane-policy/src/brain.rs
@@ -7,7 +7,7 @@
 //! `slow_start.rs`.
 //! All else here is a departure for a failure that the code names.
 
-use crate::draws::unit_hash;
+use crate::hash::unit_hash;
 use crate::interface::*;
 use crate::state::*;
 
@@ -78,14 +78,14 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut policy = Policy {
             rng: Random::new(seed),
-            salt: unit_hash(seed, settings.me, 6).to_bits(),
+            salt: unit_hash(seed, settings.node_index, 6).to_bits(),
             level: LEVEL.1,
             part: 1.0,
             repeats: REPEATS.1,
             ..Policy::default()
         };
         policy.adopt(settings, &[]);
-        policy.ramp.0 = unit_hash(seed, policy.settings.me, 3);
+        policy.ramp.0 = unit_hash(seed, policy.settings.node_index, 3);
         // Calls of an earlier life of this balancer may still run: the gate opens gradually.
         policy.gate.limit = policy.gate_out() / 2.0;
         policy.gate.pace = 1.0;
@@ -97,11 +97,11 @@
     /// Takes settings in force. `from`: where each tenant stood in those before. Buckets and what requests
     /// have paid go over with their tenants; all else that was learned stays.
     fn adopt(&mut self, settings: Settings, from: &[Option<usize>]) {
-        let aims = settings.classes.iter().map(|c| c.aim);
+        let aims = settings.classes.iter().map(|c| c.latency_objective);
         self.aim = aims.clone().max().unwrap_or(1_000_000).max(1);
         self.origin_aim = aims.min().unwrap_or(1_000_000);
         let quotas: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
-        self.quota_share = quotas / f64::from(settings.balancers.max(1));
+        self.quota_share = quotas / f64::from(settings.nodes.max(1));
         let before = std::mem::take(&mut self.senders);
         let bucket = |i| from.get(i).copied().flatten().and_then(|was: usize| before.get(was)).cloned();
         self.senders = (0..settings.tenants.len().max(1)).map(|i| bucket(i).unwrap_or_default()).collect();
@@ -111,7 +111,7 @@
         // Held by all balancers, a connection costs more than it saves: whatever the traffic, the price
         // of keeping one open grows with their number and the price of opening it again does not.
         self.crowded =
-            f64::from(settings.balancers) * settings.connection_price > 100.0 * settings.handshake_price;
+            f64::from(settings.nodes) * settings.connection_price > 100.0 * settings.handshake_price;
         self.settings = settings;
         for s in self.servers.values_mut() {
             s.origin = self.settings.origin_kind == Some(s.line.kind);
@@ -126,8 +126,11 @@
             self.born = now;
         }
         match event {
-            Event::ServerList { kind: ListKind::Failed, .. } => self.discovery_failed(0, out),
-            Event::ServerList { kind: ListKind::Silent { lasted, stood }, .. } => {
+            Event::ServerList { kind: ListUpdate::Failed, .. } => self.discovery_failed(0, out),
+            Event::ServerList {
+                kind: ListUpdate::TimedOut { silent_for: lasted, was_established: stood },
+                ..
+            } => {
                 // Whoever tells nothing new for long has kept up all the same.
                 self.asked_again = if stood { 0 } else { self.asked_again };
                 self.discovery_failed(lasted, out);
@@ -136,20 +139,20 @@
             Event::Request(request) => self.request(request, out),
             Event::Outcome(outcome) => self.outcome(outcome, out),
             // A streamed answer belongs to the client from here on: nothing is owed, and no deadline runs.
-            Event::AnswerBegan { request, .. } | Event::ClientGone(request) => {
+            Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
                 drop(self.held.remove(&request))
             }
             Event::Timer(_) => self.wakes.timer_came(now + self.settings.tick),
-            Event::OriginShut { lasts } => self.origin_shut(lasts, out),
-            Event::Part(part) => self.part = part.clamp(0.05, 1.0),
-            Event::Ending => {
+            Event::OriginUnavailable { duration: lasts } => self.origin_shut(lasts, out),
+            Event::ProcessShare(part) => self.part = part.clamp(0.05, 1.0),
+            Event::ShuttingDown => {
                 self.ending = true;
                 let all: Vec<_> = self.held.keys().copied().collect();
-                all.into_iter().for_each(|id| self.end(id, Reason::Ending, out));
+                all.into_iter().for_each(|id| self.end(id, Reason::ShuttingDown, out));
             }
             Event::Settings { settings, tenants } => self.adopt(*settings, &tenants),
-            Event::Exclude { server, out: excluded } => self.exclude(server, excluded, out),
-            Event::PeerMessage { .. } | Event::Probed { .. } => {}
+            Event::Exclude { server, excluded: excluded } => self.exclude(server, excluded, out),
+            Event::PeerMessage { .. } | Event::HealthCheckFinished { .. } => {}
         }
         while let Some(wake) = self.wakes.due(now, out, |wake| match wake {
             Wake::End(id) => !self.held.contains_key(&id),
@@ -161,7 +164,7 @@
                 Wake::End(id) => self.time_up(id, out),
                 Wake::Go(id, _) => self.step(id, out),
                 Wake::Patience(id, attempt) => self.patience(id, attempt, out),
-                Wake::Subscribe if self.settings.ask_discovery => out.push(Action::Subscribe(true)),
+                Wake::Subscribe if self.settings.poll_discovery => out.push(Action::Subscribe(true)),
                 Wake::Subscribe => {}
                 Wake::Review => self.review(out),
             }
@@ -185,7 +188,7 @@
             ends: self.now + r.time_left.saturating_sub(margin),
             ..Held::default()
         };
-        held.aim_at = (self.now + held.class.aim).saturating_sub(margin);
+        held.aim_at = (self.now + held.class.latency_objective).saturating_sub(margin);
         self.repeats = (self.repeats + REPEATS.0).min(REPEATS.2);
         let recency = self.keys.ask(r.key, self.now);
         held.popular = recency.popular;
@@ -207,9 +210,9 @@
         if !self.admit(held, tenant) {
             Some(Reason::OverQuota)
         } else if self.now >= held.ends {
-            Some(Reason::TimeUp)
+            Some(Reason::DeadlineExceeded)
         } else {
-            self.ending.then_some(Reason::Ending)
+            self.ending.then_some(Reason::ShuttingDown)
         }
     }
 
@@ -223,7 +226,7 @@
         let burst = (BURST * self.level).clamp(1.0, BURST);
         let pooled = self.pool.fill(self.now, POOL * self.quota_share * self.level, burst);
         let quota = self.settings.tenants.get(tenant).map_or(f64::INFINITY, |t| t.quota_per_s);
-        let part = self.level * quota / f64::from(self.settings.balancers.max(1));
+        let part = self.level * quota / f64::from(self.settings.nodes.max(1));
         let room = sender.fill(self.now, part, burst + part * self.aim as f64 / 1e6);
         let admitted = room || pooled || self.level >= LEVEL.2;
         if admitted {
@@ -238,10 +241,10 @@
     fn step(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(h) = self.held.get(&id) else { return };
         if self.now >= self.useful_until(h) {
-            return self.end(id, Reason::TimeUp, out);
+            return self.end(id, Reason::DeadlineExceeded, out);
         }
         if u32::from(h.sent) >= self.most(h) {
-            return self.end(id, Reason::AttemptsUsed, out);
+            return self.end(id, Reason::AttemptsExhausted, out);
         }
         if h.write || h.missed {
             return self.origin_call(id, out);
@@ -252,7 +255,7 @@
             if let Some(h) = self.held.get_mut(&id) {
                 h.back_after = spread as Micros;
             }
-            return self.end(id, Reason::Starting, out);
+            return self.end(id, Reason::StartupLimit, out);
         }
         if !self.pick(id).is_some_and(|server| self.send(id, server, Call::Cache, out)) {
             self.end(id, Reason::NoServer, out);
@@ -263,11 +266,11 @@
     /// have at the servers, however many balancers there are. It doubles in each aim, so that a share below
     /// one opens, and one that was idle is soon held to nothing.
     fn ramped(&self) -> bool {
-        let all = self.settings.start_each * self.caches;
-        let share = all / f64::from(self.settings.balancers.max(1));
+        let all = self.settings.startup_attempts_per_server * self.caches;
+        let share = all / f64::from(self.settings.nodes.max(1));
         let aged = self.now.saturating_sub(self.born) as f64 / self.aim as f64;
         let window = (share + self.ramp.0) * aged.exp2() + self.ramp.1 * RAMP;
-        self.settings.start_each <= 0.0 || f64::from(self.cache_out + 1) <= window
+        self.settings.startup_attempts_per_server <= 0.0 || f64::from(self.cache_out + 1) <= window
     }
 
     /// How many attempts a request may make: no more than when it came, nor than now.
@@ -276,7 +279,7 @@
     }
 
     pub(crate) fn useful_until(&self, h: &Held) -> Micros {
-        if h.class.late_worth > 0.0 { h.ends } else { h.aim_at.min(h.ends) }
+        if h.class.late_weight > 0.0 { h.ends } else { h.aim_at.min(h.ends) }
     }
 
     /// Requests a second that are this balancer's to serve.
@@ -354,7 +357,7 @@
         let h = &self.held[&id];
         // Behind an origin that has stopped none waits: each is told at once, and when to come back.
         let stopped = self.now < self.gate.shut_until;
-        let reason = if stopped { Reason::OriginStopped } else { Reason::GateShut };
+        let reason = if stopped { Reason::OriginUnavailable } else { Reason::OriginLimited };
         if stopped || self.now + delay >= self.useful_until(h) {
             return if h.out == 0 {
                 self.end(id, reason, out)
@@ -368,8 +371,8 @@
     }
 
     /// The random delay of a blocked call.
-    fn delay(&mut self, class: Class) -> Micros {
-        let aim = class.aim as f64;
+    fn delay(&mut self, class: RequestClass) -> Micros {
+        let aim = class.latency_objective as f64;
         // However short an aim is, waiting is no busy loop.
         ((aim * (DELAY.0 + (DELAY.1 - DELAY.0) * self.rng.unit())) as Micros).max(1_000)
     }
@@ -389,7 +392,7 @@
             return false;
         }
         let spent = self.spent_with_one_more(s);
-        let (attempt, sent, aim) = (h.sent, self.now, h.class.aim);
+        let (attempt, sent, aim) = (h.sent, self.now, h.class.latency_objective);
         let key = h.key;
         let slow_after = (aim as f64 * PATIENCE) as Micros;
         if let (Some(h), Some(s)) = (self.held.get_mut(&id), self.servers.get_mut(&server)) {
@@ -402,7 +405,7 @@
             self.wake(slow_after, Wake::Patience(id, attempt));
         } else {
             self.gate.enter(call);
-            if call == Call::Fetch && self.settings.shares_fetches {
+            if call == Call::Fetch && self.settings.coalesce_fetches {
                 self.joinable.insert(key, (id, attempt));
             }
             let lost_after = self.servers.get(&server).map_or(0.0, |s| LOST * s.takes) as Micros + 1;
@@ -416,10 +419,10 @@
     /// No effect twice: a repeat of what may have run goes only where and while it is dropped.
     fn may_repeat(&self, h: &Held, server: ServerId) -> bool {
         let Some(&(_, sent, first)) = h.may_have_run.first() else { return true };
-        match h.class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            Effect::Keyed { group, window } => {
+        match h.class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::WithKey { scope: group, window } => {
                 let (first, next) = (self.servers.get(&first), self.servers.get(&server));
                 let shared = first.zip(next).is_some_and(|(a, b)| a.shares_group(b, group));
                 // Its last byte must come within the window, and may need a new connection first.
@@ -432,7 +435,7 @@
 
     fn outcome(&mut self, o: Outcome, out: &mut Vec<Action>) {
         let Some(flight) = self.flights.remove(&(o.request, o.attempt)) else { return };
-        if let Some(s) = self.servers.get_mut(&flight.server).filter(|_| o.status == Status::Served) {
+        if let Some(s) = self.servers.get_mut(&flight.server).filter(|_| o.status == AttemptStatus::Served) {
             let took = (self.now - flight.sent) as f64;
             s.takes += if s.takes == 0.0 { 1.0 } else { 0.1 } * (took - s.takes);
             if flight.call == Call::Cache {
@@ -443,53 +446,55 @@
         self.learn(&flight, &o, out);
         // One connection that broke, or one answer that was spoilt, says little of its server: the key's copy
         // is there still, and the next in the order would have to fetch it.
-        let well = matches!(o.status, Status::Spoilt | Status::Reset)
+        let well = matches!(o.status, AttemptStatus::Malformed | AttemptStatus::Reset)
             && self.servers.get(&flight.server).is_some_and(|s| s.strikes < 2 && s.aside.0 == 0);
         let Some(h) = self.held.get_mut(&o.request) else { return };
         h.out -= 1;
         if o.status.proves_not_run() {
             h.may_have_run.retain(|&(attempt, ..)| attempt != o.attempt);
         }
-        h.missed |= o.status == Status::Miss;
-        if flight.call == Call::Cache && o.status != Status::Miss && !well {
+        h.missed |= o.status == AttemptStatus::Miss;
+        if flight.call == Call::Cache && o.status != AttemptStatus::Miss && !well {
             h.tried.push(flight.server);
         }
         let (others_out, class) = (h.out > 0, h.class);
-        if o.over || o.status == Status::Served {
+        if o.request_finished || o.status == AttemptStatus::Served {
             self.cancel_rest(o.request, out);
             self.held.remove(&o.request);
             return;
         }
-        if others_out && o.status != Status::Miss {
+        if others_out && o.status != AttemptStatus::Miss {
             return; // Their outcomes decide.
         }
-        if flight.call != Call::Cache && o.status == Status::Full {
+        if flight.call != Call::Cache && o.status == AttemptStatus::Rejected {
             return self.postpone(o.request, out);
         }
         // Repeating what may still run adds work just when things are slow: only on a budget.
         // Where each attempt opens a connection, one turned away has cost the server work all the same.
-        let costly = self.crowded && flight.call == Call::Cache && o.status != Status::Miss;
+        let costly = self.crowded && flight.call == Call::Cache && o.status != AttemptStatus::Miss;
         if costly || !o.status.proves_not_run() {
             // Spoilt answers and broken connections are no sign that things are slow, and there are days with
             // many: a budget would run out, and the attempts of each request are few anyway.
             let cost = match o.status {
-                Status::Spoilt | Status::Reset => 0.0,
+                AttemptStatus::Malformed | AttemptStatus::Reset => 0.0,
                 // Against a few servers that fail half of what they get, of which one of many balancers meets
                 // each too seldom to set it aside. Where all fail, one request in four goes again.
-                Status::Error if self.now - flight.sent < flight.slow_after => QUICK_ERROR,
+                AttemptStatus::Error if self.now - flight.sent < flight.slow_after => QUICK_ERROR,
                 _ => 1.0,
             };
-            let repeatable = match class.effect {
-                Effect::Safe => true,
+            let repeatable = match class.idempotency {
+                Idempotency::Idempotent => true,
                 // Where and until when its repeats are dropped, the sending looks to.
-                Effect::Keyed { .. } => matches!(o.status, Status::Spoilt | Status::Error | Status::Reset),
-                Effect::Unsafe => false,
+                Idempotency::WithKey { .. } => {
+                    matches!(o.status, AttemptStatus::Malformed | AttemptStatus::Error | AttemptStatus::Reset)
+                }
+                Idempotency::NonIdempotent => false,
             };
             if !repeatable {
                 return self.end(o.request, Reason::MayHaveRun, out);
             }
             if self.repeats < cost {
-                return self.end(o.request, Reason::RepeatsUsed, out);
+                return self.end(o.request, Reason::RetryBudgetExhausted, out);
             }
             self.repeats -= cost;
         }
@@ -515,24 +520,27 @@
         self.cache_out -= 1;
         // A late answer has been counted when it became late: waiting for its end would lag the overload.
         if self.now - flight.sent < flight.slow_after {
-            self.strain.add(f64::from(u8::from(o.status == Status::Full)), 1.0);
+            self.strain.add(f64::from(u8::from(o.status == AttemptStatus::Rejected)), 1.0);
         }
         match o.status {
             // A server that fails each request at once looks idle and would draw ever more of them.
-            Status::ConnectFailed | Status::Reset | Status::Error | Status::Spoilt => {
+            AttemptStatus::ConnectFailed
+            | AttemptStatus::Reset
+            | AttemptStatus::Error
+            | AttemptStatus::Malformed => {
                 // Against healthy servers taken for restarted ones: connections break for many reasons, a
                 // process that is gone takes no new ones.
-                s.unreachable = o.status == Status::ConnectFailed;
+                s.unreachable = o.status == AttemptStatus::ConnectFailed;
                 self.strike(flight.server, out);
             }
-            Status::TimedOut => s.unreachable = false,
-            Status::NotSent | Status::Cancelled => {}
+            AttemptStatus::TimedOut => s.unreachable = false,
+            AttemptStatus::NotSent | AttemptStatus::Cancelled => {}
             _ => {
                 let sample = (self.now - flight.sent) as f64 / (1.0 + s.held_per_core());
                 if self.now - flight.sent < flight.slow_after {
                     self.ramp.1 += 1.0;
                 }
-                if o.status == Status::Served {
+                if o.status == AttemptStatus::Served {
                     self.service += if self.service == 0.0 { 1.0 } else { 0.1 } * (sample - self.service);
                 }
                 s.answered = 1.0 + s.answered_lately(self.now, flight.aim);
@@ -561,12 +569,12 @@
         }
         let most = self.gate_out();
         let slow = self.now - flight.sent > (self.origin_aim as f64 * ORIGIN_SLOW) as Micros;
-        let answered = matches!(o.status, Status::Served | Status::Spoilt);
+        let answered = matches!(o.status, AttemptStatus::Served | AttemptStatus::Malformed);
         // Against handshakes across zones taken for congestion: kept connections tell the origin's own time.
         let told = self.gate.heard_kept != 0 && self.now < self.gate.heard_kept + ASIDE.1 * self.aim;
         let handshake =
             answered && slow && o.first_on_connection && told && self.now - flight.sent <= self.aim;
-        let balancers = f64::from(self.settings.balancers.max(1));
+        let balancers = f64::from(self.settings.nodes.max(1));
         // One of many sees few answers, and each of them counts for more.
         let (least, step) = (GATE_LEAST / balancers, (balancers / GATE_STEP).max(2.0));
         let jitter = self.rng.unit();
@@ -580,7 +588,7 @@
             g.heard_kept = self.now;
         }
         // Against many balancers whose single fetches keep the origin's queue so long that writes are late.
-        if o.status != Status::NotSent {
+        if o.status != AttemptStatus::NotSent {
             g.pace = if !slow { g.pace * step } else { g.pace / step }.clamp(least.min(1.0), 1.0);
             // However many they are, it is asked again now and then.
             let took =
@@ -590,8 +598,8 @@
         // What it answered can't be read, but it answered: no sign of congestion. Nor is a broken connection.
         if answered && !slow {
             g.limit = (g.limit + 1.0 / g.limit).min(most);
-        } else if (o.status != Status::Reset || slow)
-            && o.status != Status::NotSent
+        } else if (o.status != AttemptStatus::Reset || slow)
+            && o.status != AttemptStatus::NotSent
             && flight.sent >= g.cut_at
         {
             // One cut for all calls that were out together.
@@ -657,7 +665,7 @@
         let open = only && self.repeats >= 1.0 && (call == Call::Cache || self.gate_open(call));
         if open && self.send(id, f.server, call, out) {
             self.repeats -= 1.0;
-            out.push(Action::Explain { request: id, reason: Reason::AnswerLost });
+            out.push(Action::Explain { request: id, reason: Reason::ResponseLost });
         }
     }
 
@@ -667,14 +675,16 @@
         let starts = !self.ramped(); // What it waits for is the crowd of a start, and no sign of this server.
         let Some(h) = self.held.get_mut(&id).filter(|h| h.out == 1 && !h.missed) else { return };
         let known = self.servers.get(&server).is_some_and(|s| s.answered_lately(self.now, self.aim) >= PRIOR);
-        let may = h.class.effect == Effect::Safe && self.settings.may_duplicate && self.repeats >= 1.0;
+        let may = h.class.idempotency == Idempotency::Idempotent
+            && self.settings.may_duplicate
+            && self.repeats >= 1.0;
         if starts || known || !may {
             return;
         }
         h.tried.push(server);
         if self.pick(id).is_some_and(|next| self.send(id, next, Call::Cache, out)) {
             self.repeats -= 1.0;
-            out.push(Action::Explain { request: id, reason: Reason::SecondCopy });
+            out.push(Action::Explain { request: id, reason: Reason::Hedged });
         }
     }
 
@@ -686,7 +696,7 @@
         let Some(h) = self.held.get(&id) else { return };
         let origin = |attempt| self.flights.get(&(id, attempt)).is_some_and(|f| f.call != Call::Cache);
         if self.now >= h.ends || !(0..h.sent).any(origin) {
-            self.end(id, Reason::TimeUp, out);
+            self.end(id, Reason::DeadlineExceeded, out);
         }
     }
 
@@ -701,14 +711,14 @@
         let back_after = h.back_after;
         // A refused client is told to come back after the delay of a blocked call, random as that is: told to
         // wait for longer it comes back too late, and its answer takes another's place.
-        out.push(match class.effect == Effect::Safe || harmless {
+        out.push(match class.idempotency == Idempotency::Idempotent || harmless {
             true => {
                 // Nor before an origin that has stopped may be called again.
                 let shut =
                     if h.missed || h.write { self.gate.shut_until.saturating_sub(self.now) } else { 0 };
                 let retry_after =
                     (shut + self.delay(class).max(back_after)).min(self.settings.max_retry_after);
-                Action::Refuse { request: id, retry_after }
+                Action::Reject { request: id, retry_after }
             }
             false => Action::Fail(id),
         });
@@ -725,9 +735,9 @@
 
     // The server list.
 
-    fn server_list(&mut self, kind: ListKind, lines: Vec<ServerLine>) {
-        self.asked_again = if kind == ListKind::Cached { self.asked_again } else { 0 };
-        if kind != ListKind::Delta {
+    fn server_list(&mut self, kind: ListUpdate, lines: Vec<ServerEntry>) {
+        self.asked_again = if kind == ListUpdate::Cached { self.asked_again } else { 0 };
+        if kind != ListUpdate::Delta {
             self.servers.values_mut().for_each(|s| s.line.condition = Condition::Gone);
         }
         for line in lines {
@@ -736,8 +746,10 @@
             s.excluded = self.excluded.contains(&line.id);
             // Against one attempt of each of many balancers, more than a cold server bears at once: where
             // their parts are unequal, each waits for its first until its own part has come.
-            if line.sharers != 0 && (line.started > s.line.started || line.sharers != s.line.sharers) {
-                let attempts = unit_hash(u64::from(self.settings.me), line.id, 4);
+            if line.sharing_nodes != 0
+                && (line.started > s.line.started || line.sharing_nodes != s.line.sharing_nodes)
+            {
+                let attempts = unit_hash(u64::from(self.settings.node_index), line.id, 4);
                 s.spent = Spent { attempts, at: self.now };
             }
             // A new process starts with a clean record. One presumed cold stays so until the list knows.
@@ -746,7 +758,7 @@
             }
             s.size = if self.settings.weights_are_live { s.size.max(line.weight) } else { line.weight };
             let started = if line.started == 0 { 0 } else { line.started.max(s.line.started) };
-            s.line = ServerLine { started, ..line };
+            s.line = ServerEntry { started, ..line };
         }
         // Gone and owing nothing: forgotten here, as a walk over the fleet at each review cost much CPU.
         self.servers.retain(|_, s| s.line.condition != Condition::Gone || s.in_flight > 0);
@@ -771,7 +783,7 @@
     }
 
     /// How many of the cache servers that are listed are avoided now, by people or by choice.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_server_count(&self) -> usize {
         let listed = |s: &&Server| !s.origin && s.line.condition != Condition::Gone;
         let avoided = |s: &&Server| s.excluded || s.aside.0 != 0;
         self.servers.values().filter(listed).filter(avoided).count()
@@ -783,7 +795,7 @@
         let most = SILENT_AGAIN.saturating_sub(silent) as f64;
         let (from, to) = ASK_AGAIN[self.asked_again];
         // However short that is, not without a pause; spread all the same where it is too long.
-        let within = (self.settings.ask_within.max(1_000_000) as f64).min(most / to);
+        let within = (self.settings.list_staleness_limit.max(1_000_000) as f64).min(most / to);
         let delay = within * (from + (to - from) * self.rng.unit());
         self.asked_again = (self.asked_again + 1).min(ASK_AGAIN.len() - 1);
         self.wake(delay as Micros, Wake::Subscribe);
--- a/crates/stonevane-policy/src/draws.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -15,7 +15,7 @@
 
 /// The draws of one key at many servers: [`unit_hash`] for the purpose 0, of which the key's part is worked out once and
 /// nothing goes through memory. It follows XXH3's path for inputs of 9 to 16 bytes.
-pub struct KeyDraws {
+pub struct KeyHasher {
     /// The first eight bytes of the input, mixed with the secret.
     low: u64,
     /// The bytes of the key among the last eight, mixed with the secret.
@@ -32,12 +32,12 @@
 /// Bytes of a key and a server's id.
 const DRAW_INPUT: u64 = 12;
 
-impl KeyDraws {
+impl KeyHasher {
     /// The draws of a key.
-    pub fn new(key: Key) -> KeyDraws {
+    pub fn new(key: Key) -> KeyHasher {
         let low = key ^ SECRET_LOW;
         let high = (key >> 32) ^ SECRET_HIGH;
-        KeyDraws { low, high, base: DRAW_INPUT.wrapping_add(low.swap_bytes()) }
+        KeyHasher { low, high, base: DRAW_INPUT.wrapping_add(low.swap_bytes()) }
     }
 
     /// A number between 0 and 1 for a server.
--- a/crates/stonevane-policy/src/interface.rs
+++ b/crates/stonevane-policy/src/interface.rs
@@ -15,19 +15,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// How many balancers share the fleet.
-    pub balancers: u32,
+    pub nodes: u32,
     /// The number of this balancer among them, from 0.
-    pub me: u32,
+    pub node_index: u32,
     /// The zone that this balancer stands in.
     pub zone: u8,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
     /// Whether the server list must be asked for (subscription or whole list) or comes by itself.
-    pub ask_discovery: bool,
+    pub poll_discovery: bool,
     /// Without a subscription, the balancer counts as told of changes this long after they happened.
-    pub ask_within: Micros,
+    pub list_staleness_limit: Micros,
     /// Machine kind of the origin in the server list; `None` where servers fetch for themselves.
     pub origin_kind: Option<u16>,
     /// Whether weights in the list tell the size of a server.
@@ -35,7 +35,7 @@
     /// Whether weights in the list tell size / (1 + requests held a core).
     pub weights_are_live: bool,
     /// The figures that load reports carry, in their order.
-    pub load_fields: Vec<LoadField>,
+    pub load_metrics: Vec<LoadMetric>,
     /// Attempts that one request may make.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be out at once.
@@ -43,16 +43,16 @@
     /// Whether an attempt may be cancelled.
     pub may_cancel: bool,
     /// Whether servers may be probed.
-    pub may_probe: bool,
+    pub may_health_check: bool,
     /// Whether balancers may send each other messages.
-    pub may_tell_peers: bool,
+    pub may_message_peers: bool,
     /// Whether fetches of a key that are out at once share one call to the origin.
-    pub shares_fetches: bool,
+    pub coalesce_fetches: bool,
     /// Attempts at each cache server that all balancers together may have out when they start, before answers tell
     /// them more; 0: as many as come.
-    pub start_each: f64,
+    pub startup_attempts_per_server: f64,
     /// Weight of all cache servers, where this balancer is told of some of them only; 0: it is told of all.
-    pub cache_weight: f64,
+    pub total_cache_weight: f64,
     /// Price of the connections that one balancer in a hundred holds open to all servers ...
     pub connection_price: f64,
     /// ... and of opening one for each request.
@@ -62,13 +62,13 @@
     /// Shortest time between two calls of the module.
     pub tick: Micros,
     /// A server starts with at least this part of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// A started server is warm after this time at the latest.
-    pub warm_up: Micros,
+    pub slow_start_duration: Micros,
     /// A cold server falls over when sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_after: Micros,
+    pub overload_window: Micros,
     /// Sends to a draining or gone server must stop within this time.
     pub drain_grace: Micros,
 }
@@ -83,33 +83,33 @@
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            balancers: 1,
-            me: 0,
+            nodes: 1,
+            node_index: 0,
             zone: 0,
-            classes: vec![Class::default()],
+            classes: vec![RequestClass::default()],
             tenants: Vec::new(),
-            ask_discovery: false,
-            ask_within: 10_000_000,
+            poll_discovery: false,
+            list_staleness_limit: 10_000_000,
             origin_kind: None,
             weights_are_sizes: false,
             weights_are_live: false,
-            load_fields: Vec::new(),
+            load_metrics: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
             may_cancel: false,
-            may_probe: false,
-            may_tell_peers: false,
-            shares_fetches: false,
-            start_each: 8.0,
-            cache_weight: 0.0,
+            may_health_check: false,
+            may_message_peers: false,
+            coalesce_fetches: false,
+            startup_attempts_per_server: 8.0,
+            total_cache_weight: 0.0,
             connection_price: 0.0,
             handshake_price: 0.0,
             max_retry_after: 0,
             tick: 1_000,
-            cold_share: 0.25,
-            warm_up: 10_000_000,
-            fall_multiple: 3.0,
-            fall_after: 2_000_000,
+            initial_capacity: 0.25,
+            slow_start_duration: 10_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
             drain_grace: 500_000,
         }
     }
@@ -117,63 +117,71 @@
 
 /// A class of requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// A client waits this long in all.
     pub deadline: Micros,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Part of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// What a repeat of such a request does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
 }
 
-impl Default for Class {
+impl Default for RequestClass {
     fn default() -> Self {
-        Class { aim: 250_000, deadline: 1_000_000, worth: 1.0, late_worth: 0.0, effect: Effect::Safe }
+        RequestClass {
+            latency_objective: 250_000,
+            deadline: 1_000_000,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
+        }
     }
 }
 
-impl Class {
+impl RequestClass {
     /// This class, held to what another allows as well: an effect is the stricter one, a time the shorter.
-    pub fn stricter(&self, other: &Class) -> Class {
-        let effect = match (self.effect, other.effect) {
-            (Effect::Unsafe, _) | (_, Effect::Unsafe) => Effect::Unsafe,
-            (Effect::Safe, other) | (other, Effect::Safe) => other,
-            (Effect::Keyed { group: a, window: b }, Effect::Keyed { group: c, window: d }) => match a == c {
-                true => Effect::Keyed { group: a, window: b.min(d) },
-                // A cell lies in a zone, and a zone among all.
-                false if a == Group::Cell || c == Group::Cell => {
-                    Effect::Keyed { group: Group::Cell, window: b.min(d) }
+    pub fn stricter(&self, other: &RequestClass) -> RequestClass {
+        let effect = match (self.idempotency, other.idempotency) {
+            (Idempotency::NonIdempotent, _) | (_, Idempotency::NonIdempotent) => Idempotency::NonIdempotent,
+            (Idempotency::Idempotent, other) | (other, Idempotency::Idempotent) => other,
+            (Idempotency::WithKey { scope: a, window: b }, Idempotency::WithKey { scope: c, window: d }) => {
+                match a == c {
+                    true => Idempotency::WithKey { scope: a, window: b.min(d) },
+                    // A cell lies in a zone, and a zone among all.
+                    false if a == DedupScope::Cell || c == DedupScope::Cell => {
+                        Idempotency::WithKey { scope: DedupScope::Cell, window: b.min(d) }
+                    }
+                    false => Idempotency::WithKey { scope: DedupScope::Zone, window: b.min(d) },
                 }
-                false => Effect::Keyed { group: Group::Zone, window: b.min(d) },
-            },
+            }
         };
-        Class { effect, deadline: self.deadline.min(other.deadline), ..*self }
+        RequestClass { idempotency: effect, deadline: self.deadline.min(other.deadline), ..*self }
     }
 }
 
 /// What a repeat of a request does.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be sent as often as wanted.
-    Safe,
+    Idempotent,
     /// Servers of one group drop a repeat for a while after the first attempt.
-    Keyed {
+    WithKey {
         /// Which servers drop a repeat.
-        group: Group,
+        scope: DedupScope,
         /// For how long, from the sending of the earliest attempt that may have run.
         window: Micros,
     },
     /// The effect happens again.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A group of cache servers that knows which keyed requests its members have seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every cache server.
     All,
     /// Those of one zone.
@@ -191,7 +199,7 @@
 
 /// A figure of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadField {
+pub enum LoadMetric {
     /// Requests in progress.
     InFlight,
     /// Requests that wait.
@@ -210,7 +218,7 @@
 
 /// A load report: figures in the order of [`Settings::load_fields`].
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Load {
+pub struct LoadReport {
     /// How many of `values` are there.
     pub count: u8,
     /// The figures.
@@ -219,7 +227,7 @@
 
 /// One line of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServerLine {
+pub struct ServerEntry {
     /// The server.
     pub id: ServerId,
     /// Its zone.
@@ -236,12 +244,12 @@
     pub condition: Condition,
     /// This balancer may take one part in so many of what the server bears of all balancers while it is cold, at their
     /// start, and however little it has in flight; 0: as many as there are balancers.
-    pub sharers: u32,
+    pub sharing_nodes: u32,
 }
 
-impl Default for ServerLine {
+impl Default for ServerEntry {
     fn default() -> Self {
-        ServerLine {
+        ServerEntry {
             id: 0,
             zone: 0,
             cell: 0,
@@ -249,7 +257,7 @@
             weight: 1.0,
             started: 0,
             condition: Condition::Ready,
-            sharers: 0,
+            sharing_nodes: 0,
         }
     }
 }
@@ -267,7 +275,7 @@
 
 /// How a server list relates to the one held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// The whole list; a server not in it is gone.
     Full,
     /// The list last held before a restart, whole but perhaps old.
@@ -277,12 +285,12 @@
     /// A call to discovery failed or the subscription broke; the list held stays in force.
     Failed,
     /// The same behind a silence: what discovery has to tell counts as told before long, whether or not it comes.
-    Silent {
+    TimedOut {
         /// It had lasted for so long.
-        lasted: Micros,
+        silent_for: Micros,
         /// It was all that ended the subscription, which had brought a line before, be it an empty one: discovery had
         /// worked its call off.
-        stood: bool,
+        was_established: bool,
     },
 }
 
@@ -300,7 +308,7 @@
     /// Whether it writes (and so goes to the origin).
     pub write: bool,
     /// Whether the client said that it repeats an earlier try.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Time until the client gives this try up.
     pub time_left: Micros,
     /// Expected work, where told.
@@ -311,7 +319,7 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     /// Served.
     Served,
     /// The server holds nothing for this key; it did not run.
@@ -319,9 +327,9 @@
     /// The server reported an error; it may have run.
     Error,
     /// The answer can't be understood, though the server gave one; it may have run.
-    Spoilt,
+    Malformed,
     /// Turned away unseen; it did not run.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     TimedOut,
     /// No connection came about; it did not run.
@@ -334,32 +342,54 @@
     NotSent,
 }
 
-impl Status {
+impl AttemptStatus {
     /// Whether this outcome proves that the attempt never ran.
     pub fn proves_not_run(self) -> bool {
-        matches!(self, Status::Miss | Status::Full | Status::ConnectFailed | Status::NotSent)
+        matches!(
+            self,
+            AttemptStatus::Miss
+                | AttemptStatus::Rejected
+                | AttemptStatus::ConnectFailed
+                | AttemptStatus::NotSent
+        )
+    }
+
+    /// Its name in traces of single requests, as operators' pages quote it.
+    pub fn name(self) -> &'static str {
+        match self {
+            AttemptStatus::Served => "Served",
+            AttemptStatus::Miss => "Miss",
+            AttemptStatus::Error => "Error",
+            AttemptStatus::Malformed => "Spoilt",
+            AttemptStatus::Rejected => "Full",
+            AttemptStatus::TimedOut => "TimedOut",
+            AttemptStatus::ConnectFailed => "ConnectFailed",
+            AttemptStatus::Reset => "Reset",
+            AttemptStatus::Cancelled => "Cancelled",
+            AttemptStatus::NotSent => "NotSent",
+        }
     }
 
     /// The name of a retry after this outcome.
     fn retry_name(self) -> &'static str {
         match self {
-            Status::Served => "retry-after-served",
-            Status::Miss => "retry-after-miss",
-            Status::Error => "retry-after-error",
-            Status::Full => "retry-after-full",
-            Status::Spoilt => "retry-after-spoilt",
-            Status::ConnectFailed => "retry-after-connect-failed",
-            Status::TimedOut => "retry-after-timeout",
-            Status::Reset => "retry-after-reset",
-            Status::Cancelled => "retry-after-cancel",
-            Status::NotSent => "retry-after-not-sent",
+            AttemptStatus::Served => "retry-after-served",
+            AttemptStatus::Miss => "retry-after-miss",
+            AttemptStatus::Error => "retry-after-error",
+            AttemptStatus::Rejected => "retry-after-full",
+            AttemptStatus::Malformed => "retry-after-spoilt",
+            AttemptStatus::ConnectFailed => "retry-after-connect-failed",
+            AttemptStatus::TimedOut => "retry-after-timeout",
+            AttemptStatus::Reset => "retry-after-reset",
+            AttemptStatus::Cancelled => "retry-after-cancel",
+            AttemptStatus::NotSent => "retry-after-not-sent",
         }
     }
 }
 
 /// What a server said of the key in its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Note {
+pub enum CacheStatus {
     /// Nothing.
     #[default]
     None,
@@ -381,15 +411,15 @@
     /// Where it had been sent.
     pub server: ServerId,
     /// How it ended.
-    pub status: Status,
+    pub status: AttemptStatus,
     /// Whether the request has its final answer (by this outcome or before).
-    pub over: bool,
+    pub request_finished: bool,
     /// What the server said of the key.
-    pub note: Note,
+    pub cache_status: CacheStatus,
     /// Time from sending to this end.
-    pub took: Micros,
-    /// Load report of the server, if one came along.
-    pub load: Load,
+    pub elapsed: Micros,
+    /// LoadReport report of the server, if one came along.
+    pub load: LoadReport,
     /// Whether it was the first request on its connection, whose answer takes the time of a handshake as well.
     pub first_on_connection: bool,
 }
@@ -400,23 +430,23 @@
     /// The server list, or a change of it.
     ServerList {
         /// How it relates to the list held.
-        kind: ListKind,
+        kind: ListUpdate,
         /// Its lines.
-        servers: Vec<ServerLine>,
+        servers: Vec<ServerEntry>,
     },
     /// A client's request arrived; one final answer is owed from now on.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
     /// A streamed answer began; the attempt belongs to the client now.
-    AnswerBegan {
+    ResponseStarted {
         /// Its request.
         request: RequestId,
         /// The attempt that began to answer.
         attempt: u16,
     },
     /// The client left, or the request ended otherwise; nothing is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// A timer set by [`Action::Timer`] is due.
     Timer(u32),
     /// Other settings hold from now on. A request that is open keeps the class that it came with; what was learned of
@@ -429,31 +459,31 @@
     },
     /// This balancer's part of its own share of the origin and of cold servers: 1, but while another process of the same
     /// balancer has the rest.
-    Part(f64),
+    ProcessShare(f64),
     /// The balancer is about to end: what is owed is to be answered now.
-    Ending,
+    ShuttingDown,
     /// A person takes a cache server out, or puts it back. Neither counts: twice out and once back is back.
     Exclude {
         /// The server, listed or not.
         server: ServerId,
         /// Whether it is out from now on.
-        out: bool,
+        excluded: bool,
     },
     /// The origin has stopped answering: no call to it is any use for a time; 0: it answers again.
-    OriginShut {
+    OriginUnavailable {
         /// The time from now.
-        lasts: Micros,
+        duration: Micros,
     },
     /// The end of a probe.
-    Probed {
+    HealthCheckFinished {
         /// The server probed.
         server: ServerId,
         /// Whether it answered well.
         ok: bool,
         /// Time from sending to this end.
         took: Micros,
-        /// Load report of the server, if one came along.
-        load: Load,
+        /// LoadReport report of the server, if one came along.
+        load: LoadReport,
     },
     /// A message of another balancer.
     PeerMessage {
@@ -470,29 +500,29 @@
     /// Its tenant is over its quota.
     OverQuota,
     /// Its time is up.
-    TimeUp,
+    DeadlineExceeded,
     /// It has made all attempts that it may.
-    AttemptsUsed,
+    AttemptsExhausted,
     /// This process is about to end.
-    Ending,
+    ShuttingDown,
     /// This process has just started and has all out that it may.
-    Starting,
+    StartupLimit,
     /// No server may be sent it: none is known, or those that are have no room.
     NoServer,
     /// The origin is known to have stopped.
-    OriginStopped,
+    OriginUnavailable,
     /// The gate before the origin is shut.
-    GateShut,
+    OriginLimited,
     /// An attempt may have run, and may not be repeated.
     MayHaveRun,
     /// The budget of repeats is used up.
-    RepeatsUsed,
+    RetryBudgetExhausted,
     /// Sent once more after an attempt that ended so.
-    Retry(Status),
+    Retry(AttemptStatus),
     /// Sent to a second server while the first is slow.
-    SecondCopy,
+    Hedged,
     /// Sent once more: the answer of an attempt is lost.
-    AnswerLost,
+    ResponseLost,
 }
 
 impl Reason {
@@ -500,17 +530,17 @@
     pub fn name(self) -> &'static str {
         match self {
             Reason::OverQuota => "over-quota",
-            Reason::TimeUp => "time-up",
-            Reason::AttemptsUsed => "attempts-used",
-            Reason::Ending => "ending",
-            Reason::Starting => "starting",
+            Reason::DeadlineExceeded => "time-up",
+            Reason::AttemptsExhausted => "attempts-used",
+            Reason::ShuttingDown => "ending",
+            Reason::StartupLimit => "starting",
             Reason::NoServer => "no-server",
-            Reason::OriginStopped => "origin-stopped",
-            Reason::GateShut => "gate-shut",
+            Reason::OriginUnavailable => "origin-stopped",
+            Reason::OriginLimited => "gate-shut",
             Reason::MayHaveRun => "may-have-run",
-            Reason::RepeatsUsed => "repeats-used",
-            Reason::SecondCopy => "second-copy",
-            Reason::AnswerLost => "answer-lost",
+            Reason::RetryBudgetExhausted => "repeats-used",
+            Reason::Hedged => "second-copy",
+            Reason::ResponseLost => "answer-lost",
             Reason::Retry(status) => status.retry_name(),
         }
     }
@@ -529,7 +559,7 @@
         give_up_after: Micros,
     },
     /// Final answer: turned away, a retry is harmless.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// Ask the client to stay away for this long; 0 for no hint.
@@ -556,11 +586,11 @@
     /// Ask for the whole server list once.
     FetchList,
     /// Probe a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Close idle connections to a server.
     CloseIdle(ServerId),
     /// Send at most 256 bytes to one balancer, or to all.
-    Tell {
+    SendToPeer {
         /// Number of the balancer; `None` for every peer.
         to: Option<u32>,
         /// The bytes.
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -4,7 +4,7 @@
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
-//! use stonevane_policy::{Action, Condition, Event, ListKind, Policy, Request, ServerLine, Settings};
+//! use stonevane_policy::{Action, Condition, Event, ListUpdate, Policy, Request, ServerEntry, Settings};
 //!
 //! let settings = Settings::default();
 //! let mut policy = Policy::new(settings, 42);
@@ -12,10 +12,10 @@
 //!
 //! // The balancer starts at some clock value (microseconds) with the server list it last held.
 //! let servers = vec![
-//!     ServerLine { id: 7, condition: Condition::Ready, ..ServerLine::default() },
-//!     ServerLine { id: 9, condition: Condition::Ready, ..ServerLine::default() },
+//!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
+//!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
 //! ];
-//! policy.handle(1_000_000, Event::ServerList { kind: ListKind::Cached, servers }, &mut actions);
+//! policy.handle(1_000_000, Event::ServerList { kind: ListUpdate::Cached, servers }, &mut actions);
 //!
 //! // A client asks for a key; the policy names the cache server to try first.
 //! let request = Request { id: 1, key: 0xfeed, time_left: 500_000, ..Request::default() };
@@ -24,7 +24,7 @@
 //! ```
 
 mod brain;
-pub mod draws;
+pub mod hash;
 pub mod interface;
 mod placement;
 pub mod settings;
--- a/crates/stonevane-policy/src/placement.rs
+++ b/crates/stonevane-policy/src/placement.rs
@@ -1,15 +1,15 @@
 //! Placement: which server a read goes to. Each key has a consistent order of the servers, the same at every
 //! balancer (rendezvous hashing), with a bound on the load of each.
 //!
-//! The draws of thousands of servers are made in one pass over a dense table; only the few that come first
+//! The hash of thousands of servers are made in one pass over a dense table; only the few that come first
 //! are looked at more closely, and the whole order is sorted only where none of those will do.
 
 use crate::brain::PRIOR;
-use crate::draws::{KeyDraws, unit_hash};
+use crate::hash::{KeyHasher, unit_hash};
 use crate::interface::*;
 use crate::state::*;
 
-/// Load bound: a server is skipped from this multiple of its part of this balancer's attempts in flight: the
+/// LoadReport bound: a server is skipped from this multiple of its part of this balancer's attempts in flight: the
 /// first where the origin has room for the fetch a skip costs, the second where it holds calls up; never
 /// below this balancer's part of the third, else a quiet one would scatter its keys.
 /// The origin is without room when the fourth, as a part of the calls, finds the gate shut.
@@ -66,13 +66,13 @@
 /// The order of all candidates for a key, worked out as far as it is asked for.
 struct Order<'a> {
     candidates: &'a [Candidate],
-    draws: KeyDraws,
+    hash: KeyHasher,
     weighted: bool,
 }
 
 impl<'a> Order<'a> {
     fn new(key: Key, candidates: &'a [Candidate], weighted: bool) -> Order<'a> {
-        Order { candidates, draws: KeyDraws::new(key), weighted }
+        Order { candidates, hash: KeyHasher::new(key), weighted }
     }
 
     /// Place of a server in the key's order (weighted rendezvous hashing): the same at every balancer, and
@@ -92,7 +92,7 @@
     fn head(&self) -> Head {
         let mut head = Head::default();
         for candidate in self.candidates {
-            let draw = self.draws.of(candidate.id);
+            let draw = self.hash.of(candidate.id);
             if self.at_least(candidate, draw) <= head.last() {
                 head.insert(self.place(candidate, draw));
             }
@@ -102,7 +102,7 @@
 
     /// The servers behind the head.
     fn rest(&self) -> Vec<Place> {
-        let place = |candidate: &Candidate| self.place(candidate, self.draws.of(candidate.id));
+        let place = |candidate: &Candidate| self.place(candidate, self.hash.of(candidate.id));
         let mut all: Vec<Place> = self.candidates.iter().map(place).collect();
         all.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
         all.split_off(HEAD.min(all.len()))
@@ -195,12 +195,12 @@
 
     /// Balancers among which what a server bears is divided.
     pub(crate) fn sharers(&self, s: &Server) -> u32 {
-        if s.line.sharers == 0 { self.settings.balancers } else { s.line.sharers }
+        if s.line.sharing_nodes == 0 { self.settings.nodes } else { s.line.sharing_nodes }
     }
 
     /// How many equal parts of all balancers are this one's at a server.
     pub(crate) fn portion(&self, s: &Server) -> f64 {
-        f64::from(self.settings.balancers.max(1)) / f64::from(self.sharers(s).max(1))
+        f64::from(self.settings.nodes.max(1)) / f64::from(self.sharers(s).max(1))
     }
 
     /// Works out anew what depends on which servers may be sent something.
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-use crate::interface::{Class, Effect, Group, LoadField, Micros, Settings, Tenant};
+use crate::interface::{DedupScope, Idempotency, LoadMetric, Micros, RequestClass, Settings, Tenant};
 
 /// A deployment: what the module is told of it, and what only the node round the module needs.
 #[derive(Debug, Clone, PartialEq)]
@@ -16,9 +16,9 @@
     /// Names of the zones.
     pub zones: Vec<String>,
     /// Names of the machine kinds.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Names of the figures in a load report, in the order of [`Settings::load_fields`].
-    pub load_names: Vec<String>,
+    pub load_metric_names: Vec<String>,
     /// A connection that is not up by then has failed.
     pub connect_timeout: Micros,
     /// Servers close a connection that was idle for this long.
@@ -117,8 +117,8 @@
     fn default() -> Self {
         let base = Settings::default();
         Wire {
-            balancers: base.balancers,
-            me: base.me,
+            balancers: base.nodes,
+            me: base.node_index,
             zone: base.zone,
             classes: Vec::new(),
             realms: Vec::new(),
@@ -138,13 +138,13 @@
 
 impl Default for WireClass {
     fn default() -> Self {
-        let base = Class::default();
+        let base = RequestClass::default();
         WireClass {
             name: String::new(),
-            goal_time_us: base.aim as f64,
+            goal_time_us: base.latency_objective as f64,
             deadline_us: base.deadline as f64,
-            gain: base.worth,
-            late_value: base.late_worth,
+            gain: base.priority_weight,
+            late_value: base.late_weight,
             effect: "side_effect".into(),
             dedup_scope: "cell".into(),
             dedup_window_us: 0.0,
@@ -179,12 +179,12 @@
     fn default() -> Self {
         let base = Settings::default();
         Guarantees {
-            ask_within_us: base.ask_within as f64,
-            cold_share: base.cold_share,
-            cold_us: base.warm_up as f64,
+            ask_within_us: base.list_staleness_limit as f64,
+            cold_share: base.initial_capacity,
+            cold_us: base.slow_start_duration as f64,
             drain_grace_us: base.drain_grace as f64,
-            fall_multiple: base.fall_multiple,
-            tip_after_us: base.fall_after as f64,
+            fall_multiple: base.overload_multiple,
+            tip_after_us: base.overload_window as f64,
         }
     }
 }
@@ -256,36 +256,36 @@
     let origin = (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
     let limits = wire.limits;
     let settings = Settings {
-        balancers: wire.balancers,
-        me: wire.me,
+        nodes: wire.balancers,
+        node_index: wire.me,
         zone: wire.zone,
         classes,
         tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
-        ask_discovery: wire.discovery == "ask",
-        ask_within: micros(wire.guarantees.ask_within_us),
+        poll_discovery: wire.discovery == "ask",
+        list_staleness_limit: micros(wire.guarantees.ask_within_us),
         origin_kind: origin.flatten(),
         weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         weights_are_live: wire.weight_source == "live",
-        load_fields: wire.report.fields.iter().map(|f| load_field(f)).collect(),
+        load_metrics: wire.report.fields.iter().map(|f| load_field(f)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
         may_cancel: limits.may_cancel,
-        may_probe: limits.probes,
-        may_tell_peers: limits.peers,
+        may_health_check: limits.probes,
+        may_message_peers: limits.peers,
         // Not of the platform: the node sets it where its own store shares them.
-        shares_fetches: false,
+        coalesce_fetches: false,
         // Not of the platform: the operator may set it.
-        start_each: Settings::default().start_each,
+        startup_attempts_per_server: Settings::default().startup_attempts_per_server,
         // Not of the platform: the node sets it where it uses a part of the cache servers.
-        cache_weight: Settings::default().cache_weight,
+        total_cache_weight: Settings::default().total_cache_weight,
         connection_price: wire.prices.connection,
         handshake_price: wire.prices.handshake,
         max_retry_after: if limits.retry_after { micros(limits.max_retry_after_us) } else { 0 },
         tick: micros(wire.period_us),
-        cold_share: wire.guarantees.cold_share,
-        warm_up: micros(wire.guarantees.cold_us),
-        fall_multiple: wire.guarantees.fall_multiple,
-        fall_after: micros(wire.guarantees.tip_after_us),
+        initial_capacity: wire.guarantees.cold_share,
+        slow_start_duration: micros(wire.guarantees.cold_us),
+        overload_multiple: wire.guarantees.fall_multiple,
+        overload_window: micros(wire.guarantees.tip_after_us),
         drain_grace: micros(wire.guarantees.drain_grace_us),
     };
     Ok(Deployment {
@@ -293,46 +293,46 @@
         classes: wire.classes.into_iter().map(|c| c.name).collect(),
         tenants: wire.realms.into_iter().map(|r| r.name).collect(),
         zones: wire.zones,
-        kinds: wire.machine_types,
-        load_names: wire.report.fields,
+        machine_types: wire.machine_types,
+        load_metric_names: wire.report.fields,
         connect_timeout: micros(limits.connect_timeout_us),
         idle_close: micros(limits.idle_close_us),
         max_open: limits.max_open,
     })
 }
 
-fn class(c: &WireClass) -> Result<Class, String> {
+fn class(c: &WireClass) -> Result<RequestClass, String> {
     let group = match c.dedup_scope.as_str() {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        _ => Group::Cell,
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        _ => DedupScope::Cell,
     };
     let effect = match c.effect.as_str() {
-        "pure" => Effect::Safe,
-        "token" => Effect::Keyed { group, window: micros(c.dedup_window_us) },
-        "side_effect" => Effect::Unsafe,
+        "pure" => Idempotency::Idempotent,
+        "token" => Idempotency::WithKey { scope: group, window: micros(c.dedup_window_us) },
+        "side_effect" => Idempotency::NonIdempotent,
         other => {
             return Err(format!("unreadable settings: unknown effect {other:?} of a class"));
         }
     };
-    Ok(Class {
-        aim: micros(c.goal_time_us),
+    Ok(RequestClass {
+        latency_objective: micros(c.goal_time_us),
         deadline: micros(c.deadline_us),
-        worth: c.gain,
-        late_worth: c.late_value,
-        effect,
+        priority_weight: c.gain,
+        late_weight: c.late_value,
+        idempotency: effect,
     })
 }
 
-fn load_field(name: &str) -> LoadField {
+fn load_field(name: &str) -> LoadMetric {
     match name {
-        "rif" => LoadField::InFlight,
-        "q" => LoadField::Queued,
-        "busy" => LoadField::Busy,
-        "lat_ms" => LoadField::ServiceMs,
-        "rate" => LoadField::Rate,
-        "fail_rate" => LoadField::ErrorRate,
-        _ => LoadField::Other,
+        "rif" => LoadMetric::InFlight,
+        "q" => LoadMetric::Queued,
+        "busy" => LoadMetric::Busy,
+        "lat_ms" => LoadMetric::ServiceMs,
+        "rate" => LoadMetric::Rate,
+        "fail_rate" => LoadMetric::ErrorRate,
+        _ => LoadMetric::Other,
     }
 }
 
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -9,7 +9,7 @@
 //! the rate of all of them, however seldom one of them sees it, and a key that nobody asks for often passes
 //! nearly always.
 
-use crate::draws::unit_hash;
+use crate::hash::unit_hash;
 use crate::interface::*;
 use crate::state::*;
 
@@ -19,7 +19,7 @@
 const RATE_MULTIPLE: f64 = 1.5;
 const PART_OF_FALL: f64 = 0.5;
 /// Requests for one key, where chance decides, may draw this multiple of the rate: few servers have a key
-/// that draws so much, and keys that are asked for seldom pass the sooner.
+/// that hash so much, and keys that are asked for seldom pass the sooner.
 const KEY_MULTIPLE: f64 = 2.0;
 /// A balancer's bucket holds what its rate earns in this part of the window that a budget is counted in.
 const BUCKET_WINDOW: f64 = 0.5;
@@ -42,8 +42,9 @@
 impl Policy {
     /// Part of its capacity that a server has at the least, some time after its start.
     pub(crate) fn warmth(&self, s: &Server) -> f64 {
-        let age = self.now.saturating_sub(s.line.started) as f64 / self.settings.warm_up.max(1) as f64;
-        let share = self.settings.cold_share;
+        let age =
+            self.now.saturating_sub(s.line.started) as f64 / self.settings.slow_start_duration.max(1) as f64;
+        let share = self.settings.initial_capacity;
         if s.line.started == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
     }
 
@@ -83,7 +84,7 @@
         Spent { attempts: self.slow_start_share(s).spent + 1.0, at: self.now }
     }
 
-    /// Where the share is less than one attempt: whether this request draws one. What the rate has earned
+    /// Where the share is less than one attempt: whether this request hash one. What the rate has earned
     /// since the key was last asked for here is what one request for it is worth, so that requests for one
     /// key at all balancers draw no more than a multiple of the rate of all. As others leave, their keys come
     /// here too, and fewer of them draw one.
@@ -98,10 +99,10 @@
         let quota = self.share() * self.portion(s);
         // Against a rate that follows the load of the servers that are left: as others leave, one can do no
         // more.
-        let fleet = self.peak_weight.value.max(self.settings.cache_weight).max(0.01);
-        let multiple = RATE_MULTIPLE.min(PART_OF_FALL * self.settings.fall_multiple).max(0.0);
+        let fleet = self.peak_weight.value.max(self.settings.total_cache_weight).max(0.01);
+        let multiple = RATE_MULTIPLE.min(PART_OF_FALL * self.settings.overload_multiple).max(0.0);
         let rate = self.part * multiple * self.warmth(s) * quota * self.weight(s) / fleet / 1e6;
-        let depth = rate * self.settings.fall_after as f64 * BUCKET_WINDOW;
+        let depth = rate * self.settings.overload_window as f64 * BUCKET_WINDOW;
         Share { rate, depth, spent: s.spent.left(self.now, rate) }
     }
 
--- a/crates/stonevane-policy/src/state.rs
+++ b/crates/stonevane-policy/src/state.rs
@@ -8,7 +8,7 @@
 use crate::placement::Candidate;
 
 use crate::interface::{
-    Action, Class, Condition, Group, Key, Micros, RequestId, ServerId, ServerLine, Settings,
+    Action, Condition, DedupScope, Key, Micros, RequestClass, RequestId, ServerEntry, ServerId, Settings,
 };
 
 /// The mind of one balancer: what it was told, what it has seen and what it owes.
@@ -105,7 +105,7 @@
 /// A server of the list, and what this balancer has seen of it.
 #[derive(Default)]
 pub struct Server {
-    pub line: ServerLine,
+    pub line: ServerEntry,
     pub origin: bool,
     /// A person has taken it out.
     pub excluded: bool,
@@ -148,12 +148,12 @@
 
     /// Whether two servers know of each other's keyed requests. The origin is a group of its own: cache
     /// servers do not know what it has seen.
-    pub fn shares_group(&self, other: &Server, group: Group) -> bool {
+    pub fn shares_group(&self, other: &Server, group: DedupScope) -> bool {
         match group {
             _ if self.origin || other.origin => self.line.id == other.line.id,
-            Group::All => true,
-            Group::Zone => self.line.zone == other.line.zone,
-            Group::Cell => self.line.cell == other.line.cell,
+            DedupScope::All => true,
+            DedupScope::Zone => self.line.zone == other.line.zone,
+            DedupScope::Cell => self.line.cell == other.line.cell,
         }
     }
 }
@@ -162,7 +162,7 @@
 #[derive(Default)]
 pub struct Held {
     /// Its class and the number of its attempts as they were when it came.
-    pub class: Class,
+    pub class: RequestClass,
     pub most: u32,
     pub key: Key,
     /// Whether its key is asked for often here, and for how long it was not.
--- a/crates/stonevane-policy/tests/brain.rs
+++ b/crates/stonevane-policy/tests/brain.rs
@@ -12,7 +12,7 @@
         let mut policy = Policy::new(settings(), seed);
         let lines = servers.iter().map(|id| server(*id)).collect();
         let mut out = Vec::new();
-        policy.handle(SECOND, Event::ServerList { kind: ListKind::Cached, servers: lines }, &mut out);
+        policy.handle(SECOND, Event::ServerList { kind: ListUpdate::Cached, servers: lines }, &mut out);
         policy.handle(SECOND, Event::Request(read(1, key)), &mut out);
         sent_to(&out).expect("sent")
     };
@@ -50,13 +50,13 @@
         let mut node = Node::new(settings(), 4);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         node.pass(slow_ms * MS);
-        node.outcome(1, 0, first, Status::Served);
+        node.outcome(1, 0, first, AttemptStatus::Served);
         let mut id = 1;
         for key in (10..80).filter(|key| key % 2 == 0) {
             id += 1;
             let server = sent_to(&node.request(read(id, key))).unwrap();
             node.pass(if server == first { slow_ms } else { 50 } * MS);
-            node.outcome(id, 0, server, Status::Served);
+            node.outcome(id, 0, server, AttemptStatus::Served);
         }
         node.pass(SECOND);
         (101..=120).take_while(|id| sent_to(&node.request(read(*id, 9))) == Some(first)).count()
@@ -68,22 +68,22 @@
 
 #[test]
 fn behind_an_origin_that_has_stopped_all_is_told_at_once_and_it_comes_back_through_one_call() {
-    let shared = Settings { shares_fetches: true, max_retry_after: 2 * SECOND, ..settings() };
+    let shared = Settings { coalesce_fetches: true, max_retry_after: 2 * SECOND, ..settings() };
     let mut node = Node::new(shared, 3);
     // A fetch is out when the origin stops.
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    assert_eq!(sent_to(&node.outcome(1, 0, first, Status::Miss)), Some(ORIGIN));
-    node.event(Event::OriginShut { lasts: 400 * MS });
+    assert_eq!(sent_to(&node.outcome(1, 0, first, AttemptStatus::Miss)), Some(ORIGIN));
+    node.event(Event::OriginUnavailable { duration: 400 * MS });
     let advice = |actions: &[Action], id| {
         let advice = actions.iter().find_map(|a| match a {
-            Action::Refuse { request, retry_after } if *request == id => Some(*retry_after),
+            Action::Reject { request, retry_after } if *request == id => Some(*retry_after),
             _ => None,
         });
         advice.unwrap_or_else(|| panic!("request {id} was not refused at once: {actions:?}"))
     };
     let server = sent_to(&node.request(read(2, 9))).unwrap();
     assert_ne!(server, ORIGIN, "what a cache holds is served on");
-    let told = advice(&node.outcome(2, 0, server, Status::Miss), 2);
+    let told = advice(&node.outcome(2, 0, server, AttemptStatus::Miss), 2);
     assert!((400 * MS..500 * MS).contains(&told), "not before it may be called again: {told}");
     assert!(advice(&node.request(write(3, 1)), 3) >= 400 * MS);
     // Its time is over: one call first, and more as it answers.
@@ -93,23 +93,23 @@
         out += sends(&node.request(write(id, 1)));
     }
     assert_eq!(out, 0, "the fetch of before is out still");
-    node.outcome(1, 1, ORIGIN, Status::Served);
+    node.outcome(1, 1, ORIGIN, AttemptStatus::Served);
     let mut out = Vec::new();
     for id in 20..30 {
         out.extend(sent_to(&node.request(write(id, 1))).map(|_| id));
     }
     assert_eq!(out.len(), 1, "one call at a time: {out:?}");
-    node.outcome(out[0], 0, ORIGIN, Status::Served);
+    node.outcome(out[0], 0, ORIGIN, AttemptStatus::Served);
     let next = sends(&node.pass(20 * MS));
     assert!((1..=3).contains(&next), "the gate opens by and by to what was parked: {next}");
     // What may have run is failed, not refused.
     let mut node = Node::new(settings(), 3);
     node.request(write(1, 1));
-    node.event(Event::OriginShut { lasts: 400 * MS });
-    node.outcome(1, 0, ORIGIN, Status::Error);
+    node.event(Event::OriginUnavailable { duration: 400 * MS });
+    node.outcome(1, 0, ORIGIN, AttemptStatus::Error);
     assert!(failed(&node.actions, 1) && !refused(&node.actions, 1));
     // It answers again before its time: the way is open.
-    node.event(Event::OriginShut { lasts: 0 });
+    node.event(Event::OriginUnavailable { duration: 0 });
     assert_eq!(sent_to(&node.request(write(2, 1))), Some(ORIGIN));
 }
 
@@ -119,11 +119,11 @@
     // 20 outstanding, of which the origin had room for five times as many; a fifth of all was late or refused.
     let out = |quota_per_s: f64| {
         let tenants = vec![Tenant { quota_per_s }];
-        let mut node = Node::new(Settings { tenants, balancers: 2, ..settings() }, 6);
+        let mut node = Node::new(Settings { tenants, nodes: 2, ..settings() }, 6);
         // Answers in time raise the limit to its ceiling.
         for id in 1..=4_800 {
             if sent_to(&node.request(write(id, 1))).is_some() {
-                node.outcome(id, 0, ORIGIN, Status::Served);
+                node.outcome(id, 0, ORIGIN, AttemptStatus::Served);
             }
             node.pass(5 * MS);
         }
@@ -138,7 +138,7 @@
 fn a_skip_is_held_back_while_the_origin_has_no_room_for_the_fetch_it_costs() {
     // Incidents ia996fa (the origin had room, queues at few servers) and iaa6bb1 (the gate refused).
     let taken = |pressed: bool| {
-        let mut node = Node::new(Settings { balancers: 8, ..settings() }, 4);
+        let mut node = Node::new(Settings { nodes: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| pressed) {
             node.request(write(id, 1));
         }
@@ -155,7 +155,7 @@
     let mut node = Node::new(settings(), 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     assert_ne!(first, ORIGIN);
-    assert_eq!(sent_to(&node.outcome(1, 0, first, Status::Miss)), Some(ORIGIN));
+    assert_eq!(sent_to(&node.outcome(1, 0, first, AttemptStatus::Miss)), Some(ORIGIN));
     assert_eq!(sent_to(&node.request(write(2, 1))), Some(ORIGIN));
 }
 
@@ -167,7 +167,7 @@
         through += sends(&node.request(write(id, 1)));
     }
     assert_eq!(through, 10, "a balancer just started lets half of its twenty calls out");
-    let answers = node.outcome(1, 0, ORIGIN, Status::Served);
+    let answers = node.outcome(1, 0, ORIGIN, AttemptStatus::Served);
     assert_eq!(sends(&answers), 0, "a postponed call waits for its delay");
     assert_eq!(sends(&node.pass(8 * MS)), 1, "an outcome lowers the counter and one more call goes");
     let later = node.pass(SECOND);
@@ -179,12 +179,12 @@
 fn the_windowed_tally_holds_calls_that_the_outstanding_cap_would_let_through() {
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 40.0 }];
-    config.balancers = 1;
+    config.nodes = 1;
     let mut node = Node::new(config, 3);
     let mut through = 0;
     for id in 1..=12 {
         through += sends(&node.request(write(id, 2)));
-        node.outcome(id, 0, ORIGIN, Status::Served);
+        node.outcome(id, 0, ORIGIN, AttemptStatus::Served);
     }
     assert_eq!(through, 7, "in a quarter of the longest aim, 187 ms, 7.5 of 40 a second");
 }
@@ -197,9 +197,9 @@
     let mut fetched = 0;
     for id in 1..=100 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
-        let fetch = node.outcome(id, 0, first, Status::Miss);
+        let fetch = node.outcome(id, 0, first, AttemptStatus::Miss);
         fetched += sends(&fetch);
-        node.outcome(id, 1, ORIGIN, Status::Served);
+        node.outcome(id, 1, ORIGIN, AttemptStatus::Served);
         fetched += sends(&node.pass(SECOND / 60));
     }
     assert!(fetched >= 95, "six in ten of the quota a second, {fetched} of 100 fetched");
@@ -210,7 +210,7 @@
     let mut node = Node::new(settings(), 3);
     for id in 1..=12 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
-        node.outcome(id, 0, first, Status::Miss);
+        node.outcome(id, 0, first, AttemptStatus::Miss);
     }
     assert_eq!(sent_to(&node.request(write(50, 1))), Some(ORIGIN));
 }
@@ -218,12 +218,12 @@
 /// A node whose fetches are shared, with so many misses of one key, all of them out; how many were sent on.
 fn stampede(shares_fetches: bool) -> (Node, usize) {
     let tenants = vec![Tenant { quota_per_s: 300.0 }];
-    let mut node = Node::new(Settings { shares_fetches, tenants, ..settings() }, 40);
+    let mut node = Node::new(Settings { coalesce_fetches: shares_fetches, tenants, ..settings() }, 40);
     let first: Vec<_> = (1..=200).map(|id| sent_to(&node.request(read(id, 9))).unwrap()).collect();
     let fetched = first
         .iter()
         .zip(1..)
-        .filter(|(s, id)| sent_to(&node.outcome(*id, 0, **s, Status::Miss)) == Some(ORIGIN));
+        .filter(|(s, id)| sent_to(&node.outcome(*id, 0, **s, AttemptStatus::Miss)) == Some(ORIGIN));
     let count = fetched.count();
     (node, count)
 }
@@ -237,35 +237,35 @@
     let mut through = 0;
     for id in 301..=330 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
-        through += sends(&node.outcome(id, 0, first, Status::Miss));
+        through += sends(&node.outcome(id, 0, first, AttemptStatus::Miss));
     }
     assert_eq!(through, 6, "seven in ten of half of the cap of twenty, less the one");
     // Whatever becomes of those who joined says nothing of the origin, and gives back nothing that they never took.
     for id in 2..=200 {
-        node.outcome(id, 1, ORIGIN, Status::Served);
+        node.outcome(id, 1, ORIGIN, AttemptStatus::Served);
     }
     assert_eq!(sends(&node.pass(20 * MS)), 0, "the gate is as full as before");
-    node.outcome(1, 1, ORIGIN, Status::Served);
+    node.outcome(1, 1, ORIGIN, AttemptStatus::Served);
     assert_eq!(sends(&node.pass(60 * MS)), 1, "the one call has made room for one");
 }
 
 #[test]
 fn nothing_joins_a_fetch_that_has_ended_or_is_older_than_a_write_of_its_key() {
     let (mut node, _) = stampede(true);
-    node.outcome(1, 1, ORIGIN, Status::Served);
+    node.outcome(1, 1, ORIGIN, AttemptStatus::Served);
     let again = |node: &mut Node, id| {
         let first = sent_to(&node.request(read(id, 9))).unwrap();
-        sends(&node.outcome(id, 0, first, Status::Miss))
+        sends(&node.outcome(id, 0, first, AttemptStatus::Miss))
     };
     // The gate's room for fetches tells whether a call was counted: seven at once.
     assert_eq!(again(&mut node, 401), 1, "a new call");
     let wrote = Request { key: 9, ..write(402, 1) };
     assert_eq!(sent_to(&node.request(wrote)), Some(ORIGIN));
-    node.outcome(402, 0, ORIGIN, Status::Served);
+    node.outcome(402, 0, ORIGIN, AttemptStatus::Served);
     for id in 403..=408 {
         assert_eq!(again(&mut node, id), 1);
     }
-    node.outcome(401, 1, ORIGIN, Status::Served);
+    node.outcome(401, 1, ORIGIN, AttemptStatus::Served);
     assert_eq!(again(&mut node, 409), 1, "the end of the older call does not end what joined the newer");
 }
 
@@ -276,7 +276,7 @@
         let mut node = Node::new(Settings { max_attempts: 1, tenants, ..settings() }, 3);
         for id in 1..=12 {
             node.request(write(id, 1));
-            node.outcome(id, 0, ORIGIN, Status::Full);
+            node.outcome(id, 0, ORIGIN, AttemptStatus::Rejected);
             node.pass(5 * MS);
         }
         node.pass(SECOND);
@@ -290,7 +290,7 @@
     for id in 100..190 {
         node.pass(50 * MS);
         node.request(write(id, 1));
-        node.outcome(id, 0, ORIGIN, Status::Served);
+        node.outcome(id, 0, ORIGIN, AttemptStatus::Served);
     }
     assert!(node.actions.iter().any(|a| matches!(a, Action::Log(l) if l.contains("gate restored"))));
 }
@@ -299,11 +299,11 @@
 fn full_and_failed_connects_go_on_along_the_order_at_once() {
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let second = sent_to(&node.outcome(1, 0, first, Status::Full)).unwrap();
-    let third = sent_to(&node.outcome(1, 1, second, Status::ConnectFailed)).unwrap();
+    let second = sent_to(&node.outcome(1, 0, first, AttemptStatus::Rejected)).unwrap();
+    let third = sent_to(&node.outcome(1, 1, second, AttemptStatus::ConnectFailed)).unwrap();
     assert!(first != second && second != third && first != third);
-    let fourth = sent_to(&node.outcome(1, 2, third, Status::Full)).unwrap();
-    let last = node.outcome(1, 3, fourth, Status::Full);
+    let fourth = sent_to(&node.outcome(1, 2, third, AttemptStatus::Rejected)).unwrap();
+    let last = node.outcome(1, 3, fourth, AttemptStatus::Rejected);
     assert!(refused(&last, 1), "no attempts are left");
 }
 
@@ -322,7 +322,7 @@
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: 300 * MS, ..write(1, 2) });
     node.now += 300 * MS;
-    assert!(failed(&node.outcome(1, 0, ORIGIN, Status::TimedOut), 1));
+    assert!(failed(&node.outcome(1, 0, ORIGIN, AttemptStatus::TimedOut), 1));
 }
 
 #[test]
@@ -336,15 +336,15 @@
 fn an_unsafe_request_is_sent_again_only_when_it_is_known_not_to_have_run() {
     let mut node = Node::new(settings(), 3);
     node.request(Request { time_left: SECOND, ..write(1, 2) });
-    node.outcome(1, 0, ORIGIN, Status::Full);
+    node.outcome(1, 0, ORIGIN, AttemptStatus::Rejected);
     assert_eq!(sends(&node.pass(100 * MS)), 1, "turned away unseen: may go again");
-    let answer = node.outcome(1, 1, ORIGIN, Status::Reset);
+    let answer = node.outcome(1, 1, ORIGIN, AttemptStatus::Reset);
     assert!(failed(&answer, 1) && sends(&answer) == 0, "may have run: failed, nothing sent");
 }
 
 #[test]
 fn spoilt_answers_and_broken_connections_are_tried_again_however_many_and_harm_no_healthy_server() {
-    for status in [Status::Spoilt, Status::Reset] {
+    for status in [AttemptStatus::Malformed, AttemptStatus::Reset] {
         let mut node = Node::new(settings(), 4);
         for id in 1..=40 {
             let first = sent_to(&node.request(read(id, id))).unwrap();
@@ -352,12 +352,12 @@
             assert_eq!(first, again, "where the key is held");
             let next = sent_to(&node.outcome(id, 1, again, status)).expect("and again");
             assert_ne!(first, next, "but not for ever");
-            node.outcome(id, 2, next, Status::Served);
+            node.outcome(id, 2, next, AttemptStatus::Served);
             // What it is asked for otherwise is answered well.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
                 assert_eq!(server, first, "neither set aside nor taken for cold");
-                node.outcome(100 * id + good, 0, server, Status::Served);
+                node.outcome(100 * id + good, 0, server, AttemptStatus::Served);
             }
         }
     }
@@ -370,12 +370,12 @@
     while !node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("set aside"))) {
         id += 1;
         node.request(read(id, 9));
-        (0..3).for_each(|attempt| drop(node.outcome(id, attempt, 1, Status::Reset)));
+        (0..3).for_each(|attempt| drop(node.outcome(id, attempt, 1, AttemptStatus::Reset)));
         assert!(id < 100);
     }
     node.pass(SECOND);
     node.request(read(500, 9));
-    node.outcome(500, 0, 1, Status::Served);
+    node.outcome(500, 0, 1, AttemptStatus::Served);
     let sent = (501..=560).filter(|id| sent_to(&node.request(read(*id, *id))).is_some()).count();
     assert!(sent >= 30, "{sent} of 60: a cold one would get a part of its keys");
 }
@@ -384,12 +384,12 @@
 fn a_keyed_write_whose_answer_was_spoilt_goes_again_while_its_repeat_is_dropped_and_an_unsafe_one_fails() {
     let mut node = Node::new(settings(), 4);
     node.request(write(1, 1));
-    assert_eq!(sent_to(&node.outcome(1, 0, ORIGIN, Status::Spoilt)), Some(ORIGIN));
+    assert_eq!(sent_to(&node.outcome(1, 0, ORIGIN, AttemptStatus::Malformed)), Some(ORIGIN));
     node.request(write(2, 1));
     node.pass(190 * MS);
-    assert!(failed(&node.outcome(2, 0, ORIGIN, Status::Spoilt), 2), "no longer dropped for sure");
+    assert!(failed(&node.outcome(2, 0, ORIGIN, AttemptStatus::Malformed), 2), "no longer dropped for sure");
     node.request(write(3, 2));
-    assert!(failed(&node.outcome(3, 0, ORIGIN, Status::Spoilt), 3));
+    assert!(failed(&node.outcome(3, 0, ORIGIN, AttemptStatus::Malformed), 3));
 }
 
 #[test]
@@ -397,7 +397,12 @@
     let mut node = Node::new(settings(), 4);
     for id in 1..=30 {
         node.request(write(id, 2));
-        node.outcome(id, 0, ORIGIN, if id % 2 == 0 { Status::Spoilt } else { Status::Reset });
+        node.outcome(
+            id,
+            0,
+            ORIGIN,
+            if id % 2 == 0 { AttemptStatus::Malformed } else { AttemptStatus::Reset },
+        );
         node.pass(100 * MS);
     }
     assert!(!node.actions.iter().any(|a| matches!(a, Action::Log(line) if line.contains("gate lowered"))));
@@ -406,15 +411,15 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains_is_gone_or_left_the_list() {
     for (kind, condition) in [
-        (ListKind::Delta, Condition::Draining),
-        (ListKind::Delta, Condition::Gone),
-        (ListKind::Full, Condition::Gone),
+        (ListUpdate::Delta, Condition::Draining),
+        (ListUpdate::Delta, Condition::Gone),
+        (ListUpdate::Full, Condition::Gone),
     ] {
         let mut node = Node::new(settings(), 3);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
         let lines = match kind {
-            ListKind::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
-            _ => vec![ServerLine { condition, ..server(first) }],
+            ListUpdate::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
+            _ => vec![ServerEntry { condition, ..server(first) }],
         };
         node.list(kind, lines);
         for id in 2..=40 {
@@ -429,8 +434,8 @@
     for id in 1..=6 {
         node.request(write(id, 1));
     }
-    node.list(ListKind::Delta, vec![ServerLine { condition: Condition::Draining, ..origin() }]);
-    node.outcome(1, 0, ORIGIN, Status::Served);
+    node.list(ListUpdate::Delta, vec![ServerEntry { condition: Condition::Draining, ..origin() }]);
+    node.outcome(1, 0, ORIGIN, AttemptStatus::Served);
     let after = node.pass(SECOND);
     assert_eq!(sends(&after), 0);
     assert!(refused(&after, 6));
@@ -441,14 +446,14 @@
     let share_at = |age: Micros| {
         let mut node = Node::new(settings(), 4);
         let started = node.now;
-        node.list(ListKind::Delta, vec![ServerLine { started, ..server(2) }]);
+        node.list(ListUpdate::Delta, vec![ServerEntry { started, ..server(2) }]);
         node.now += age;
         let mut at_cold = 0;
         for id in 1..=2000 {
             node.now += 20 * MS / 100;
             let to = sent_to(&node.request(read(id, id))).unwrap();
             at_cold += usize::from(to == 2);
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, AttemptStatus::Served);
         }
         at_cold as f64 / 500.0
     };
@@ -465,13 +470,13 @@
     }
     node.pass(1600 * MS);
     for id in 1..=3 {
-        node.outcome(id, 0, victim, Status::TimedOut);
+        node.outcome(id, 0, victim, AttemptStatus::TimedOut);
     }
     assert_ne!(sent_to(&node.request(read(10, 9))), Some(victim), "set aside");
     node.pass(10 * SECOND);
     assert_eq!(sent_to(&node.request(read(11, 9))), Some(victim), "one trial");
     assert_ne!(sent_to(&node.request(read(12, 9))), Some(victim), "no more while it is out");
-    node.outcome(11, 0, victim, Status::Served);
+    node.outcome(11, 0, victim, AttemptStatus::Served);
     assert_eq!(sent_to(&node.request(read(13, 9))), Some(victim), "let back");
 }
 
@@ -480,7 +485,7 @@
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     node.pass(1600 * MS);
-    node.outcome(1, 0, first, Status::TimedOut);
+    node.outcome(1, 0, first, AttemptStatus::TimedOut);
     assert_eq!(sent_to(&node.request(read(2, 9))), Some(first));
 }
 
@@ -491,7 +496,7 @@
         let mut to = sent_to(&node.request(read(id, id)));
         let mut attempt = 0;
         while let Some(server) = to {
-            to = sent_to(&node.outcome(id, attempt, server, Status::ConnectFailed));
+            to = sent_to(&node.outcome(id, attempt, server, AttemptStatus::ConnectFailed));
             attempt += 1;
         }
     }
@@ -504,8 +509,8 @@
     let mut node = Node::new(settings(), 4);
     let victim = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=3 {
-        let next = sent_to(&node.outcome(id, 0, victim, Status::ConnectFailed)).unwrap();
-        node.outcome(id, 1, next, Status::Served);
+        let next = sent_to(&node.outcome(id, 0, victim, AttemptStatus::ConnectFailed)).unwrap();
+        node.outcome(id, 1, next, AttemptStatus::Served);
         if id < 3 {
             node.request(read(id + 1, 9));
         }
@@ -515,7 +520,7 @@
     for id in 10..200 {
         let to = sent_to(&node.request(read(id, id))).unwrap();
         on_trial += usize::from(to == victim);
-        node.outcome(id, 0, to, Status::Served);
+        node.outcome(id, 0, to, AttemptStatus::Served);
     }
     assert!((1..30).contains(&on_trial), "few while presumed cold: {on_trial} of about 48");
 }
@@ -554,7 +559,7 @@
     let mut node = Node::new(settings(), 4);
     let victim = sent_to(&node.request(read(1, 9))).unwrap();
     for id in 1..=8 {
-        let status = if id % 4 == 0 { Status::Served } else { Status::Error };
+        let status = if id % 4 == 0 { AttemptStatus::Served } else { AttemptStatus::Error };
         node.outcome(id, 0, victim, status);
         node.request(read(id + 1, 9));
     }
@@ -575,7 +580,8 @@
             asked[tenant] += 1;
             served[tenant] += sends(&answer);
         }
-        let (status, to) = (if id % 16 == 0 { Status::Full } else { Status::Served }, sent_to(&answer));
+        let (status, to) =
+            (if id % 16 == 0 { AttemptStatus::Rejected } else { AttemptStatus::Served }, sent_to(&answer));
         if let Some(mut to) = to {
             let mut attempt = 0;
             while let Some(next) = sent_to(&node.outcome(id, attempt, to, status)) {
@@ -602,7 +608,7 @@
         }
         while out.front().is_some_and(|(_, _, sent)| node.now - sent > 900 * MS) {
             let (id, to, _) = out.pop_front().unwrap();
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
     // It also failed while one attempt was counted twice, at both of its marks.
@@ -623,10 +629,10 @@
         }
         if out.len() > 22 {
             let (id, to) = out.pop_front().unwrap();
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
-    let refusals = node.actions.iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+    let refusals = node.actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count();
     assert!(refusals < 8, "{refusals} of 400 refused at 50 a second within a quota of 100");
 }
 
@@ -634,13 +640,13 @@
 fn balancers_send_each_other_nothing_and_bear_whatever_a_peer_says() {
     // Found at full size: what each of 515 told all others was 12,360 broadcasts in 18 s, and the day was lost.
     let mut config = settings();
-    (config.tenants, config.balancers) = (vec![Tenant { quota_per_s: 100.0 }], 4);
-    config.may_tell_peers = true;
+    (config.tenants, config.nodes) = (vec![Tenant { quota_per_s: 100.0 }], 4);
+    config.may_message_peers = true;
     let mut node = Node::new(config, 20);
     node.event(Event::PeerMessage { from: 1, bytes: vec![0xff; 300] });
     assert!(sent_to(&node.request(read(1, 9))).is_some());
     node.pass(30 * SECOND);
-    assert!(!node.actions.iter().any(|a| matches!(a, Action::Tell { .. })));
+    assert!(!node.actions.iter().any(|a| matches!(a, Action::SendToPeer { .. })));
 }
 
 #[test]
@@ -648,14 +654,14 @@
     // The node's users want to be told when to come back. Found on big-1 of the first full-size day: who waited 2 s came back too late, was served for nothing and
     // took the token of a request in time.
     let hints = |max_retry_after: Micros| {
-        let mut config = Settings { max_retry_after, balancers: 400, ..settings() };
+        let mut config = Settings { max_retry_after, nodes: 400, ..settings() };
         config.tenants = vec![Tenant { quota_per_s: 1.0 }];
         let mut node = Node::just_started(config, 20);
         (1..=40).for_each(|id| {
             node.request(read(id, id));
         });
         let hint = |a: &Action| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         };
         node.actions.iter().filter_map(hint).collect::<Vec<_>>()
@@ -669,7 +675,7 @@
 fn one_of_many_balancers_lets_a_tenant_within_its_quota_through_and_holds_one_three_times_over() {
     // Found at 515 balancers: a rate scaled up from one request a second turned away tenants within quotas.
     let config = Settings {
-        balancers: 500,
+        nodes: 500,
         tenants: vec![Tenant { quota_per_s: 500.0 }, Tenant { quota_per_s: 500.0 }],
         may_duplicate: false,
         ..settings()
@@ -683,7 +689,7 @@
         (asked[tenant], sent[tenant]) = (asked[tenant] + 1, sent[tenant] + sends(&answer));
         if let Some(to) = sent_to(&answer) {
             node.pass(650 * MS * u64::from(id % 5 == 0)); // One in five nearly late: some strain.
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
     assert!(sent[1] * 100 >= asked[1] * 95, "within its quota: {sent:?} of {asked:?}");
@@ -700,7 +706,7 @@
     // A fetch cut at the aim was never stored, and the origin worked for nobody: rough-2 fell by a quarter.
     let mut node = Node::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     let first = sent_to(&node.request(read(2, 9))).unwrap();
-    assert_eq!(sent_to(&node.outcome(2, 0, first, Status::Miss)), Some(ORIGIN));
+    assert_eq!(sent_to(&node.outcome(2, 0, first, AttemptStatus::Miss)), Some(ORIGIN));
     let at_aim = node.pass(760 * MS);
     assert!(!refused(&at_aim, 2) && !at_aim.iter().any(|a| matches!(a, Action::Cancel { .. })));
     assert!(refused(&node.pass(SECOND), 2), "but not beyond the client's time");
@@ -714,7 +720,7 @@
         let request = if write { self::write(id, 1) } else { read(id, id) };
         let server = sent_to(&node.request(request)).unwrap();
         node.pass(20 * MS);
-        node.outcome(id, 0, server, Status::Served);
+        node.outcome(id, 0, server, AttemptStatus::Served);
     };
     (1..=20).for_each(|id| answer(&mut node, id, id % 2 == 0));
     node.request(read(100, 100));
@@ -724,7 +730,7 @@
     let sent =
         |id| again.iter().filter(|a| matches!(a, Action::Send { request, .. } if *request == id)).count();
     assert_eq!((sent(100), sent(101)), (1, 1), "{again:?}");
-    let done = node.outcome(100, 1, 1, Status::Served);
+    let done = node.outcome(100, 1, 1, AttemptStatus::Served);
     assert!(done.contains(&Action::Cancel { request: 100, attempt: 0 }), "the silent one is given up");
 }
 
@@ -735,7 +741,7 @@
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     let second = sent_to(&node.pass(310 * MS)).expect("a second copy");
     assert_ne!(second, first);
-    let after = node.outcome(1, 1, second, Status::Served);
+    let after = node.outcome(1, 1, second, AttemptStatus::Served);
     assert!(after.contains(&Action::Cancel { request: 1, attempt: 0 }));
     let mut node = Node::new(Settings { may_duplicate: false, may_cancel: true, ..settings() }, 5);
     node.request(read(1, 9));
@@ -747,9 +753,9 @@
     // Found at 413 balancers before tables of 75: four in five attempts got no connection.
     let closes = |balancers| {
         let prices = Settings { connection_price: 0.03, handshake_price: 0.03, ..settings() };
-        let mut node = Node::new(Settings { balancers, ..prices }, 3);
+        let mut node = Node::new(Settings { nodes: balancers, ..prices }, 3);
         let to = sent_to(&node.request(read(1, 9))).unwrap();
-        node.outcome(1, 0, to, Status::Served).contains(&Action::CloseIdle(to))
+        node.outcome(1, 0, to, AttemptStatus::Served).contains(&Action::CloseIdle(to))
     };
     assert!(!closes(50) && closes(400));
 }
@@ -759,19 +765,19 @@
     // Incident ibfd28e: one request for a hot key from each of 1,096 balancers pushed a cold server over.
     let at_cold = |again: bool| {
         let tenants = vec![Tenant { quota_per_s: 100_000.0 }];
-        let config = Settings { balancers: 1000, cold_share: 0.9, tenants, ..settings() };
+        let config = Settings { nodes: 1000, initial_capacity: 0.9, tenants, ..settings() };
         let mut node = Node::new(config, 4);
         let ask = |node: &mut Node, id, key| {
             node.pass(20 * MS);
             let to = sent_to(&node.request(read(id, key)));
-            node.outcome(id, 0, to.unwrap(), Status::Served);
+            node.outcome(id, 0, to.unwrap(), AttemptStatus::Served);
             to
         };
         let key = (1..).find(|key| ask(&mut node, 1000 + key, *key) == Some(2)).unwrap();
         for id in 5000..5100 {
             ask(&mut node, id, if again { key } else { id });
         }
-        node.list(ListKind::Delta, vec![ServerLine { started: node.now, ..server(2) }]);
+        node.list(ListUpdate::Delta, vec![ServerEntry { started: node.now, ..server(2) }]);
         ask(&mut node, 9999, key) == Some(2)
     };
     assert!(at_cold(false), "a key of its own goes there");
@@ -781,8 +787,8 @@
 #[test]
 fn an_aim_shorter_than_two_ticks_is_borne() {
     // Found while reading: the wake-up at the aim lay before the present and underflowed.
-    let mut config = Settings { balancers: 0, ..settings() };
-    config.classes[0].aim = 0;
+    let mut config = Settings { nodes: 0, ..settings() };
+    config.classes[0].latency_objective = 0;
     let mut node = Node::just_started(config, 2);
     let answer = node.request(read(1, 9));
     assert!(refused(&answer, 1) || sends(&answer) == 1);
@@ -793,17 +799,23 @@
 fn events_for_ended_requests_and_repeated_or_unknown_outcomes_call_for_nothing() {
     let mut node = Node::new(settings(), 3);
     let to = sent_to(&node.request(read(1, 9))).unwrap();
-    node.outcome(1, 0, to, Status::Served);
-    for status in [Status::Served, Status::Miss, Status::Full, Status::TimedOut, Status::Cancelled] {
+    node.outcome(1, 0, to, AttemptStatus::Served);
+    for status in [
+        AttemptStatus::Served,
+        AttemptStatus::Miss,
+        AttemptStatus::Rejected,
+        AttemptStatus::TimedOut,
+        AttemptStatus::Cancelled,
+    ] {
         let answer = node.outcome(1, 0, to, status);
         assert!(sends(&answer) == 0 && !refused(&answer, 1) && !failed(&answer, 1), "repeated: {status:?}");
         let answer = node.outcome(77, 3, 4242, status);
         assert!(sends(&answer) == 0 && !refused(&answer, 77), "never sent: {status:?}");
     }
-    assert!(sends(&node.event(Event::ClientGone(1))) == 0);
+    assert!(sends(&node.event(Event::ClientDisconnected(1))) == 0);
     node.request(read(2, 9));
-    node.event(Event::ClientGone(2));
-    let late = node.outcome(2, 0, to, Status::Miss);
+    node.event(Event::ClientDisconnected(2));
+    let late = node.outcome(2, 0, to, AttemptStatus::Miss);
     assert!(sends(&late) == 0 && !refused(&late, 2), "its client has left: no fetch, no answer");
     assert!(sends(&node.pass(3 * SECOND)) == 0);
 }
@@ -813,16 +825,16 @@
     let config = Settings {
         tenants: vec![Tenant { quota_per_s: f64::NAN }, Tenant { quota_per_s: f64::INFINITY }],
         weights_are_sizes: true,
-        cold_share: f64::NAN,
+        initial_capacity: f64::NAN,
         connection_price: f64::NAN,
         ..settings()
     };
     let mut node = Node::new(config, 2);
     let weights = [f32::NAN, f32::INFINITY, -1.0];
-    let line = |(id, weight)| ServerLine { weight, started: 60 * SECOND, ..server(id) };
+    let line = |(id, weight)| ServerEntry { weight, started: 60 * SECOND, ..server(id) };
     let mut lines: Vec<_> = (1..).zip(weights).map(line).collect();
     lines.push(origin());
-    node.list(ListKind::Full, lines);
+    node.list(ListUpdate::Full, lines);
     for id in 1..=30 {
         let answer = node.request(Request { tenant: id as usize % 2, size: f32::NAN, ..read(id, id) });
         assert!(sends(&answer) == 1 || refused(&answer, id), "sent or refused");
@@ -834,7 +846,7 @@
 #[test]
 fn tokens_saved_up_do_not_keep_a_jam_going() {
     // Incident i291613: full buckets at 1,499 balancers were 15 s of traffic with the level at its floor.
-    let mut config = Settings { balancers: 1000, may_duplicate: false, ..settings() };
+    let mut config = Settings { nodes: 1000, may_duplicate: false, ..settings() };
     config.tenants = vec![Tenant { quota_per_s: 100.0 }; 9];
     let mut node = Node::just_started(config, 500);
     let mut sent = Vec::new();
@@ -853,22 +865,22 @@
     let mut node = Node::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
     node.pass(200 * MS);
-    node.outcome(1, 0, first, Status::Served); // 0.2 s for one request without a queue
-    node.list(ListKind::Delta, vec![ServerLine { weight: 0.1, ..server(first) }]);
+    node.outcome(1, 0, first, AttemptStatus::Served); // 0.2 s for one request without a queue
+    node.list(ListUpdate::Delta, vec![ServerEntry { weight: 0.1, ..server(first) }]);
     let next = sent_to(&node.request(read(2, 9))).expect("another has room");
     assert_ne!(next, first, "nine requests a core wait there");
-    let all = (1..=3).map(|id| ServerLine { weight: 0.1, ..server(id) }).collect();
-    node.list(ListKind::Delta, all);
+    let all = (1..=3).map(|id| ServerEntry { weight: 0.1, ..server(id) }).collect();
+    node.list(ListUpdate::Delta, all);
     assert!(refused(&node.request(read(3, 9)), 3), "all are full");
 }
 
 #[test]
 fn a_failed_call_to_discovery_is_repeated_later_and_not_at_once() {
-    let config = Settings { ask_discovery: true, ..settings() };
+    let config = Settings { poll_discovery: true, ..settings() };
     let mut node = Node::new(config, 3);
     assert!(node.actions.contains(&Action::Subscribe(true)), "subscribes at the start");
     node.actions.clear();
-    node.list(ListKind::Failed, Vec::new());
+    node.list(ListUpdate::Failed, Vec::new());
     assert!(!node.actions.contains(&Action::Subscribe(true)));
     assert!(node.pass(8 * SECOND).contains(&Action::Subscribe(true)));
     assert!(sent_to(&node.request(read(1, 9))).is_some(), "the old list stays in force");
@@ -882,17 +894,21 @@
         // However long discovery takes for a call of each.
         for ask_within in [1, SECOND, 10 * SECOND, 86_400 * SECOND] {
             for lasted in [2_500 * MS, 4_000 * MS] {
-                let config = Settings { ask_discovery: true, ask_within, ..settings() };
+                let config =
+                    Settings { poll_discovery: true, list_staleness_limit: ask_within, ..settings() };
                 let mut node = Node::seeded(config, 3, seed);
                 node.actions.clear();
-                node.list(ListKind::Silent { lasted, stood: false }, Vec::new());
+                node.list(ListUpdate::TimedOut { silent_for: lasted, was_established: false }, Vec::new());
                 assert!(!node.actions.contains(&Action::Subscribe(true)), "not all at once");
                 let again = node.pass(told - lasted - SECOND).contains(&Action::Subscribe(true));
                 assert!(again, "{ask_within} {lasted}: a second is left for the call");
                 // However often it is unanswered; what waited shorter must not be asked more often than that.
                 for _ in 0..3 {
                     node.actions.clear();
-                    node.list(ListKind::Silent { lasted, stood: false }, Vec::new());
+                    node.list(
+                        ListUpdate::TimedOut { silent_for: lasted, was_established: false },
+                        Vec::new(),
+                    );
                     assert!(!node.actions.contains(&Action::Subscribe(true)), "nor then");
                     let again = node.pass(told - lasted - SECOND).contains(&Action::Subscribe(true));
                     assert!(again, "{ask_within} {lasted}: behind another that was not answered");
@@ -900,7 +916,7 @@
                 // One that had brought lines, if only empty ones, says no such thing, however many there were.
                 for _ in 0..3 {
                     node.actions.clear();
-                    node.list(ListKind::Silent { lasted, stood: true }, Vec::new());
+                    node.list(ListUpdate::TimedOut { silent_for: lasted, was_established: true }, Vec::new());
                     let again = node.pass(told - lasted - SECOND).contains(&Action::Subscribe(true));
                     assert!(again, "{ask_within} {lasted}: quiet is no sign that it can't keep up");
                 }
@@ -913,11 +929,11 @@
 fn calls_that_fail_at_once_come_again_before_what_they_miss_counts_as_told_and_no_faster_than_before() {
     for seed in 0..50 {
         for ask_within in [10 * SECOND, 30 * SECOND, 86_400 * SECOND] {
-            let config = Settings { ask_discovery: true, ask_within, ..settings() };
+            let config = Settings { poll_discovery: true, list_staleness_limit: ask_within, ..settings() };
             let mut node = Node::seeded(config, 3, seed);
             for failed in 0..6 {
                 node.actions.clear();
-                node.list(ListKind::Failed, Vec::new());
+                node.list(ListUpdate::Failed, Vec::new());
                 let soon = node.pass(2 * SECOND).contains(&Action::Subscribe(true));
                 assert!(!soon || failed == 0, "{ask_within}: the first comes soon, the others do not");
                 let again = node.pass(3 * SECOND).contains(&Action::Subscribe(true));
@@ -930,11 +946,11 @@
 #[test]
 fn no_server_no_origin_and_servers_back_again_lose_nothing() {
     let mut node = Node::new(settings(), 2);
-    node.list(ListKind::Full, Vec::new());
+    node.list(ListUpdate::Full, Vec::new());
     assert!(refused(&node.request(read(1, 9)), 1));
     node.request(write(2, 1));
     assert!(refused(&node.pass(SECOND), 2), "no origin: postponed, then refused");
-    node.list(ListKind::Full, vec![server(1), origin()]);
+    node.list(ListUpdate::Full, vec![server(1), origin()]);
     assert_eq!(sent_to(&node.request(read(3, 9))), Some(1));
 }
 
@@ -955,8 +971,8 @@
     for id in 1..=200 {
         let actions = node.request(read(id, id));
         let server = sent_to(&actions).unwrap();
-        node.outcome(id, 0, server, Status::Miss);
-        node.outcome(id, 1, ORIGIN, Status::Full);
+        node.outcome(id, 0, server, AttemptStatus::Miss);
+        node.outcome(id, 1, ORIGIN, AttemptStatus::Rejected);
         node.pass(20 * MS);
     }
     node.pass(10 * SECOND);
@@ -969,13 +985,13 @@
 fn a_life_that_starts_holds_back_copies_too_and_tells_its_refused_to_come_back_spread() {
     // Found at 64 nodes that were all killed at once: 252 second copies in the first half second, of five for each life, doubled
     // what caches had to do.
-    let config = Settings { balancers: 64, may_duplicate: true, max_retry_after: SECOND, ..settings() };
+    let config = Settings { nodes: 64, may_duplicate: true, max_retry_after: SECOND, ..settings() };
     let mut node = Node::just_started(config, 12);
     (1..=12).for_each(|id| drop(node.request(read(id, id))));
     let out = sends(&node.actions);
     assert!((1..=2).contains(&out), "{out} out: its part of 8 at each of 12 is one and a half");
     let hints = node.actions.iter().filter_map(|action| match action {
-        Action::Refuse { retry_after, .. } => Some(*retry_after),
+        Action::Reject { retry_after, .. } => Some(*retry_after),
         _ => None,
     });
     let hints: Vec<_> = hints.collect();
@@ -989,7 +1005,7 @@
     );
     // Edits can be served nowhere else, and wait for nobody.
     assert_eq!(sent_to(&node.request(write(50, 1))), Some(ORIGIN));
-    let mut idle = Node::new(Settings { balancers: 64, ..settings() }, 12);
+    let mut idle = Node::new(Settings { nodes: 64, ..settings() }, 12);
     let sent = (1..=12).filter(|id| sent_to(&idle.request(read(*id, *id))).is_some()).count();
     assert_eq!(sent, 12, "one that was idle for long is held to nothing");
 }
--- a/crates/stonevane-policy/tests/cold.rs
+++ b/crates/stonevane-policy/tests/cold.rs
@@ -106,9 +106,9 @@
                 from += 1;
             }
             // As cold as it is when the window begins.
-            let age = (times[from] - START) as f64 / settings.warm_up as f64;
+            let age = (times[from] - START) as f64 / settings.slow_start_duration as f64;
             let warmth = (day.cold_share + (1.0 - day.cold_share) * age).min(1.0);
-            let allowed = settings.fall_multiple * capacity * warmth * day.window as f64 / 1e6;
+            let allowed = settings.overload_multiple * capacity * warmth * day.window as f64 / 1e6;
             let budget = allowed + 2.0 * allowed.sqrt() + 2.0;
             worst = worst.max((last + 1 - from) as f64 / budget);
         }
@@ -119,10 +119,10 @@
 fn config(day: Day) -> Settings {
     let tenants = vec![Tenant { quota_per_s: day.per_s }];
     Settings {
-        balancers: day.balancers,
+        nodes: day.balancers,
         tenants,
-        cold_share: day.cold_share,
-        fall_after: day.window,
+        initial_capacity: day.cold_share,
+        overload_window: day.window,
         ..settings()
     }
 }
@@ -137,14 +137,14 @@
     let (mut sent, mut attempts) = (Vec::new(), std::collections::HashMap::new());
     let begin = if day.lived { START - day.before } else { START };
     let lines = |started| {
-        let cold = |id| ServerLine { started: if id <= day.cold { started } else { 0 }, ..server(id) };
-        (1..=day.servers).map(cold).chain([ServerLine { id: ServerId::MAX, ..origin() }]).collect::<Vec<_>>()
+        let cold = |id| ServerEntry { started: if id <= day.cold { started } else { 0 }, ..server(id) };
+        (1..=day.servers).map(cold).chain([ServerEntry { id: ServerId::MAX, ..origin() }]).collect::<Vec<_>>()
     };
     let mut told = !day.lived;
     for (id, policy) in nodes.iter_mut().enumerate() {
         let mut out = Vec::new();
         let servers = lines(if day.lived { 0 } else { START });
-        policy.handle(begin, Event::ServerList { kind: ListKind::Full, servers }, &mut out);
+        policy.handle(begin, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
         let timer = |a: &Action| if let Action::Timer { after, .. } = a { Some(*after) } else { None };
         due.extend(out.iter().filter_map(timer).map(|after| Reverse((begin + after, id, Due::Timer))));
     }
@@ -159,7 +159,7 @@
             for policy in &mut nodes {
                 let mut servers = lines(START);
                 servers.retain(|line| line.kind != 0 || line.id <= day.servers - day.gone);
-                let list = Event::ServerList { kind: ListKind::Full, servers };
+                let list = Event::ServerList { kind: ListUpdate::Full, servers };
                 policy.handle(now, list, &mut Vec::new());
             }
         }
@@ -169,16 +169,17 @@
             Due::Timer => nodes[id].handle(now, Event::Timer(0), &mut out),
             Due::Answer(request, attempt, server) => {
                 let cold = server <= day.cold && now >= START;
-                let status = if cold { Status::Miss } else { Status::Served };
-                let (note, load, over) = (Note::None, Load::default(), status == Status::Served);
+                let status = if cold { AttemptStatus::Miss } else { AttemptStatus::Served };
+                let (note, load, over) =
+                    (CacheStatus::None, LoadReport::default(), status == AttemptStatus::Served);
                 let outcome = Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over,
-                    note,
-                    took: ANSWERS,
+                    request_finished: over,
+                    cache_status: note,
+                    elapsed: ANSWERS,
                     load,
                     first_on_connection: false,
                 };
--- a/crates/stonevane-policy/tests/common/mod.rs
+++ b/crates/stonevane-policy/tests/common/mod.rs
@@ -16,11 +16,21 @@
 }
 
 pub fn settings() -> Settings {
-    let read = Class { aim: 750 * MS, deadline: 1500 * MS, ..Class::default() };
-    let keyed = Effect::Keyed { group: Group::All, window: 200 * MS };
-    let write = Class { aim: 150 * MS, deadline: 300 * MS, effect: keyed, ..Class::default() };
-    let once =
-        Class { aim: 300 * MS, deadline: SECOND, effect: Effect::Unsafe, worth: 8.0, ..Class::default() };
+    let read = RequestClass { latency_objective: 750 * MS, deadline: 1500 * MS, ..RequestClass::default() };
+    let keyed = Idempotency::WithKey { scope: DedupScope::All, window: 200 * MS };
+    let write = RequestClass {
+        latency_objective: 150 * MS,
+        deadline: 300 * MS,
+        idempotency: keyed,
+        ..RequestClass::default()
+    };
+    let once = RequestClass {
+        latency_objective: 300 * MS,
+        deadline: SECOND,
+        idempotency: Idempotency::NonIdempotent,
+        priority_weight: 8.0,
+        ..RequestClass::default()
+    };
     Settings {
         classes: vec![read, write, once],
         origin_kind: Some(ORIGIN_KIND),
@@ -29,12 +39,12 @@
     }
 }
 
-pub fn server(id: ServerId) -> ServerLine {
-    ServerLine { id, ..ServerLine::default() }
+pub fn server(id: ServerId) -> ServerEntry {
+    ServerEntry { id, ..ServerEntry::default() }
 }
 
-pub fn origin() -> ServerLine {
-    ServerLine { id: ORIGIN, kind: ORIGIN_KIND, ..ServerLine::default() }
+pub fn origin() -> ServerEntry {
+    ServerEntry { id: ORIGIN, kind: ORIGIN_KIND, ..ServerEntry::default() }
 }
 
 pub fn read(id: RequestId, key: Key) -> Request {
@@ -64,7 +74,7 @@
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
         let mut lines: Vec<_> = (1..=servers).map(server).collect();
         lines.push(origin());
-        node.list(ListKind::Cached, lines);
+        node.list(ListUpdate::Cached, lines);
         node
     }
 
@@ -81,7 +91,7 @@
         out
     }
 
-    pub fn list(&mut self, kind: ListKind, servers: Vec<ServerLine>) -> Vec<Action> {
+    pub fn list(&mut self, kind: ListUpdate, servers: Vec<ServerEntry>) -> Vec<Action> {
         self.event(Event::ServerList { kind, servers })
     }
 
@@ -94,7 +104,7 @@
         request: RequestId,
         attempt: u16,
         server: ServerId,
-        status: Status,
+        status: AttemptStatus,
     ) -> Vec<Action> {
         self.outcome_on(request, attempt, server, status, false)
     }
@@ -105,13 +115,22 @@
         request: RequestId,
         attempt: u16,
         server: ServerId,
-        status: Status,
+        status: AttemptStatus,
         first_on_connection: bool,
     ) -> Vec<Action> {
-        let over = status == Status::Served;
-        let (note, load, took) = (Note::None, Load::default(), MS);
-        let outcome =
-            Outcome { request, attempt, server, status, over, note, took, load, first_on_connection };
+        let over = status == AttemptStatus::Served;
+        let (note, load, took) = (CacheStatus::None, LoadReport::default(), MS);
+        let outcome = Outcome {
+            request,
+            attempt,
+            server,
+            status,
+            request_finished: over,
+            cache_status: note,
+            elapsed: took,
+            load,
+            first_on_connection,
+        };
         self.event(Event::Outcome(outcome))
     }
 
@@ -141,7 +160,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
--- a/crates/stonevane-policy/tests/draws.rs
+++ b/crates/stonevane-policy/tests/draws.rs
@@ -2,12 +2,12 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use stonevane_policy::draws::{KeyDraws, unit_hash};
+use stonevane_policy::hash::{KeyHasher, unit_hash};
 
 proptest! {
     #[test]
     fn the_draws_of_a_key_are_its_hashes(key: u64, server: u32) {
-        let draw = KeyDraws::new(key).of(server);
+        let draw = KeyHasher::new(key).of(server);
         prop_assert_eq!(draw, unit_hash(key, server, 0));
         prop_assert!(0.0 < draw && draw < 1.0);
     }
--- a/crates/stonevane-policy/tests/fleet.rs
+++ b/crates/stonevane-policy/tests/fleet.rs
@@ -44,7 +44,7 @@
 /// When each of so many balancers has a list again, all of whose watches break at once, and how many calls they make. A
 /// call that is not answered in time keeps its turn until another one has not been answered either.
 fn lists_again(count: u64) -> (Vec<Micros>, usize) {
-    let config = Settings { ask_discovery: true, balancers: count as u32, ..settings() };
+    let config = Settings { poll_discovery: true, nodes: count as u32, ..settings() };
     let mut discovery = Discovery { takes: Discovery::ALL / count.max(6), free_at: 0 };
     let mut nodes: Vec<Policy> = (0..count).map(|seed| Policy::new(config.clone(), seed + 1)).collect();
     let mut lists = vec![Micros::MAX; nodes.len()];
@@ -58,7 +58,7 @@
     };
     let begin = 60 * SECOND;
     for (id, policy) in nodes.iter_mut().enumerate() {
-        for action in told(policy, begin, ListKind::Full) {
+        for action in told(policy, begin, ListUpdate::Full) {
             // The watch of the start stands already.
             if let Action::Timer { after, .. } = action {
                 due.push(Reverse((begin + after, id, Due::Timer)));
@@ -73,10 +73,10 @@
         let mut out = Vec::new();
         match what {
             Due::Timer => nodes[id].handle(now, Event::Timer(0), &mut out),
-            Due::TurnedAway => out = told(&mut nodes[id], now, ListKind::Failed),
+            Due::TurnedAway => out = told(&mut nodes[id], now, ListUpdate::Failed),
             Due::Unanswered(call) => {
                 waits_from[id] = call;
-                let silent = ListKind::Silent { lasted: Discovery::TIMEOUT, stood: false };
+                let silent = ListUpdate::TimedOut { silent_for: Discovery::TIMEOUT, was_established: false };
                 out = told(&mut nodes[id], now, silent);
             }
             Due::Answered(call) if call >= waits_from[id] => lists[id] = now - begin - SECOND,
@@ -134,7 +134,7 @@
             attempts += 1;
             node.pass(MS);
             let fails = id.is_multiple_of(every) && (every == 1 || attempt == 0);
-            let status = if fails { Status::Error } else { Status::Served };
+            let status = if fails { AttemptStatus::Error } else { AttemptStatus::Served };
             served += u64::from(!fails);
             actions = node.outcome(id, attempt, server, status);
             attempt += 1;
@@ -188,12 +188,16 @@
         };
         let mut node = Node::just_started(settings, 3);
         for id in 1..=60 {
-            node.list(ListKind::Failed, Vec::new());
+            node.list(ListUpdate::Failed, Vec::new());
             let mut actions = node.request(read(id, id));
             for attempt in 0..3 {
                 let Some(server) = sent_to(&actions) else { break };
-                actions =
-                    node.outcome(id, attempt, server, [Status::Miss, Status::Full][usize::from(attempt > 0)]);
+                actions = node.outcome(
+                    id,
+                    attempt,
+                    server,
+                    [AttemptStatus::Miss, AttemptStatus::Rejected][usize::from(attempt > 0)],
+                );
             }
             node.pass(SECOND / 2);
         }
@@ -214,14 +218,14 @@
 /// together: 600 reads a second, one in five of them of one hot key.
 fn at_a_cold_server(count: u32) -> (f64, f64) {
     let tenants = vec![Tenant { quota_per_s: 600.0 }];
-    let config = Settings { balancers: count, tenants, cold_share: 0.35, ..settings() };
+    let config = Settings { nodes: count, tenants, initial_capacity: 0.35, ..settings() };
     let mut now = 60 * SECOND;
     let mut nodes: Vec<_> = (0..count).map(|seed| Policy::new(config.clone(), u64::from(seed) + 1)).collect();
     for policy in &mut nodes {
         let mut servers: Vec<_> = (1..=12).map(server).collect();
         servers[0].started = now;
         servers.push(origin());
-        policy.handle(now, Event::ServerList { kind: ListKind::Full, servers }, &mut Vec::new());
+        policy.handle(now, Event::ServerList { kind: ListUpdate::Full, servers }, &mut Vec::new());
     }
     let mut at = [0u32; 13];
     // The hot key is one whose first server is the cold one, where it is warm.
@@ -235,15 +239,15 @@
         policy.handle(now, Event::Request(read(id, key)), &mut out);
         let Some(server) = sent_to(&out) else { continue };
         at[server as usize] += 1;
-        let (note, load, status) = (Note::None, Load::default(), Status::Served);
+        let (note, load, status) = (CacheStatus::None, LoadReport::default(), AttemptStatus::Served);
         let outcome = Outcome {
             request: id,
             attempt: 0,
             server,
             status,
-            over: true,
-            note,
-            took: MS,
+            request_finished: true,
+            cache_status: note,
+            elapsed: MS,
             load,
             first_on_connection: false,
         };
@@ -277,14 +281,19 @@
 /// second.
 fn at_once(count: u64, start_each: f64) -> (usize, Micros, usize) {
     let tenants = vec![Tenant { quota_per_s: 840.0 }];
-    let config =
-        Settings { balancers: count as u32, tenants, start_each, may_duplicate: false, ..settings() };
+    let config = Settings {
+        nodes: count as u32,
+        tenants,
+        startup_attempts_per_server: start_each,
+        may_duplicate: false,
+        ..settings()
+    };
     let begin = 60 * SECOND;
     let mut nodes: Vec<_> = (0..count).map(|seed| Policy::new(config.clone(), seed + 1)).collect();
     for policy in &mut nodes {
         let mut servers: Vec<_> = (1..=12).map(server).collect();
         servers.push(origin());
-        policy.handle(begin, Event::ServerList { kind: ListKind::Cached, servers }, &mut Vec::new());
+        policy.handle(begin, Event::ServerList { kind: ListUpdate::Cached, servers }, &mut Vec::new());
     }
     // When each core of each server is free.
     let mut cores = vec![[begin; 5]; 13];
@@ -318,16 +327,17 @@
             let event = match server {
                 0 => Event::Timer(0),
                 _ => {
-                    let (note, load, status) = (Note::None, Load::default(), Status::Served);
+                    let (note, load, status) =
+                        (CacheStatus::None, LoadReport::default(), AttemptStatus::Served);
                     // The attempt's number does not matter where no copy goes out.
                     Event::Outcome(Outcome {
                         request,
                         attempt: 0,
                         server,
                         status,
-                        over: true,
-                        note,
-                        took: MS,
+                        request_finished: true,
+                        cache_status: note,
+                        elapsed: MS,
                         load,
                         first_on_connection: false,
                     })
@@ -373,7 +383,7 @@
 fn beside_misses(count: u64) -> (f64, usize) {
     type Queue = BinaryHeap<Reverse<(Micros, usize, RequestId, u16, ServerId)>>;
     let tenants = vec![Tenant { quota_per_s: 840.0 }];
-    let config = Settings { balancers: count as u32, tenants, may_duplicate: false, ..settings() };
+    let config = Settings { nodes: count as u32, tenants, may_duplicate: false, ..settings() };
     let begin = 60 * SECOND;
     let mut nodes: Vec<_> = (0..count).map(|seed| Policy::new(config.clone(), seed + 1)).collect();
     for policy in &mut nodes {
@@ -381,7 +391,7 @@
         servers.push(origin());
         policy.handle(
             begin - 20 * SECOND,
-            Event::ServerList { kind: ListKind::Full, servers },
+            Event::ServerList { kind: ListUpdate::Full, servers },
             &mut Vec::new(),
         );
     }
@@ -397,9 +407,9 @@
                 None => break,
                 Some(Reverse((at, node, _, _, 0))) => (at, node, Event::Timer(0)),
                 Some(Reverse((at, node, request, attempt, server))) => {
-                    let (note, load) = (Note::None, Load::default());
-                    let status = if server == ORIGIN { Status::Served } else { Status::Miss };
-                    let over = status == Status::Served;
+                    let (note, load) = (CacheStatus::None, LoadReport::default());
+                    let status = if server == ORIGIN { AttemptStatus::Served } else { AttemptStatus::Miss };
+                    let over = status == AttemptStatus::Served;
                     if let Some(asked) = asked.get(&request).filter(|_| over) {
                         in_time += usize::from(at <= asked + 300 * MS);
                     } else if over {
@@ -414,9 +424,9 @@
                             attempt,
                             server,
                             status,
-                            over,
-                            note,
-                            took,
+                            request_finished: over,
+                            cache_status: note,
+                            elapsed: took,
                             load,
                             first_on_connection: false,
                         }),
--- a/crates/stonevane-policy/tests/origin.rs
+++ b/crates/stonevane-policy/tests/origin.rs
@@ -18,24 +18,24 @@
 const TELLS: Micros = 8 * LONGEST_AIM;
 
 fn node() -> Node {
-    let mut settings = Settings { balancers: NODES, start_each: 0.0, ..settings() };
+    let mut settings = Settings { nodes: NODES, startup_attempts_per_server: 0.0, ..settings() };
     for class in &mut settings.classes {
-        class.aim = LONGEST_AIM;
+        class.latency_objective = LONGEST_AIM;
     }
-    settings.classes[2].aim = SHORTEST_AIM;
+    settings.classes[2].latency_objective = SHORTEST_AIM;
     Node::new(settings, 4)
 }
 
 /// A read that misses: whether its fetch goes to the origin at once.
 fn fetches(node: &mut Node, id: RequestId) -> bool {
     let cache = sent_to(&node.request(read(id, 1_000_003 * id))).expect("a cache server");
-    sent_to(&node.outcome(id, 0, cache, Status::Miss)) == Some(ORIGIN)
+    sent_to(&node.outcome(id, 0, cache, AttemptStatus::Miss)) == Some(ORIGIN)
 }
 
 /// The origin's answer to a fetch, after a time.
 fn answers(node: &mut Node, id: RequestId, after: Micros, first_on_connection: bool) {
     node.pass(after);
-    node.outcome_on(id, 1, ORIGIN, Status::Served, first_on_connection);
+    node.outcome_on(id, 1, ORIGIN, AttemptStatus::Served, first_on_connection);
 }
 
 /// A node that has had a quick answer on a connection that was kept.
@@ -86,7 +86,7 @@
 
 #[test]
 fn failures_on_a_new_connection_count() {
-    for status in [Status::Full, Status::Error, Status::ConnectFailed] {
+    for status in [AttemptStatus::Rejected, AttemptStatus::Error, AttemptStatus::ConnectFailed] {
         let mut node = knows_a_quick_origin();
         assert!(fetches(&mut node, 2));
         node.pass(SLOW);
--- a/crates/stonevane-policy/tests/properties.rs
+++ b/crates/stonevane-policy/tests/properties.rs
@@ -46,25 +46,30 @@
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1..5u32, 1..5u32, 0..4usize, 0..3u8, 0.0..1.0f64).prop_map(
         |((aside, duplicate, ask, peers, sizes), max_attempts, balancers, tenants, group, cold_share)| {
-            let group = [Group::All, Group::Zone, Group::Cell][usize::from(group)];
-            let class = |effect| Class { aim: 200_000, deadline: 900_000, effect, ..Class::default() };
+            let group = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)];
+            let class = |effect| RequestClass {
+                latency_objective: 200_000,
+                deadline: 900_000,
+                idempotency: effect,
+                ..RequestClass::default()
+            };
             Settings {
-                balancers,
+                nodes: balancers,
                 classes: vec![
-                    class(Effect::Safe),
-                    class(Effect::Keyed { group, window: 300_000 }),
-                    class(Effect::Unsafe),
+                    class(Idempotency::Idempotent),
+                    class(Idempotency::WithKey { scope: group, window: 300_000 }),
+                    class(Idempotency::NonIdempotent),
                 ],
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                ask_discovery: ask,
+                poll_discovery: ask,
                 origin_kind: aside.then_some(ORIGIN_KIND),
                 weights_are_sizes: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
-                may_tell_peers: peers,
-                shares_fetches: ask != sizes,
-                cold_share,
-                warm_up: 2_000_000,
+                may_message_peers: peers,
+                coalesce_fetches: ask != sizes,
+                initial_capacity: cold_share,
+                slow_start_duration: 2_000_000,
                 ..Settings::default()
             }
         },
@@ -91,7 +96,7 @@
     policy: Policy,
     now: u64,
     next: RequestId,
-    lines: BTreeMap<ServerId, ServerLine>,
+    lines: BTreeMap<ServerId, ServerEntry>,
     owed: BTreeMap<RequestId, Owed>,
     /// Attempts out: request, number, server.
     out: Vec<(RequestId, u16, ServerId)>,
@@ -102,13 +107,13 @@
 impl World {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerLine {
+        let line = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
             kind: if id >= 6 { ORIGIN_KIND } else { 0 },
             weight: id as f32,
-            ..ServerLine::default()
+            ..ServerEntry::default()
         };
         let mut world = World {
             settings,
@@ -121,11 +126,11 @@
             timers: Vec::new(),
             log: Vec::new(),
         };
-        world.hear(ListKind::Cached);
+        world.hear(ListUpdate::Cached);
         world
     }
 
-    fn hear(&mut self, kind: ListKind) {
+    fn hear(&mut self, kind: ListUpdate) {
         let servers = self.lines.values().filter(|l| l.condition != Condition::Gone).cloned().collect();
         self.event(Event::ServerList { kind, servers });
     }
@@ -149,16 +154,16 @@
                 assert!(self.now < owed.ends, "a send after the request's time");
                 assert!(self.settings.may_duplicate || owed.sent.iter().all(|a| !a.out), "two copies out");
                 let running: Vec<_> = owed.sent.iter().filter(|a| a.may_have_run).collect();
-                match self.settings.classes[owed.class].effect {
-                    Effect::Safe => {}
-                    Effect::Unsafe => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Effect::Keyed { group, window } => {
+                match self.settings.classes[owed.class].idempotency {
+                    Idempotency::Idempotent => {}
+                    Idempotency::NonIdempotent => assert!(running.is_empty(), "an unsafe request sent twice"),
+                    Idempotency::WithKey { scope: group, window } => {
                         for a in running {
                             let first = &self.lines[&a.server];
                             let same = match group {
-                                Group::All => true,
-                                Group::Zone => first.zone == line.zone,
-                                Group::Cell => first.cell == line.cell,
+                                DedupScope::All => true,
+                                DedupScope::Zone => first.zone == line.zone,
+                                DedupScope::Cell => first.cell == line.cell,
                             };
                             assert!(same && self.now < a.at + window, "a keyed request outside its group");
                         }
@@ -169,17 +174,19 @@
                 self.out.push((*request, owed.sent.len() as u16, *server));
                 owed.sent.push(attempt);
             }
-            Action::Refuse { request, .. } => {
+            Action::Reject { request, .. } => {
                 let owed = self.owed.remove(request).expect("a second final answer");
-                let safe = self.settings.classes[owed.class].effect == Effect::Safe;
+                let safe = self.settings.classes[owed.class].idempotency == Idempotency::Idempotent;
                 assert!(safe || owed.sent.iter().all(|a| !a.may_have_run), "a refusal of what may have run");
             }
             Action::Fail(request) => {
                 self.owed.remove(request).expect("a second final answer");
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
-            Action::Tell { bytes, .. } => assert!(self.settings.may_tell_peers && bytes.len() <= 256),
-            Action::Probe(_) | Action::Cancel { .. } => panic!("not allowed here"),
+            Action::SendToPeer { bytes, .. } => {
+                assert!(self.settings.may_message_peers && bytes.len() <= 256)
+            }
+            Action::HealthCheck(_) | Action::Cancel { .. } => panic!("not allowed here"),
             _ => {}
         }
     }
@@ -219,34 +226,34 @@
             Step::End { which, status } if !self.out.is_empty() => {
                 let (request, attempt, server) = self.out.swap_remove(which % self.out.len());
                 let status = [
-                    Status::Served,
-                    Status::Miss,
-                    Status::Error,
-                    Status::Full,
-                    Status::TimedOut,
-                    Status::ConnectFailed,
-                    Status::Reset,
-                    Status::Served,
-                    Status::Miss,
+                    AttemptStatus::Served,
+                    AttemptStatus::Miss,
+                    AttemptStatus::Error,
+                    AttemptStatus::Rejected,
+                    AttemptStatus::TimedOut,
+                    AttemptStatus::ConnectFailed,
+                    AttemptStatus::Reset,
+                    AttemptStatus::Served,
+                    AttemptStatus::Miss,
                 ][*status];
                 if let Some(owed) = self.owed.get_mut(&request) {
                     let a = &mut owed.sent[usize::from(attempt)];
                     a.out = false;
                     a.may_have_run &= !status.proves_not_run();
                 }
-                if status == Status::Served {
+                if status == AttemptStatus::Served {
                     self.owed.remove(&request);
                 }
                 let over = !self.owed.contains_key(&request);
-                let (note, load) = (Note::None, Load::default());
+                let (note, load) = (CacheStatus::None, LoadReport::default());
                 self.event(Event::Outcome(Outcome {
                     request,
                     attempt,
                     server,
                     status,
-                    over,
-                    note,
-                    took: 1,
+                    request_finished: over,
+                    cache_status: note,
+                    elapsed: 1,
                     load,
                     first_on_connection: false,
                 }));
@@ -254,12 +261,12 @@
             Step::Begin { which } if !self.out.is_empty() => {
                 let (request, attempt, _) = self.out[which % self.out.len()];
                 self.owed.remove(&request);
-                self.event(Event::AnswerBegan { request, attempt });
+                self.event(Event::ResponseStarted { request, attempt });
             }
             Step::Leave { which } if !self.owed.is_empty() => {
                 let id = *self.owed.keys().nth(which % self.owed.len()).unwrap();
                 self.owed.remove(&id);
-                self.event(Event::ClientGone(id));
+                self.event(Event::ClientDisconnected(id));
             }
             Step::List { which, condition, restarted } => {
                 let id = (which % self.lines.len()) as ServerId;
@@ -268,16 +275,16 @@
                     [Condition::Ready, Condition::Draining, Condition::Gone][usize::from(*condition)];
                 line.started = if *restarted { self.now } else { line.started };
                 let servers = vec![line.clone()];
-                self.event(Event::ServerList { kind: ListKind::Delta, servers });
+                self.event(Event::ServerList { kind: ListUpdate::Delta, servers });
             }
             Step::Whole { mask } => {
                 for (id, line) in &mut self.lines {
                     let there = mask >> id & 1 == 1;
                     line.condition = if there { Condition::Ready } else { Condition::Gone };
                 }
-                self.hear(ListKind::Full);
+                self.hear(ListUpdate::Full);
             }
-            Step::Lost => self.event(Event::ServerList { kind: ListKind::Failed, servers: Vec::new() }),
+            Step::Lost => self.event(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() }),
             Step::Peer { from, bytes } => {
                 self.event(Event::PeerMessage { from: *from, bytes: bytes.clone() });
             }
@@ -286,7 +293,7 @@
                 self.owed.clear();
                 self.out.clear();
                 self.timers.clear();
-                self.hear(ListKind::Cached);
+                self.hear(ListUpdate::Cached);
             }
             _ => {}
         }
