--- a/crates/stonevane-policy/tests/service.rs
+++ b/crates/stonevane-policy/tests/service.rs
@@ -7,7 +7,7 @@
 use stonevane_policy::*;
 
 fn exclude(node: &mut Node, server: ServerId, out: bool) {
-    node.event(Event::Exclude { server, out });
+    node.event(Event::Exclude { server, excluded: out });
 }
 
 /// Attempts at a server among what follows from so many reads, each answered.
@@ -18,7 +18,7 @@
         if let Some(to) = sent_to(&actions) {
             there += usize::from(to == server);
             node.pass(5 * MS);
-            node.outcome(id, 0, to, Status::Served);
+            node.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
     there
@@ -30,13 +30,13 @@
     assert!(reads(&mut node, 1, 100, 2) > 0);
     exclude(&mut node, 2, true);
     exclude(&mut node, 2, true);
-    assert_eq!(node.policy.avoided(), 1);
+    assert_eq!(node.policy.avoided_server_count(), 1);
     assert_eq!(reads(&mut node, 1_000, 200, 2), 0);
     let all = || (1..=4).map(server).chain([origin()]).collect::<Vec<_>>();
-    let gone = vec![ServerLine { condition: Condition::Gone, ..server(2) }];
-    node.list(ListKind::Delta, gone);
+    let gone = vec![ServerEntry { condition: Condition::Gone, ..server(2) }];
+    node.list(ListUpdate::Delta, gone);
     assert_eq!(reads(&mut node, 2_000, 200, 2), 0);
-    node.list(ListKind::Full, all());
+    node.list(ListUpdate::Full, all());
     assert_eq!(reads(&mut node, 3_000, 200, 2), 0);
     node.event(Event::Settings { settings: Box::new(settings()), tenants: Vec::new() });
     assert_eq!(reads(&mut node, 4_000, 200, 2), 0);
@@ -46,7 +46,7 @@
     assert!(refused(&actions, 9_000) && sends(&actions) == 0, "refused at once");
     [1, 3, 4].iter().for_each(|id| exclude(&mut node, *id, false));
     exclude(&mut node, 2, false);
-    assert_eq!(node.policy.avoided(), 0);
+    assert_eq!(node.policy.avoided_server_count(), 0);
     assert!(reads(&mut node, 10_000, 200, 2) > 0, "one call back undoes both calls out");
 }
 
@@ -58,7 +58,7 @@
         let Some(first) = sent_to(&node.request(read(id, id))) else { continue };
         let other = 3 - first;
         exclude(&mut node, other, true);
-        let mut actions = node.outcome(id, 0, first, Status::ConnectFailed);
+        let mut actions = node.outcome(id, 0, first, AttemptStatus::ConnectFailed);
         actions.extend(node.pass(2 * SECOND));
         assert_ne!(sent_to(&actions), Some(other));
         exclude(&mut node, other, false);
@@ -71,11 +71,11 @@
 #[test]
 fn a_server_put_back_has_a_clean_record_and_is_used_soon_by_every_balancer_of_a_large_fleet() {
     // Of 200 servers one gets few of a balancer's reads: two a second here.
-    let mut node = Node::new(Settings { balancers: 300, warm_up: 60 * SECOND, ..settings() }, 200);
+    let mut node = Node::new(Settings { nodes: 300, slow_start_duration: 60 * SECOND, ..settings() }, 200);
     for attempt in 0..10 {
         let id = 1 + attempt;
         if let Some(to) = sent_to(&node.request(read(id, id))) {
-            node.outcome(id, 0, to, Status::ConnectFailed);
+            node.outcome(id, 0, to, AttemptStatus::ConnectFailed);
         }
     }
     exclude(&mut node, 7, true);
@@ -87,7 +87,7 @@
         let actions = node.request(read(id, 77 * id));
         let Some(to) = sent_to(&actions) else { continue };
         there += usize::from(to == 7);
-        node.outcome(id, 0, to, Status::Served);
+        node.outcome(id, 0, to, AttemptStatus::Served);
     }
     assert!((1..=2).contains(&there), "{there} reads of six in the three seconds after it was put back");
 }
@@ -103,18 +103,18 @@
     // What may have run goes again as long as the class says that it is safe; the class turns unsafe meanwhile.
     let mut node = Node::new(settings(), 3);
     let first = sent_to(&node.request(read(1, 5))).unwrap();
-    node.event(told(|s| s.classes[0].effect = Effect::Unsafe));
-    let again = node.outcome(1, 0, first, Status::Reset);
+    node.event(told(|s| s.classes[0].idempotency = Idempotency::NonIdempotent));
+    let again = node.outcome(1, 0, first, AttemptStatus::Reset);
     assert_eq!(sends(&again), 1, "the request came as a safe one");
     let newer = sent_to(&node.request(read(2, 6))).unwrap();
-    let again = node.outcome(2, 0, newer, Status::Reset);
+    let again = node.outcome(2, 0, newer, AttemptStatus::Reset);
     assert!(sends(&again) == 0 && failed(&again, 2), "this one came as an unsafe one");
     // And the other way round: an unsafe request stays one though its class is safe now.
     let mut node = Node::new(settings(), 3);
     let once = write(1, 2);
     node.request(once);
-    node.event(told(|s| s.classes[2].effect = Effect::Safe));
-    let after = node.outcome(1, 0, ORIGIN, Status::Reset);
+    node.event(told(|s| s.classes[2].idempotency = Idempotency::Idempotent));
+    let after = node.outcome(1, 0, ORIGIN, AttemptStatus::Reset);
     assert!(sends(&after) == 0 && failed(&after, 1), "{after:?}");
 }
 
@@ -126,7 +126,7 @@
         node.event(told(|s| s.max_attempts = after));
         let mut sent = 0;
         while let Some(server) = to {
-            to = sent_to(&node.outcome(1, sent, server, Status::ConnectFailed));
+            to = sent_to(&node.outcome(1, sent, server, AttemptStatus::ConnectFailed));
             sent += 1;
         }
         assert_eq!(sent, most, "from {before} to {after}");
@@ -161,7 +161,7 @@
     let ask = |node: &mut Node, id: u64, tenant: usize| {
         let actions = node.request(Request { tenant, ..read(id, id) });
         let to = sent_to(&actions);
-        to.inspect(|to| drop(node.outcome(id, 0, *to, Status::Served)));
+        to.inspect(|to| drop(node.outcome(id, 0, *to, AttemptStatus::Served)));
         to.is_some()
     };
     let spent = (1..100).take_while(|id| ask(&mut node, *id, 0)).count();
@@ -174,19 +174,19 @@
 
 #[test]
 fn the_stricter_of_two_classes_allows_nothing_that_one_of_them_forbids() {
-    let keyed = |group, window| Effect::Keyed { group, window };
-    let class = |effect, deadline| Class { effect, deadline, ..Class::default() };
+    let keyed = |group, window| Idempotency::WithKey { scope: group, window };
+    let class = |effect, deadline| RequestClass { idempotency: effect, deadline, ..RequestClass::default() };
     for (a, b, both) in [
-        (Effect::Safe, Effect::Unsafe, Effect::Unsafe),
-        (keyed(Group::All, 5), Effect::Unsafe, Effect::Unsafe),
-        (Effect::Safe, keyed(Group::Zone, 5), keyed(Group::Zone, 5)),
-        (keyed(Group::All, 5), keyed(Group::Zone, 9), keyed(Group::Zone, 5)),
-        (keyed(Group::Cell, 5), keyed(Group::Zone, 3), keyed(Group::Cell, 3)),
-        (Effect::Safe, Effect::Safe, Effect::Safe),
+        (Idempotency::Idempotent, Idempotency::NonIdempotent, Idempotency::NonIdempotent),
+        (keyed(DedupScope::All, 5), Idempotency::NonIdempotent, Idempotency::NonIdempotent),
+        (Idempotency::Idempotent, keyed(DedupScope::Zone, 5), keyed(DedupScope::Zone, 5)),
+        (keyed(DedupScope::All, 5), keyed(DedupScope::Zone, 9), keyed(DedupScope::Zone, 5)),
+        (keyed(DedupScope::Cell, 5), keyed(DedupScope::Zone, 3), keyed(DedupScope::Cell, 3)),
+        (Idempotency::Idempotent, Idempotency::Idempotent, Idempotency::Idempotent),
     ] {
         for (a, b) in [(a, b), (b, a)] {
             let merged = class(a, 7).stricter(&class(b, 4));
-            assert_eq!((merged.effect, merged.deadline), (both, 4), "{a:?} and {b:?}");
+            assert_eq!((merged.idempotency, merged.deadline), (both, 4), "{a:?} and {b:?}");
         }
     }
 }
@@ -197,7 +197,7 @@
     let calls = |parts: &[f64]| -> usize {
         let processes = parts.iter().map(|part| {
             let mut node = Node::new(settings(), 3);
-            node.event(Event::Part(*part));
+            node.event(Event::ProcessShare(*part));
             (1..200).map(|id| sends(&node.request(write(id, 2)))).sum::<usize>()
         });
         processes.sum()
@@ -216,7 +216,7 @@
     for id in 1..40 {
         node.request(if id % 2 == 0 { write(id, 2) } else { read(id, id) });
     }
-    node.event(Event::Ending);
+    node.event(Event::ShuttingDown);
     for id in 1..40 {
         assert!(refused(&node.actions, id) || failed(&node.actions, id), "request {id} has no answer");
     }
--- a/crates/stonevane-policy/tests/subset.rs
+++ b/crates/stonevane-policy/tests/subset.rs
@@ -37,8 +37,8 @@
     /// What all together may send to the cold server in the window.
     fn budget(&self) -> f64 {
         let base = Settings::default();
-        let age = WINDOW as f64 / base.warm_up as f64;
-        let warmth = base.cold_share + (1.0 - base.cold_share) * age;
+        let age = WINDOW as f64 / base.slow_start_duration as f64;
+        let warmth = base.initial_capacity + (1.0 - base.initial_capacity) * age;
         let requests = f64::from(self.nodes()) * f64::from(self.rate) * WINDOW as f64 / 1e6;
         COLD_MULTIPLE * warmth * requests / f64::from(self.all_servers)
     }
@@ -46,20 +46,24 @@
     fn settings(&self, me: u32, divided: bool) -> Settings {
         let quota_per_s = f64::from(self.nodes()) * f64::from(self.rate);
         Settings {
-            me,
-            balancers: self.nodes(),
+            node_index: me,
+            nodes: self.nodes(),
             tenants: vec![Tenant { quota_per_s }],
-            cache_weight: if divided { f64::from(self.all_servers) } else { 0.0 },
-            start_each: 0.0,
+            total_cache_weight: if divided { f64::from(self.all_servers) } else { 0.0 },
+            startup_attempts_per_server: 0.0,
             ..settings()
         }
     }
 
     /// The servers as a node is told of them.
-    fn list(&self, me: u32, divided: bool) -> Vec<ServerLine> {
+    fn list(&self, me: u32, divided: bool) -> Vec<ServerEntry> {
         let sharers = if me < self.home { 2 * self.home } else { 2 * self.nodes() };
         let sharers = if divided { sharers } else { 0 };
-        let line = |id| ServerLine { sharers, started: if id == COLD { BEGIN } else { 0 }, ..server(id) };
+        let line = |id| ServerEntry {
+            sharing_nodes: sharers,
+            started: if id == COLD { BEGIN } else { 0 },
+            ..server(id)
+        };
         (1..=self.servers).map(line).chain([origin()]).collect()
     }
 
@@ -71,7 +75,7 @@
             let mut policy = Policy::new(self.settings(me, divided), u64::from(me) + 1);
             let mut out = Vec::new();
             let servers = self.list(me, divided);
-            policy.handle(BEGIN, Event::ServerList { kind: ListKind::Full, servers }, &mut out);
+            policy.handle(BEGIN, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
             for number in 0..u64::from(self.rate) * WINDOW / SECOND {
                 let now = BEGIN + number * SECOND / u64::from(self.rate);
                 let key = (u64::from(me) << 32 | number).wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
@@ -80,16 +84,16 @@
                 for action in std::mem::take(&mut out) {
                     let Action::Send { request, server, .. } = action else { continue };
                     sent += u32::from(server == COLD);
-                    let (status, note) = (Status::Served, Note::Hit);
-                    let (took, load) = (0, Load::default());
+                    let (status, note) = (AttemptStatus::Served, CacheStatus::Hit);
+                    let (took, load) = (0, LoadReport::default());
                     let end = Outcome {
                         request,
                         attempt: 0,
                         server,
                         status,
-                        over: true,
-                        note,
-                        took,
+                        request_finished: true,
+                        cache_status: note,
+                        elapsed: took,
                         load,
                         first_on_connection: false,
                     };
@@ -147,12 +151,12 @@
 fn out_at_start(fleet: &Fleet, divided: bool, asks: impl Fn(u32) -> bool) -> u32 {
     let mut sent = 0;
     for me in (0..fleet.nodes()).filter(|me| asks(*me)) {
-        let settings = Settings { start_each: 8.0, ..fleet.settings(me, divided) };
+        let settings = Settings { startup_attempts_per_server: 8.0, ..fleet.settings(me, divided) };
         let mut policy = Policy::new(settings, u64::from(me) + 1);
         let mut out = Vec::new();
-        let warm = fleet.list(me, divided).into_iter().map(|line| ServerLine { started: 0, ..line });
+        let warm = fleet.list(me, divided).into_iter().map(|line| ServerEntry { started: 0, ..line });
         let servers = warm.collect();
-        policy.handle(BEGIN, Event::ServerList { kind: ListKind::Full, servers }, &mut out);
+        policy.handle(BEGIN, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
         for id in 1..=100 {
             policy.handle(BEGIN, Event::Request(read(id, id * 77)), &mut out);
         }
@@ -179,7 +183,7 @@
     let mut policy = Policy::new(fleet.settings(0, divided), 1);
     let mut out = Vec::new();
     let servers = fleet.list(0, divided);
-    policy.handle(BEGIN, Event::ServerList { kind: ListKind::Full, servers }, &mut out);
+    policy.handle(BEGIN, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
     // Somewhat less often than its share, which the gate's windows are made for.
     let (answered, each) = (3_000, 1_250);
     for id in 1..=answered {
@@ -190,16 +194,16 @@
             out.iter().any(|action| matches!(action, Action::Send { server: ORIGIN, .. })),
             "{id}: {out:?}"
         );
-        let (request, server, status) = (id, ORIGIN, Status::Served);
-        let (note, took, load) = (Note::None, 0, Load::default());
+        let (request, server, status) = (id, ORIGIN, AttemptStatus::Served);
+        let (note, took, load) = (CacheStatus::None, 0, LoadReport::default());
         let end = Outcome {
             request,
             attempt: 0,
             server,
             status,
-            over: true,
-            note,
-            took,
+            request_finished: true,
+            cache_status: note,
+            elapsed: took,
             load,
             first_on_connection: false,
         };
@@ -229,11 +233,11 @@
         let mut policy = Policy::new(fleet.settings(0, divided), 1);
         let mut out = Vec::new();
         let servers = fleet.list(0, divided);
-        policy.handle(BEGIN, Event::ServerList { kind: ListKind::Full, servers }, &mut out);
+        policy.handle(BEGIN, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
         for id in 1..=500 {
             policy.handle(BEGIN, Event::Request(read(id, id * 77)), &mut out);
         }
-        out.iter().filter(|action| matches!(action, Action::Refuse { .. })).count()
+        out.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
     });
     assert!(refused[0] == refused[1] && refused[0] > 400, "{refused:?}");
 }
@@ -241,9 +245,9 @@
 #[test]
 fn what_a_quiet_node_may_have_in_flight_at_a_server_goes_by_those_who_share_the_server() {
     let both_on_one = |sharers| {
-        let mut node = Node::new(Settings { balancers: 100, start_each: 0.0, ..settings() }, 5);
-        let line = |id| ServerLine { sharers, ..server(id) };
-        node.list(ListKind::Full, (1..=5).map(line).chain([origin()]).collect());
+        let mut node = Node::new(Settings { nodes: 100, startup_attempts_per_server: 0.0, ..settings() }, 5);
+        let line = |id| ServerEntry { sharing_nodes: sharers, ..server(id) };
+        node.list(ListUpdate::Full, (1..=5).map(line).chain([origin()]).collect());
         let first = sent_to(&node.request(read(1, 7)));
         let second = sent_to(&node.request(read(2, 7)));
         assert!(first.is_some() && second.is_some());
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -13,7 +13,7 @@
 use stonevane_config::operator;
 use stonevane_core::{Ask, ConnId, Core, Input, Listing, Mutant, Note, Output, Outputs, Setup};
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{Class, Effect as Keeps, Group, Settings, Tenant};
+use stonevane_policy::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
 use stonevane_server_model::value::{digest, padded};
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
@@ -223,34 +223,34 @@
 }
 
 fn deployment(plan: &Plan, me: usize) -> Deployment {
-    let class = |(_, deadline, _, keyed, again): (&str, u64, bool, bool, bool)| Class {
-        aim: deadline / 2,
+    let class = |(_, deadline, _, keyed, again): (&str, u64, bool, bool, bool)| RequestClass {
+        latency_objective: deadline / 2,
         deadline,
-        worth: 1.0,
-        late_worth: 0.5,
-        effect: match (keyed, again) {
-            (true, _) => Keeps::Keyed { group: Group::All, window: KEYED },
-            (false, true) => Keeps::Safe,
-            (false, false) => Keeps::Unsafe,
+        priority_weight: 1.0,
+        late_weight: 0.5,
+        idempotency: match (keyed, again) {
+            (true, _) => Idempotency::WithKey { scope: DedupScope::All, window: KEYED },
+            (false, true) => Idempotency::Idempotent,
+            (false, false) => Idempotency::NonIdempotent,
         },
     };
     let settings = Settings {
-        balancers: plan.nodes as u32,
-        me: me as u32,
+        nodes: plan.nodes as u32,
+        node_index: me as u32,
         classes: CLASSES.map(class).to_vec(),
         tenants: vec![Tenant { quota_per_s: plan.per_s * 2.0 + 100.0 }],
-        ask_discovery: true,
+        poll_discovery: true,
         // Where calls have a price, what the platform allows a large fleet.
-        ask_within: if plan.call.is_some() { 10_000_000 } else { 6_000_000 },
+        list_staleness_limit: if plan.call.is_some() { 10_000_000 } else { 6_000_000 },
         origin_kind: Some(1),
         max_attempts: 4,
         may_cancel: true,
         max_retry_after: 1_500_000,
         tick: 2_000,
-        cold_share: COLD.0,
-        warm_up: COLD.1,
-        fall_multiple: 3.0,
-        fall_after: 2_000_000,
+        initial_capacity: COLD.0,
+        slow_start_duration: COLD.1,
+        overload_multiple: 3.0,
+        overload_window: 2_000_000,
         drain_grace: 500_000,
         ..Settings::default()
     };
@@ -260,8 +260,8 @@
         classes: names(&CLASSES.map(|class| class.0)),
         tenants: names(&["all"]),
         zones: names(&["a"]),
-        kinds: names(&["cache", "origin"]),
-        load_names: Vec::new(),
+        machine_types: names(&["cache", "origin"]),
+        load_metric_names: Vec::new(),
         connect_timeout: 100_000,
         idle_close: 10_000_000,
         max_open: 1_024,
--- a/crates/stonevane-wire-adapter/src/codec.rs
+++ b/crates/stonevane-wire-adapter/src/codec.rs
@@ -1,7 +1,8 @@
 //! Frames of the wire: batches of event records in, replies of action records out.
 
 use stonevane_policy::{
-    Action, Condition, ListKind, Load, Micros, Note, Outcome, Request, ServerId, ServerLine, Status,
+    Action, AttemptStatus, CacheStatus, Condition, ListUpdate, LoadReport, Micros, Outcome, Request,
+    ServerEntry, ServerId,
 };
 
 /// Size of a batch header.
@@ -57,7 +58,7 @@
         /// Number of the list.
         number: u16,
         /// Its lines.
-        lines: Vec<ServerLine>,
+        lines: Vec<ServerEntry>,
     },
     /// An instance is killed.
     Stop(u16),
@@ -66,7 +67,7 @@
         /// The instance.
         node: u16,
         /// How the list relates to the one held.
-        kind: ListKind,
+        kind: ListUpdate,
         /// Number of the list.
         number: u16,
     },
@@ -80,7 +81,7 @@
     let tail = &body[records * EVENT_SIZE..];
     let node = u16_at(r, 1);
     let event = match r[0] {
-        1 => stonevane_policy::Event::ClientGone(u64_at(r, 3)),
+        1 => stonevane_policy::Event::ClientDisconnected(u64_at(r, 3)),
         2 => stonevane_policy::Event::Timer(u32_at(r, 3)),
         3 => stonevane_policy::Event::Outcome(outcome(r)?),
         4 => stonevane_policy::Event::Request(request(r)),
@@ -88,14 +89,14 @@
             let settings = tail_part(tail, r, 11, 1)?;
             return Ok(Record::Start { node, seed: u64_at(r, 3), settings });
         }
-        6 => stonevane_policy::Event::Probed {
+        6 => stonevane_policy::Event::HealthCheckFinished {
             ok: u16_at(r, 3) == 200,
             took: u32_at(r, 5).into(),
             server: u32_at(r, 9),
             load: load(r, 13),
         },
         7 => return Ok(Record::Stop(node)),
-        8 => stonevane_policy::Event::AnswerBegan { request: u64_at(r, 3), attempt: u16_at(r, 15) },
+        8 => stonevane_policy::Event::ResponseStarted { request: u64_at(r, 3), attempt: u16_at(r, 15) },
         9 => {
             let part = tail_part(tail, r, 3, LINE_SIZE)?;
             let lines = part.chunks_exact(LINE_SIZE).map(line).collect::<Result<_, _>>()?;
@@ -103,10 +104,10 @@
         }
         10 => {
             let kind = match r[9] {
-                0 => ListKind::Full,
-                1 => ListKind::Cached,
-                2 => ListKind::Failed,
-                3 => ListKind::Delta,
+                0 => ListUpdate::Full,
+                1 => ListUpdate::Cached,
+                2 => ListUpdate::Failed,
+                3 => ListUpdate::Delta,
                 other => return Err(format!("roster_change of unknown kind {other}")),
             };
             return Ok(Record::ListHeard { node, kind, number: u16_at(r, 3) });
@@ -126,7 +127,7 @@
         id: u64_at(r, 3),
         tenant: u16_at(r, 11).into(),
         cost: (marks & 1 != 0).then(|| u32_at(r, 15).into()),
-        repeat: marks & 2 != 0,
+        is_retry: marks & 2 != 0,
         write: marks & 4 != 0,
         class: r[14].into(),
         key: u64_at(r, 19),
@@ -137,29 +138,29 @@
 
 fn outcome(r: &[u8]) -> Result<Outcome, String> {
     let status = match u16_at(r, 22) {
-        200 => Status::Served,
-        204 => Status::Miss,
-        408 => Status::TimedOut,
-        409 => Status::NotSent,
-        429 => Status::Full,
-        444 => Status::Cancelled,
-        502 => Status::Error,
-        520 => Status::Reset,
-        521 => Status::ConnectFailed,
+        200 => AttemptStatus::Served,
+        204 => AttemptStatus::Miss,
+        408 => AttemptStatus::TimedOut,
+        409 => AttemptStatus::NotSent,
+        429 => AttemptStatus::Rejected,
+        444 => AttemptStatus::Cancelled,
+        502 => AttemptStatus::Error,
+        520 => AttemptStatus::Reset,
+        521 => AttemptStatus::ConnectFailed,
         other => return Err(format!("unknown outcome {other}")),
     };
     let note = match u32_at(r, 11) {
-        1 => Note::Hit,
-        2 => Note::Miss,
-        3 => Note::MissBeingFetched,
-        _ => Note::None,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Miss,
+        3 => CacheStatus::MissBeingFetched,
+        _ => CacheStatus::None,
     };
     Ok(Outcome {
         request: u64_at(r, 3),
-        note,
-        took: u32_at(r, 15).into(),
+        cache_status: note,
+        elapsed: u32_at(r, 15).into(),
         attempt: u16_at(r, 19),
-        over: r[21] != 0,
+        request_finished: r[21] != 0,
         status,
         server: u32_at(r, 24),
         load: load(r, 28),
@@ -168,19 +169,19 @@
     })
 }
 
-fn load(r: &[u8], at: usize) -> Load {
+fn load(r: &[u8], at: usize) -> LoadReport {
     let values = std::array::from_fn(|i| f32_at(r, at + 1 + 4 * i));
-    Load { count: r[at].min(4), values }
+    LoadReport { count: r[at].min(4), values }
 }
 
-fn line(r: &[u8]) -> Result<ServerLine, String> {
+fn line(r: &[u8]) -> Result<ServerEntry, String> {
     let condition = match r[9] {
         0 => Condition::Gone,
         1 => Condition::Ready,
         2 => Condition::Draining,
         other => return Err(format!("census line with unknown condition {other}")),
     };
-    Ok(ServerLine {
+    Ok(ServerEntry {
         zone: r[0],
         started: u64_at(r, 1),
         condition,
@@ -188,7 +189,7 @@
         cell: u16_at(r, 14),
         kind: u16_at(r, 16),
         weight: f32_at(r, 18),
-        sharers: 0,
+        sharing_nodes: 0,
     })
 }
 
@@ -240,7 +241,7 @@
                 put(&mut r, 11, &server.to_le_bytes());
                 put(&mut r, 15, &span(*give_up_after));
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 r[0] = 2;
                 put(&mut r, 3, &request.to_le_bytes());
                 put(&mut r, 11, &span(*retry_after));
@@ -259,9 +260,9 @@
                 put(&mut r, 3, &span(*after));
                 put(&mut r, 7, &token.to_le_bytes());
             }
-            Action::Probe(server) => self.name_server(&mut r, 6, *server),
+            Action::HealthCheck(server) => self.name_server(&mut r, 6, *server),
             Action::CloseIdle(server) => self.name_server(&mut r, 7, *server),
-            Action::Tell { to, bytes } => {
+            Action::SendToPeer { to, bytes } => {
                 r[0] = 8;
                 put(&mut r, 3, &to.unwrap_or(u32::MAX).to_le_bytes());
                 self.put_tail(&mut r, 7, bytes);
@@ -351,7 +352,7 @@
                 record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
             ),
             (
-                Action::Refuse { request: id, retry_after: 7 },
+                Action::Reject { request: id, retry_after: 7 },
                 record(2, &[(3, &i), (11, &7u32.to_le_bytes())]),
             ),
             (Action::Fail(id), record(3, &[(3, &i)])),
@@ -360,10 +361,13 @@
                 Action::Timer { after: 500_000, token: 77 },
                 record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
             ),
-            (Action::Probe(server), record(6, &[(3, &s)])),
+            (Action::HealthCheck(server), record(6, &[(3, &s)])),
             (Action::CloseIdle(server), record(7, &[(3, &s)])),
-            (Action::Tell { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
-            (Action::Tell { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
+            (
+                Action::SendToPeer { to: None, bytes: b"hi".to_vec() },
+                record(8, &[(3, &[0xff; 4]), (7, &tail)]),
+            ),
+            (Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
             (Action::Log("hi".into()), record(9, &[(3, &tail)])),
             (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
             (Action::Subscribe(true), record(11, &[(3, &[1])])),
@@ -373,7 +377,7 @@
         for (action, expected) in cases {
             let (got, rest) = encoded(action.clone());
             assert_eq!(got, expected, "{action:?}");
-            let text = matches!(action, Action::Tell { .. } | Action::Log(_) | Action::Fault(_));
+            let text = matches!(action, Action::SendToPeer { .. } | Action::Log(_) | Action::Fault(_));
             assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
         }
     }
@@ -401,21 +405,21 @@
             tenant: 1,
             key: 5,
             write: true,
-            repeat: true,
+            is_retry: true,
             time_left: 256,
             cost: Some(50),
             size: 0.0,
         };
         assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, stonevane_policy::Event::Request(request))));
-        let load = Load { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
+        let load = LoadReport { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
         let outcome = Outcome {
             request: 9,
             attempt: 1,
             server: 6,
-            status: Status::Full,
-            over: true,
-            note: Note::MissBeingFetched,
-            took: 40,
+            status: AttemptStatus::Rejected,
+            request_finished: true,
+            cache_status: CacheStatus::MissBeingFetched,
+            elapsed: 40,
             load,
             first_on_connection: false,
         };
--- a/crates/stonevane-wire-adapter/src/main.rs
+++ b/crates/stonevane-wire-adapter/src/main.rs
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 
 use codec::{BATCH_HEADER, BatchHeader, Record, Reply};
-use stonevane_policy::{Action, Event, ListKind, Micros, Policy, ServerLine, settings};
+use stonevane_policy::{Action, Event, ListUpdate, Micros, Policy, ServerEntry, settings};
 
 /// Numbered lists run from 0 to this, exclusive.
 const LISTS: usize = 16;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerLine>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
@@ -57,7 +57,7 @@
             }
             Record::ListHeard { node, kind, number } => {
                 let servers = match kind {
-                    ListKind::Failed | ListKind::Silent { .. } => Vec::new(),
+                    ListUpdate::Failed | ListUpdate::TimedOut { .. } => Vec::new(),
                     _ => {
                         let list = self.lists.get(usize::from(number)).and_then(Option::as_ref);
                         list.ok_or_else(|| format!("roster_change names unknown list {number}"))?.clone()
