--- a/crates/stonevane-capacity/src/roles/discovery.rs
+++ b/crates/stonevane-capacity/src/roles/discovery.rs
@@ -1,7 +1,7 @@
 //! Calls to the discovery service against the number of nodes: the cores of all nodes, each with its own timers and its
 //! own draw, against a service that answers at once. Lists are as short as may be, since calls don't depend on them.
 
-use stonevane_core::{Ask, Call, Core, Input, Listing, Output, Outputs};
+use stonevane_core::{Core, DiscoveryCall, DiscoveryRequest, EndpointList, Input, Output, Outputs};
 
 use super::{Figure, MeasureError, listing, node};
 
@@ -35,7 +35,7 @@
         let known: String = listing::whole(SERVERS);
         let mut cores = Vec::with_capacity(nodes as usize);
         for number in 0..nodes {
-            let known: Listing =
+            let known: EndpointList =
                 serde_json::from_str(&known).map_err(|e| MeasureError::Broken(format!("no list: {e}")))?;
             let mut deployment = node::deployment(nodes as u32);
             deployment.settings.node_index = number as u32;
@@ -66,12 +66,14 @@
 
     fn count(&mut self, from: u64, now: u64, outputs: &mut Outputs) {
         for output in outputs.drain(..) {
-            let Output::Discovery(Call { ask, .. }) = output else { continue };
+            let Output::Discovery(DiscoveryCall { request: ask, .. }) = output else { continue };
             let second = ((now - from) / node::SECOND) as usize;
             match ask {
-                Ask::Watch { after } => self.whole += u64::from(after.is_none()),
-                Ask::Fetch => self.whole += 1,
-                Ask::Unwatch | Ask::Follow | Ask::Leave => continue,
+                DiscoveryRequest::Watch { after } => self.whole += u64::from(after.is_none()),
+                DiscoveryRequest::FetchList => self.whole += 1,
+                DiscoveryRequest::StopWatch | DiscoveryRequest::WatchAgent | DiscoveryRequest::CancelAll => {
+                    continue;
+                }
             }
             if let Some(calls) = self.calls.get_mut(second) {
                 *calls += 1;
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use stonevane_codec::resp;
 use stonevane_config::operator;
-use stonevane_core::{Ask, ConnId, Core, Input, Listing, Output, Outputs, Setup};
+use stonevane_core::{ConnId, Core, DiscoveryRequest, EndpointList, Input, Output, Outputs, Setup};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{Idempotency, Micros, RequestClass, Settings, Tenant};
 
@@ -39,7 +39,7 @@
         ..RequestClass::default()
     };
     let settings = Settings {
-        nodes: nodes,
+        nodes,
         classes: vec![class],
         tenants: vec![Tenant { quota_per_s: QUOTA }],
         poll_discovery: true,
@@ -60,7 +60,7 @@
 }
 
 /// What a core is told at its start.
-pub fn setup(deployment: Deployment, known: Listing, sockets: usize, seed: u64) -> Setup {
+pub fn setup(deployment: Deployment, known: EndpointList, sockets: usize, seed: u64) -> Setup {
     Setup {
         deployment,
         seed,
@@ -135,7 +135,7 @@
             unread: Vec::new(),
         };
         for _ in 0..clients {
-            let client = node.core.next_id();
+            let client = node.core.next_connection_id();
             node.clients.push(client);
             node.feed(Input::Accepted(client));
         }
@@ -169,12 +169,12 @@
                     self.tally.opened += 1;
                     self.push(OPENS_AFTER, Step::Opened(id));
                 }
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     self.tally.attempts += 1;
                     flushed.push_back(id);
                     self.push(ANSWERS_AFTER, Step::Answered(id));
                 }
-                Output::Write(id, bytes) | Output::Last(id, bytes) => {
+                Output::Write(id, bytes) | Output::WriteAndClose(id, bytes) => {
                     if self.clients.contains(&id) {
                         self.tally.answered_bytes += bytes.len() as u64;
                     }
@@ -182,7 +182,8 @@
                 }
                 Output::Close(id) => self.unread.retain(|(conn, _)| *conn != id),
                 Output::Discovery(call) => {
-                    let asks = matches!(call.ask, Ask::Watch { .. } | Ask::Fetch);
+                    let asks =
+                        matches!(call.request, DiscoveryRequest::Watch { .. } | DiscoveryRequest::FetchList);
                     self.tally.discovery_calls += u64::from(asks);
                 }
                 _ => {}
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -29,7 +29,7 @@
     (64 << 20) + servers * COPIES * 2_048
 }
 
-fn known(servers: u64) -> Result<stonevane_core::Listing, MeasureError> {
+fn known(servers: u64) -> Result<stonevane_core::EndpointList, MeasureError> {
     serde_json::from_str(&listing::whole(servers)).map_err(|e| MeasureError::Broken(format!("no list: {e}")))
 }
 
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -51,7 +51,7 @@
     let (opened, mut connections) = (node.tally.opened, 0);
     for _ in 0..COUNTED {
         node.serve(PER_SECOND, SECOND, KEYS);
-        connections += node.core.count().conns;
+        connections += node.core.count().server_connections;
     }
     let served = node.tally.attempts;
     if served * 10 < node.tally.asked * 9 {
--- a/crates/stonevane-capacity/src/roles/server_list.rs
+++ b/crates/stonevane-capacity/src/roles/server_list.rs
@@ -6,7 +6,7 @@
 use bytes::BytesMut;
 use stonevane_codec::http::{self, Chunks};
 use stonevane_codec::lines::ObjectReader;
-use stonevane_core::{Core, Input, Listing, Outputs};
+use stonevane_core::{Core, EndpointList, Input, Outputs};
 
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
@@ -49,7 +49,7 @@
 
 impl Watch {
     /// Takes what was read; a list where one is whole.
-    fn read(&mut self, bytes: &[u8]) -> Result<Option<Listing>, MeasureError> {
+    fn read(&mut self, bytes: &[u8]) -> Result<Option<EndpointList>, MeasureError> {
         let broken = || MeasureError::Broken("the list can't be read by the daemon's own functions".into());
         self.raw.extend_from_slice(bytes);
         if !self.begun {
@@ -63,7 +63,7 @@
     }
 }
 
-fn core(known: Listing) -> Core {
+fn core(known: EndpointList) -> Core {
     Core::new(node::START, node::setup(node::deployment(NODES), known, 1024, 1))
 }
 
@@ -96,7 +96,7 @@
     let (mut read, mut taken, mut changed) = (Vec::new(), Vec::new(), Vec::new());
     let mut change_bytes = 0;
     for turn in 0..TIMES {
-        let (mut watch, mut core) = (Watch::default(), core(Listing::default()));
+        let (mut watch, mut core) = (Watch::default(), core(EndpointList::default()));
         let [reading, taking] = take(&mut watch, &whole, &mut core)?;
         let text = listing::change(2 + turn as u64, servers / 2, true);
         let line = chunk(&format!("{text}\n"));
--- a/crates/stonevane-core/src/patience.rs
+++ b/crates/stonevane-core/src/discovery_timeouts.rs
@@ -33,18 +33,18 @@
 
 /// How a process that stood still finds out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standstill {
+pub struct PauseDetection {
     /// The longest time in which nothing is due; idle connections are looked through as often.
     pub due: Micros,
     /// What is found due so late tells of it.
     pub late: Micros,
 }
 
-impl Standstill {
+impl PauseDetection {
     /// What settings ask for.
-    pub fn of(settings: &Settings) -> Standstill {
+    pub fn of(settings: &Settings) -> PauseDetection {
         let part = |of: Micros, (least, most)| (settings.drain_grace / of).clamp(least, most);
-        Standstill { due: part(STANDSTILL.0, STANDSTILL_DUE), late: part(STANDSTILL.1, STANDSTILL_LATE) }
+        PauseDetection { due: part(STANDSTILL.0, STANDSTILL_DUE), late: part(STANDSTILL.1, STANDSTILL_LATE) }
     }
 }
 
@@ -60,7 +60,7 @@
 
 /// The waits for one kind of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
+pub struct DiscoveryTimeouts {
     /// For a connection to it.
     pub connect: Micros,
     /// For the beginning of its answer.
@@ -69,7 +69,7 @@
     /// or not it came.
     pub silence: Micros,
     /// Before a watch on pushed lists is opened again.
-    pub again: Micros,
+    pub reconnect_delay: Micros,
 }
 
 /// What a call to discovery waits for at a time.
@@ -91,13 +91,13 @@
     /// It was not answered in time.
     Unanswered,
     /// It was answered and fell silent.
-    Silent {
+    TimedOut {
         /// Whether it had brought a line before, be it an empty one.
-        stood: bool,
+        was_established: bool,
     },
 }
 
-impl Patience {
+impl DiscoveryTimeouts {
     /// How long nothing may come before the call is given up.
     pub fn limit(&self, awaited: Awaited) -> Micros {
         match awaited {
@@ -108,15 +108,15 @@
     }
 
     /// The waits that settings ask for.
-    pub fn of(settings: &Settings) -> Patience {
+    pub fn of(settings: &Settings) -> DiscoveryTimeouts {
         if settings.poll_discovery {
             let (connect, late) = SHARED;
             let answer = settings.list_staleness_limit.clamp(TURN.0, TURN.1);
-            return Patience { connect, answer, silence: BEAT + late, again: 0 };
+            return DiscoveryTimeouts { connect, answer, silence: BEAT + late, reconnect_delay: 0 };
         }
         let part = |of: Micros, most: Micros| (settings.drain_grace / of).clamp(AGENT_LEAST, most);
         let (answer, again) = (part(AGENT.0, AGENT_MOST.0), part(AGENT.1, AGENT_MOST.1));
-        Patience { connect: answer, answer, silence: BEAT + answer, again }
+        DiscoveryTimeouts { connect: answer, answer, silence: BEAT + answer, reconnect_delay: again }
     }
 }
 
@@ -131,22 +131,22 @@
     fn an_agent_is_heard_again_within_the_grace_however_short_and_a_silent_watch_before_it_counts() {
         for drain_grace in [0, 50_000, 100_000, 500_000, 1_000_000, 10_000_000] {
             let settings = Settings { poll_discovery: false, drain_grace, ..Settings::default() };
-            let waits = Patience::of(&settings);
+            let waits = DiscoveryTimeouts::of(&settings);
             // The slack of all limits on sockets comes on top.
             let slack = 50_000;
             assert!(
-                waits.answer + waits.again <= drain_grace + slack,
+                waits.answer + waits.reconnect_delay <= drain_grace + slack,
                 "{waits:?} at a grace of {drain_grace}"
             );
-            assert!(waits.again > 0, "no busy loop");
-            assert!(waits.silence > BEAT && waits.silence + waits.answer + waits.again < TOLD);
+            assert!(waits.reconnect_delay > 0, "no busy loop");
+            assert!(waits.silence > BEAT && waits.silence + waits.answer + waits.reconnect_delay < TOLD);
         }
     }
 
     #[test]
     fn a_standstill_of_a_grace_is_noticed_however_short_that_is() {
         for drain_grace in [50_000, 100_000, 250_000, 500_000, 1_000_000, 10_000_000] {
-            let stands = Standstill::of(&Settings { drain_grace, ..Settings::default() });
+            let stands = PauseDetection::of(&Settings { drain_grace, ..Settings::default() });
             // With the slack of all limits on sockets.
             assert!(stands.due + stands.late <= drain_grace + 50_000, "{stands:?} at {drain_grace}");
         }
@@ -157,7 +157,7 @@
         for ask_within in [1, 1_000_000, 6_500_000, 86_400_000_000] {
             let settings =
                 Settings { poll_discovery: true, list_staleness_limit: ask_within, ..Settings::default() };
-            let waits = Patience::of(&settings);
+            let waits = DiscoveryTimeouts::of(&settings);
             assert!((TURN.0..=TURN.1).contains(&waits.answer));
             assert!(waits.silence > BEAT && waits.silence + waits.connect < TOLD);
         }
--- a/crates/stonevane-core/src/faults.rs
+++ b/crates/stonevane-core/src/faults.rs
@@ -1,5 +1,5 @@
 //! Deliberate faults of the core, for the simulator to find. A core knows by its type whether it has any: the daemon's
-//! is [`Honest`], and nothing of them is left in it.
+//! is [`NoFaults`], and nothing of them is left in it.
 
 /// A fault that a core can be told to have.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -79,9 +79,9 @@
 
 /// Nothing.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Honest;
+pub struct NoFaults;
 
-impl Faults for Honest {
+impl Faults for NoFaults {
     #[inline(always)]
     fn plays(&self, _: Mutant) -> bool {
         false
--- a/crates/stonevane-core/src/beside.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -12,7 +12,7 @@
 
 /// How far a process has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum ProcessStage {
     /// It takes no clients yet.
     Starting,
     /// It takes clients.
@@ -23,100 +23,109 @@
 
 /// Places for connections, and memory in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Room {
+pub struct Capacity {
     /// Places for connections.
-    pub places: usize,
+    pub connections: usize,
     /// Memory, in bytes.
     pub memory: usize,
 }
 
-impl Room {
-    fn each(self, other: Room, of: impl Fn(usize, usize) -> usize) -> Room {
-        Room { places: of(self.places, other.places), memory: of(self.memory, other.memory) }
+impl Capacity {
+    fn each(self, other: Capacity, of: impl Fn(usize, usize) -> usize) -> Capacity {
+        Capacity {
+            connections: of(self.connections, other.connections),
+            memory: of(self.memory, other.memory),
+        }
     }
 
-    fn part(self, by: usize) -> Room {
-        Room { places: self.places / by, memory: self.memory / by }
+    fn part(self, by: usize) -> Capacity {
+        Capacity { connections: self.connections / by, memory: self.memory / by }
     }
 }
 
 /// What a process says of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct ProcessStatus {
     /// When it started, and its number: the newest is the last in this order.
-    pub since: (Micros, u32),
+    pub started: (Micros, u32),
     /// How far it has come.
-    pub stage: Stage,
+    pub stage: ProcessStage,
     /// What it may take.
-    pub room: Room,
+    pub capacity: Capacity,
     /// Requests that it has open: the gate and cold servers' budgets are divided by them.
-    pub open: usize,
+    pub in_flight: usize,
 }
 
-impl Standing {
+impl ProcessStatus {
     /// The line that tells it.
     pub fn line(&self) -> String {
         let stage = match self.stage {
-            Stage::Starting => "starting",
-            Stage::Serving => "serving",
-            Stage::Draining => "draining",
+            ProcessStage::Starting => "starting",
+            ProcessStage::Serving => "serving",
+            ProcessStage::Draining => "draining",
         };
-        format!("1 {stage} {} {} {}\n", self.room.places, self.room.memory, self.open)
+        format!("1 {stage} {} {} {}\n", self.capacity.connections, self.capacity.memory, self.in_flight)
     }
 
     /// Reads such a line; `None` for any other.
-    pub fn read(since: (Micros, u32), line: &str) -> Option<Standing> {
+    pub fn read(since: (Micros, u32), line: &str) -> Option<ProcessStatus> {
         let words: Vec<_> = line.strip_suffix('\n')?.split(' ').collect();
         let ["1", stage, places, memory, open] = words[..] else { return None };
         let stage = match stage {
-            "starting" => Stage::Starting,
-            "serving" => Stage::Serving,
-            "draining" => Stage::Draining,
+            "starting" => ProcessStage::Starting,
+            "serving" => ProcessStage::Serving,
+            "draining" => ProcessStage::Draining,
             _ => return None,
         };
-        let room = Room { places: places.parse().ok()?, memory: memory.parse().ok()? };
-        Some(Standing { since, stage, room, open: open.parse().ok()? })
+        let room = Capacity { connections: places.parse().ok()?, memory: memory.parse().ok()? };
+        Some(ProcessStatus { started: since, stage, capacity: room, in_flight: open.parse().ok()? })
     }
 }
 
 /// What this process may do.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Grant {
+pub struct CapacityGrant {
     /// What it may take.
-    pub room: Room,
+    pub capacity: Capacity,
     /// Its part of the node's share of the origin and of cold servers.
-    pub part: f64,
+    pub share: f64,
     /// A newer process takes clients.
-    pub succeeded: bool,
+    pub replaced: bool,
     /// Another process takes clients from the same queue.
-    pub shared: bool,
+    pub listener_shared: bool,
 }
 
 /// Divides the whole. `own`: this process, with what it said last; `held`: what it holds now.
-pub fn divide(whole: Room, own: &Standing, held: Room, others: &[Standing]) -> Grant {
-    let weight = |of: &Standing| of.open as f64 + 1.0;
+pub fn divide(
+    whole: Capacity,
+    own: &ProcessStatus,
+    held: Capacity,
+    others: &[ProcessStatus],
+) -> CapacityGrant {
+    let weight = |of: &ProcessStatus| of.in_flight as f64 + 1.0;
     let all: f64 = others.iter().map(weight).sum();
-    let newer = || others.iter().filter(|other| other.since > own.since);
+    let newer = || others.iter().filter(|other| other.started > own.started);
     let spare = whole.part(SPARE);
     let room = if newer().next().is_some() {
         let least = match own.stage {
-            Stage::Draining => held.each(spare, usize::saturating_add),
+            ProcessStage::Draining => held.each(spare, usize::saturating_add),
             _ => held.each(whole.part(2), usize::max),
         };
-        least.each(own.room, usize::min)
+        least.each(own.capacity, usize::min)
     } else {
-        let said =
-            others.iter().fold(Room::default(), |sum, other| sum.each(other.room, usize::saturating_add));
+        let said = others
+            .iter()
+            .fold(Capacity::default(), |sum, other| sum.each(other.capacity, usize::saturating_add));
         let left = whole.each(said, usize::saturating_sub);
         // Alone, it leaves what one that starts beside it can begin with.
         let most = whole.each(spare, usize::saturating_sub);
         left.each(spare, usize::max).each(most, usize::min)
     };
-    Grant {
-        room,
-        part: weight(own) / (weight(own) + all),
-        succeeded: newer().any(|other| other.stage == Stage::Serving),
-        shared: others.iter().any(|other| other.stage == Stage::Serving),
+    CapacityGrant {
+        capacity: room,
+        share: weight(own) / (weight(own) + all),
+        replaced: newer().any(|other| other.stage == ProcessStage::Serving),
+        listener_shared: others.iter().any(|other| other.stage == ProcessStage::Serving),
     }
 }
 
@@ -126,7 +135,7 @@
 
     use proptest::prelude::*;
 
-    const WHOLE: Room = Room { places: 320, memory: 16_000 };
+    const WHOLE: Capacity = Capacity { connections: 320, memory: 16_000 };
 
     #[derive(Debug, Clone)]
     enum Step {
@@ -150,9 +159,9 @@
     }
 
     struct Process {
-        said: Standing,
-        may: Room,
-        held: Room,
+        said: ProcessStatus,
+        may: Capacity,
+        held: Capacity,
     }
 
     proptest! {
@@ -166,25 +175,25 @@
                     // As the daemon: it looks at the others before it holds anything.
                     Step::Start if live.len() < 2 => {
                         started += 1;
-                        let stage = Stage::Serving;
-                        let mut said = Standing { since: (started, 0), stage, room: Room::default(), open: 3 };
+                        let stage = ProcessStage::Serving;
+                        let mut said = ProcessStatus { started: (started, 0), stage, capacity: Capacity::default(), in_flight: 3 };
                         let others: Vec<_> = live.iter().map(|process| process.said).collect();
-                        let may = divide(WHOLE, &said, Room::default(), &others).room;
-                        said.room = may;
-                        live.push(Process { said, may, held: Room::default() });
+                        let may = divide(WHOLE, &said, Capacity::default(), &others).capacity;
+                        said.capacity = may;
+                        live.push(Process { said, may, held: Capacity::default() });
                     }
                     Step::Start => {}
                     Step::End(who) if who < live.len() => drop(live.remove(who)),
                     Step::End(_) => {}
                     Step::Drain(who) => {
                         if let Some(process) = live.get_mut(who % count) {
-                            process.said.stage = Stage::Draining;
+                            process.said.stage = ProcessStage::Draining;
                         }
                     }
                     Step::Hold(who, part) => {
                         if let Some(process) = live.get_mut(who % count) {
-                            let want = Room {
-                                places: process.may.places * part / 100,
+                            let want = Capacity {
+                                connections: process.may.connections * part / 100,
                                 memory: process.may.memory * part / 100,
                             };
                             process.held = want;
@@ -196,51 +205,55 @@
                         let others: Vec<_> = others.map(|(_, process)| process.said).collect();
                         if let Some(process) = live.get_mut(who) {
                             let grant = divide(WHOLE, &process.said, process.held, &others);
-                            prop_assert!(grant.part > 0.0 && grant.part <= 1.0);
-                            process.may = grant.room;
-                            process.said.room = grant.room;
+                            prop_assert!(grant.share > 0.0 && grant.share <= 1.0);
+                            process.may = grant.capacity;
+                            process.said.capacity = grant.capacity;
                         }
                     }
                 }
-                let held = live.iter().fold(Room::default(), |sum, p| sum.each(p.held, |a, b| a + b));
-                prop_assert!(held.places <= WHOLE.places && held.memory <= WHOLE.memory, "{held:?}");
+                let held = live.iter().fold(Capacity::default(), |sum, p| sum.each(p.held, |a, b| a + b));
+                prop_assert!(held.connections <= WHOLE.connections && held.memory <= WHOLE.memory, "{held:?}");
             }
         }
     }
 
     #[test]
     fn the_new_one_takes_over_as_the_old_one_lets_go() {
-        let standing = |since, stage, places| Standing {
-            since: (since, 0),
+        let standing = |since, stage, places| ProcessStatus {
+            started: (since, 0),
             stage,
-            room: Room { places, memory: 0 },
-            open: 9,
+            capacity: Capacity { connections: places, memory: 0 },
+            in_flight: 9,
         };
-        let held = |places| Room { places, memory: 0 };
-        let mut old = standing(1, Stage::Serving, 320);
-        old.room = divide(WHOLE, &old, held(200), &[]).room;
-        assert_eq!(old.room.places, 300, "alone, it leaves a spare");
-        let mut new = standing(2, Stage::Starting, 0);
-        new.room = divide(WHOLE, &new, held(0), &[old]).room;
-        assert_eq!(new.room.places, 20);
-        old.room = divide(WHOLE, &old, held(200), &[new]).room;
-        assert_eq!(old.room.places, 200, "what it holds, and no more than it has said");
-        new.stage = Stage::Serving;
+        let held = |places| Capacity { connections: places, memory: 0 };
+        let mut old = standing(1, ProcessStage::Serving, 320);
+        old.capacity = divide(WHOLE, &old, held(200), &[]).capacity;
+        assert_eq!(old.capacity.connections, 300, "alone, it leaves a spare");
+        let mut new = standing(2, ProcessStage::Starting, 0);
+        new.capacity = divide(WHOLE, &new, held(0), &[old]).capacity;
+        assert_eq!(new.capacity.connections, 20);
+        old.capacity = divide(WHOLE, &old, held(200), &[new]).capacity;
+        assert_eq!(old.capacity.connections, 200, "what it holds, and no more than it has said");
+        new.stage = ProcessStage::Serving;
         let grant = divide(WHOLE, &new, held(0), &[old]);
-        assert_eq!((grant.room.places, grant.part, grant.succeeded), (120, 0.5, false));
-        (old.stage, old.open) = (Stage::Draining, 0);
+        assert_eq!((grant.capacity.connections, grant.share, grant.replaced), (120, 0.5, false));
+        (old.stage, old.in_flight) = (ProcessStage::Draining, 0);
         let grant = divide(WHOLE, &old, held(50), &[new]);
-        assert_eq!((grant.room.places, grant.part, grant.succeeded), (70, 1.0 / 11.0, true));
-        old.room = grant.room;
-        assert_eq!(divide(WHOLE, &new, held(100), &[old]).room.places, 250);
-        assert_eq!(divide(WHOLE, &new, held(100), &[]).room.places, 300);
+        assert_eq!((grant.capacity.connections, grant.share, grant.replaced), (70, 1.0 / 11.0, true));
+        old.capacity = grant.capacity;
+        assert_eq!(divide(WHOLE, &new, held(100), &[old]).capacity.connections, 250);
+        assert_eq!(divide(WHOLE, &new, held(100), &[]).capacity.connections, 300);
     }
 
     #[test]
     fn a_line_says_what_it_was_told_and_others_say_nothing() {
-        let standing =
-            Standing { since: (5, 6), stage: Stage::Draining, room: Room { places: 7, memory: 8 }, open: 9 };
-        assert_eq!(Standing::read((5, 6), &standing.line()), Some(standing));
+        let standing = ProcessStatus {
+            started: (5, 6),
+            stage: ProcessStage::Draining,
+            capacity: Capacity { connections: 7, memory: 8 },
+            in_flight: 9,
+        };
+        assert_eq!(ProcessStatus::read((5, 6), &standing.line()), Some(standing));
         for other in [
             "",
             "\n",
@@ -250,7 +263,7 @@
             "1 gone 7 8 9\n",
             "1 serving -7 8 9\n",
         ] {
-            assert_eq!(Standing::read((5, 6), other), None, "{other:?}");
+            assert_eq!(ProcessStatus::read((5, 6), other), None, "{other:?}");
         }
     }
 }
--- a/crates/stonevane-core/src/lib.rs
+++ b/crates/stonevane-core/src/lib.rs
@@ -5,16 +5,16 @@
 //! budgets of descriptors and memory, discovery's list and the drain at SIGTERM. It reads no clock, does no I/O, and
 //! has no randomness but the seed: the same inputs at the same times give the same outputs.
 
-pub mod beside;
 mod clients;
+pub mod discovery_timeouts;
 mod faults;
 mod figures;
+pub mod handover;
 mod io;
 mod list;
 pub mod management;
 mod memory;
 mod node;
-pub mod patience;
 mod reply;
 mod request;
 mod scope;
@@ -23,11 +23,11 @@
 mod timers;
 mod trace;
 
-pub use faults::{Faults, Honest, Mutant};
+pub use faults::{Faults, Mutant, NoFaults};
 pub use figures::{Counts, RegionFigures, Report};
-pub use io::{Ask, Call, Input, Job, Note, Output, Outputs};
-pub use list::{Endpoint, Era, Listing};
-pub use node::{Core, Count, Setup};
+pub use io::{DiscoveryCall, DiscoveryRequest, Input, LogLine, Output, Outputs, StoreCall};
+pub use list::{DiscoveryEpoch, Endpoint, EndpointList};
+pub use node::{Core, ResourceCounts, Setup};
 pub use reply::{ConnId, Reply};
 pub use request::Command;
 pub use servers::cache;
--- a/crates/stonevane-core/src/list.rs
+++ b/crates/stonevane-core/src/list.rs
@@ -3,11 +3,11 @@
 use serde::Deserialize;
 
 /// Tells what one discovery said from what the next one says: versions of different ones can't be compared.
-pub type Era = u64;
+pub type DiscoveryEpoch = u64;
 
 /// A list of servers, or a change of it.
 #[derive(Deserialize, Default, Debug)]
-pub struct Listing {
+pub struct EndpointList {
     /// Its version.
     #[serde(default)]
     pub index: u64,
--- a/crates/stonevane-core/src/node.rs
+++ b/crates/stonevane-core/src/node.rs
@@ -15,14 +15,14 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::beside::{Grant, Room, Stage};
 use crate::clients::{self, Asked, Clients, Limits, Over, PIECE, Session, Slot};
-use crate::faults::{Faults, Honest, Mutant};
+use crate::discovery_timeouts::{DiscoveryTimeouts, PauseDetection, before_first_call};
+use crate::faults::{Faults, Mutant, NoFaults};
 use crate::figures::{Counts, Figures, Report};
-use crate::io::{Ask, Call, Input, Job, Note, Output, Outputs};
-use crate::list::{Era, Listing};
+use crate::handover::{Capacity, CapacityGrant, ProcessStage};
+use crate::io::{DiscoveryCall, DiscoveryRequest, Input, LogLine, Output, Outputs, StoreCall};
+use crate::list::{DiscoveryEpoch, EndpointList};
 use crate::memory::{Memory, Share};
-use crate::patience::{Patience, Standstill, before_first_call};
 use crate::reply::{AttemptKey, ConnId, Reply};
 use crate::request::{Command, Final, Phase};
 use crate::scope::{Listed, Scope};
@@ -38,7 +38,7 @@
 const LONGEST_DRAIN: Micros = 3_000_000;
 /// What is still owed so long before that end is answered as it stands.
 const LAST: Micros = 60_000;
-/// A process that stood still (`patience::standstill`) takes what came meanwhile for so long before it does what is due,
+/// A process that stood still (`PauseDetection`) takes what came meanwhile for so long before it does what is due,
 /// and before it sends anything. Against a send to a server whose drain was told while the process stood still: which of
 /// the two it reads first is the machine's choice.
 const CATCHES_UP: Micros = 5_000;
@@ -76,7 +76,7 @@
     /// Memory that it may have in all, in megabytes.
     pub memory_mb: usize,
     /// The list of servers as it last had it.
-    pub known: Listing,
+    pub known: EndpointList,
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// Time limits on clients' connections.
@@ -139,21 +139,21 @@
 
 /// What a core holds, for those who check that nothing is left behind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Count {
+pub struct ResourceCounts {
     /// Clients' connections.
     pub clients: usize,
     /// Connections to servers, idle ones included.
-    pub conns: usize,
+    pub server_connections: usize,
     /// Of these, idle ones.
-    pub idle: usize,
+    pub idle_server_connections: usize,
     /// Requests without their final answer, as clients' connections have it.
-    pub owed: usize,
+    pub unanswered: usize,
     /// Entries of requests: those without an answer, and those whose attempts are out still.
-    pub open: usize,
+    pub request_entries: usize,
     /// Attempts that are out.
     pub attempts: usize,
     /// Ids that are claimed.
-    pub ids: usize,
+    pub claimed_ids: usize,
     /// Memory that is taken, bytes.
     pub memory: usize,
     /// Entries among the timers.
@@ -161,7 +161,7 @@
 }
 
 /// The node.
-pub struct Core<F = Honest> {
+pub struct Core<F = NoFaults> {
     /// What it does wrong on purpose: nothing, but in the simulator.
     faults: F,
     deployment: Deployment,
@@ -203,7 +203,7 @@
     /// How many of the places for clients are kept for refusals.
     refusals: usize,
     /// What all processes of the node may hold together, and whether a newer one takes clients.
-    whole: Room,
+    whole: Capacity,
     succeeded: bool,
     shared: bool,
     /// Who gives its place up in a full table, and when somebody may have to.
@@ -216,7 +216,7 @@
     /// The caches that were told of, where copies are.
     placement: Option<Vec<SocketAddr>>,
     discovery: SocketAddr,
-    era: Era,
+    era: DiscoveryEpoch,
     /// Version of the list held, if one is.
     index: Option<u64>,
     phase: Phase,
@@ -234,10 +234,10 @@
     clients.sessions.get_mut(&client).is_none_or(|session| session.passes(slot))
 }
 
-impl Core<Honest> {
+impl Core<NoFaults> {
     /// A node that knows the list it last had. Its first outputs come with the first input.
     pub fn new(now: Micros, setup: Setup) -> Core {
-        Core::with_faults(now, setup, Honest)
+        Core::with_faults(now, setup, NoFaults)
     }
 }
 
@@ -283,7 +283,7 @@
             places,
             part,
             refusals: (part / 8).max(1),
-            whole: Room { places, memory: memory.all() },
+            whole: Capacity { connections: places, memory: memory.all() },
             succeeded: false,
             shared: false,
             giving: None,
@@ -317,19 +317,19 @@
         }
         core.list(known, Some(ListUpdate::Cached));
         if !core.deployment.settings.poll_discovery {
-            core.ask(Ask::Follow);
+            core.ask(DiscoveryRequest::WatchAgent);
         }
         core.timers.push(now + core.standstill().due, Due::Sweep);
         core.settle();
         core
     }
 
-    fn standstill(&self) -> Standstill {
-        Standstill::of(&self.deployment.settings)
+    fn standstill(&self) -> PauseDetection {
+        PauseDetection::of(&self.deployment.settings)
     }
 
     /// A new id for a connection.
-    pub fn next_id(&mut self) -> ConnId {
+    pub fn next_connection_id(&mut self) -> ConnId {
         self.next_conn += 1;
         self.next_conn
     }
@@ -359,7 +359,7 @@
     }
 
     /// Whether a connection is a client's.
-    pub fn serves(&self, id: ConnId) -> bool {
+    pub fn is_client(&self, id: ConnId) -> bool {
         self.clients.sessions.contains_key(&id)
     }
 
@@ -376,20 +376,20 @@
     }
 
     /// Version of the list held, if one is.
-    pub fn index(&self) -> Option<u64> {
+    pub fn list_version(&self) -> Option<u64> {
         self.index
     }
 
     /// What it holds.
-    pub fn count(&self) -> Count {
-        Count {
+    pub fn count(&self) -> ResourceCounts {
+        ResourceCounts {
             clients: self.clients.sessions.len(),
-            conns: self.pool.len(),
-            idle: self.pool.idle(),
-            owed: self.owed,
-            open: self.open.len(),
+            server_connections: self.pool.len(),
+            idle_server_connections: self.pool.idle(),
+            unanswered: self.owed,
+            request_entries: self.open.len(),
             attempts: self.attempts.len(),
-            ids: self.clients.ids.len(),
+            claimed_ids: self.clients.ids.len(),
             memory: self.memory.taken(),
             timers: self.timers.len(),
         }
@@ -415,31 +415,32 @@
             Input::Accepted(id) => self.accepted(id),
             Input::Bytes(id, bytes) => self.bytes(id, bytes),
             Input::Flushed(id) => self.flushed(id),
-            Input::Parted(id) => self.parted(id),
-            Input::Ended(id) => self.ended(id),
+            Input::WriteClosed(id) => self.parted(id),
+            Input::Closed(id) => self.ended(id),
             Input::Opened(id) => self.opened(id),
-            Input::Replied(id, reply) => self.replied(id, reply),
+            Input::CallReplied(id, reply) => self.replied(id, reply),
             // Against what the discovery before the present one still had under way: its versions and its view
             // are no longer in force.
-            Input::List(era, _) | Input::ListFailed(era) | Input::ListSilent(era, ..) if era != self.era => {}
+            Input::List(era, _) | Input::ListFailed(era) | Input::ListTimedOut(era, ..)
+                if era != self.era => {}
             Input::List(_, listing) => self.list(listing, None),
             Input::ListFailed(_) => {
                 self.deaf |= self.faults.plays(Mutant::Deaf);
                 self.tell(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
             }
-            Input::ListSilent(_, lasted, stood) => {
+            Input::ListTimedOut(_, lasted, stood) => {
                 self.tell(Event::ServerList {
                     kind: ListUpdate::TimedOut { silent_for: lasted, was_established: stood },
                     servers: Vec::new(),
                 });
             }
-            Input::OriginShut(lasts) => self.tell(Event::OriginUnavailable { duration: lasts }),
-            Input::Move(address) => self.move_to(address),
+            Input::OriginUnavailable(lasts) => self.tell(Event::OriginUnavailable { duration: lasts }),
+            Input::DiscoveryMoved(address) => self.move_to(address),
             Input::Settings(deployment) => self.settings(deployment),
-            Input::Unusable => self.figures.reloads_failed += 1,
+            Input::ReloadFailed => self.figures.reloads_failed += 1,
             Input::Exclude(name, out) => self.exclude(name, out),
-            Input::Sharers(sharers) => self.sharers(sharers),
-            Input::Beside(grant) => self.beside(grant),
+            Input::NodeCount(sharers) => self.sharers(sharers),
+            Input::Handover(grant) => self.beside(grant),
             Input::Terminate => self.terminate(),
             Input::Wake => {}
         }
@@ -546,7 +547,7 @@
     }
 
     fn log(&mut self, line: String) {
-        self.out.push_back(Output::Log(Note::Module(line)));
+        self.out.push_back(Output::Log(LogLine::Info(line)));
     }
 
     fn enter(&mut self, phase: Phase) {
@@ -593,7 +594,7 @@
             // Who has a kept connection goes on using it for as long as it stays open: each is closed right behind an
             // answer, when nothing can be on its way, and one that brings no request by then when its time is up.
             self.enter(Phase::Draining);
-            self.out.push_back(Output::Succeeded);
+            self.out.push_back(Output::Replaced);
             self.timers.push(self.now + longest, Due::Drain);
         } else {
             self.timers.push(self.now + ACCEPT_ON, Due::Drain);
@@ -823,7 +824,11 @@
         if let Some(bytes) = session.ready(self.now, &self.clients.limits) {
             // Whoever is closed between requests is closed right behind an answer, where nothing can be on its way.
             let last = self.phase == Phase::Draining && !session.broken && session.owes_no_more();
-            self.out.push_back(if last { Output::Last(id, bytes) } else { Output::Write(id, bytes) });
+            self.out.push_back(if last {
+                Output::WriteAndClose(id, bytes)
+            } else {
+                Output::Write(id, bytes)
+            });
         }
         if session.wants(memory) {
             self.memory.wait(id, 2 * MAX_VALUE);
@@ -837,7 +842,7 @@
         let ends = session.broken && !session.owes() && !session.lingers;
         if ends {
             session.lingers = true;
-            self.out.push_back(Output::Linger(id));
+            self.out.push_back(Output::CloseWrite(id));
         }
         if session.paused && session.reads(memory) > 0 {
             session.paused = false;
@@ -861,7 +866,7 @@
         let Some(session) = self.clients.sessions.get_mut(&id) else { return };
         if !std::mem::replace(&mut session.parting, true) {
             self.note_close(id, reason);
-            self.out.push_back(Output::Part(id));
+            self.out.push_back(Output::CloseIfIdle(id));
         }
         self.clients.note(id);
     }
@@ -1096,12 +1101,12 @@
             }
             Action::Subscribe(true) | Action::FetchList if self.deaf => {}
             Action::Subscribe(true) => self.watch(),
-            Action::Subscribe(false) => self.ask(Ask::Unwatch),
-            Action::FetchList => self.ask(Ask::Fetch),
+            Action::Subscribe(false) => self.ask(DiscoveryRequest::StopWatch),
+            Action::FetchList => self.ask(DiscoveryRequest::FetchList),
             Action::CloseIdle(server) => self.close_idle(server),
             Action::Explain { request, reason } => self.explain(request, reason.name()),
-            Action::Log(line) => self.out.push_back(Output::Log(Note::Module(line))),
-            Action::Fault(line) => self.out.push_back(Output::Log(Note::Fault(line))),
+            Action::Log(line) => self.out.push_back(Output::Log(LogLine::Info(line))),
+            Action::Fault(line) => self.out.push_back(Output::Log(LogLine::Error(line))),
             // This module neither probes nor speaks to peers; the sockets for it are not built.
             Action::HealthCheck(server) => {
                 let (took, load) = (0, LoadReport::default());
@@ -1182,7 +1187,7 @@
         if self.full() {
             return None;
         }
-        let id = self.next_id();
+        let id = self.next_connection_id();
         // A machine that vanished answers nothing: the connect has a time-out of its own.
         let limit = self.now + self.deployment.connect_timeout.max(1_000);
         let mut conn = Conn::new(server, address, speaks, key, limit);
@@ -1233,14 +1238,22 @@
             Some(bytes) => {
                 conn.state = State::Writing;
                 let sure = conn.carried > 1 && open.command.rules.idempotency != Idempotency::Idempotent;
-                self.out.push_back(Output::Ask(id, bytes, sure));
+                self.out.push_back(Output::WriteRequest(id, bytes, sure));
             }
             None => {
                 conn.state = State::Reading;
                 let missed =
                     open.missed.iter().filter_map(|id| Some(self.servers.get(id)?.address)).collect();
                 let (command, at_least) = (open.command.clone(), open.at_least);
-                self.out.push_back(Output::Call(id, Box::new(Job { command, left_ms, missed, at_least })));
+                self.out.push_back(Output::CallStore(
+                    id,
+                    Box::new(StoreCall {
+                        command,
+                        time_left_ms: left_ms,
+                        missed_caches: missed,
+                        min_version: at_least,
+                    }),
+                ));
             }
         }
     }
@@ -1433,7 +1446,7 @@
 
     fn trace(&mut self, text: std::fmt::Arguments<'_>) {
         if let Some(line) = self.trace.line(text) {
-            self.out.push_back(Output::Log(Note::Module(line)));
+            self.out.push_back(Output::Log(LogLine::Info(line)));
         }
     }
 
@@ -1442,7 +1455,7 @@
         let id = self.open.get(&request).map(|open| String::from_utf8_lossy(&open.command.id));
         let line = id.and_then(|id| self.trace.line(format_args!("request {id} ({request}) {text}")));
         if let Some(line) = line {
-            self.out.push_back(Output::Log(Note::Module(line)));
+            self.out.push_back(Output::Log(LogLine::Info(line)));
         }
     }
 
@@ -1525,9 +1538,14 @@
 
     // The list.
 
-    fn ask(&mut self, ask: Ask) {
-        let patience = Patience::of(&self.deployment.settings);
-        self.out.push_back(Output::Discovery(Call { ask, address: self.discovery, era: self.era, patience }));
+    fn ask(&mut self, ask: DiscoveryRequest) {
+        let patience = DiscoveryTimeouts::of(&self.deployment.settings);
+        self.out.push_back(Output::Discovery(DiscoveryCall {
+            request: ask,
+            address: self.discovery,
+            epoch: self.era,
+            timeouts: patience,
+        }));
     }
 
     /// Opens the watch, the first one of the process at its time.
@@ -1536,7 +1554,7 @@
             Some(at) if at > self.now => self.timers.push(at, Due::FirstWatch),
             _ => {
                 self.first_watch = None;
-                self.ask(Ask::Watch { after: self.index });
+                self.ask(DiscoveryRequest::Watch { after: self.index });
             }
         }
     }
@@ -1547,15 +1565,15 @@
         if address == self.discovery {
             return;
         }
-        self.ask(Ask::Leave);
+        self.ask(DiscoveryRequest::CancelAll);
         self.first_watch = None;
         (self.discovery, self.index) = (address, None);
         self.era += 1;
         let pushed = !self.deployment.settings.poll_discovery;
-        self.ask(if pushed { Ask::Follow } else { Ask::Watch { after: None } });
+        self.ask(if pushed { DiscoveryRequest::WatchAgent } else { DiscoveryRequest::Watch { after: None } });
     }
 
-    fn list(&mut self, listing: Listing, kind: Option<ListUpdate>) {
+    fn list(&mut self, listing: EndpointList, kind: Option<ListUpdate>) {
         let kind = kind.unwrap_or(if listing.snapshot { ListUpdate::Full } else { ListUpdate::Delta });
         if kind == ListUpdate::Delta
             && self.index.is_some_and(|held| listing.index < held)
@@ -1632,7 +1650,7 @@
             caches.sort_unstable();
             if *told != caches {
                 told.clone_from(&caches);
-                self.out.push_back(Output::Placement(caches));
+                self.out.push_back(Output::CachesChanged(caches));
             }
         }
         self.log_list(kind, &lines);
@@ -1641,7 +1659,7 @@
     }
 
     /// What the start times in the list that this process begins with say of its clock.
-    fn read_first_list(&self, listing: &Listing) -> FirstList {
+    fn read_first_list(&self, listing: &EndpointList) -> FirstList {
         let starts = listing.endpoints.iter().map(|entry| entry.since_ms).filter(|since| *since != 0);
         let starts: Vec<_> = starts.map(|since| since.saturating_mul(1_000)).collect();
         let warm_up = self.deployment.settings.slow_start_duration;
@@ -1689,7 +1707,7 @@
         if weight_changes {
             self.tell_settings(self.same_tenants());
         }
-        told.note.into_iter().for_each(|note| self.out.push_back(Output::Log(Note::Module(note))));
+        told.note.into_iter().for_each(|note| self.out.push_back(Output::Log(LogLine::Info(note))));
         // What is out there ends as it would have.
         told.left.into_iter().for_each(|id| self.close_idle(id));
         Some(told.lines)
@@ -1721,7 +1739,7 @@
     fn settings(&mut self, deployment: Box<Deployment>) {
         // Those of the last settings have their places already.
         if self.figures.name(&deployment.classes).is_none() {
-            self.out.push_back(Output::Log(Note::Module("reload: too many classes since the start".into())));
+            self.out.push_back(Output::Log(LogLine::Info("reload: too many classes since the start".into())));
             self.figures.reloads_failed += 1;
             return;
         }
@@ -1773,11 +1791,13 @@
         self.half_told = (aim / HALF_TOLD).clamp(10_000, 250_000);
         self.pool.retune(deployment.idle_close);
         self.counted = self.figures.name(&deployment.classes).unwrap_or_default();
-        let waits = Patience::of(&self.deployment.settings);
+        let waits = DiscoveryTimeouts::of(&self.deployment.settings);
         self.deployment = deployment;
         // The watch on pushed lists is opened again by itself, with the waits that it was begun with.
-        if !self.deployment.settings.poll_discovery && Patience::of(&self.deployment.settings) != waits {
-            self.ask(Ask::Follow);
+        if !self.deployment.settings.poll_discovery
+            && DiscoveryTimeouts::of(&self.deployment.settings) != waits
+        {
+            self.ask(DiscoveryRequest::WatchAgent);
         }
         self.tell_settings(tenants);
         if moved {
@@ -1831,7 +1851,7 @@
     // Servers out by hand, and figures.
 
     /// Whether a cache server of a name is listed, or is out by hand.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn has_cache_server(&self, name: &str) -> bool {
         let id = xxh3_64(name.as_bytes()) as ServerId;
         let listed = self.servers.get(&id).is_some_and(|server| server.speaks == Speaks::Cache);
         listed || self.excluded.contains_key(&id)
@@ -1882,23 +1902,23 @@
 
     /// What it holds of what several processes of the node may hold together, the requests it has open, how far it has
     /// come, and that whole.
-    pub fn standing(&self) -> (Room, usize, Stage, Room) {
+    pub fn handover_status(&self) -> (Capacity, usize, ProcessStage, Capacity) {
         let places = self.clients.sessions.len() + self.pool.len();
         let stage = match (self.ends_at, self.phase) {
-            (None, Phase::Starting) => Stage::Starting,
-            (None, _) => Stage::Serving,
-            (Some(_), _) => Stage::Draining,
+            (None, Phase::Starting) => ProcessStage::Starting,
+            (None, _) => ProcessStage::Serving,
+            (Some(_), _) => ProcessStage::Draining,
         };
-        (Room { places, memory: self.memory.taken() }, self.owed, stage, self.whole)
+        (Capacity { connections: places, memory: self.memory.taken() }, self.owed, stage, self.whole)
     }
 
-    fn beside(&mut self, grant: Grant) {
-        self.places = grant.room.places.min(self.whole.places);
+    fn beside(&mut self, grant: CapacityGrant) {
+        self.places = grant.capacity.connections.min(self.whole.connections);
         self.part = self.places * 2 / 3;
         self.refusals = (self.part / 8).max(1);
-        self.memory.limit(grant.room.memory);
-        (self.succeeded, self.shared) = (grant.succeeded, grant.shared);
-        self.tell(Event::ProcessShare(grant.part));
+        self.memory.limit(grant.capacity.memory);
+        (self.succeeded, self.shared) = (grant.replaced, grant.listener_shared);
+        self.tell(Event::ProcessShare(grant.share));
     }
 
     /// Counts of each class.
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use stonevane_codec::resp;
 use stonevane_config::operator;
-use stonevane_core::{Core, Endpoint, Listing, Setup};
+use stonevane_core::{Core, Endpoint, EndpointList, Setup};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{RequestClass, Settings, Tenant};
 
@@ -79,7 +79,7 @@
         seed: 1,
         sockets,
         memory_mb: 64,
-        known: Listing {
+        known: EndpointList {
             index: 1,
             snapshot: true,
             endpoints: vec![endpoint("cache", 1), endpoint("origin", 2)],
--- a/crates/stonevane-core/tests/crossings.rs
+++ b/crates/stonevane-core/tests/crossings.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use common::{HIT, START, core, get};
-use stonevane_core::{ConnId, Core, Endpoint, Input, Listing, Output, Outputs};
+use stonevane_core::{ConnId, Core, Endpoint, EndpointList, Input, Output, Outputs};
 
 /// A core, and what it has had done.
 struct World {
@@ -72,7 +72,7 @@
                         self.feed(Input::Opened(id));
                     }
                 }
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     self.asked.push(id);
                     if self.flushes {
                         self.feed(Input::Flushed(id));
@@ -100,7 +100,7 @@
     }
 
     fn client(&mut self) -> ConnId {
-        let id = self.core.next_id();
+        let id = self.core.next_connection_id();
         self.feed(Input::Accepted(id));
         id
     }
@@ -119,7 +119,7 @@
     /// The one server is replaced by another: what discovery says, and the address of the other.
     fn leaving(&mut self) -> SocketAddr {
         let endpoints = vec![server("cache", 1, "leaving", 0), server("other", 7, "active", 0)];
-        self.feed(Input::List(0, Listing { index: 2, snapshot: false, endpoints }));
+        self.feed(Input::List(0, EndpointList { index: 2, snapshot: false, endpoints }));
         SocketAddr::from(([127, 0, 0, 1], 7))
     }
 
@@ -130,7 +130,11 @@
     /// Nothing is left behind.
     fn clean(&self) {
         let count = self.core.count();
-        assert_eq!((count.owed, count.open, count.attempts, count.ids), (0, 0, 0, 0), "{count:?}");
+        assert_eq!(
+            (count.unanswered, count.request_entries, count.attempts, count.claimed_ids),
+            (0, 0, 0, 0),
+            "{count:?}"
+        );
     }
 }
 
@@ -230,12 +234,12 @@
     it.feed(Input::Bytes(conn, HIT));
     assert_eq!(it.said.len(), 1, "what it had under way is served");
     assert!(it.closed.contains(&conn));
-    assert_eq!(it.core.count().idle, 0);
+    assert_eq!(it.core.count().idle_server_connections, 0);
 }
 
 #[test]
 fn a_whole_list_that_is_older_than_a_drain_does_not_undo_it() {
-    let whole = |index, status: &str, since| Listing {
+    let whole = |index, status: &str, since| EndpointList {
         index,
         snapshot: true,
         endpoints: vec![
@@ -255,13 +259,13 @@
         it.asked_at()
     };
     let mut it = World::new();
-    let leaves = Listing { index: 41, ..whole(41, "leaving", 0) };
+    let leaves = EndpointList { index: 41, ..whole(41, "leaving", 0) };
     it.feed(Input::List(0, leaves));
     it.feed(Input::List(0, whole(40, "active", 0)));
     assert!(!ports(&mut it).contains(&1), "its drain was announced");
     // Later news of the count in force does, and so does a new process.
     let news = vec![server("cache", 1, "active", 0)];
-    it.feed(Input::List(0, Listing { index: 42, snapshot: false, endpoints: news }));
+    it.feed(Input::List(0, EndpointList { index: 42, snapshot: false, endpoints: news }));
     assert!(ports(&mut it).contains(&1));
     let mut it = World::new();
     it.feed(Input::List(0, whole(41, "leaving", 0)));
@@ -276,7 +280,7 @@
     it.opens = false;
     let client = it.asks("1");
     let conn = *it.to.keys().next().unwrap();
-    it.feed(Input::Ended(client));
+    it.feed(Input::Closed(client));
     it.feed(Input::Opened(conn));
     assert_eq!(it.asked.len(), 0);
     it.clean();
@@ -285,7 +289,7 @@
     it.flushes = false;
     let client = it.asks("1");
     let waits = it.asked[0];
-    it.feed(Input::Ended(client));
+    it.feed(Input::Closed(client));
     assert!(it.closed.contains(&waits), "its last byte is not written any more");
     it.clean();
     // While all is held back since the process stood still; a connection that rests waits in the same state.
@@ -294,7 +298,7 @@
     let client = it.client();
     it.now += 600_000;
     it.ask(client, "1");
-    it.feed(Input::Ended(client));
+    it.feed(Input::Closed(client));
     it.pass(50_000);
     assert_eq!(it.asked.len(), 0);
     it.clean();
@@ -313,7 +317,7 @@
     }
     let begun = it.asked.len();
     assert!(begun < 40);
-    it.feed(Input::Ended(client));
+    it.feed(Input::Closed(client));
     for conn in it.asked.clone() {
         it.feed(Input::Bytes(conn, HIT));
     }
@@ -351,7 +355,7 @@
                     it.feed(Input::Wake);
                 }
                 Answer => it.feed(Input::Bytes(conn, HIT)),
-                Reset => it.feed(Input::Ended(conn)),
+                Reset => it.feed(Input::Closed(conn)),
             }
         }
         it.pass(2_000_000);
@@ -376,7 +380,7 @@
     it.asked.clear();
     let mut clients = Vec::new();
     // Until there is no place for another connection.
-    while it.core.count().conns + it.core.count().clients < 15 {
+    while it.core.count().server_connections + it.core.count().clients < 15 {
         let place = clients.len().to_string();
         clients.push(it.asks(&place));
         assert_eq!(it.asked.len(), clients.len(), "{place}");
@@ -406,7 +410,7 @@
     it.pass(5_000);
     assert_eq!(it.asked_at(), [0; 0], "its server is taken out by hand, and there is no other");
     let (mut it, clients) = resting();
-    it.feed(Input::Ended(clients[0]));
+    it.feed(Input::Closed(clients[0]));
     it.pass(50_000);
     assert_eq!(it.asked_at(), [0; 0], "its client leaves");
     it.clean();
--- a/crates/stonevane-core/tests/crowd.rs
+++ b/crates/stonevane-core/tests/crowd.rs
@@ -50,7 +50,7 @@
             let client = it.connect();
             it.ask(client);
             it.pass(1_000);
-            it.feed(Input::Ended(client));
+            it.feed(Input::Closed(client));
         }
         it.standing.clear();
         it
@@ -62,18 +62,18 @@
         for output in out {
             match output {
                 Output::Open(id, _) => self.feed(Input::Opened(id)),
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     self.feed(Input::Flushed(id));
                     self.inputs.push_back((id, HIT.to_vec()));
                 }
-                Output::Write(id, bytes) | Output::Last(id, bytes) => {
+                Output::Write(id, bytes) | Output::WriteAndClose(id, bytes) => {
                     self.answered.entry(id).or_insert_with(|| bytes.to_vec());
                     self.feed(Input::Flushed(id));
                 }
-                Output::Part(id) if self.core.parts(id) => {
+                Output::CloseIfIdle(id) if self.core.parts(id) => {
                     self.parted.push(id);
                     self.standing.retain(|other| *other != id);
-                    self.feed(Input::Ended(id));
+                    self.feed(Input::Closed(id));
                 }
                 Output::Close(id) => self.standing.retain(|other| *other != id),
                 _ => {}
@@ -100,7 +100,7 @@
         if !self.core.accepts() {
             return 0;
         }
-        let id = self.core.next_id();
+        let id = self.core.next_connection_id();
         self.standing.push(id);
         self.feed(Input::Accepted(id));
         id
@@ -158,7 +158,7 @@
         honest.iter().filter(|id| it.answered.get(id).is_some_and(|bytes| bytes.starts_with(b"$"))).count();
     // When the crowd has gone there is room at once.
     for id in it.standing.clone() {
-        it.feed(Input::Ended(id));
+        it.feed(Input::Closed(id));
     }
     let id = it.connect();
     it.ask(id);
@@ -197,7 +197,7 @@
             it.ask(id);
             it.pass(1_000);
             served += usize::from(it.answered.get(&id).is_some_and(|bytes| bytes.starts_with(b"$")));
-            it.feed(Input::Ended(id));
+            it.feed(Input::Closed(id));
             it.standing.retain(|other| *other != id);
         }
         it.pass(4_000);
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -9,8 +9,10 @@
 use common::{START, core_seeded};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
-use stonevane_core::patience::{Awaited, CallEnd, Patience};
-use stonevane_core::{Ask, Call, Core, Era, Input, Listing, Output, Outputs};
+use stonevane_core::discovery_timeouts::{Awaited, CallEnd, DiscoveryTimeouts};
+use stonevane_core::{
+    Core, DiscoveryCall, DiscoveryEpoch, DiscoveryRequest, EndpointList, Input, Output, Outputs,
+};
 use stonevane_policy::Micros;
 use stonevane_policy::settings::Deployment;
 
@@ -71,7 +73,7 @@
 /// A call as it goes.
 #[derive(Debug)]
 struct Going {
-    call: Call,
+    call: DiscoveryCall,
     words: Vec<(Micros, Word)>,
     end: (Micros, CallEnd),
     /// The time of the last word, or of the begin.
@@ -79,8 +81,8 @@
 }
 
 impl Failure {
-    fn play(&self, begun: Micros, call: Call, silent_from: Option<Micros>) -> Going {
-        let waits = call.patience;
+    fn play(&self, begun: Micros, call: DiscoveryCall, silent_from: Option<Micros>) -> Going {
+        let waits = call.timeouts;
         let (mut at, mut awaits, mut words) = (begun, Awaited::Connection, Vec::new());
         let mut stood = false;
         for (place, gap) in self.gaps.iter().enumerate() {
@@ -105,7 +107,7 @@
             (Some(after), _) => (at + part(after, limit), CallEnd::Broken),
             (None, Awaited::Connection) => (at + limit, CallEnd::Broken),
             (None, Awaited::Answer) => (at + limit, CallEnd::Unanswered),
-            (None, Awaited::Line) => (at + limit, CallEnd::Silent { stood }),
+            (None, Awaited::Line) => (at + limit, CallEnd::TimedOut { was_established: stood }),
         };
         Going { call, words, end, quiet_since: begun }
     }
@@ -123,7 +125,7 @@
     begun: usize,
     going: Option<Going>,
     /// A watch on pushed lists is opened again then.
-    again: Option<(Micros, Call)>,
+    again: Option<(Micros, DiscoveryCall)>,
     /// When discovery can be reached again, and when it has to have been heard by then.
     answers: Option<(Micros, Micros)>,
     heard: Option<Micros>,
@@ -158,15 +160,17 @@
         self.core.handle(self.now, input, &mut out);
         for output in out {
             let Output::Discovery(call) = output else { continue };
-            match call.ask {
-                Ask::Watch { .. } | Ask::Follow => self.begin(call),
-                Ask::Unwatch | Ask::Leave => (self.going, self.again) = (None, None),
-                Ask::Fetch => panic!("no whole list is asked for on its own"),
+            match call.request {
+                DiscoveryRequest::Watch { .. } | DiscoveryRequest::WatchAgent => self.begin(call),
+                DiscoveryRequest::StopWatch | DiscoveryRequest::CancelAll => {
+                    (self.going, self.again) = (None, None)
+                }
+                DiscoveryRequest::FetchList => panic!("no whole list is asked for on its own"),
             }
         }
     }
 
-    fn begin(&mut self, call: Call) {
+    fn begin(&mut self, call: DiscoveryCall) {
         let (number, case) = (self.begun, self.case);
         self.begun += 1;
         self.again = None;
@@ -194,7 +198,7 @@
             self.feed(Input::Settings(Box::new(self.deployment.clone())));
         }
         if case.moves == Some(number) {
-            self.feed(Input::Move(std::net::SocketAddr::from(([127, 0, 0, 1], 4))));
+            self.feed(Input::DiscoveryMoved(std::net::SocketAddr::from(([127, 0, 0, 1], 4))));
         }
     }
 
@@ -217,20 +221,22 @@
 
     fn call_goes_on(&mut self) {
         let Some(going) = &mut self.going else { return };
-        let era: Era = going.call.era;
+        let era: DiscoveryEpoch = going.call.epoch;
         if !going.words.is_empty() {
             let (at, word) = going.words.remove(0);
             going.quiet_since = at;
             if word == Word::Change {
-                let index = self.core.index().unwrap_or(0) + 1;
-                self.feed(Input::List(era, Listing { index, snapshot: false, endpoints: Vec::new() }));
+                let index = self.core.list_version().unwrap_or(0) + 1;
+                self.feed(Input::List(era, EndpointList { index, snapshot: false, endpoints: Vec::new() }));
             }
             return;
         }
         let Some(Going { call, end: (_, end), quiet_since, .. }) = self.going.take() else { return };
         self.log.push(format!("{:.6} s: {end:?}", (self.now - START) as f64 / 1e6));
-        match call.ask {
-            Ask::Follow => self.again = Some((self.now + call.patience.again, call)),
+        match call.request {
+            DiscoveryRequest::WatchAgent => {
+                self.again = Some((self.now + call.timeouts.reconnect_delay, call))
+            }
             _ => self.feed(Input::call_ended(end, era, self.now - quiet_since)),
         }
     }
@@ -324,9 +330,9 @@
                     drain_grace,
                     ..Default::default()
                 };
-                let waits = Patience::of(&settings);
+                let waits = DiscoveryTimeouts::of(&settings);
                 let longest = [Awaited::Connection, Awaited::Answer, Awaited::Line].map(|w| waits.limit(w));
-                assert!(longest.iter().all(|wait| wait + waits.again + TURN <= TOLD), "{waits:?}");
+                assert!(longest.iter().all(|wait| wait + waits.reconnect_delay + TURN <= TOLD), "{waits:?}");
             }
         }
     }
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use common::{START, core_seeded};
-use stonevane_core::{Ask, Call, Core, Input, Output, Outputs};
+use stonevane_core::{Core, DiscoveryCall, DiscoveryRequest, Input, Output, Outputs};
 use stonevane_policy::Micros;
 use stonevane_server_model::service::Turns;
 
@@ -37,11 +37,11 @@
 }
 
 /// The watches that an input opens.
-fn watches(core: &mut Core, now: Micros, input: Input<'_>) -> Vec<Call> {
+fn watches(core: &mut Core, now: Micros, input: Input<'_>) -> Vec<DiscoveryCall> {
     let mut out = Outputs::new();
     core.handle(now, input, &mut out);
     let opened = |output| match output {
-        Output::Discovery(call) if matches!(call.ask, Ask::Watch { .. }) => Some(call),
+        Output::Discovery(call) if matches!(call.request, DiscoveryRequest::Watch { .. }) => Some(call),
         _ => None,
     };
     out.into_iter().filter_map(opened).collect()
@@ -105,8 +105,11 @@
         if !watches(&mut core, START, Input::Wake).is_empty() {
             continue;
         }
-        let opened = watches(&mut core, START + 1, Input::Move(elsewhere));
-        assert!(matches!(opened[..], [Call { address, .. }] if address == elsewhere), "{seed}: {opened:?}");
+        let opened = watches(&mut core, START + 1, Input::DiscoveryMoved(elsewhere));
+        assert!(
+            matches!(opened[..], [DiscoveryCall { address, .. }] if address == elsewhere),
+            "{seed}: {opened:?}"
+        );
         assert!(opens(&mut core, START + TOLD).is_empty(), "{seed}: no call beside it");
     }
 }
--- a/crates/stonevane-core/tests/hit.rs
+++ b/crates/stonevane-core/tests/hit.rs
@@ -23,7 +23,7 @@
 fn hits(store: bool) -> Cost {
     let (mut core, mut now, mut out) = (core(store, 256, Duration::ZERO), START, Outputs::with_capacity(64));
     let (mut counted, mut calls, mut served) = (0, 0, 0);
-    let client = core.next_id();
+    let client = core.next_connection_id();
     core.handle(now, Input::Accepted(client), &mut out);
     for at in 0..HITS + 100 {
         let ask = get(&format!("{:04}", at % 50), &format!("{at:04}"));
@@ -41,7 +41,7 @@
             while let Some(output) = out.pop_front() {
                 match output {
                     Output::Open(id, _) => told.push(Input::Opened(id)),
-                    Output::Ask(id, ..) => {
+                    Output::WriteRequest(id, ..) => {
                         told.push(Input::Flushed(id));
                         next = Some((id, HIT));
                     }
@@ -50,7 +50,7 @@
                         served += 1;
                         told.push(Input::Flushed(id));
                     }
-                    Output::Call(..) => calls += 1,
+                    Output::CallStore(..) => calls += 1,
                     _ => {}
                 }
             }
--- a/crates/stonevane-core/tests/passage.rs
+++ b/crates/stonevane-core/tests/passage.rs
@@ -33,7 +33,7 @@
 impl World {
     fn new() -> World {
         let mut core = core(false, 256, Duration::ZERO);
-        let client = core.next_id();
+        let client = core.next_connection_id();
         let mut it = World {
             core,
             now: START,
@@ -61,7 +61,7 @@
         for output in out {
             match output {
                 Output::Open(id, _) => self.feed(Input::Opened(id)),
-                Output::Ask(id, bytes, _) => {
+                Output::WriteRequest(id, bytes, _) => {
                     let text = String::from_utf8_lossy(&bytes).into_owned();
                     let key = text.split("\r\n").nth(4).unwrap_or_default().to_owned();
                     self.feed(Input::Flushed(id));
@@ -164,7 +164,7 @@
         it.now += 3_000_000;
         it.feed(Input::Wake);
         let count = it.core.count();
-        prop_assert_eq!((count.owed, count.ids, count.memory, count.attempts), (0, 0, 0, 0));
+        prop_assert_eq!((count.unanswered, count.claimed_ids, count.memory, count.attempts), (0, 0, 0, 0));
         let served: u64 = it.core.counts().map(|(_, counts)| counts.served).sum();
         prop_assert_eq!(served, BEFORE + lengths.len() as u64);
         Ok(())
@@ -205,7 +205,7 @@
     it.now += 10_000; // What came while it stood still would have gone first.
     it.feed(Input::Wake);
     assert!(it.closed.contains(&it.client) && it.closed.contains(&conn));
-    assert_eq!((it.core.count().clients, it.core.count().owed, it.core.count().memory), (0, 0, 0));
+    assert_eq!((it.core.count().clients, it.core.count().unanswered, it.core.count().memory), (0, 0, 0));
 }
 
 #[test]
@@ -215,14 +215,14 @@
     let mut it = World::new();
     let conns = it.ask(&["aa", "bb"]);
     it.brings(conns[1], &long[..50_000], &mut std::iter::empty());
-    it.feed(Input::Ended(conns[1]));
+    it.feed(Input::Closed(conns[1]));
     assert!(!it.closed.contains(&it.client));
     it.brings(conns[0], common::HIT, &mut std::iter::empty());
     assert_eq!(String::from_utf8_lossy(&it.seen), "$5\r\nvalue\r\n-ERR failed\r\n");
     // At the front: the end of its connection tells.
     let conn = it.ask(&["cc"])[0];
     it.brings(conn, &long[..50_000], &mut std::iter::empty());
-    it.feed(Input::Ended(conn));
+    it.feed(Input::Closed(conn));
     assert!(it.closed.contains(&it.client));
     let counts: Vec<_> = it.core.counts().map(|(_, counts)| *counts).collect();
     assert_eq!(
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -40,7 +40,7 @@
             written,
         };
         for _ in 0..clients {
-            let id = it.core.next_id();
+            let id = it.core.next_connection_id();
             it.clients.push(id);
             it.feed(Input::Accepted(id));
         }
@@ -56,7 +56,7 @@
                     self.opened += 1;
                     self.feed(Input::Opened(id));
                 }
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     let rested = self.answered.get(&id).is_none_or(|at| at + REST <= self.now);
                     assert!(rested, "written to before it has rested");
                     self.feed(Input::Flushed(id));
@@ -98,12 +98,12 @@
             it.now += REST;
         }
         let begun = it.now;
-        while it.core.count().idle < 30 {
+        while it.core.count().idle_server_connections < 30 {
             it.ask(clients);
             it.answer();
             it.now += 4_000;
         }
-        assert!(it.core.count().idle == 30 && it.now < begun + REST);
+        assert!(it.core.count().idle_server_connections == 30 && it.now < begun + REST);
         it.now = begun + REST - 2_000;
         (it, begun + REST)
     }
--- a/crates/stonevane-core/tests/start_times.rs
+++ b/crates/stonevane-core/tests/start_times.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use common::*;
-use stonevane_core::{Core, Endpoint, Input, Listing, Note, Output, Outputs};
+use stonevane_core::{Core, Endpoint, EndpointList, Input, LogLine, Output, Outputs};
 
 const SECOND: u64 = 1_000_000;
 const HOUR: u64 = 3_600 * SECOND;
@@ -36,7 +36,7 @@
 /// How many servers a list is said to have in slow start, by the log of a node that takes it.
 fn in_slow_start(out: &Outputs) -> usize {
     let line = out.iter().rev().find_map(|output| match output {
-        Output::Log(Note::Module(line)) if line.starts_with("list: ") => Some(line),
+        Output::Log(LogLine::Info(line)) if line.starts_with("list: ") => Some(line),
         _ => None,
     });
     let before = line.expect("a list was taken").split(" in slow start").next().unwrap();
@@ -52,7 +52,7 @@
 
 impl Node {
     fn start(off: i64, known: Vec<Endpoint>) -> Node {
-        let known = Listing { index: 1, snapshot: true, endpoints: known };
+        let known = EndpointList { index: 1, snapshot: true, endpoints: known };
         let setup = stonevane_core::Setup { known, ..setup_with(false, 64, Duration::ZERO, |_| {}) };
         let core = Core::new(NOW.saturating_add_signed(off), setup);
         let mut node = Node { core, off, out: Outputs::new() };
@@ -66,7 +66,7 @@
 
     /// A change is told; how many servers of it are in slow start.
     fn change(&mut self, time: u64, index: u64, endpoints: Vec<Endpoint>) -> usize {
-        self.at(time, Input::List(0, Listing { index, snapshot: false, endpoints }));
+        self.at(time, Input::List(0, EndpointList { index, snapshot: false, endpoints }));
         in_slow_start(&self.out)
     }
 }
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -9,7 +9,7 @@
 
 use common::{HIT, START, get, setup_with};
 use stonevane_config::operator::{Region, Regions};
-use stonevane_core::{ConnId, Core, Endpoint, Input, Listing, Note, Output, Outputs};
+use stonevane_core::{ConnId, Core, Endpoint, EndpointList, Input, LogLine, Output, Outputs};
 
 /// A server of the list; its port tells it from others, and 900 is the origin's.
 fn endpoint(port: u16, zone: &str, status: &str) -> Endpoint {
@@ -69,7 +69,7 @@
             deployment.settings.tenants[0].quota_per_s = 50.0 * f64::from(balancers);
             deployment.zones = ["a", "b", "c"].map(String::from).into();
         });
-        setup.known = Listing { index: 1, snapshot: true, endpoints: known };
+        setup.known = EndpointList { index: 1, snapshot: true, endpoints: known };
         setup.regions = regions;
         let mut it = World {
             core: Core::new(START, setup),
@@ -82,7 +82,7 @@
             served: 0,
             notes: Vec::new(),
         };
-        it.client = it.core.next_id();
+        it.client = it.core.next_connection_id();
         it.feed(Input::Accepted(it.client));
         it
     }
@@ -96,7 +96,7 @@
                     self.ports.insert(id, address.port());
                     self.feed(Input::Opened(id));
                 }
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     self.sent.push(self.ports[&id]);
                     self.owing.push(id);
                     self.feed(Input::Flushed(id));
@@ -107,7 +107,7 @@
                     self.served += 1;
                     self.feed(Input::Flushed(id));
                 }
-                Output::Log(Note::Module(line)) if line.starts_with("regions: ") => self.notes.push(line),
+                Output::Log(LogLine::Info(line)) if line.starts_with("regions: ") => self.notes.push(line),
                 _ => {}
             }
         }
@@ -141,7 +141,7 @@
     }
 
     fn list(&mut self, index: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
-        self.feed(Input::List(0, Listing { index, snapshot, endpoints }));
+        self.feed(Input::List(0, EndpointList { index, snapshot, endpoints }));
     }
 
     fn change(&mut self, index: u64, endpoint: Endpoint) {
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -74,7 +74,7 @@
                 Event::Ask(node) => {
                     it.asked[node] += 1;
                     let word = format!("{:08x}", (node as u64) << 16 | it.asked[node]);
-                    let client = it.nodes[node].next_id();
+                    let client = it.nodes[node].next_connection_id();
                     it.feed(node, Input::Accepted(client));
                     it.feed(node, Input::Bytes(client, &get(&word, &word)));
                 }
@@ -101,7 +101,7 @@
                     }
                     self.feed(node, Input::Opened(id));
                 }
-                Output::Ask(id, ..) => {
+                Output::WriteRequest(id, ..) => {
                     self.feed(node, Input::Flushed(id));
                     match self.origin.get(&(node, id)) {
                         None => self.feed(node, Input::Bytes(id, MISS)),
@@ -120,7 +120,7 @@
                 Output::Write(id, bytes) => {
                     self.served[node] += u64::from(bytes.starts_with(b"$5\r\n"));
                     self.feed(node, Input::Flushed(id));
-                    self.feed(node, Input::Ended(id));
+                    self.feed(node, Input::Closed(id));
                 }
                 _ => {}
             }
--- a/crates/stonevane-membership/src/faults.rs
+++ b/crates/stonevane-membership/src/faults.rs
@@ -1,5 +1,5 @@
 //! Deliberate faults, for the simulator and the lab to detect. The type of a machine decides whether it can have any: the
-//! daemon's is [`Honest`], and the compiler removes them from it.
+//! daemon's is [`NoFaults`], and the compiler removes them from it.
 
 /// A fault that a member can be given.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,9 +72,9 @@
 
 /// No faults.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Honest;
+pub struct NoFaults;
 
-impl Faults for Honest {
+impl Faults for NoFaults {
     fn has(&self, _: Mutant) -> bool {
         false
     }
--- a/crates/stonevane-membership/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -7,10 +7,10 @@
 //! anybody else are not accepted.
 //!
 //! ```
-//! use stonevane_membership::{Honest, Input, Machine, Outputs, Setup, State};
+//! use stonevane_membership::{NoFaults, Input, Machine, Outputs, Setup, State};
 //!
 //! let setup = |me| Setup { me, members: 2, seed: 7 + u64::from(me), draw: 100 + u32::from(me), ..Setup::default() };
-//! let mut members = [Machine::<Honest>::new(0, setup(0)), Machine::new(0, setup(1))];
+//! let mut members = [Machine::<NoFaults>::new(0, setup(0)), Machine::new(0, setup(1))];
 //! let mut outputs = Outputs::default();
 //! members[0].handle(0, Input::Wake, &mut outputs);
 //! let (to, bytes) = outputs.sends.pop_front().unwrap();
@@ -26,8 +26,8 @@
 mod status;
 pub mod wire;
 
-pub use faults::{Faults, Honest, Mutant};
-pub use machine::{Input, Machine, News, Outputs, Setup};
+pub use faults::{Faults, Mutant, NoFaults};
+pub use machine::{Input, Machine, MemberEvent, Outputs, Setup};
 pub use record::{Instance, Number, Record, State};
 pub use status::{Counts, MemberStatus, Status};
 
--- a/crates/stonevane-membership/src/machine/merge.rs
+++ b/crates/stonevane-membership/src/machine/merge.rs
@@ -1,6 +1,6 @@
 //! Merging of membership updates into the member table, and refutation of updates about this member itself.
 
-use super::{Machine, News, Outputs};
+use super::{Machine, MemberEvent, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
 use crate::record::{Record, State};
@@ -97,6 +97,6 @@
         }
         self.members[record.member].since = now;
         let was = before.map(|before| before.state);
-        out.news.push(News { was, now: record });
+        out.news.push(MemberEvent { was, now: record });
     }
 }
--- a/crates/stonevane-membership/src/machine/mod.rs
+++ b/crates/stonevane-membership/src/machine/mod.rs
@@ -36,7 +36,7 @@
 mod suspicion;
 mod transmission;
 
-pub use setup::{Input, News, Outputs, Setup};
+pub use setup::{Input, MemberEvent, Outputs, Setup};
 
 use self::anti_entropy::AntiEntropy;
 use self::gossip::Gossip;
@@ -49,7 +49,7 @@
 use self::suspicion::Suspicions;
 use self::transmission::{Envelope, Transmitter};
 use crate::Micros;
-use crate::faults::{Faults, Honest};
+use crate::faults::{Faults, NoFaults};
 use crate::health::LocalHealth;
 use crate::record::{Instance, Number, Record, State};
 use crate::status::Counts;
@@ -60,7 +60,7 @@
 
 /// One member.
 #[derive(Debug)]
-pub struct Machine<F: Faults = Honest> {
+pub struct Machine<F: Faults = NoFaults> {
     setup: Setup,
     faults: F,
     random: Random,
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -66,7 +66,7 @@
 
 /// A change of a member's state or instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct News {
+pub struct MemberEvent {
     /// The state before; `None`: the member was unknown.
     pub was: Option<State>,
     /// The record that holds now.
@@ -79,5 +79,5 @@
     /// Datagrams to send, each with its receiver.
     pub sends: VecDeque<(Number, Vec<u8>)>,
     /// Membership changes, in their order.
-    pub news: Vec<News>,
+    pub news: Vec<MemberEvent>,
 }
--- a/crates/stonevane-membership/tests/machine.rs
+++ b/crates/stonevane-membership/tests/machine.rs
@@ -5,14 +5,14 @@
 
 use proptest::prelude::*;
 use stonevane_membership::wire::{Kind, Message};
-use stonevane_membership::{Honest, Input, Instance, Machine, Outputs, Record, Setup, State};
+use stonevane_membership::{Input, Instance, Machine, NoFaults, Outputs, Record, Setup, State};
 
 const S: u64 = 1_000_000;
 
 /// Members, what is on its way, and who does not run.
 struct Fleet {
     now: u64,
-    members: Vec<Option<Machine<Honest>>>,
+    members: Vec<Option<Machine<NoFaults>>>,
     /// By its time and a number.
     flying: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     number: u64,
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -7,7 +7,7 @@
 use stonevane_policy::settings::{self, Deployment};
 use xxhash_rust::xxh3::xxh3_64;
 
-use stonevane_core::Listing;
+use stonevane_core::EndpointList;
 
 use crate::listener;
 
@@ -29,7 +29,7 @@
     /// Memory that the node may have in all, in megabytes.
     pub memory_mb: usize,
     /// The list of servers as this node last had it.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The settings.
     pub deployment: Deployment,
     /// The file as it stood.
@@ -83,7 +83,7 @@
     discovery: String,
     seed: String,
     limits: Limits,
-    known: Option<Listing>,
+    known: Option<EndpointList>,
     settings: Option<Box<serde_json::value::RawValue>>,
     peer_listen: String,
     peers: Vec<String>,
--- a/crates/stonevane-node/src/discovery.rs
+++ b/crates/stonevane-node/src/discovery.rs
@@ -8,8 +8,8 @@
 use bytes::BytesMut;
 use stonevane_codec::http::{self, Chunks, Head};
 use stonevane_codec::lines::ObjectReader;
-use stonevane_core::patience::{Awaited, CallEnd, Patience};
-use stonevane_core::{Ask, Call, Era, Input};
+use stonevane_core::discovery_timeouts::{Awaited, CallEnd, DiscoveryTimeouts};
+use stonevane_core::{DiscoveryCall, DiscoveryEpoch, DiscoveryRequest, Input};
 use stonevane_policy::Micros;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -43,24 +43,24 @@
 #[derive(Clone)]
 struct Line {
     tell: Tell,
-    era: Era,
-    patience: Patience,
+    era: DiscoveryEpoch,
+    patience: DiscoveryTimeouts,
     traffic: Arc<Traffic>,
 }
 
 /// A call whose answer has not begun in time. Discovery works calls off in turn: this one keeps its turn beside the next,
 /// which would have to queue behind it.
 #[derive(Clone, Default)]
-struct Unanswered(Arc<Mutex<Option<(Era, Asked)>>>);
+struct Unanswered(Arc<Mutex<Option<(DiscoveryEpoch, Asked)>>>);
 
 impl Unanswered {
     /// Keeps a call, in place of an older one.
-    fn keep(&self, era: Era, call: Option<Asked>) {
+    fn keep(&self, era: DiscoveryEpoch, call: Option<Asked>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = call.map(|call| (era, call));
     }
 
     /// Takes the call that is kept, where it was made to the discovery of this era.
-    fn take(&self, era: Era) -> Option<Asked> {
+    fn take(&self, era: DiscoveryEpoch) -> Option<Asked> {
         let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         kept.filter(|(of, _)| *of == era).map(|(_, call)| call)
     }
@@ -97,12 +97,12 @@
     }
 
     /// Makes a call, or ends some.
-    pub fn call(&mut self, call: Call) {
-        let (tell, patience) = (self.tell.clone(), call.patience);
+    pub fn call(&mut self, call: DiscoveryCall) {
+        let (tell, patience) = (self.tell.clone(), call.timeouts);
         let traffic = self.traffic.clone();
-        let (address, line) = (call.address, Line { tell, era: call.era, patience, traffic });
-        match call.ask {
-            Ask::Watch { after } => {
+        let (address, line) = (call.address, Line { tell, era: call.epoch, patience, traffic });
+        match call.request {
+            DiscoveryRequest::Watch { after } => {
                 self.watch.take().inspect(AbortHandle::abort);
                 let unanswered = self.unanswered.clone();
                 let call = async move {
@@ -115,8 +115,8 @@
                 };
                 self.watch = Some(tokio::spawn(call).abort_handle());
             }
-            Ask::Unwatch => self.end_watch(),
-            Ask::Fetch => {
+            DiscoveryRequest::StopWatch => self.end_watch(),
+            DiscoveryRequest::FetchList => {
                 self.fetch.take().inspect(AbortHandle::abort);
                 let call = async move {
                     if let Err(e) = lists(address, "/v1/servers", &line).await {
@@ -128,7 +128,7 @@
             }
             // Where lists are pushed, an agent on this machine has them, and they count as told whether or not a watch is
             // open: however quiet the last ones were, the next is opened without delay.
-            Ask::Follow => {
+            DiscoveryRequest::WatchAgent => {
                 self.watch.take().inspect(AbortHandle::abort);
                 let index = self.index.clone();
                 let call = async move {
@@ -136,12 +136,12 @@
                         let held = index.load(Ordering::Relaxed);
                         let path = watch_path((held > 0).then_some(held));
                         let _ = lists(address, &path, &line).await;
-                        tokio::time::sleep(micros(patience.again)).await;
+                        tokio::time::sleep(micros(patience.reconnect_delay)).await;
                     }
                 };
                 self.watch = Some(tokio::spawn(call).abort_handle());
             }
-            Ask::Leave => self.leave(),
+            DiscoveryRequest::CancelAll => self.leave(),
         }
     }
 
@@ -243,7 +243,7 @@
 fn call_end(called: &Result<(), CallError>) -> CallEnd {
     match called {
         Err(CallError::Unanswered) => CallEnd::Unanswered,
-        Err(CallError::Silent { stood }) => CallEnd::Silent { stood: *stood },
+        Err(CallError::Silent { stood }) => CallEnd::TimedOut { was_established: *stood },
         _ => CallEnd::Broken,
     }
 }
@@ -294,7 +294,11 @@
 
     /// The head of its answer, waited for without end where there is no patience. What has come of it is kept where this
     /// is dropped.
-    async fn head(&mut self, patience: Option<Patience>, heard: &mut Instant) -> Result<Head, CallError> {
+    async fn head(
+        &mut self,
+        patience: Option<DiscoveryTimeouts>,
+        heard: &mut Instant,
+    ) -> Result<Head, CallError> {
         loop {
             if let Some(head) = http::head(&self.raw).map_err(|_| CallError::Garbage)? {
                 return if head.status == 200 { Ok(head) } else { Err(CallError::Status(head.status)) };
--- a/crates/stonevane-node/src/driver.rs
+++ b/crates/stonevane-node/src/driver.rs
@@ -14,9 +14,9 @@
 use foldhash::{HashMap, HashMapExt};
 use rustix::io::retry_on_intr;
 use rustix::net::RecvFlags;
-use stonevane_core::beside::{Room, Stage};
+use stonevane_core::handover::{Capacity, ProcessStage};
 use stonevane_core::management::{Answer, Call};
-use stonevane_core::{ConnId, Core, Input, Note, Output, Outputs};
+use stonevane_core::{ConnId, Core, Input, LogLine, Output, Outputs};
 use stonevane_policy::Micros;
 use tokio::io::Interest;
 use tokio::net::{TcpListener, TcpStream};
@@ -145,7 +145,7 @@
         store: Option<Arc<Record>>,
         fleet: Option<Arc<Fleet>>,
     ) -> Arc<Driver> {
-        let index = Arc::new(AtomicU64::new(core.index().unwrap_or(0)));
+        let index = Arc::new(AtomicU64::new(core.list_version().unwrap_or(0)));
         let state = State {
             core,
             outputs: Outputs::new(),
@@ -178,7 +178,7 @@
         });
         let shut = Box::new(move |lasts| {
             if let Some(driver) = shut.upgrade() {
-                driver.input(Input::OriginShut(lasts));
+                driver.input(Input::OriginUnavailable(lasts));
             }
         });
         {
@@ -228,7 +228,7 @@
                     "this node takes no part in a fleet: [fleet] of the operator file is not set",
                 ),
             },
-            Call::Exclude { name, .. } if !state.core.knows(&name) => {
+            Call::Exclude { name, .. } if !state.core.has_cache_server(&name) => {
                 Answer::line(404, "there is no cache server of that name")
             }
             Call::Exclude { name, out } => {
@@ -246,8 +246,8 @@
 
     /// What it holds of what all processes of the node may hold together, what is open, how far it has come, and that
     /// whole.
-    pub fn standing(&self) -> (Room, usize, Stage, Room) {
-        self.lock().core.standing()
+    pub fn standing(&self) -> (Capacity, usize, ProcessStage, Capacity) {
+        self.lock().core.handover_status()
     }
 
     /// Takes up what people have said to another process of this node.
@@ -273,14 +273,14 @@
         while let Some(output) = state.outputs.pop_front() {
             match output {
                 Output::Write(id, bytes) => self.write(state, id, bytes),
-                Output::Last(id, bytes) => {
+                Output::WriteAndClose(id, bytes) => {
                     if self.drained(state, id, true) {
                         self.write_last(state, id, bytes);
                     } else {
                         self.write(state, id, bytes);
                     }
                 }
-                Output::Ask(id, bytes, sure) => {
+                Output::WriteRequest(id, bytes, sure) => {
                     // First: a connection that the server has ended is not written to, so that its request surely
                     // never ran.
                     if self.drained(state, id, sure) {
@@ -291,18 +291,18 @@
                     let task = tokio::spawn(self.clone().open(id, address)).abort_handle();
                     self.link(state, id, None, task);
                 }
-                Output::Call(id, job) => {
+                Output::CallStore(id, job) => {
                     let Some(store) = self.store.clone() else { continue };
                     let own = self.clone();
                     let call = async move {
                         let reply = store.call(*job).await;
-                        own.input(Input::Replied(id, reply));
+                        own.input(Input::CallReplied(id, reply));
                     };
                     let task = tokio::spawn(call).abort_handle();
                     self.link(state, id, None, task);
                 }
                 Output::Close(id) => drop(state.links.remove(&id)),
-                Output::Part(id) => {
+                Output::CloseIfIdle(id) => {
                     if state.core.parts(id)
                         && self.drained(state, id, true)
                         && let Some(link) = state.links.remove(&id)
@@ -311,10 +311,10 @@
                         if let Some(stream) = &link.stream {
                             let _ = rustix::net::shutdown(stream, rustix::net::Shutdown::Write);
                         }
-                        self.tell(state, Input::Ended(id));
+                        self.tell(state, Input::Closed(id));
                     }
                 }
-                Output::Linger(id) => {
+                Output::CloseWrite(id) => {
                     self.linger(state, id);
                 }
                 Output::Resume(id) => {
@@ -327,7 +327,7 @@
                         discovery.call(call);
                     }
                 }
-                Output::Placement(caches) => {
+                Output::CachesChanged(caches) => {
                     if let Some(placement) = &state.placement {
                         placement.send_replace(caches);
                     }
@@ -336,16 +336,16 @@
                     self.drains.store(true, Ordering::Relaxed);
                     self.draining.notify_one();
                 }
-                Output::Succeeded => {
+                Output::Replaced => {
                     self.succeeded.store(true, Ordering::Relaxed);
                     self.draining.notify_one();
                 }
-                Output::Log(Note::Module(line)) => log(&line),
-                Output::Log(Note::Fault(line)) => log(&format!("fault: {line}")),
+                Output::Log(LogLine::Info(line)) => log(&line),
+                Output::Log(LogLine::Error(line)) => log(&format!("fault: {line}")),
                 Output::Done => self.done.notify_one(),
             }
         }
-        self.index.store(state.core.index().unwrap_or(0), Ordering::Relaxed);
+        self.index.store(state.core.list_version().unwrap_or(0), Ordering::Relaxed);
         let accepts = state.core.accepts();
         if accepts && !self.accepts.swap(accepts, Ordering::Relaxed) {
             self.accept.notify_one();
@@ -404,7 +404,7 @@
                     let _ = stream.set_nodelay(true);
                     let stream = Arc::new(stream);
                     let mut state = self.lock();
-                    let id = state.core.next_id();
+                    let id = state.core.next_connection_id();
                     let resume = Arc::new(Notify::new());
                     let task = tokio::spawn(self.clone().read(id, stream.clone(), resume.clone(), true));
                     let task = Some(task.abort_handle());
@@ -439,7 +439,7 @@
     fn ended(self: &Arc<Self>, id: ConnId) {
         let mut state = self.lock();
         if state.links.remove(&id).is_some() {
-            self.tell(&mut state, Input::Ended(id));
+            self.tell(&mut state, Input::Closed(id));
             self.perform(&mut state);
         }
     }
@@ -468,7 +468,7 @@
             return Received::Over;
         }
         let limit = state.core.reads(id).min(SCRATCH);
-        let left = state.core.serves(id) && has_ended(stream);
+        let left = state.core.is_client(id) && has_ended(stream);
         if limit == 0 && !left {
             return Received::Paused;
         }
@@ -479,10 +479,10 @@
             read if would_block(&read) => return Received::Some,
             _ => {
                 state.links.remove(&id);
-                Input::Ended(id)
+                Input::Closed(id)
             }
         };
-        let over = matches!(input, Input::Ended(_));
+        let over = matches!(input, Input::Closed(_));
         state.core.handle(self.clock.now(), input, &mut state.outputs);
         self.perform(state);
         if over { Received::Over } else { Received::Some }
@@ -506,7 +506,7 @@
             read if would_block(&read) => return true,
             _ => {
                 state.links.remove(&id);
-                Input::Ended(id)
+                Input::Closed(id)
             }
         };
         state.core.handle(self.clock.now(), input, &mut state.outputs);
@@ -534,7 +534,7 @@
         match stream.map(|stream| try_write(&stream, &bytes)) {
             Some(Ok(count)) if count == bytes.len() => {
                 self.linger(state, id);
-                self.tell(state, Input::Parted(id));
+                self.tell(state, Input::WriteClosed(id));
             }
             Some(Ok(count)) => self.write(state, id, bytes.slice(count..)),
             _ => self.write(state, id, bytes),
@@ -551,7 +551,7 @@
             written if would_block(&written) => {}
             _ => {
                 state.links.remove(&id);
-                return self.tell(state, Input::Ended(id));
+                return self.tell(state, Input::Closed(id));
             }
         }
         let own = self.clone();
@@ -601,7 +601,7 @@
     use std::io::Read;
 
     use stonevane_config::operator;
-    use stonevane_core::{Listing, Setup};
+    use stonevane_core::{EndpointList, Setup};
     use stonevane_policy::settings::Deployment;
     use stonevane_policy::{RequestClass, Settings, Tenant};
 
@@ -628,7 +628,7 @@
             seed: 1,
             sockets: 64,
             memory_mb: 16,
-            known: Listing::default(),
+            known: EndpointList::default(),
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
@@ -653,14 +653,14 @@
             let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
             let listens = tokio::spawn(driver.clone().listen(listener));
             driver.input(Input::Wake);
-            while driver.standing().0.places == 0 {
+            while driver.standing().0.connections == 0 {
                 tokio::task::yield_now().await;
             }
             driver.input(Input::Terminate);
             // From here on the runtime gets no turn.
             std::thread::sleep(Duration::from_millis(600));
             driver.input(Input::Wake);
-            assert_eq!(driver.standing().0.places, 0, "it is closed");
+            assert_eq!(driver.standing().0.connections, 0, "it is closed");
             client.set_nonblocking(true).unwrap();
             assert_eq!(client.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "and its client knows");
             listens.abort();
--- a/crates/stonevane-node/src/beside.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -1,5 +1,5 @@
 //! Another process of this node beside this one, while one replaces the other: files in `$TMPDIR` tell each of the
-//! other. Who may take what is `stonevane_core::beside`'s to say.
+//! other. Who may take what is `stonevane_core::handover`'s to say.
 //!
 //! A process holds the lock of `SINCE-PID.lock` for as long as it lives, whatever ends it, and says in `SINCE-PID` what
 //! it may take, written anew by rename. A lock that can be had belongs to nobody: both files are removed.
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use stonevane_core::Input;
-use stonevane_core::beside::{Room, Stage, Standing, divide};
+use stonevane_core::handover::{Capacity, ProcessStage, ProcessStatus, divide};
 use stonevane_policy::Micros;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep;
@@ -26,7 +26,7 @@
 /// This process among those of its node.
 pub struct Beside {
     folder: PathBuf,
-    own: Standing,
+    own: ProcessStatus,
     /// Held for as long as the process lives.
     _lock: File,
     said: String,
@@ -50,16 +50,21 @@
         std::fs::create_dir_all(&folder)?;
         let lock = File::create(folder.join(name(since) + ".lock"))?;
         lock.try_lock().map_err(std::io::Error::other)?;
-        let own = Standing { since, stage: Stage::Starting, room: Room::default(), open: 0 };
+        let own = ProcessStatus {
+            started: since,
+            stage: ProcessStage::Starting,
+            capacity: Capacity::default(),
+            in_flight: 0,
+        };
         Ok(Beside { folder, own, _lock: lock, said: String::new() })
     }
 
     /// What the others that live have said. One that has said nothing that can be read may hold all but the spare.
-    fn others(&self, whole: Room) -> Vec<Standing> {
+    fn others(&self, whole: Capacity) -> Vec<ProcessStatus> {
         let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let files = entries.filter_map(|entry| entry.file_name().into_string().ok());
         let mut others = Vec::new();
-        for since in files.filter_map(|file| read_name(&file)).filter(|since| *since != self.own.since) {
+        for since in files.filter_map(|file| read_name(&file)).filter(|since| *since != self.own.started) {
             let lock = self.folder.join(name(since)).with_extension("lock");
             let Ok(file) = File::open(lock) else { continue };
             let Some(said) = self.said_by(since, &file, whole) else { continue };
@@ -72,7 +77,7 @@
     }
 
     /// What another has said, by its lock; nothing where it has gone.
-    fn said_by(&self, since: Since, file: &File, whole: Room) -> Option<Standing> {
+    fn said_by(&self, since: Since, file: &File, whole: Capacity) -> Option<ProcessStatus> {
         let path = self.folder.join(name(since));
         let lock = path.with_extension("lock");
         if !matches!(file.try_lock(), Err(TryLockError::WouldBlock)) {
@@ -87,20 +92,24 @@
         if text.is_empty() && !lock.exists() {
             return None;
         }
-        let unread = Standing { since, stage: Stage::Starting, room: whole, open: 0 };
+        let unread =
+            ProcessStatus { started: since, stage: ProcessStage::Starting, capacity: whole, in_flight: 0 };
         // One that is older than this one and has not spoken may hold all, a newer one holds only what is left.
-        let silent =
-            if since < self.own.since { unread } else { Standing { room: Room::default(), ..unread } };
-        Some(Standing::read(since, &text).unwrap_or(silent))
+        let silent = if since < self.own.started {
+            unread
+        } else {
+            ProcessStatus { capacity: Capacity::default(), ..unread }
+        };
+        Some(ProcessStatus::read(since, &text).unwrap_or(silent))
     }
 
-    fn say(&mut self, room: Room) {
-        self.own.room = room;
+    fn say(&mut self, room: Capacity) {
+        self.own.capacity = room;
         let line = self.own.line();
         if line == self.said {
             return;
         }
-        let path = self.folder.join(name(self.own.since));
+        let path = self.folder.join(name(self.own.started));
         let fresh = path.with_extension("new");
         match std::fs::write(&fresh, &line).and_then(|()| std::fs::rename(&fresh, &path)) {
             Ok(()) => self.said = line,
@@ -111,17 +120,17 @@
     /// Looks once at the others, and has the driver hold to what that leaves; whether there are any.
     pub fn look(&mut self, driver: &Arc<Driver>) -> bool {
         let (held, open, stage, whole) = driver.standing();
-        (self.own.stage, self.own.open) = (stage, open);
+        (self.own.stage, self.own.in_flight) = (stage, open);
         let others = self.others(whole);
         let grant = divide(whole, &self.own, held, &others);
-        let room = grant.room;
+        let room = grant.capacity;
         // What is more is said before it is taken, what is less is let go before that is said.
-        let more = Room {
-            places: room.places.max(self.own.room.places),
-            memory: room.memory.max(self.own.room.memory),
+        let more = Capacity {
+            connections: room.connections.max(self.own.capacity.connections),
+            memory: room.memory.max(self.own.capacity.memory),
         };
         self.say(more);
-        driver.input(Input::Beside(grant));
+        driver.input(Input::Handover(grant));
         self.say(room);
         !others.is_empty()
     }
@@ -156,7 +165,7 @@
 
 impl Drop for Beside {
     fn drop(&mut self) {
-        let path = self.folder.join(name(self.own.since));
+        let path = self.folder.join(name(self.own.started));
         let _ = std::fs::remove_file(path.with_extension("lock"));
         let _ = std::fs::remove_file(&path);
     }
@@ -167,7 +176,7 @@
     use super::*;
     use std::sync::atomic::{AtomicBool, Ordering};
 
-    const WHOLE: Room = Room { places: 320, memory: 16_000 };
+    const WHOLE: Capacity = Capacity { connections: 320, memory: 16_000 };
 
     #[test]
     fn one_that_ends_leaves_all_that_it_held_at_every_moment_of_its_end() {
@@ -177,7 +186,7 @@
         let own = Beside::new(&folder, (1_000, 0)).unwrap();
         for turn in 0..300 {
             let mut old = Beside::new(&folder, (turn, 0)).unwrap();
-            old.say(Room { places: 20, memory: 1_000 });
+            old.say(Capacity { connections: 20, memory: 1_000 });
             let ends = AtomicBool::new(false);
             std::thread::scope(|scope| {
                 let ended = scope.spawn(|| {
@@ -190,7 +199,7 @@
                 loop {
                     let done = ended.is_finished();
                     for other in own.others(WHOLE) {
-                        assert_eq!(other.room.places, 20, "in turn {turn}");
+                        assert_eq!(other.capacity.connections, 20, "in turn {turn}");
                     }
                     if done {
                         break;
@@ -201,7 +210,7 @@
         }
         // Its lock is open here already when it takes all away, and is still held: by the time that it is read it has gone.
         let mut old = Beside::new(&folder, (998, 0)).unwrap();
-        old.say(Room { places: 20, memory: 1_000 });
+        old.say(Capacity { connections: 20, memory: 1_000 });
         let lock = File::open(own.folder.join(name((998, 0)) + ".lock")).unwrap();
         assert!(own.said_by((998, 0), &lock, WHOLE).is_some());
         for file in [name((998, 0)) + ".lock", name((998, 0))] {
@@ -210,7 +219,7 @@
         assert_eq!(own.said_by((998, 0), &lock, WHOLE), None);
         // One that has its place and has said nothing yet may hold all.
         let _starts = Beside::new(&folder, (999, 0)).unwrap();
-        assert_eq!(own.others(WHOLE).iter().map(|other| other.room).collect::<Vec<_>>(), [WHOLE]);
+        assert_eq!(own.others(WHOLE).iter().map(|other| other.capacity).collect::<Vec<_>>(), [WHOLE]);
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -1,13 +1,13 @@
 //! One node: drives the core (`stonevane-core`) on sockets, with discovery, and with a store of record in the origin's
 //! place where the operator says so.
 
-mod beside;
 mod clock;
 mod config;
 mod copies;
 pub mod discovery;
 mod driver;
 mod fleet;
+mod handover;
 mod kept;
 mod listener;
 mod management;
@@ -24,11 +24,11 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot};
 
-use beside::Beside;
 use clock::{Clock, log};
 use config::Config;
 use driver::Driver;
 use fleet::Fleet;
+use handover::Beside;
 use kept::Kept;
 use store::Record;
 
@@ -111,7 +111,7 @@
         };
     if let Some(fleet) = &fleet {
         let told = driver.clone();
-        tokio::spawn(fleet.clone().run(move |sharers| told.input(Input::Sharers(sharers))));
+        tokio::spawn(fleet.clone().run(move |sharers| told.input(Input::NodeCount(sharers))));
     }
     if let Some(listener) = management {
         tokio::spawn(management::serve(listener, driver.clone()));
@@ -144,11 +144,11 @@
                     let classes = again.deployment.classes.join(", ");
                     log(&format!("reload: discovery is at {}, classes are {classes}", again.discovery));
                     reloads.input(Input::Settings(Box::new(again.deployment)));
-                    reloads.input(Input::Move(again.discovery));
+                    reloads.input(Input::DiscoveryMoved(again.discovery));
                 }
                 Err(e) => {
                     log(&format!("reload: {e}; the old configuration stays in force"));
-                    reloads.input(Input::Unusable);
+                    reloads.input(Input::ReloadFailed);
                 }
             }
         }
--- a/crates/stonevane-node/src/store.rs
+++ b/crates/stonevane-node/src/store.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use oorandom::Rand64;
 use stonevane_config::operator;
-use stonevane_core::{Job, Reply};
+use stonevane_core::{Reply, StoreCall};
 use stonevane_policy::{AttemptStatus, Idempotency, Micros};
 use stonevane_store::breaker::{self, Breaker, State, Word};
 use stonevane_store::flight::{FlightId, Flights, Joined, JoinerId, Limits};
@@ -213,7 +213,7 @@
 
 impl Record {
     /// Carries a fetch or an edit out. Dropped, it is given up.
-    pub async fn call(&self, job: Job) -> Reply {
+    pub async fn call(&self, job: StoreCall) -> Reply {
         let (status, value) = match job.command.write {
             true => edit(&self.0, job).await,
             false => fetch(&self.0, job).await,
@@ -454,7 +454,7 @@
     }
 }
 
-async fn fetch(inner: &Arc<Inner>, job: Job) -> (AttemptStatus, Option<Bytes>) {
+async fn fetch(inner: &Arc<Inner>, job: StoreCall) -> (AttemptStatus, Option<Bytes>) {
     let key = match text(&job.command.key) {
         Ok(key) => key,
         Err(e) => return failed(&e, false),
@@ -462,16 +462,16 @@
     let mut fetched = inner.shared(key.clone()).await;
     // Against a shared fetch from before an edit on another node, which this request's cache knows of: whatever begins
     // now began after that edit's receipt.
-    if matches!(&fetched, Ok(value) if value.version < job.at_least) {
+    if matches!(&fetched, Ok(value) if value.version < job.min_version) {
         inner.counts.again.fetch_add(1, Ordering::Relaxed);
         fetched = inner.shared(key.clone()).await;
     }
     match fetched {
         // A copy of the store that lags, and does not know it.
-        Ok(value) if value.version < job.at_least => failed(&StoreError::Behind, false),
+        Ok(value) if value.version < job.min_version => failed(&StoreError::Behind, false),
         Ok(Value { bytes, version, keep }) => {
-            if let Some(teller) = inner.teller.get().filter(|_| keep && !job.missed.is_empty()) {
-                teller.fill(job.missed, key, version, bytes.clone());
+            if let Some(teller) = inner.teller.get().filter(|_| keep && !job.missed_caches.is_empty()) {
+                teller.fill(job.missed_caches, key, version, bytes.clone());
             }
             (AttemptStatus::Served, Some(bytes))
         }
@@ -490,7 +490,7 @@
     }
 }
 
-async fn edit(inner: &Arc<Inner>, job: Job) -> (AttemptStatus, Option<Bytes>) {
+async fn edit(inner: &Arc<Inner>, job: StoreCall) -> (AttemptStatus, Option<Bytes>) {
     let window = match job.command.rules.idempotency {
         Idempotency::WithKey { window, .. } => window / 1_000,
         _ => 0,
@@ -539,7 +539,7 @@
     };
     if let Some(copies) = copies.filter(|_| inner.copies.is_some_and(|copies| copies.before_receipt)) {
         // It is done, but a cache may still hold what it was before: no receipt until none does.
-        let left = Duration::from_millis(job.left_ms);
+        let left = Duration::from_millis(job.time_left_ms);
         if !matches!(timeout(left, copies.wait()).await, Ok(true)) {
             return failed(&StoreError::TimedOut, true);
         }
--- a/crates/stonevane-policy/src/brain.rs
+++ b/crates/stonevane-policy/src/brain.rs
@@ -151,7 +151,7 @@
                 all.into_iter().for_each(|id| self.end(id, Reason::ShuttingDown, out));
             }
             Event::Settings { settings, tenants } => self.adopt(*settings, &tenants),
-            Event::Exclude { server, excluded: excluded } => self.exclude(server, excluded, out),
+            Event::Exclude { server, excluded } => self.exclude(server, excluded, out),
             Event::PeerMessage { .. } | Event::HealthCheckFinished { .. } => {}
         }
         while let Some(wake) = self.wakes.due(now, out, |wake| match wake {
--- a/crates/stonevane-policy/src/interface.rs
+++ b/crates/stonevane-policy/src/interface.rs
@@ -418,7 +418,7 @@
     pub cache_status: CacheStatus,
     /// Time from sending to this end.
     pub elapsed: Micros,
-    /// LoadReport report of the server, if one came along.
+    /// Load report of the server, if one came along.
     pub load: LoadReport,
     /// Whether it was the first request on its connection, whose answer takes the time of a handshake as well.
     pub first_on_connection: bool,
@@ -482,7 +482,7 @@
         ok: bool,
         /// Time from sending to this end.
         took: Micros,
-        /// LoadReport report of the server, if one came along.
+        /// Load report of the server, if one came along.
         load: LoadReport,
     },
     /// A message of another balancer.
--- a/crates/stonevane-policy/src/placement.rs
+++ b/crates/stonevane-policy/src/placement.rs
@@ -9,7 +9,7 @@
 use crate::interface::*;
 use crate::state::*;
 
-/// LoadReport bound: a server is skipped from this multiple of its part of this balancer's attempts in flight: the
+/// Load bound: a server is skipped from this multiple of its part of this balancer's attempts in flight: the
 /// first where the origin has room for the fetch a skip costs, the second where it holds calls up; never
 /// below this balancer's part of the third, else a quiet one would scatter its keys.
 /// The origin is without room when the fourth, as a part of the calls, finds the gate shut.
--- a/crates/stonevane-scale/src/hollow.rs
+++ b/crates/stonevane-scale/src/hollow.rs
@@ -9,8 +9,8 @@
 use std::ops::Range;
 
 use stonevane_config::operator;
-use stonevane_core::{Call, Core, Input as CoreInput, Listing, Output as CoreOutput};
-use stonevane_membership::{Honest, Input as MachineInput, Machine, News, Number, State};
+use stonevane_core::{Core, DiscoveryCall, EndpointList, Input as CoreInput, Output as CoreOutput};
+use stonevane_membership::{Input as MachineInput, Machine, MemberEvent, NoFaults, Number, State};
 use stonevane_policy::settings::Deployment;
 
 use crate::Micros;
@@ -57,7 +57,7 @@
     /// Datagrams, and the numbers of the nodes that they are for.
     pub datagrams: VecDeque<(u32, Vec<u8>)>,
     /// Calls to discovery.
-    pub calls: VecDeque<Call>,
+    pub calls: VecDeque<DiscoveryCall>,
 }
 
 /// How far a node has come.
@@ -76,7 +76,7 @@
     number: u32,
     domain: Range<u32>,
     period: Micros,
-    machine: Machine<Honest>,
+    machine: Machine<NoFaults>,
     core: Core,
     machine_outputs: stonevane_membership::Outputs,
     core_outputs: stonevane_core::Outputs,
@@ -111,7 +111,7 @@
             seed: setup.core_seed,
             sockets: SOCKETS,
             memory_mb: MEMORY_MB,
-            known: Listing::default(),
+            known: EndpointList::default(),
             discovery: setup.discovery,
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
@@ -178,7 +178,7 @@
     pub fn standing(&self) -> Standing {
         let others = self.domain.end - self.domain.start - 1;
         Standing {
-            complete: self.living == others && self.core.index().is_some(),
+            complete: self.living == others && self.core.list_version().is_some(),
             rested: !self.machine.disseminates() && self.machine.health() == 0,
             informed: self.victim.and_then(|victim| self.held(victim)) == Some(State::Dead),
         }
@@ -214,11 +214,11 @@
         }
         let sharers = self.machine.known();
         if sharers != std::mem::replace(&mut self.sharers, sharers) {
-            self.tell_core(now, CoreInput::Sharers(sharers as u32), outputs);
+            self.tell_core(now, CoreInput::NodeCount(sharers as u32), outputs);
         }
     }
 
-    fn take_news(&mut self, news: News) {
+    fn take_news(&mut self, news: MemberEvent) {
         let member = self.domain.start + u32::from(news.now.member);
         if member == self.number {
             return;
@@ -237,7 +237,7 @@
                 CoreOutput::Discovery(call) => outputs.calls.push_back(call),
                 // No server of the list is there, and without clients none is asked for.
                 CoreOutput::Open(id, _) => {
-                    self.core.handle(now, CoreInput::Ended(id), &mut self.core_outputs);
+                    self.core.handle(now, CoreInput::Closed(id), &mut self.core_outputs);
                 }
                 _ => {}
             }
--- a/crates/stonevane-scale/tests/hollow.rs
+++ b/crates/stonevane-scale/tests/hollow.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use stonevane_core::{Ask, Call, Input as CoreInput, Listing};
+use stonevane_core::{DiscoveryCall, DiscoveryRequest, EndpointList, Input as CoreInput};
 use stonevane_membership::State;
 use stonevane_scale::Micros;
 use stonevane_scale::hollow::{Hollow, Input, Outputs, Setup};
@@ -32,7 +32,7 @@
 /// What is on its way: when it comes, to whom, and from whom.
 enum Parcel {
     Datagram(Micros, u32, u32, Vec<u8>),
-    List(Micros, u32, Call),
+    List(Micros, u32, DiscoveryCall),
 }
 
 struct World {
@@ -95,13 +95,13 @@
         }
     }
 
-    fn answer(&mut self, to: u32, call: Call) {
-        assert!(matches!(call.ask, Ask::Watch { after: None }), "{call:?}");
+    fn answer(&mut self, to: u32, call: DiscoveryCall) {
+        assert!(matches!(call.request, DiscoveryRequest::Watch { after: None }), "{call:?}");
         self.lists += 1;
         let list = r#"{"index":4,"snapshot":true,"endpoints":[
             {"name":"c","address":"127.1.0.0:1","zone":"z","type":"cache","status":"active"}]}"#;
-        let list: Listing = serde_json::from_str(list).unwrap();
-        self.handle(to, Input::Discovery(CoreInput::List(call.era, list)));
+        let list: EndpointList = serde_json::from_str(list).unwrap();
+        self.handle(to, Input::Discovery(CoreInput::List(call.epoch, list)));
     }
 
     /// Goes on until all nodes are so; how long that takes.
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery: who there is, and since which version.
 
-use stonevane_core::{Endpoint, Listing};
+use stonevane_core::{Endpoint, EndpointList};
 use stonevane_server_model::service::Turns;
 
 use crate::servers::Server;
@@ -73,7 +73,7 @@
     }
 
     /// What changed after a version, or all of it; `epoch`: the moment 0 of the run, Unix time in microseconds.
-    pub fn listing(&self, after: u64, epoch: u64) -> (Listing, Vec<Entry>) {
+    pub fn listing(&self, after: u64, epoch: u64) -> (EndpointList, Vec<Entry>) {
         let told: Vec<Entry> =
             self.entries.iter().filter(|entry| after == 0 || entry.index > after).cloned().collect();
         let endpoints = told.iter().map(|entry| Endpoint {
@@ -87,6 +87,6 @@
             since_ms: if entry.since == 0 { 0 } else { (epoch + entry.since) / 1_000 },
         });
         let endpoints = endpoints.collect();
-        (Listing { index: self.index, snapshot: after == 0, endpoints }, told)
+        (EndpointList { index: self.index, snapshot: after == 0, endpoints }, told)
     }
 }
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -11,7 +11,9 @@
 };
 use stonevane_codec::resp::{self, Value};
 use stonevane_config::operator;
-use stonevane_core::{Ask, ConnId, Core, Input, Listing, Mutant, Note, Output, Outputs, Setup};
+use stonevane_core::{
+    ConnId, Core, DiscoveryRequest, EndpointList, Input, LogLine, Mutant, Output, Outputs, Setup,
+};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
 use stonevane_server_model::value::{digest, padded};
@@ -131,10 +133,10 @@
     Start(usize),
     Knows(String, &'static str, Option<u64>),
     /// Discovery's word reaches a node.
-    Told(usize, u64, u64, Option<Listing>),
+    Told(usize, u64, u64, Option<EndpointList>),
     /// A call reaches discovery, or has been worked on there.
-    Called(usize, u64, u64, Ask),
-    Worked(usize, u64, u64, Ask),
+    Called(usize, u64, u64, DiscoveryRequest),
+    Worked(usize, u64, u64, DiscoveryRequest),
     Crowd(usize),
 }
 
@@ -415,7 +417,9 @@
         for node in 0..self.nodes.len() {
             let Some(core) = &self.nodes[node].core else { continue };
             let count = core.count();
-            if count.owed + count.open + count.attempts + count.ids + count.memory > 0 {
+            if count.unanswered + count.request_entries + count.attempts + count.claimed_ids + count.memory
+                > 0
+            {
                 self.breach("left", format!("node {node} holds {count:?} when all is quiet"));
             }
         }
@@ -564,10 +568,10 @@
             let Some(output) = outputs.pop_front() else { break };
             match output {
                 // A simulated client that hears of the end behind its answer hears of it a moment later.
-                Output::Last(id, bytes) | Output::Write(id, bytes) => {
+                Output::WriteAndClose(id, bytes) | Output::Write(id, bytes) => {
                     self.node_writes(node, id, &bytes, &mut outputs)
                 }
-                Output::Ask(id, bytes, _) => {
+                Output::WriteRequest(id, bytes, _) => {
                     if self.drained(node, id, &mut outputs) {
                         self.node_writes(node, id, &bytes, &mut outputs);
                     }
@@ -578,17 +582,17 @@
                         self.close_node_end(wire);
                     }
                 }
-                Output::Part(id) => {
+                Output::CloseIfIdle(id) => {
                     let parts = self.nodes[node].core.as_ref().is_some_and(|core| core.parts(id));
                     if parts
                         && self.drained(node, id, &mut outputs)
                         && let Some(wire) = self.nodes[node].wires.remove(&id)
                     {
                         self.close_node_end(wire);
-                        self.also(node, Input::Ended(id), &mut outputs);
+                        self.also(node, Input::Closed(id), &mut outputs);
                     }
                 }
-                Output::Linger(id) => {
+                Output::CloseWrite(id) => {
                     let Some(wire) = self.nodes[node].wires.get(&id).copied() else { continue };
                     if let Some(it) = self.wires.get_mut(&wire) {
                         it.lingers = true;
@@ -604,24 +608,27 @@
                 }
                 Output::Discovery(call) => {
                     let life = self.nodes[node].life;
-                    match call.ask {
-                        Ask::Unwatch | Ask::Leave => self.nodes[node].watch = None,
+                    match call.request {
+                        DiscoveryRequest::StopWatch | DiscoveryRequest::CancelAll => {
+                            self.nodes[node].watch = None
+                        }
                         ask => {
-                            self.nodes[node].watch = self.nodes[node].watch.filter(|_| ask == Ask::Fetch);
+                            self.nodes[node].watch =
+                                self.nodes[node].watch.filter(|_| ask == DiscoveryRequest::FetchList);
                             let at = self.now + CALL;
-                            self.push(at, Ev::Called(node, life, call.era, ask));
+                            self.push(at, Ev::Called(node, life, call.epoch, ask));
                         }
                     }
                 }
-                Output::Succeeded => {}
+                Output::Replaced => {}
                 Output::Draining => {
                     self.nodes[node].listens = false;
                     let backlog = std::mem::take(&mut self.nodes[node].backlog);
                     backlog.into_iter().for_each(|wire| self.close_node_end(wire));
                 }
                 Output::Done => self.nodes[node].ended = true,
-                Output::Log(Note::Fault(what)) => self.breach("fault", what),
-                Output::Log(Note::Module(_)) | Output::Call(..) | Output::Placement(_) => {}
+                Output::Log(LogLine::Error(what)) => self.breach("fault", what),
+                Output::Log(LogLine::Info(_)) | Output::CallStore(..) | Output::CachesChanged(_) => {}
             }
         }
         if std::mem::take(&mut self.nodes[node].ended) {
@@ -648,17 +655,20 @@
         let Some(core) = &it.core else { return };
         let (count, wires) = (core.count(), it.wires.len());
         let sockets = self.plan.sockets;
-        if count.clients + count.conns != wires {
-            let what = format!("node {node} knows {} of {wires} connections", count.clients + count.conns);
+        if count.clients + count.server_connections != wires {
+            let what = format!(
+                "node {node} knows {} of {wires} connections",
+                count.clients + count.server_connections
+            );
             return self.breach("connections", what);
         }
         if wires + 16 > sockets {
             return self.breach("descriptors", format!("node {node} holds {wires} connections of {sockets}"));
         }
-        if count.owed != count.ids || count.owed > count.open {
+        if count.unanswered != count.claimed_ids || count.unanswered > count.request_entries {
             return self.breach("owners", format!("node {node}: {count:?}"));
         }
-        let live = count.open + count.attempts + count.clients + count.conns;
+        let live = count.request_entries + count.attempts + count.clients + count.server_connections;
         if count.timers > 600 + 8 * live {
             return self.breach("timers", format!("node {node}: {} for {live} that are open", count.timers));
         }
@@ -743,7 +753,7 @@
             // The other end is gone already: the machine says so.
             self.nodes[node].wires.remove(&id);
             self.close_node_end(wire);
-            return self.also(node, Input::Ended(id), outputs);
+            return self.also(node, Input::Closed(id), outputs);
         }
         let mut pieces = self.pieces(bytes);
         let rest = if self.chance(self.plan.slow) { pieces.pop() } else { None };
@@ -795,7 +805,7 @@
             if it.inbox.is_empty() {
                 self.nodes[node].wires.remove(&id);
                 self.close_node_end(wire);
-                return self.also(node, Input::Ended(id), outputs);
+                return self.also(node, Input::Closed(id), outputs);
             }
             let bytes: Vec<u8> = it.inbox.drain(..reads.min(it.inbox.len())).collect();
             self.also(node, Input::Bytes(id, &bytes), outputs);
@@ -819,7 +829,7 @@
         if it.ended {
             self.nodes[node].wires.remove(&id);
             self.close_node_end(wire);
-            self.also(node, Input::Ended(id), outputs);
+            self.also(node, Input::Closed(id), outputs);
             return false;
         }
         true
@@ -840,7 +850,7 @@
         let (node, id) = (it.node, it.id);
         self.nodes[node].wires.remove(&id);
         self.close_node_end(wire);
-        self.feed(node, Input::Ended(id));
+        self.feed(node, Input::Closed(id));
     }
 
     fn open(&mut self, node: usize, id: ConnId, address: SocketAddr) {
@@ -902,7 +912,7 @@
         }
         self.nodes[node].wires.remove(&id);
         self.wires.remove(&wire);
-        self.feed(node, Input::Ended(id));
+        self.feed(node, Input::Closed(id));
     }
 
     /// A client's connection reaches a node's machine.
@@ -927,7 +937,7 @@
                 continue;
             }
             let Some(core) = &mut self.nodes[node].core else { return };
-            let id = core.next_id();
+            let id = core.next_connection_id();
             if let Some(it) = self.wires.get_mut(&wire) {
                 it.id = id;
             }
@@ -1517,7 +1527,7 @@
         }
     }
 
-    fn called(&mut self, node: usize, life: u64, era: u64, ask: Ask, taken: bool) {
+    fn called(&mut self, node: usize, life: u64, era: u64, ask: DiscoveryRequest, taken: bool) {
         if self.nodes[node].life != life || self.nodes[node].core.is_none() {
             return;
         }
@@ -1537,7 +1547,7 @@
         }
         self.sums.lists += 1;
         match ask {
-            Ask::Watch { after } => {
+            DiscoveryRequest::Watch { after } => {
                 // A whole list where it has none.
                 self.nodes[node].watch = Some((era, after.unwrap_or(0)));
                 self.tell_watch(node);
@@ -1551,7 +1561,7 @@
         }
     }
 
-    fn told(&mut self, node: usize, life: u64, era: u64, listing: Option<Listing>) {
+    fn told(&mut self, node: usize, life: u64, era: u64, listing: Option<EndpointList>) {
         if self.nodes[node].life != life || self.nodes[node].core.is_none() {
             return;
         }
