--- a/crates/stonevane-audit/tests/model.rs
+++ b/crates/stonevane-audit/tests/model.rs
@@ -365,14 +365,13 @@
                     continue;
                 }
                 // In small steps: an integral for those who don't trust the other.
-                let able: f64 = match origin {
-                    true => window as f64 * 0.1 * 2.5,
-                    false => {
-                        let part = |at: u64| 0.35 + 0.65 * (at as f64 / 7_500_000.0).min(1.0);
-                        let steps = (0..window / 10_000)
-                            .map(|s| part(from.t.begun + s * 10_000 + 5_000) * 0.2 * 10_000.0);
-                        steps.sum::<f64>() * 3.0 * 1.05
-                    }
+                let able: f64 = if origin == true {
+                    window as f64 * 0.1 * 2.5
+                } else {
+                    let part = |at: u64| 0.35 + 0.65 * (at as f64 / 7_500_000.0).min(1.0);
+                    let steps = (0..window / 10_000)
+                        .map(|s| part(from.t.begun + s * 10_000 + 5_000) * 0.2 * 10_000.0);
+                    steps.sum::<f64>() * 3.0 * 1.05
                 };
                 let within = came[..=last].iter().filter(|(_, a)| a.t.begun >= from.t.begun);
                 let (mut sum, mut counted) = (0.0, 0.0);
@@ -472,7 +471,7 @@
         let fast: Found = report.findings.iter().map(|f| (f.code.to_owned(), f.request.clone())).collect();
         let slow = Model { rules: &rules, lines: &lines }.found();
         seen.borrow_mut().extend(slow.iter().map(|(code, _)| code.clone()));
-        let text: Vec<_> = lines.iter().map(|l| l.text()).collect();
+        let text: Vec<_> = lines.iter().map(stonevane_audit::Line::text).collect();
         prop_assert_eq!(fast, slow, "\n{}", text.concat());
         Ok(())
     });
--- a/crates/stonevane-capacity/src/roles/membership/mod.rs
+++ b/crates/stonevane-capacity/src/roles/membership/mod.rs
@@ -19,7 +19,7 @@
 
 /// Memory that a measurement needs.
 pub fn needs(members: u64, full_up_to: u64) -> u64 {
-    let tables = if members <= full_up_to { members } else { sampled::REAL_MEMBERS as u64 };
+    let tables = if members <= full_up_to { members } else { u64::from(sampled::REAL_MEMBERS) };
     BASE_BYTES + tables * members * RECORD_BYTES
 }
 
--- a/crates/stonevane-config/src/lib.rs
+++ b/crates/stonevane-config/src/lib.rs
@@ -156,7 +156,7 @@
 
     /// Where a key's value stands, or the table where it is not there.
     pub fn place_of(&self, key: &str) -> Place {
-        self.get(key).map_or(self.place(), |value| value.span())
+        self.get(key).map_or(self.place(), toml::Spanned::span)
     }
 
     /// A whole number within bounds.
@@ -307,7 +307,7 @@
                 names.push(name);
             }
         }
-        for (key, _) in self.table.iter() {
+        for (key, _) in self.table {
             let name: &str = key.get_ref();
             if !names.contains(&name) {
                 let what = format!("unknown key `{name}` in {}{}", self.title(), suggest(name, &names));
--- a/crates/stonevane-config/src/operator.rs
+++ b/crates/stonevane-config/src/operator.rs
@@ -143,7 +143,7 @@
         let here = here.filter(|slow| !slow.is_zero());
         match (table.has("sqlite"), table.has("postgres")) {
             (true, true) => {
-                table.fault(table.place_of("postgres"), "only one of `sqlite` and `postgres` may be set")
+                table.fault(table.place_of("postgres"), "only one of `sqlite` and `postgres` may be set");
             }
             (false, false) => table.fault(table.place(), "`sqlite` or `postgres` is missing in [store]"),
             (true, false) if sqlite.is_empty() => {
--- a/crates/stonevane-config/tests/faults.rs
+++ b/crates/stonevane-config/tests/faults.rs
@@ -63,7 +63,7 @@
     let regions = Operator::parse(text).unwrap().regions.unwrap();
     let region = |name: &str, zones: &[&str]| Region {
         name: name.into(),
-        zones: zones.iter().map(|zone| zone.to_string()).collect(),
+        zones: zones.iter().map(std::string::ToString::to_string).collect(),
     };
     let others = vec![region("south", &["a", "b"])];
     assert_eq!(regions, Regions { home: region("north", &["c"]), others, nodes: 643, least: 2 });
--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -76,7 +76,7 @@
         match name {
             "c" => class = Some(place(&deployment.classes).ok_or("unknown class")?),
             "t" if !deployment.tenants.is_empty() => {
-                tenant = Some(place(&deployment.tenants).ok_or("unknown tenant")?)
+                tenant = Some(place(&deployment.tenants).ok_or("unknown tenant")?);
             }
             "d" => wait = Some(number(value).ok_or("invalid d")?),
             "k" => keyed = !value.is_empty(),
--- a/crates/stonevane-core/src/node.rs
+++ b/crates/stonevane-core/src/node.rs
@@ -1234,27 +1234,23 @@
             attempt.first_on_connection = first;
         }
         let left_ms = ((open.ends - self.now) / 1_000).max(LEAST_TIME_LEFT_MS);
-        match conn.speaks.encode(&open.command, left_ms, conn.address) {
-            Some(bytes) => {
-                conn.state = State::Writing;
-                let sure = conn.carried > 1 && open.command.rules.idempotency != Idempotency::Idempotent;
-                self.out.push_back(Output::WriteRequest(id, bytes, sure));
-            }
-            None => {
-                conn.state = State::Reading;
-                let missed =
-                    open.missed.iter().filter_map(|id| Some(self.servers.get(id)?.address)).collect();
-                let (command, at_least) = (open.command.clone(), open.at_least);
-                self.out.push_back(Output::CallStore(
-                    id,
-                    Box::new(StoreCall {
-                        command,
-                        time_left_ms: left_ms,
-                        missed_caches: missed,
-                        min_version: at_least,
-                    }),
-                ));
-            }
+        if let Some(bytes) = conn.speaks.encode(&open.command, left_ms, conn.address) {
+            conn.state = State::Writing;
+            let sure = conn.carried > 1 && open.command.rules.idempotency != Idempotency::Idempotent;
+            self.out.push_back(Output::WriteRequest(id, bytes, sure));
+        } else {
+            conn.state = State::Reading;
+            let missed = open.missed.iter().filter_map(|id| Some(self.servers.get(id)?.address)).collect();
+            let (command, at_least) = (open.command.clone(), open.at_least);
+            self.out.push_back(Output::CallStore(
+                id,
+                Box::new(StoreCall {
+                    command,
+                    time_left_ms: left_ms,
+                    missed_caches: missed,
+                    min_version: at_least,
+                }),
+            ));
         }
     }
 
@@ -1323,18 +1319,15 @@
     /// connection alone; one that has not is told.
     fn broke(&mut self, client: ConnId, slot: u64) {
         let Some(session) = self.clients.sessions.get_mut(&client) else { return };
-        match session.take_back(slot, Bytes::from_static(b"-ERR failed\r\n")) {
-            Some(passage) => {
-                self.clients.ids.remove(&passage.id);
-                self.figures.class(passage.counted).failed += 1;
-                self.owed -= 1;
-                self.client(client);
-            }
-            None => {
-                session.breaks(slot);
-                self.closes(client, CloseReason::ValueBroken);
-                self.client_gone(client);
-            }
+        if let Some(passage) = session.take_back(slot, Bytes::from_static(b"-ERR failed\r\n")) {
+            self.clients.ids.remove(&passage.id);
+            self.figures.class(passage.counted).failed += 1;
+            self.owed -= 1;
+            self.client(client);
+        } else {
+            session.breaks(slot);
+            self.closes(client, CloseReason::ValueBroken);
+            self.client_gone(client);
         }
     }
 
@@ -1395,12 +1388,11 @@
         let server = attempt.and_then(|server| Some((server, self.servers.get(&server)?)));
         let fresh = server.map(|(server, s)| (server, s.address, s.speaks));
         let fresh = fresh.and_then(|(server, address, speaks)| self.open_conn(server, address, speaks, key));
-        match (fresh, self.attempts.get_mut(&key)) {
-            (Some(conn), Some(attempt)) => attempt.conn = conn,
-            _ => {
-                self.end(key, AttemptStatus::ConnectFailed);
-                self.run_events();
-            }
+        if let (Some(conn), Some(attempt)) = (fresh, self.attempts.get_mut(&key)) {
+            attempt.conn = conn
+        } else {
+            self.end(key, AttemptStatus::ConnectFailed);
+            self.run_events();
         }
     }
 
--- a/crates/stonevane-core/tests/crowd.rs
+++ b/crates/stonevane-core/tests/crowd.rs
@@ -134,7 +134,7 @@
             asked += 1;
             let id = it.connect();
             honest.push(id);
-            let word = format!("h{:05}", asked);
+            let word = format!("h{asked:05}");
             let bytes = get(&word, &word).to_vec();
             if asked % 4 == 0 {
                 slow.extend((0..5).map(|piece| {
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -163,7 +163,7 @@
             match call.request {
                 DiscoveryRequest::Watch { .. } | DiscoveryRequest::WatchAgent => self.begin(call),
                 DiscoveryRequest::StopWatch | DiscoveryRequest::CancelAll => {
-                    (self.going, self.again) = (None, None)
+                    (self.going, self.again) = (None, None);
                 }
                 DiscoveryRequest::FetchList => panic!("no whole list is asked for on its own"),
             }
@@ -235,7 +235,7 @@
         self.log.push(format!("{:.6} s: {end:?}", (self.now - START) as f64 / 1e6));
         match call.request {
             DiscoveryRequest::WatchAgent => {
-                self.again = Some((self.now + call.timeouts.reconnect_delay, call))
+                self.again = Some((self.now + call.timeouts.reconnect_delay, call));
             }
             _ => self.feed(Input::call_ended(end, era, self.now - quiet_since)),
         }
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -36,7 +36,7 @@
 fn regions(least: usize) -> Regions {
     let region = |name: &str, zones: &[&str]| Region {
         name: name.into(),
-        zones: zones.iter().map(|zone| zone.to_string()).collect(),
+        zones: zones.iter().map(std::string::ToString::to_string).collect(),
     };
     Regions { home: region("south", &["a", "b"]), others: vec![region("north", &["c"])], nodes: 2, least }
 }
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -505,10 +505,10 @@
                 });
                 conn.last = id.into();
                 conn.idle_since = Mono::now();
-                if !conn.input.is_empty() {
-                    self.stray(target, &conn);
-                } else {
+                if conn.input.is_empty() {
                     lock(&target.idle).push(conn);
+                } else {
+                    self.stray(target, &conn);
                 }
                 Tried::Answered(outcome, advice_ms)
             }
--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -69,7 +69,7 @@
         if self.load_per_mille != 1_000 {
             write!(f, ", load {:.3}", self.load_per_mille as f64 / 1e3)?;
         }
-        if self.operator != NO_OPERATOR { write!(f, ", {}", self.operator) } else { Ok(()) }
+        if self.operator == NO_OPERATOR { Ok(()) } else { write!(f, ", {}", self.operator) }
     }
 }
 
--- a/crates/stonevane-lab/src/crooked.rs
+++ b/crates/stonevane-lab/src/crooked.rs
@@ -220,7 +220,7 @@
         // All that it can't do itself, and more, to the server that has just started.
         let mut flood = tokio::task::JoinSet::new();
         for _ in 0..copies {
-            let (words, server) = (words.to_vec(), self.caches[0].1);
+            let (words, server) = (words.clone(), self.caches[0].1);
             flood.spawn(async move { ask_cache(server, &words).await });
         }
         while flood.join_next().await.is_some() {}
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -818,13 +818,14 @@
                     fault => Act::Store(*fault),
                 }
             }
-            other => match Fault::NAMES.iter().find(|(name, _)| *name == other) {
-                Some((_, fault)) => Act::Server {
-                    server: servers[need(&servers, "to")?].clone(),
-                    fault: *fault,
-                    node: node.clone(),
-                },
-                None => {
+            other => {
+                if let Some((_, fault)) = Fault::NAMES.iter().find(|(name, _)| *name == other) {
+                    Act::Server {
+                        server: servers[need(&servers, "to")?].clone(),
+                        fault: *fault,
+                        node: node.clone(),
+                    }
+                } else {
                     let faults = Fault::NAMES.iter().map(|(name, _)| *name);
                     let known: Vec<_> = faults.chain(DOS).collect();
                     table.fault(
@@ -833,7 +834,7 @@
                     );
                     return None;
                 }
-            },
+            }
         };
         let words = [Some(what), to, node].into_iter().flatten().collect::<Vec<_>>().join(" ");
         Some(Step { at, lasts, what: act, words })
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -229,7 +229,7 @@
             let keys = last.first().and_then(Value::as_object).into_iter().flat_map(|entry| entry.keys());
             let keys: Vec<_> = keys.filter(|key| all(key)).collect();
             now.iter()
-                .find_map(|entry| keys.iter().find(|key| entry.get(key).is_none()).map(|key| key.to_string()))
+                .find_map(|entry| keys.iter().find(|key| entry.get(key).is_none()).map(|key| (*key).clone()))
         }
         _ => None,
     }
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -41,12 +41,9 @@
 pub async fn serve(listener: TcpListener, driver: Arc<Driver>) {
     let callers = Callers::default();
     for number in 0.. {
-        let stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
-            Err(_) => {
-                sleep(Duration::from_millis(5)).await;
-                continue;
-            }
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(Duration::from_millis(5)).await;
+            continue;
         };
         let mut places = callers.lock().unwrap_or_else(PoisonError::into_inner);
         // Against callers that hold a place and say nothing: the oldest silent one goes, then the oldest that has not
--- a/crates/stonevane-node/tests/node/crossings.rs
+++ b/crates/stonevane-node/tests/node/crossings.rs
@@ -497,16 +497,13 @@
         assert!(Instant::now() < end, "{how:?}: no attempt");
         std::thread::sleep(Duration::from_millis(1));
     }
-    match left_by_reset {
-        Some(reset) => {
-            leaves(client, reset);
-            node.until("in_flight", 0);
-            latch.open();
-        }
-        None => {
-            latch.open();
-            assert_eq!(client.answer().unwrap(), "again", "{how:?}");
-        }
+    if let Some(reset) = left_by_reset {
+        leaves(client, reset);
+        node.until("in_flight", 0);
+        latch.open();
+    } else {
+        latch.open();
+        assert_eq!(client.answer().unwrap(), "again", "{how:?}");
     }
     // A blocked call comes again after 13 ms at the most, all else at once.
     let (begun, mut other, mut more) = (Instant::now(), node.client(), 0);
--- a/crates/stonevane-node/tests/node/main.rs
+++ b/crates/stonevane-node/tests/node/main.rs
@@ -241,7 +241,7 @@
     });
     let most = most.max().unwrap();
     assert!(most < 16 * 1024, "{most} KiB of the 16 MiB that it may have");
-    let told = clients.iter_mut().take(20).map(|client| client.answer());
+    let told = clients.iter_mut().take(20).map(stand_in::Client::answer);
     assert!(told.into_iter().all(|line| line.is_none_or(|line| line.starts_with('-'))));
     drop(clients);
     assert_eq!(node.client().ask(&put("bb", "2", &"v".repeat(64 * 1024))).unwrap(), "ok");
--- a/crates/stonevane-node/tests/node/service.rs
+++ b/crates/stonevane-node/tests/node/service.rs
@@ -203,7 +203,7 @@
     let allowed = settings().replace(r#""maxAttempts":4,"#, r#""maxAttempts":4,"peers":true,"#);
     let text = config(discovery, &listing(1, true, &[]), 256, &allowed);
     let peers = r#"{"peer_listen":"nowhere","peers":["127.0.0.1:7001","127.0.0.1:70000","127.0.0.1:7001"],"#;
-    let path = config_file(&text.replacen("{", peers, 1));
+    let path = config_file(&text.replacen('{', peers, 1));
     let operator = std::env::temp_dir().join(format!("stonevane-membership-{}.toml", std::process::id()));
     std::fs::write(&operator, "[fleet]\n").unwrap();
     let run = std::process::Command::new(env!("CARGO_BIN_EXE_stonevane-node"))
--- a/crates/stonevane-node/tests/node/stand_in.rs
+++ b/crates/stonevane-node/tests/node/stand_in.rs
@@ -276,7 +276,7 @@
 
 /// The same with a second address.
 pub fn managed(text: &str) -> String {
-    text.replacen("{", r#"{"mgmt":"127.0.0.1:0","#, 1)
+    text.replacen('{', r#"{"mgmt":"127.0.0.1:0","#, 1)
 }
 
 /// An empty folder of its own.
--- a/crates/stonevane-policy/src/brain.rs
+++ b/crates/stonevane-policy/src/brain.rs
@@ -8,8 +8,11 @@
 //! All else here is a departure for a failure that the code names.
 
 use crate::hash::unit_hash;
-use crate::interface::*;
-use crate::state::*;
+use crate::interface::{
+    Action, AttemptStatus, Condition, Event, Idempotency, ListUpdate, Micros, Outcome, Reason, Request,
+    RequestClass, RequestId, ServerEntry, ServerId, Settings,
+};
+use crate::state::{Bucket, Call, Flight, Held, Policy, Random, Server, Spent, Wake, log_crossing};
 
 /// Answers that a server is credited with before any were seen: a few in flight at an idle one pass.
 pub(crate) const PRIOR: f64 = 2.0;
@@ -140,7 +143,7 @@
             Event::Outcome(outcome) => self.outcome(outcome, out),
             // A streamed answer belongs to the client from here on: nothing is owed, and no deadline runs.
             Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
-                drop(self.held.remove(&request))
+                drop(self.held.remove(&request));
             }
             Event::Timer(_) => self.wakes.timer_came(now + self.settings.tick),
             Event::OriginUnavailable { duration: lasts } => self.origin_shut(lasts, out),
@@ -360,7 +363,7 @@
         let reason = if stopped { Reason::OriginUnavailable } else { Reason::OriginLimited };
         if stopped || self.now + delay >= self.useful_until(h) {
             return if h.out == 0 {
-                self.end(id, reason, out)
+                self.end(id, reason, out);
             };
         }
         out.push(Action::Explain { request: id, reason });
@@ -589,7 +592,7 @@
         }
         // Against many balancers whose single fetches keep the origin's queue so long that writes are late.
         if o.status != AttemptStatus::NotSent {
-            g.pace = if !slow { g.pace * step } else { g.pace / step }.clamp(least.min(1.0), 1.0);
+            g.pace = if slow { g.pace / step } else { g.pace * step }.clamp(least.min(1.0), 1.0);
             // However many they are, it is asked again now and then.
             let took =
                 ((self.now - flight.sent) as f64 * (1.0 / g.pace - 1.0)).min((ASIDE.1 * self.aim) as f64);
--- a/crates/stonevane-policy/tests/fleet.rs
+++ b/crates/stonevane-policy/tests/fleet.rs
@@ -324,24 +324,22 @@
         {
             due.pop();
             let mut out = Vec::new();
-            let event = match server {
-                0 => Event::Timer(0),
-                _ => {
-                    let (note, load, status) =
-                        (CacheStatus::None, LoadReport::default(), AttemptStatus::Served);
-                    // The attempt's number does not matter where no copy goes out.
-                    Event::Outcome(Outcome {
-                        request,
-                        attempt: 0,
-                        server,
-                        status,
-                        request_finished: true,
-                        cache_status: note,
-                        elapsed: MS,
-                        load,
-                        first_on_connection: false,
-                    })
-                }
+            let event = if server == 0 {
+                Event::Timer(0)
+            } else {
+                let (note, load, status) = (CacheStatus::None, LoadReport::default(), AttemptStatus::Served);
+                // The attempt's number does not matter where no copy goes out.
+                Event::Outcome(Outcome {
+                    request,
+                    attempt: 0,
+                    server,
+                    status,
+                    request_finished: true,
+                    cache_status: note,
+                    elapsed: MS,
+                    load,
+                    first_on_connection: false,
+                })
             };
             nodes[node].handle(at, event, &mut out);
             take(at, node, out, &mut due);
--- a/crates/stonevane-policy/tests/properties.rs
+++ b/crates/stonevane-policy/tests/properties.rs
@@ -184,7 +184,7 @@
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
             Action::SendToPeer { bytes, .. } => {
-                assert!(self.settings.may_message_peers && bytes.len() <= 256)
+                assert!(self.settings.may_message_peers && bytes.len() <= 256);
             }
             Action::HealthCheck(_) | Action::Cancel { .. } => panic!("not allowed here"),
             _ => {}
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -94,7 +94,7 @@
             Some(value) => format!("{value:.digits$}"),
             None => "-".to_owned(),
         };
-        let memory = self.memory_bytes.map(|bytes| bytes as f64 / (1 << 20) as f64);
+        let memory = self.memory_bytes.map(|bytes| bytes as f64 / f64::from(1 << 20));
         write!(f, "nodes={} regions={} domain={} ", self.nodes, self.regions, self.domain)?;
         write!(f, "workers={} seed={} ", self.workers, self.seed)?;
         write!(f, "converged_s={} ", figure(self.converged_s, 2))?;
--- a/crates/stonevane-scale/tests/hollow.rs
+++ b/crates/stonevane-scale/tests/hollow.rs
@@ -80,18 +80,15 @@
         let comes = self.parcels.front().map(|parcel| match parcel {
             Parcel::Datagram(at, ..) | Parcel::List(at, ..) => *at,
         });
-        match comes.filter(|at| *at <= waking.0) {
-            Some(at) => {
-                self.now = self.now.max(at);
-                match self.parcels.pop_front().unwrap() {
-                    Parcel::Datagram(_, to, from, bytes) => self.handle(to, Input::Datagram(from, &bytes)),
-                    Parcel::List(_, to, call) => self.answer(to, call),
-                }
-            }
-            None => {
-                self.now = self.now.max(waking.0);
-                self.handle(waking.1, Input::Wake);
+        if let Some(at) = comes.filter(|at| *at <= waking.0) {
+            self.now = self.now.max(at);
+            match self.parcels.pop_front().unwrap() {
+                Parcel::Datagram(_, to, from, bytes) => self.handle(to, Input::Datagram(from, &bytes)),
+                Parcel::List(_, to, call) => self.answer(to, call),
             }
+        } else {
+            self.now = self.now.max(waking.0);
+            self.handle(waking.1, Input::Wake);
         }
     }
 
--- a/crates/stonevane-sim/src/members/plan.rs
+++ b/crates/stonevane-sim/src/members/plan.rs
@@ -156,14 +156,14 @@
         let kinds: Vec<usize> = (0..10).filter(|_| draw.chance(0.35)).collect();
         let calm = 12 * S;
         for kind in kinds {
-            for _ in 0..1 + draw.below(2) {
+            for _ in 0..=draw.below(2) {
                 let at = calm + draw.between(0, 20 * S);
                 let lasts = draw.between(2 * S, 30 * S);
                 let one = draw.below(there);
                 let mut add = |at, lasts, what| plan.faults.push(MemberFault { at, lasts, what });
                 match kind {
                     0 => {
-                        add(at, if draw.chance(0.4) { FOR_GOOD } else { lasts }, Wrong::Kill { member: one })
+                        add(at, if draw.chance(0.4) { FOR_GOOD } else { lasts }, Wrong::Kill { member: one });
                     }
                     // So quick that nobody noticed.
                     1 => add(at, draw.between(1_000, S / 2), Wrong::Kill { member: one }),
--- a/crates/stonevane-sim/src/servers.rs
+++ b/crates/stonevane-sim/src/servers.rs
@@ -212,7 +212,7 @@
 pub fn take(input: &mut BytesMut, origin: bool) -> Result<Option<Asked>, String> {
     if !origin {
         let Some(words) = resp::take_command(input).map_err(|e| e.0.to_owned())? else { return Ok(None) };
-        let (write, least) = match words.first().map(|name| name.as_ref()) {
+        let (write, least) = match words.first().map(std::convert::AsRef::as_ref) {
             Some(b"OBJ.GET") => (false, 4),
             Some(b"OBJ.SET") => (true, 5),
             _ => return Err(format!("a command that caches don't know: {words:?}")),
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -569,7 +569,7 @@
             match output {
                 // A simulated client that hears of the end behind its answer hears of it a moment later.
                 Output::WriteAndClose(id, bytes) | Output::Write(id, bytes) => {
-                    self.node_writes(node, id, &bytes, &mut outputs)
+                    self.node_writes(node, id, &bytes, &mut outputs);
                 }
                 Output::WriteRequest(id, bytes, _) => {
                     if self.drained(node, id, &mut outputs) {
@@ -610,7 +610,7 @@
                     let life = self.nodes[node].life;
                     match call.request {
                         DiscoveryRequest::StopWatch | DiscoveryRequest::CancelAll => {
-                            self.nodes[node].watch = None
+                            self.nodes[node].watch = None;
                         }
                         ask => {
                             self.nodes[node].watch =
@@ -1546,18 +1546,15 @@
             };
         }
         self.sums.lists += 1;
-        match ask {
-            DiscoveryRequest::Watch { after } => {
-                // A whole list where it has none.
-                self.nodes[node].watch = Some((era, after.unwrap_or(0)));
-                self.tell_watch(node);
-            }
-            _ => {
-                let (listing, told) = self.discovery.listing(0, EPOCH);
-                self.note_told(node, &told);
-                let at = self.now + self.delay();
-                self.push(at, Ev::Told(node, life, era, Some(listing)));
-            }
+        if let DiscoveryRequest::Watch { after } = ask {
+            // A whole list where it has none.
+            self.nodes[node].watch = Some((era, after.unwrap_or(0)));
+            self.tell_watch(node);
+        } else {
+            let (listing, told) = self.discovery.listing(0, EPOCH);
+            self.note_told(node, &told);
+            let at = self.now + self.delay();
+            self.push(at, Ev::Told(node, life, era, Some(listing)));
         }
     }
 
@@ -1657,7 +1654,7 @@
             }
             What::OldNews => self.discovery.old_news = begins,
             What::Impatient => {
-                self.impatient = self.impatient.saturating_add_signed(if begins { 1 } else { -1 })
+                self.impatient = self.impatient.saturating_add_signed(if begins { 1 } else { -1 });
             }
             What::Crowd { .. } => {
                 self.crowd = self.crowd.saturating_add_signed(if begins { 1 } else { -1 });
--- a/crates/stonevane-sim/tests/members.rs
+++ b/crates/stonevane-sim/tests/members.rs
@@ -31,7 +31,7 @@
             }
         }
     };
-    let cores = std::thread::available_parallelism().map_or(2, |cores| cores.get());
+    let cores = std::thread::available_parallelism().map_or(2, std::num::NonZero::get);
     std::thread::scope(|scope| (0..cores).for_each(|_| drop(scope.spawn(work))));
     let mut failed = failed.into_inner().unwrap();
     failed.sort();
--- a/crates/stonevane-subset/tests/selector.rs
+++ b/crates/stonevane-subset/tests/selector.rs
@@ -144,7 +144,7 @@
             let selector = selector(regions, 2, node);
             *falls_on.entry(selector.order().nth(1).unwrap().to_owned()).or_default() += 1;
         }
-        let mean = nodes as f64 / (regions - 1) as f64;
+        let mean = f64::from(nodes) / (regions - 1) as f64;
         let most = *falls_on.values().max().unwrap();
         assert_eq!(falls_on.len(), regions - 1, "every other region takes some");
         assert!((most as f64) < 2.0 * mean, "{most} on one, {mean:.1} in the mean");
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -211,13 +211,12 @@
         let _beat = tokio::spawn(mono.clone().beat());
         let kind = Kind::Process(node.into());
         let fleet = Fleet::start(scenario, &kind, 1, &mono, &recorder).await.map_err(text)?;
-        let (targets, pid, _relay) = match program {
-            Some(_) => (fleet.targets.clone(), fleet.pids()[0], None),
-            None => {
-                let server = fleet.caches[0].address("n0").ok_or("the cache has no door")?;
-                let (relay, address) = start_relay(server).map_err(text)?;
-                (vec![("relay".to_owned(), address)], relay.0.id(), Some(relay))
-            }
+        let (targets, pid, _relay) = if program.is_some() {
+            (fleet.targets.clone(), fleet.pids()[0], None)
+        } else {
+            let server = fleet.caches[0].address("n0").ok_or("the cache has no door")?;
+            let (relay, address) = start_relay(server).map_err(text)?;
+            (vec![("relay".to_owned(), address)], relay.0.id(), Some(relay))
         };
         let clients = Clients::new(&targets, scenario.load.clone(), 1, &mono, recorder.clone());
         let planned = plan(&scenario.load, 1, 1);
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -156,7 +156,7 @@
         {
             for slow in &self.slow {
                 cells.extend(
-                    [true, false][..1 + usize::from(self.without_health)]
+                    [true, false][..=usize::from(self.without_health)]
                         .iter()
                         .map(|h| (members, loss, *slow, *h)),
                 );
@@ -363,12 +363,13 @@
                     if was.as_ref() == Some(&now) {
                         continue;
                     }
-                    match self.json {
-                        true => say!(
+                    if self.json {
+                        say!(
                             "{}",
                             serde_json::json!({"node": node.to_string(), "was": was, "member": member})
-                        ),
-                        false => say!("{node}  n{number}: {} -> {now}", was.as_deref().unwrap_or("-")),
+                        );
+                    } else {
+                        say!("{node}  n{number}: {} -> {now}", was.as_deref().unwrap_or("-"))
                     }
                 }
             }
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -204,9 +204,10 @@
 /// Prints a report, and writes its page into the folder.
 fn shown(matrix: &matrix::Experiment, played: &runner::Folder, json: bool) -> ExitCode {
     let made = report::report(matrix, played);
-    match json {
-        true => say!("{}", serde_json::to_string_pretty(&made).unwrap_or_default()),
-        false => say!("{made}"),
+    if json {
+        say!("{}", serde_json::to_string_pretty(&made).unwrap_or_default())
+    } else {
+        say!("{made}")
     }
     let page = played.path.join("report.html");
     match std::fs::write(&page, report::html(&made, played)) {
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -212,15 +212,11 @@
         let mut failures = failures.into_inner().map_err(|_| ("a thread has ended".to_owned(), NOT_RUN))?;
         failures.sort_by_key(|(seed, _)| *seed);
         for (seed, verdict) in failures.iter().take(if self.json { usize::MAX } else { TOLD }) {
-            match self.json {
-                true => {
-                    let findings: Vec<_> = verdict.report.findings.iter().map(|f| f.code).collect();
-                    say!(
-                        "{}",
-                        serde_json::json!({"seed": seed, "broken": verdict.broken, "findings": findings})
-                    );
-                }
-                false => say!("{}", told(*seed, verdict)),
+            if self.json {
+                let findings: Vec<_> = verdict.report.findings.iter().map(|f| f.code).collect();
+                say!("{}", serde_json::json!({"seed": seed, "broken": verdict.broken, "findings": findings}));
+            } else {
+                say!("{}", told(*seed, verdict))
             }
         }
         let (seeds, wishes) = (done.into_inner(), wishes.into_inner());
--- a/crates/stonevane/src/standin.rs
+++ b/crates/stonevane/src/standin.rs
@@ -156,7 +156,7 @@
         let _beat = tokio::spawn(mono.clone().beat());
         let any = |listen: SocketAddr| vec![("any".to_owned(), listen)];
         let at = |address: Option<SocketAddr>| {
-            say!("listening on {}", address.map_or("?".into(), |a| a.to_string()))
+            say!("listening on {}", address.map_or("?".into(), |a| a.to_string()));
         };
         match self {
             StandIn::Cache { common, name, work_ms, cold } => {
