--- a/crates/stonevane-capacity/src/model/discovery.rs
+++ b/crates/stonevane-capacity/src/model/discovery.rs
@@ -18,6 +18,7 @@
 ///
 /// # Errors
 /// Where a figure was not measured.
+#[expect(clippy::too_many_lines, reason = "one table: a few lines for each row of the page")]
 pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingFigure> {
     use Quantity::{Bytes, Messages, State};
     let list = |metric| figures.at(Role::ServerList, metric, TARGET.servers);
--- a/crates/stonevane-capacity/src/model/node.rs
+++ b/crates/stonevane-capacity/src/model/node.rs
@@ -108,16 +108,16 @@
     }
 
     /// Changes of the list in a second: a server leaves, is gone and is there again.
-    fn list_changes(&self) -> f64 {
+    fn list_changes() -> f64 {
         3.0 * TARGET.server_restarts()
     }
 
     fn list_bytes(&self) -> f64 {
-        self.beat.value + self.list_changes() * self.change_bytes.value
+        self.beat.value + Self::list_changes() * self.change_bytes.value
     }
 
     fn list_cpu(&self) -> f64 {
-        self.list_changes() * self.change_cpu.value
+        Self::list_changes() * self.change_cpu.value
     }
 
     fn reload_bytes(&self) -> f64 {
--- a/crates/stonevane-capacity/src/model/row.rs
+++ b/crates/stonevane-capacity/src/model/row.rs
@@ -158,6 +158,7 @@
 }
 
 /// An amount, its unit and formula.
+#[derive(Clone, Copy)]
 pub(super) struct Amount {
     pub quantity: Quantity,
     pub what: &'static str,
--- a/crates/stonevane-store/src/copies.rs
+++ b/crates/stonevane-store/src/copies.rs
@@ -134,7 +134,9 @@
         let from = (cache, String::new());
         let keys = self.pending.range(from..).map(|(place, _)| place).take_while(|place| place.0 == cache);
         let places: Vec<_> = keys.cloned().collect();
-        places.iter().for_each(|place| self.settle(place, u64::MAX));
+        for place in &places {
+            self.settle(place, u64::MAX);
+        }
     }
 
     /// Edits whose copies are all gone, each once.
--- a/crates/stonevane-store/src/postgres.rs
+++ b/crates/stonevane-store/src/postgres.rs
@@ -229,6 +229,19 @@
     }
 }
 
+/// The receipt of an edit whose idempotency key is known already; `None` where the key was used for another edit.
+fn earlier_receipt(
+    row: &tokio_postgres::Row,
+    edit: &Edit,
+    digest: i64,
+) -> Result<Option<Receipt>, tokio_postgres::Error> {
+    let (key, known_digest, version): (String, i64, i64) =
+        (row.try_get(0)?, row.try_get(1)?, row.try_get(2)?);
+    let same = key == edit.key && known_digest == digest;
+    let receipt = Receipt { version: version.max(0) as u64, repeat: true };
+    Ok(same.then_some(receipt))
+}
+
 impl Inner {
     fn now(&self) -> u64 {
         self.epoch.elapsed().as_micros() as u64
@@ -396,14 +409,9 @@
         begun.map_err(failed)?;
         let version: i64 = self.heard(version.and_then(|row| row.try_get(0)))?;
         if let Some(row) = known.map_err(failed)? {
-            let known = || -> Result<(String, i64, i64), tokio_postgres::Error> {
-                Ok((row.try_get(0)?, row.try_get(1)?, row.try_get(2)?))
-            };
-            let (key, before, version) = known().map_err(failed)?;
+            let receipt = earlier_receipt(&row, edit, digest).map_err(failed)?;
             client.batch_execute("ROLLBACK").await.map_err(failed)?;
-            let same = key == edit.key && before == digest;
-            let receipt = Receipt { version: version.max(0) as u64, repeat: true };
-            return same.then_some(receipt).ok_or(StoreError::Conflict);
+            return receipt.ok_or(StoreError::Conflict);
         }
         let (key, value) = (&edit.key, &edit.value);
         let put: [&(dyn ToSql + Sync); 4] = [key, value, &version, &now];
@@ -427,15 +435,7 @@
         put.map_err(failed)?;
         remembered.map_err(failed)?;
         told.map_err(failed)?;
-        let sweep = {
-            let mut swept = lock(&self.swept);
-            let due = swept.elapsed() > SWEEP;
-            if due {
-                *swept = Instant::now();
-            }
-            due
-        };
-        if sweep {
+        if self.sweep_is_due() {
             client.execute(&statements.sweep, &[&now]).await.map_err(failed)?;
         }
         *committing = true;
@@ -444,6 +444,16 @@
         Ok(Receipt { version: version.max(0) as u64, repeat: false })
     }
 
+    /// Whether idempotency keys that are too old are to be swept with this transaction.
+    fn sweep_is_due(&self) -> bool {
+        let mut swept = lock(&self.swept);
+        let due = swept.elapsed() > SWEEP;
+        if due {
+            *swept = Instant::now();
+        }
+        due
+    }
+
     async fn changes(self: &Arc<Self>, after: u64, most: usize) -> Result<Vec<Change>, StoreError> {
         let lease = self.lease().await?;
         let Some(session) = &lease.session else { return Err(StoreError::Unreachable) };
--- a/crates/stonevane-store/tests/postgres.rs
+++ b/crates/stonevane-store/tests/postgres.rs
@@ -254,7 +254,9 @@
         let put = "ON CONFLICT (key) DO UPDATE SET version = excluded.version RETURNING version";
         server.look(&format!("INSERT INTO zones (key, value, version, edited_at) {row} {put}")).unwrap();
     };
-    ["b", "c", "b"].iter().for_each(|key| by_hand(key));
+    for key in ["b", "c", "b"] {
+        by_hand(key);
+    }
     server.fault(PgFault::None);
     assert_eq!((told().await, told().await), (change("c", version + 3), change("b", version + 4)));
     // A change of which no notice came at all.
