--- a/crates/stonevane-capacity/src/model/server.rs
+++ b/crates/stonevane-capacity/src/model/server.rs
@@ -5,8 +5,10 @@
 use super::target::TARGET;
 use crate::roles::Role;
 
-/// Nodes and servers of the measured fleet whose servers are about as many as one zone of a region has.
-const ZONE_MEASURED: (f64, f64) = (300.0, 70.0);
+/// Nodes of the measured fleet whose servers are about as many as one zone of a region has.
+const ZONE_SIZED_NODES: f64 = 300.0;
+/// Servers of that fleet.
+const ZONE_SIZED_SERVERS: f64 = 70.0;
 
 const ALL_PAIRS: Mechanism = Mechanism::Today("a subset of servers by region, where `[regions]` is set");
 const PURGES: Mechanism = Mechanism::Missing("nothing tells purges");
@@ -22,7 +24,7 @@
     let (held, wanted, opened) = (at("server_connections")?, at("server_wanted")?, at("server_opened")?);
     let (region, region_opened) = (at("server_region")?, at("server_region_opened")?);
     let node_held = at("node_connections")?;
-    let zone = figures.at(Role::ServerConnections, "node_connections", ZONE_MEASURED.0)?;
+    let zone = figures.at(Role::ServerConnections, "node_connections", ZONE_SIZED_NODES)?;
     let mut rows = Rows::of(Party::Server);
 
     let what = "connections, every node to every server, nodes at 1,024 sockets";
@@ -49,7 +51,7 @@
     rows.add(amount(Bytes, "answers", answers, "B/s", "100 Tbit/s / 8 / servers"), &[], None, REQUESTS);
 
     rows.during(Situation::ZoneLost);
-    let other_zone = zone.value * TARGET.region_nodes / ZONE_MEASURED.1;
+    let other_zone = zone.value * TARGET.region_nodes / ZONE_SIZED_SERVERS;
     let what = "connections in the region's other zone, with a subset by region";
     let formula = "643 x connections of a node before 70 servers / 70";
     rows.add(amount(State, what, other_zone, "connections", formula), &[&zone], None, ALL_PAIRS);
--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -14,8 +14,10 @@
 const SECOND: Micros = 1_000_000;
 /// Members start within this.
 const STARTS: Micros = 2 * SECOND;
-/// Datagrams take from the first to below the second of these.
-const DELAY: (Micros, Micros) = (200, 10_200);
+/// The shortest time that a datagram takes, in microseconds.
+const MIN_DELAY: Micros = 200;
+/// Every datagram takes less than this, in microseconds.
+const DELAY_LIMIT: Micros = 10_200;
 /// What counts as the start: the first minute.
 const START_WINDOW: Micros = 60 * SECOND;
 /// The start's news must have ended by then.
@@ -251,7 +253,7 @@
             self.traffic.datagrams += 1;
             self.traffic.gossip += u64::from(bytes.get(KIND_AT) == Some(&KIND_GOSSIP));
             bytes_sent += bytes.len() as u64;
-            let at = self.now + self.rng.rand_range(DELAY.0..DELAY.1);
+            let at = self.now + self.rng.rand_range(MIN_DELAY..DELAY_LIMIT);
             self.push(at, Due::Arrive { from, to, bytes: bytes.into() });
         }
         self.traffic.bytes += bytes_sent;
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -21,8 +21,10 @@
 
 /// A second, in microseconds.
 const SECOND: Micros = 1_000_000;
-/// Datagrams take from the first to below the second of these.
-const DELAY: (Micros, Micros) = (200, 10_200);
+/// The shortest time that a datagram takes, in microseconds.
+const MIN_DELAY: Micros = 200;
+/// Every datagram takes less than this, in microseconds.
+const DELAY_LIMIT: Micros = 10_200;
 /// What counts as the start: the first minute.
 const START_WINDOW: Micros = 60 * SECOND;
 /// The news of a start must have ended by then.
@@ -147,7 +149,7 @@
 
     fn deliver(&mut self, from: Number, kind: Kind, probe: u32, records: Vec<Record>) {
         let bytes = self.datagram(from, kind, probe, records);
-        let at = self.now + self.rng.rand_range(DELAY.0..DELAY.1);
+        let at = self.now + self.rng.rand_range(MIN_DELAY..DELAY_LIMIT);
         self.push(at, Due::Arrive { from, bytes });
     }
 
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -6,10 +6,14 @@
 
 /// More nodes than twice the target.
 pub const LARGEST: u64 = 40_000;
-/// Nodes and servers at the target, whose proportion holds at every size.
-const TARGET: (u64, u64) = (18_000, 4_200);
-/// Servers of a region, and its nodes.
-const REGION: (u64, u64) = (150, 643);
+/// Nodes at the target; their proportion to servers holds at every size.
+const TARGET_NODES: u64 = 18_000;
+/// Servers at the target.
+const TARGET_SERVERS: u64 = 4_200;
+/// Servers of a region.
+const REGION_SERVERS: u64 = 150;
+/// Nodes of a region.
+const REGION_NODES: u64 = 643;
 /// Requests a second at a node at the target.
 const PER_SECOND: f64 = 778.0;
 /// Keys that are asked for.
@@ -31,18 +35,23 @@
 
 /// Servers before so many nodes.
 fn servers(nodes: u64) -> u64 {
-    (nodes * TARGET.1 / TARGET.0).max(1)
+    (nodes * TARGET_SERVERS / TARGET_NODES).max(1)
 }
 
-/// Connections that one node holds.
-struct Held {
+/// Connections of one node.
+struct ConnectionCount {
     /// To all servers.
     connections: f64,
     /// Opened in a second.
     opened: f64,
 }
 
-fn held(nodes: u64, servers: u64, sockets: usize, seed: u64) -> Result<Held, MeasureError> {
+fn count_connections(
+    nodes: u64,
+    servers: u64,
+    sockets: usize,
+    seed: u64,
+) -> Result<ConnectionCount, MeasureError> {
     let known = serde_json::from_str(&listing::whole(servers));
     let known = known.map_err(|e| MeasureError::Broken(format!("no list: {e}")))?;
     let setup = node::setup(node::deployment(nodes as u32), known, sockets, seed);
@@ -58,7 +67,7 @@
         let asked = node.tally.asked;
         return Err(MeasureError::Broken(format!("{served} of {asked} requests went to a server")));
     }
-    Ok(Held {
+    Ok(ConnectionCount {
         connections: connections as f64 / COUNTED as f64,
         opened: (node.tally.opened - opened) as f64 / COUNTED as f64,
     })
@@ -70,12 +79,12 @@
 /// Where its requests do not reach servers.
 pub fn measure(nodes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
     let count = servers(nodes);
-    let all = held(nodes, count, DAEMON_SOCKETS, seed)?;
-    let wanted = held(nodes, count, ENOUGH_SOCKETS, seed)?;
-    let subset = REGION.0.min(count);
-    let region = held(nodes, subset, DAEMON_SOCKETS, seed)?;
+    let all = count_connections(nodes, count, DAEMON_SOCKETS, seed)?;
+    let wanted = count_connections(nodes, count, ENOUGH_SOCKETS, seed)?;
+    let subset = REGION_SERVERS.min(count);
+    let region = count_connections(nodes, subset, DAEMON_SOCKETS, seed)?;
     let (nodes, count) = (nodes as f64, count as f64);
-    let region_nodes = nodes.min(REGION.1 as f64);
+    let region_nodes = nodes.min(REGION_NODES as f64);
     Ok(vec![
         Figure::measured("node_connections", "1/node", all.connections),
         Figure::measured("node_opened", "1/node/s", all.opened),
