--- a/crates/stonevane-capacity/src/roles/reload.rs
+++ b/crates/stonevane-capacity/src/roles/reload.rs
@@ -49,7 +49,7 @@
 pub fn measure(tenants: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
     let broken = |e: String| MeasureError::Broken(e);
     let known = serde_json::from_str(&listing::whole(SERVERS)).map_err(|e| broken(e.to_string()))?;
-    let first = settings::read(text(tenants, 500).as_bytes()).map_err(broken)?;
+    let first = settings::read(text(tenants, 500).as_bytes()).map_err(|e| broken(e.to_string()))?;
     let mut core = Core::new(node::START, node::setup(first, known, 1024, seed));
     let (mut reading, mut taking, mut now) = (Vec::new(), Vec::new(), node::START);
     let mut outputs = Outputs::new();
@@ -57,7 +57,7 @@
     for turn in 0..TIMES as u64 {
         let text = text(tenants, 501 + turn);
         let begun = cpu::thread_nanos();
-        let deployment = settings::read(text.as_bytes()).map_err(broken)?;
+        let deployment = settings::read(text.as_bytes()).map_err(|e| broken(e.to_string()))?;
         let read = cpu::thread_nanos();
         core.handle(now, Input::Settings(Box::new(deployment)), &mut outputs);
         let taken = cpu::thread_nanos();
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -172,7 +172,8 @@
         let file: File = serde_json::from_slice(&text).map_err(ConfigError::Json)?;
         let address = |name, value: String| value.parse().map_err(|_| ConfigError::Field(name, value));
         let settings = file.settings.ok_or_else(|| ConfigError::Field("settings", String::new()))?;
-        let deployment = settings::read(settings.get().as_bytes()).map_err(ConfigError::Settings)?;
+        let deployment =
+            settings::read(settings.get().as_bytes()).map_err(|e| ConfigError::Settings(e.to_string()))?;
         if deployment.classes.is_empty() {
             return Err(ConfigError::Settings("the settings name no class of requests".into()));
         }
--- a/crates/stonevane-policy/src/brain.rs
+++ b/crates/stonevane-policy/src/brain.rs
@@ -8,11 +8,11 @@
 //! All else here is a departure for a failure that the code names.
 
 use crate::hash::unit_hash;
-use crate::interface::{
+use crate::state::{Bucket, Call, Flight, Held, Policy, Random, Server, Spent, Wake, log_crossing};
+use crate::{
     Action, AttemptStatus, Condition, Event, Idempotency, ListUpdate, Micros, Outcome, Reason, Request,
     RequestClass, RequestId, ServerEntry, ServerId, Settings,
 };
-use crate::state::{Bucket, Call, Flight, Held, Policy, Random, Server, Spent, Wake, log_crossing};
 
 /// Answers that a server is credited with before any were seen: a few in flight at an idle one pass.
 pub(crate) const PRIOR: f64 = 2.0;
--- a/crates/stonevane-policy/src/hash.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -3,7 +3,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::interface::{Key, ServerId};
+use crate::{Key, ServerId};
 
 /// A number between 0 and 1, fixed for a key, a server and a purpose.
 pub fn unit_hash(key: Key, server: ServerId, purpose: u64) -> f64 {
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -23,15 +23,24 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
 
+mod action;
 mod brain;
+mod event;
 pub mod hash;
-pub mod interface;
+mod ids;
+mod outcome;
 mod placement;
+mod server_entry;
 pub mod settings;
 mod slow_start;
 mod state;
 
-pub use interface::*;
+pub use action::{Action, Reason};
+pub use event::{Event, Request};
+pub use ids::{Key, Micros, RequestId, ServerId};
+pub use outcome::{AttemptStatus, CacheStatus, LoadReport, Outcome};
+pub use server_entry::{Condition, ListUpdate, ServerEntry};
+pub use settings::{DedupScope, Idempotency, LoadMetric, RequestClass, Settings, Tenant};
 pub use state::Policy;
 
 /// Runs the example of the README as a test.
--- a/crates/stonevane-policy/src/placement.rs
+++ b/crates/stonevane-policy/src/placement.rs
@@ -6,8 +6,8 @@
 
 use crate::brain::PRIOR;
 use crate::hash::{KeyHasher, unit_hash};
-use crate::interface::{Key, Micros, RequestId, ServerId};
 use crate::state::{Held, Policy, Server};
+use crate::{Key, Micros, RequestId, ServerId};
 
 /// Load bound: a server is skipped from this multiple of its part of this balancer's attempts in flight: the
 /// first where the origin has room for the fetch a skip costs, the second where it holds calls up; never
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -1,342 +1,231 @@
-//! The settings text of a deployment, as the simulator's first message and a node's configuration hold it.
+//! Typed settings of one node. [`read`] parses the settings text of a deployment.
 
-use serde::Deserialize;
+mod wire;
 
-use crate::interface::{DedupScope, Idempotency, LoadMetric, Micros, RequestClass, Settings, Tenant};
+pub use wire::{Deployment, SettingsError, read};
 
-/// A deployment: what the module is told of it, and what only the node round the module needs.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Deployment {
-    /// What the module is told.
-    pub settings: Settings,
-    /// Names of the classes, in the order of [`Settings::classes`].
-    pub classes: Vec<String>,
-    /// Names of the tenants, in the order of [`Settings::tenants`].
-    pub tenants: Vec<String>,
-    /// Names of the zones.
-    pub zones: Vec<String>,
-    /// Names of the machine kinds.
-    pub machine_types: Vec<String>,
-    /// Names of the figures in a load report, in the order of [`Settings::load_fields`].
-    pub load_metric_names: Vec<String>,
-    /// A connection that is not up by then has failed.
-    pub connect_timeout: Micros,
-    /// Servers close a connection that was idle for this long.
-    pub idle_close: Micros,
-    /// Requests that a node may hold open at once.
-    pub max_open: usize,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-struct Wire {
-    balancers: u32,
-    me: u32,
-    zone: u8,
-    classes: Vec<WireClass>,
-    realms: Vec<WireRealm>,
-    zones: Vec<String>,
-    machine_types: Vec<String>,
-    discovery: String,
-    specifics: Specifics,
-    limits: Limits,
-    guarantees: Guarantees,
-    prices: Prices,
-    report: Report,
-    weight_source: String,
-    period_us: f64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-struct WireClass {
-    name: String,
-    goal_time_us: f64,
-    deadline_us: f64,
-    gain: f64,
-    late_value: f64,
-    effect: String,
-    dedup_scope: String,
-    dedup_window_us: f64,
-}
+use crate::ids::Micros;
 
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct WireRealm {
-    name: String,
-    quota_per_s: f64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-struct Specifics {
-    mode: String,
-    origin_kind: i64,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-struct Limits {
-    max_attempts: u32,
-    may_duplicate: bool,
-    may_cancel: bool,
-    probes: bool,
-    peers: bool,
-    retry_after: bool,
-    max_retry_after_us: f64,
-    connect_timeout_us: f64,
-    idle_close_us: f64,
-    max_open: usize,
-}
-
-#[derive(Deserialize)]
-#[serde(rename_all = "camelCase", default)]
-struct Guarantees {
-    ask_within_us: f64,
-    cold_share: f64,
-    cold_us: f64,
-    drain_grace_us: f64,
-    fall_multiple: f64,
-    tip_after_us: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(default)]
-struct Prices {
-    connection: f64,
-    handshake: f64,
-}
-
-#[derive(Deserialize, Default)]
-#[serde(rename_all = "camelCase", default)]
-struct Report {
-    fields: Vec<String>,
-}
-
-impl Default for Wire {
-    fn default() -> Self {
-        let base = Settings::default();
-        Wire {
-            balancers: base.nodes,
-            me: base.node_index,
-            zone: base.zone,
-            classes: Vec::new(),
-            realms: Vec::new(),
-            zones: Vec::new(),
-            machine_types: Vec::new(),
-            discovery: "push".into(),
-            specifics: Specifics::default(),
-            limits: Limits::default(),
-            guarantees: Guarantees::default(),
-            prices: Prices::default(),
-            report: Report::default(),
-            weight_source: "silent".into(),
-            period_us: base.tick as f64,
-        }
+/// The settings of one node.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Settings {
+    /// Number of nodes that share the servers.
+    pub nodes: u32,
+    /// Index of this node among them, from 0.
+    pub node_index: u32,
+    /// The zone of this node.
+    pub zone: u8,
+    /// The classes of requests.
+    pub classes: Vec<RequestClass>,
+    /// The tenants; empty where a deployment has none.
+    pub tenants: Vec<Tenant>,
+    /// Whether the server list must be requested (subscription or whole list) or comes by itself.
+    pub poll_discovery: bool,
+    /// Without a subscription, the node counts as notified of changes this long after they happened.
+    pub list_staleness_limit: Micros,
+    /// Machine kind of the origin in the server list; `None` where cache servers fetch for themselves.
+    pub origin_kind: Option<u16>,
+    /// Whether weights in the list are the sizes of the servers.
+    pub weights_are_sizes: bool,
+    /// Whether weights in the list are size / (1 + requests per core).
+    pub weights_are_live: bool,
+    /// The figures that load reports carry, in their order.
+    pub load_metrics: Vec<LoadMetric>,
+    /// Attempts that one request may make.
+    pub max_attempts: u32,
+    /// Whether two attempts of one request may be in flight at once.
+    pub may_duplicate: bool,
+    /// Whether an attempt may be cancelled.
+    pub may_cancel: bool,
+    /// Whether health checks may be sent to servers.
+    pub may_health_check: bool,
+    /// Whether nodes may send each other messages.
+    pub may_message_peers: bool,
+    /// Whether concurrent fetches of a key share one call to the origin.
+    pub coalesce_fetches: bool,
+    /// Attempts per cache server that all nodes together may have in flight when they start, before answers allow
+    /// more; 0: no limit.
+    pub startup_attempts_per_server: f64,
+    /// Weight of all cache servers, where this node is notified of a subset only; 0: it is notified of all.
+    pub total_cache_weight: f64,
+    /// Price of the connections to all servers that one node in a hundred keeps open ...
+    pub connection_price: f64,
+    /// ... and of opening one for each request.
+    pub handshake_price: f64,
+    /// The longest Retry-After that clients honour; 0 where they honour none.
+    pub max_retry_after: Micros,
+    /// Shortest time between two calls of the policy.
+    pub tick: Micros,
+    /// Part of its capacity that a server has at the least when it starts.
+    pub initial_capacity: f64,
+    /// Time after its start by which a server has warmed up.
+    pub slow_start_duration: Micros,
+    /// A cold server fails under more than this multiple of its present capacity ...
+    pub overload_multiple: f64,
+    /// ... for this long.
+    pub overload_window: Micros,
+    /// Sends to a draining or gone server must stop within this time.
+    pub drain_grace: Micros,
+}
+
+/// The least weight of a server: a weight of 0 would divide by zero.
+const MIN_WEIGHT: f64 = 0.01;
+
+impl Settings {
+    /// The balancing weight of a cache server with a weight in the list.
+    pub fn cache_weight_of(&self, weight: f32) -> f64 {
+        if self.weights_are_sizes { f64::from(weight).max(MIN_WEIGHT) } else { 1.0 }
     }
 }
 
-impl Default for WireClass {
+impl Default for Settings {
     fn default() -> Self {
-        let base = RequestClass::default();
-        WireClass {
-            name: String::new(),
-            goal_time_us: base.latency_objective as f64,
-            deadline_us: base.deadline as f64,
-            gain: base.priority_weight,
-            late_value: base.late_weight,
-            effect: "side_effect".into(),
-            dedup_scope: "cell".into(),
-            dedup_window_us: 0.0,
+        Settings {
+            nodes: 1,
+            node_index: 0,
+            zone: 0,
+            classes: vec![RequestClass::default()],
+            tenants: Vec::new(),
+            poll_discovery: false,
+            list_staleness_limit: 10_000_000,
+            origin_kind: None,
+            weights_are_sizes: false,
+            weights_are_live: false,
+            load_metrics: Vec::new(),
+            max_attempts: 3,
+            may_duplicate: true,
+            may_cancel: false,
+            may_health_check: false,
+            may_message_peers: false,
+            coalesce_fetches: false,
+            startup_attempts_per_server: 8.0,
+            total_cache_weight: 0.0,
+            connection_price: 0.0,
+            handshake_price: 0.0,
+            max_retry_after: 0,
+            tick: 1_000,
+            initial_capacity: 0.25,
+            slow_start_duration: 10_000_000,
+            overload_multiple: 3.0,
+            overload_window: 2_000_000,
+            drain_grace: 500_000,
         }
     }
 }
 
-impl Default for Specifics {
-    fn default() -> Self {
-        Specifics { mode: "through".into(), origin_kind: -1 }
-    }
+/// A class of requests.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RequestClass {
+    /// Latency objective: an answer within this time earns the full priority weight.
+    pub latency_objective: Micros,
+    /// A client waits this long in all.
+    pub deadline: Micros,
+    /// Priority weight of one request.
+    pub priority_weight: f64,
+    /// Part of the priority weight that an answer after the latency objective still earns.
+    pub late_weight: f64,
+    /// What resending such a request does.
+    pub idempotency: Idempotency,
 }
 
-impl Default for Limits {
+impl Default for RequestClass {
     fn default() -> Self {
-        Limits {
-            max_attempts: Settings::default().max_attempts,
-            may_duplicate: false,
-            may_cancel: false,
-            probes: false,
-            peers: false,
-            retry_after: false,
-            max_retry_after_us: 0.0,
-            connect_timeout_us: 250_000.0,
-            idle_close_us: 15_000_000.0,
-            max_open: 20_000,
+        RequestClass {
+            latency_objective: 250_000,
+            deadline: 1_000_000,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
         }
     }
 }
 
-impl Default for Guarantees {
-    fn default() -> Self {
-        let base = Settings::default();
-        Guarantees {
-            ask_within_us: base.list_staleness_limit as f64,
-            cold_share: base.initial_capacity,
-            cold_us: base.slow_start_duration as f64,
-            drain_grace_us: base.drain_grace as f64,
-            fall_multiple: base.overload_multiple,
-            tip_after_us: base.overload_window as f64,
+impl RequestClass {
+    /// This class, limited to what another allows as well: the stricter idempotency, the shorter deadline.
+    pub fn stricter(&self, other: &RequestClass) -> RequestClass {
+        RequestClass {
+            idempotency: self.idempotency.stricter(other.idempotency),
+            deadline: self.deadline.min(other.deadline),
+            ..*self
         }
     }
 }
 
-/// No time in the settings is longer: a day, microseconds. Sums of some of them stay far from what a number holds.
-const LONGEST: f64 = 86_400e6;
-
-/// What no deployment means: a text that was spoilt or is in other units.
-fn check(wire: &Wire) -> Result<(), String> {
-    let absurd = |name: &str, value: f64, bounds: &str| {
-        Err(format!("unreadable settings: {name} is {value}, and is to be {bounds}"))
-    };
-    if wire.balancers == 0 {
-        return absurd("balancers", 0.0, "1 at the least");
-    }
-    if wire.me >= wire.balancers {
-        return absurd("me", f64::from(wire.me), "less than balancers");
-    }
-    if wire.discovery == "ask" && wire.guarantees.ask_within_us < 1.0 {
-        return absurd("askWithinUs", wire.guarantees.ask_within_us, "more than 0 where discovery is asked");
-    }
-    let (limits, rules) = (&wire.limits, &wire.guarantees);
-    let classes = wire.classes.iter();
-    let times = classes.flat_map(|c| {
-        [("goalTimeUs", c.goal_time_us), ("deadlineUs", c.deadline_us), ("dedupWindowUs", c.dedup_window_us)]
-    });
-    let times = times.chain([
-        ("periodUs", wire.period_us),
-        ("maxRetryAfterUs", limits.max_retry_after_us),
-        ("connectTimeoutUs", limits.connect_timeout_us),
-        ("idleCloseUs", limits.idle_close_us),
-        ("askWithinUs", rules.ask_within_us),
-        ("coldUs", rules.cold_us),
-        ("drainGraceUs", rules.drain_grace_us),
-        ("tipAfterUs", rules.tip_after_us),
-    ]);
-    for class in &wire.classes {
-        if class.name.is_empty() || wire.classes.iter().filter(|other| other.name == class.name).count() > 1 {
-            return Err(format!("unreadable settings: a class without a name, or {:?} twice", class.name));
-        }
-        for (name, value) in [("goalTimeUs", class.goal_time_us), ("deadlineUs", class.deadline_us)] {
-            if !(value >= 1.0 && value.is_finite()) {
-                return absurd(name, value, "more than 0");
+/// What resending a request does.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Idempotency {
+    /// Nothing: it may be sent any number of times.
+    Idempotent,
+    /// Servers of one group drop a duplicate for a while after the first attempt.
+    WithKey {
+        /// Which servers drop a duplicate.
+        scope: DedupScope,
+        /// For how long, from the sending of the earliest attempt that may have run.
+        window: Micros,
+    },
+    /// The effect happens again.
+    NonIdempotent,
+}
+
+impl Idempotency {
+    fn stricter(self, other: Idempotency) -> Idempotency {
+        match (self, other) {
+            (Idempotency::NonIdempotent, _) | (_, Idempotency::NonIdempotent) => Idempotency::NonIdempotent,
+            (Idempotency::Idempotent, keyed) | (keyed, Idempotency::Idempotent) => keyed,
+            (
+                Idempotency::WithKey { scope, window },
+                Idempotency::WithKey { scope: other_scope, window: other_window },
+            ) => {
+                Idempotency::WithKey { scope: scope.narrower(other_scope), window: window.min(other_window) }
             }
         }
     }
-    if limits.max_attempts == 0 {
-        return absurd("maxAttempts", 0.0, "1 at the least");
-    }
-    for (name, value) in times {
-        if value > LONGEST {
-            return absurd(name, value, "a day at the most");
-        }
-    }
-    match wire.realms.iter().find(|realm| !(0.0..=1e9).contains(&realm.quota_per_s)) {
-        Some(realm) => absurd("quotaPerS", realm.quota_per_s, "from 0 to 1e9"),
-        None => Ok(()),
-    }
-}
-
-/// Reads a settings text; the error is one plain line.
-pub fn read(text: &[u8]) -> Result<Deployment, String> {
-    let wire: Wire = serde_json::from_slice(text).map_err(|e| format!("unreadable settings: {e}"))?;
-    check(&wire)?;
-    let mut classes = Vec::with_capacity(wire.classes.len());
-    for c in &wire.classes {
-        classes.push(class(c)?);
-    }
-    let origin = (wire.specifics.mode == "aside").then(|| u16::try_from(wire.specifics.origin_kind).ok());
-    let limits = wire.limits;
-    let settings = Settings {
-        nodes: wire.balancers,
-        node_index: wire.me,
-        zone: wire.zone,
-        classes,
-        tenants: wire.realms.iter().map(|r| Tenant { quota_per_s: r.quota_per_s }).collect(),
-        poll_discovery: wire.discovery == "ask",
-        list_staleness_limit: micros(wire.guarantees.ask_within_us),
-        origin_kind: origin.flatten(),
-        weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
-        weights_are_live: wire.weight_source == "live",
-        load_metrics: wire.report.fields.iter().map(|f| load_field(f)).collect(),
-        max_attempts: limits.max_attempts,
-        may_duplicate: limits.may_duplicate,
-        may_cancel: limits.may_cancel,
-        may_health_check: limits.probes,
-        may_message_peers: limits.peers,
-        // Not of the platform: the node sets it where its own store shares them.
-        coalesce_fetches: false,
-        // Not of the platform: the operator may set it.
-        startup_attempts_per_server: Settings::default().startup_attempts_per_server,
-        // Not of the platform: the node sets it where it uses a part of the cache servers.
-        total_cache_weight: Settings::default().total_cache_weight,
-        connection_price: wire.prices.connection,
-        handshake_price: wire.prices.handshake,
-        max_retry_after: if limits.retry_after { micros(limits.max_retry_after_us) } else { 0 },
-        tick: micros(wire.period_us),
-        initial_capacity: wire.guarantees.cold_share,
-        slow_start_duration: micros(wire.guarantees.cold_us),
-        overload_multiple: wire.guarantees.fall_multiple,
-        overload_window: micros(wire.guarantees.tip_after_us),
-        drain_grace: micros(wire.guarantees.drain_grace_us),
-    };
-    Ok(Deployment {
-        settings,
-        classes: wire.classes.into_iter().map(|c| c.name).collect(),
-        tenants: wire.realms.into_iter().map(|r| r.name).collect(),
-        zones: wire.zones,
-        machine_types: wire.machine_types,
-        load_metric_names: wire.report.fields,
-        connect_timeout: micros(limits.connect_timeout_us),
-        idle_close: micros(limits.idle_close_us),
-        max_open: limits.max_open,
-    })
 }
 
-fn class(c: &WireClass) -> Result<RequestClass, String> {
-    let group = match c.dedup_scope.as_str() {
-        "all" => DedupScope::All,
-        "zone" => DedupScope::Zone,
-        _ => DedupScope::Cell,
-    };
-    let effect = match c.effect.as_str() {
-        "pure" => Idempotency::Idempotent,
-        "token" => Idempotency::WithKey { scope: group, window: micros(c.dedup_window_us) },
-        "side_effect" => Idempotency::NonIdempotent,
-        other => {
-            return Err(format!("unreadable settings: unknown effect {other:?} of a class"));
+/// A group of cache servers that share which requests with an idempotency key they have seen.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum DedupScope {
+    /// Every cache server.
+    All,
+    /// Those of one zone.
+    Zone,
+    /// Those of one cell.
+    Cell,
+}
+
+impl DedupScope {
+    /// The narrower of two groups: a cell lies in a zone, and a zone among all.
+    fn narrower(self, other: DedupScope) -> DedupScope {
+        match (self, other) {
+            (DedupScope::Cell, _) | (_, DedupScope::Cell) => DedupScope::Cell,
+            (DedupScope::Zone, _) | (_, DedupScope::Zone) => DedupScope::Zone,
+            (DedupScope::All, DedupScope::All) => DedupScope::All,
         }
-    };
-    Ok(RequestClass {
-        latency_objective: micros(c.goal_time_us),
-        deadline: micros(c.deadline_us),
-        priority_weight: c.gain,
-        late_weight: c.late_value,
-        idempotency: effect,
-    })
-}
-
-fn load_field(name: &str) -> LoadMetric {
-    match name {
-        "rif" => LoadMetric::InFlight,
-        "q" => LoadMetric::Queued,
-        "busy" => LoadMetric::Busy,
-        "lat_ms" => LoadMetric::ServiceMs,
-        "rate" => LoadMetric::Rate,
-        "fail_rate" => LoadMetric::ErrorRate,
-        _ => LoadMetric::Other,
     }
 }
 
-/// Saturating: a negative figure counts as 0.
-fn micros(value: f64) -> Micros {
-    value as Micros
+/// A tenant and its quota.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Tenant {
+    /// Requests a second within its quota, over all nodes together.
+    pub quota_per_s: f64,
+}
+
+/// A figure of a load report.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LoadMetric {
+    /// Requests in progress.
+    InFlight,
+    /// Requests that wait.
+    Queued,
+    /// Share of CPU in use.
+    Busy,
+    /// Recent service time, milliseconds.
+    ServiceMs,
+    /// Requests served a second.
+    Rate,
+    /// Errors a second.
+    ErrorRate,
+    /// A figure that the policy gives no meaning.
+    Other,
 }
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -10,8 +10,8 @@
 //! nearly always.
 
 use crate::hash::unit_hash;
-use crate::interface::{Key, RequestId};
 use crate::state::{Held, Policy, Server, Spent};
+use crate::{Key, RequestId};
 
 /// A server in slow start gets this multiple of a warm server's equal part of the quotas, scaled by its
 /// warmth, and no more than this part of the multiple that it falls at: with a full bucket that leaves it a
--- a/crates/stonevane-policy/src/state.rs
+++ b/crates/stonevane-policy/src/state.rs
@@ -7,7 +7,7 @@
 
 use crate::placement::Candidate;
 
-use crate::interface::{
+use crate::{
     Action, Condition, DedupScope, Key, Micros, RequestClass, RequestId, ServerEntry, ServerId, Settings,
 };
 
--- a/crates/stonevane-policy/tests/fleet.rs
+++ b/crates/stonevane-policy/tests/fleet.rs
@@ -181,7 +181,8 @@
         prop_assert_eq!(taken.is_ok(), sane, "{:?}", taken.err());
         let settings = match taken {
             Ok(deployment) => deployment.settings,
-            Err(line) => {
+            Err(error) => {
+                let line = error.to_string();
                 prop_assert!(line.lines().count() == 1 && line.len() < 200, "{line}");
                 return Ok(());
             }
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -133,7 +133,7 @@
             "guarantees": {"askWithinUs": 6_000_000, "drainGraceUs": 500_000},
             "periodUs": 2_000,
         });
-        settings::read(settings.to_string().as_bytes())
+        settings::read(settings.to_string().as_bytes()).map_err(|e| e.to_string())
     }
 
     /// Where a cache server of the list would be: nobody is asked there, since there are no clients.
--- a/crates/stonevane-wire-adapter/src/main.rs
+++ b/crates/stonevane-wire-adapter/src/main.rs
@@ -40,7 +40,7 @@
     fn record(&mut self, now: Micros, record: Record<'_>) -> Result<(), String> {
         match record {
             Record::Start { node, seed, settings } => {
-                let settings = settings::read(settings)?.settings;
+                let settings = settings::read(settings).map_err(|e| e.to_string())?.settings;
                 let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
                 let policy = Policy::new(settings, seed);
                 self.instances.insert(node, Instance { policy, classes, tenants });
