--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -30,21 +30,21 @@
     ClientDisconnected(RequestId),
     /// A timer set by [`Action::Timer`](crate::Action::Timer) is due.
     Timer(u32),
-    /// New settings apply from now on. A pending request keeps the class that it arrived with; what was learned of
-    /// servers, and what is in flight, stays.
+    /// New settings apply from now on. A pending request keeps the class that it arrived with; what was
+    /// learned of servers, and what is in flight, stays.
     Settings {
         /// All of them.
         settings: Box<Settings>,
         /// For each tenant of these, its position in the previous ones, if it had one.
         tenants: Vec<Option<usize>>,
     },
-    /// This process's part of the node's quota of the origin and of servers in slow start: 1, except while another
-    /// process of the same node has the rest.
+    /// This process's part of the node's quota of the origin and of servers in slow start: 1, except while
+    /// another process of the same node has the rest.
     ProcessShare(f64),
     /// The node is shutting down: what is owed is to be answered now.
     ShuttingDown,
-    /// An operator excludes a cache server, or reinstates it. Repeats are not counted: excluded twice and reinstated
-    /// once is reinstated.
+    /// An operator excludes a cache server, or reinstates it. Repeats are not counted: excluded twice and
+    /// reinstated once is reinstated.
     Exclude {
         /// The server, listed or not.
         server: ServerId,
--- a/crates/stonevane-policy/src/hash.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -1,20 +1,47 @@
-//! Draws by hash: numbers between 0 and 1 that are fixed for a key, a server and a purpose, and so the same at every
-//! balancer.
+//! Hashes as numbers between 0 and 1, fixed for a key, a server and a purpose, and so the same at every node.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::{Key, ServerId};
+use crate::ids::{Key, ServerId};
+
+/// What a hash is for: hashes of different purposes are independent.
+pub mod purpose {
+    /// A server's place in a key's order.
+    pub const ORDER: u64 = 0;
+    /// Which keys a server in slow start gets.
+    pub const SLOW_START_KEYS: u64 = 1;
+    /// A request's estimate of a server's queue.
+    pub const QUEUE_ESTIMATE: u64 = 2;
+    /// A node's phase in the start-up limit.
+    pub const STARTUP_PHASE: u64 = 3;
+    /// A node's phase in the slow-start budget of a server.
+    pub const SLOW_START_PHASE: u64 = 4;
+    /// A request's draw for a slow-start budget of less than one attempt.
+    pub const SLOW_START_DRAW: u64 = 5;
+    /// What makes a node's draws differ from those of others.
+    pub const NODE_SALT: u64 = 6;
+}
 
 /// A number between 0 and 1, fixed for a key, a server and a purpose.
 pub fn unit_hash(key: Key, server: ServerId, purpose: u64) -> f64 {
-    let mut bytes = [0u8; 12];
-    bytes[..8].copy_from_slice(&key.to_le_bytes());
-    bytes[8..].copy_from_slice(&server.to_le_bytes());
-    unit(xxh3_64_with_seed(&bytes, purpose))
+    let mut input = [0u8; INPUT_LENGTH];
+    input[..8].copy_from_slice(&key.to_le_bytes());
+    input[8..].copy_from_slice(&server.to_le_bytes());
+    unit(xxh3_64_with_seed(&input, purpose))
 }
 
-/// The draws of one key at many servers: [`unit_hash`] for the purpose 0, of which the key's part is worked out once and
-/// nothing goes through memory. It follows XXH3's path for inputs of 9 to 16 bytes.
+/// Bytes of a key and a server's id.
+const INPUT_LENGTH: usize = 12;
+/// Bytes 24 to 32 of XXH3's default secret, xor bytes 32 to 40.
+const SECRET_LOW: u64 = 0x1f67_b3b7_a4a4_4072 ^ 0x78e5_c0cc_4ee6_79cb;
+/// Bytes 40 to 48 of XXH3's default secret, xor bytes 48 to 56.
+const SECRET_HIGH: u64 = 0x2172_ffcc_7dd0_5a82 ^ 0x8e24_43f7_7446_08b8;
+/// The multiplier of XXH3's last mixing step.
+const AVALANCHE: u64 = 0x1656_6791_9e37_79f9;
+
+/// The hashes of one key with many servers: [`unit_hash`] for the purpose [`purpose::ORDER`], of which the
+/// key's part is computed once and nothing goes through memory. It follows XXH3's path for inputs of 9 to 16
+/// bytes.
 pub struct KeyHasher {
     /// The first eight bytes of the input, mixed with the secret.
     low: u64,
@@ -24,20 +51,12 @@
     base: u64,
 }
 
-/// Bytes 24 to 40 and 40 to 56 of XXH3's default secret, the halves of each combined.
-const SECRET_LOW: u64 = 0x1f67_b3b7_a4a4_4072 ^ 0x78e5_c0cc_4ee6_79cb;
-const SECRET_HIGH: u64 = 0x2172_ffcc_7dd0_5a82 ^ 0x8e24_43f7_7446_08b8;
-/// XXH3's last mixing.
-const AVALANCHE: u64 = 0x1656_6791_9e37_79f9;
-/// Bytes of a key and a server's id.
-const DRAW_INPUT: u64 = 12;
-
 impl KeyHasher {
-    /// The draws of a key.
+    /// The hashes of a key.
     pub fn new(key: Key) -> KeyHasher {
         let low = key ^ SECRET_LOW;
         let high = (key >> 32) ^ SECRET_HIGH;
-        KeyHasher { low, high, base: DRAW_INPUT.wrapping_add(low.swap_bytes()) }
+        KeyHasher { low, high, base: (INPUT_LENGTH as u64).wrapping_add(low.swap_bytes()) }
     }
 
     /// A number between 0 and 1 for a server.
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions of a router in front of fleets of cache servers, as a pure and deterministic state machine.
 //!
-//! A [`Policy`] is one balancer's mind. It is told what happens ([`Event`]) and when, and answers with what
+//! A [`Policy`] decides for one node. It is notified of what happens ([`Event`]) and when, and returns what
 //! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
 //!
 //! ```
@@ -10,38 +10,54 @@
 //! let mut policy = Policy::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The balancer starts at some clock value (microseconds) with the server list it last held.
+//! // The node starts at some clock value (microseconds) with its cached server list.
 //! let servers = vec![
 //!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
 //!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
 //! ];
 //! policy.handle(1_000_000, Event::ServerList { kind: ListUpdate::Cached, servers }, &mut actions);
 //!
-//! // A client asks for a key; the policy names the cache server to try first.
+//! // A client requests a key; the policy names the cache server to try first.
 //! let request = Request { id: 1, key: 0xfeed, time_left: 500_000, ..Request::default() };
 //! policy.handle(1_000_100, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
 
 mod action;
-mod brain;
+mod admission;
+mod attempt;
+mod balancing;
+mod coalescing;
+mod discovery_backoff;
 mod event;
 pub mod hash;
+mod hedging;
 mod ids;
+mod key_history;
+mod log_message;
+mod origin_limits;
 mod outcome;
-mod placement;
+mod outlier;
+mod pending_request;
+mod policy;
+mod random;
+mod retry;
 mod server_entry;
+mod servers;
 pub mod settings;
 mod slow_start;
-mod state;
+mod startup;
+mod statistics;
+mod timers;
+mod token_bucket;
 
 pub use action::{Action, Reason};
 pub use event::{Event, Request};
 pub use ids::{Key, Micros, RequestId, ServerId};
 pub use outcome::{AttemptStatus, CacheStatus, LoadReport, Outcome};
+pub use policy::Policy;
 pub use server_entry::{Condition, ListUpdate, ServerEntry};
 pub use settings::{DedupScope, Idempotency, LoadMetric, RequestClass, Settings, Tenant};
-pub use state::Policy;
 
 /// Runs the example of the README as a test.
 #[cfg(doctest)]
--- /dev/null
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -0,0 +1,93 @@
+//! Outlier detection: a server that fails several times in a row is ejected for a while.
+//!
+//! Inputs: the outcomes of attempts at one server, the longest latency objective (microseconds). An ejected
+//! server is still chosen where nothing better is left; the first attempt after its ejection time is a trial:
+//! an answer admits it again, a failure ejects it for twice as long.
+
+use crate::ids::Micros;
+
+/// Failures in a row, with no answer between them, from which a server is ejected.
+const CONSECUTIVE_FAILURES: u32 = 3;
+/// A server with fewer failures in a row is taken for sound when a connection breaks or a response is
+/// malformed.
+const ISOLATED_FAILURES: u32 = 2;
+/// The first ejection time, as a multiple of the longest latency objective.
+const MIN_EJECTION_OBJECTIVES: u64 = 1;
+/// The longest ejection time, as a multiple of the longest latency objective.
+pub const MAX_EJECTION_OBJECTIVES: u64 = 8;
+
+/// What outlier detection knows of one server.
+#[derive(Default)]
+pub struct OutlierRecord {
+    consecutive_failures: u32,
+    /// Whether the last failure was one to connect.
+    connect_failed: bool,
+    ejection: Option<Ejection>,
+}
+
+#[derive(Clone, Copy)]
+struct Ejection {
+    until: Micros,
+    duration: Micros,
+}
+
+/// An ejected server has answered.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Readmission {
+    /// It had refused connections before: its process is a new one.
+    pub restarted: bool,
+}
+
+impl OutlierRecord {
+    /// Counts a failure, and returns whether the server is ejected for it.
+    pub fn record_failure(&mut self, now: Micros, longest_objective: Micros) -> bool {
+        self.consecutive_failures += 1;
+        let ejected = match self.ejection {
+            Some(ejection) => now >= ejection.until,
+            None => self.consecutive_failures >= CONSECUTIVE_FAILURES,
+        };
+        if ejected {
+            let previous = self.ejection.map_or(0, |ejection| ejection.duration);
+            let duration = (previous * 2).clamp(
+                longest_objective * MIN_EJECTION_OBJECTIVES,
+                longest_objective * MAX_EJECTION_OBJECTIVES,
+            );
+            self.ejection = Some(Ejection { until: now + duration, duration });
+        }
+        ejected
+    }
+
+    /// Notes whether the latest failure was one to connect: a process that is gone accepts no connections,
+    /// while connections to a sound one break for many reasons.
+    pub fn note_connect_failed(&mut self, connect_failed: bool) {
+        self.connect_failed = connect_failed;
+    }
+
+    /// Counts an answer; it admits an ejected server again.
+    pub fn record_answer(&mut self) -> Option<Readmission> {
+        self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
+        self.ejection.take()?;
+        Some(Readmission { restarted: std::mem::take(&mut self.connect_failed) })
+    }
+
+    /// Forgets failures of a process that has been replaced.
+    pub fn clear_failures(&mut self) {
+        self.consecutive_failures = 0;
+        self.ejection = None;
+    }
+
+    /// Whether the server is ejected, or on trial after it.
+    pub fn is_ejected(&self) -> bool {
+        self.ejection.is_some()
+    }
+
+    /// Whether other servers are to be preferred: during the ejection, and while a trial is in flight.
+    pub fn is_avoided(&self, now: Micros, in_flight: u32) -> bool {
+        self.ejection.is_some_and(|ejection| now < ejection.until || in_flight > 0)
+    }
+
+    /// Whether its failures are too few to say much of the server.
+    pub fn failures_are_isolated(&self) -> bool {
+        self.consecutive_failures < ISOLATED_FAILURES && self.ejection.is_none()
+    }
+}
--- /dev/null
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -0,0 +1,152 @@
+//! Sending attempts, and what happens to one that is slow: a hedged request, a new attempt for a lost
+//! response, a failure counted against its server.
+
+use super::Policy;
+use crate::action::{Action, Reason};
+use crate::admission::SIGN_OF_SLOWNESS;
+use crate::attempt::{Attempt, AttemptId, CallKind};
+use crate::hedging;
+use crate::ids::{Micros, RequestId, ServerId};
+use crate::log_message::LogMessage;
+use crate::pending_request::PossibleRun;
+use crate::retry::{self, LOST_RESPONSE_MULTIPLE};
+use crate::timers::Timer;
+
+/// An attempt without response for this part of its latency objective is slow, for twice this nearly late.
+const SLOW_ATTEMPT: f64 = 0.4;
+
+impl Policy {
+    /// The one place that sends. Returns whether the rules allow the attempt.
+    pub(super) fn send(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        kind: CallKind,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        if !self.may_send(id, server) {
+            return false;
+        }
+        let slow_start = self.slow_start();
+        let spent = self.servers.get(server).map(|target| slow_start.spend_one(target));
+        let (Some(pending), Some(target), Some(spent)) =
+            (self.requests.get_mut(&id), self.servers.get_mut(server), spent)
+        else {
+            return false;
+        };
+        let attempt = AttemptId { request: id, number: pending.attempts };
+        let latency_objective = pending.class.latency_objective;
+        let slow_after = (latency_objective as f64 * SLOW_ATTEMPT) as Micros;
+        let key = pending.key;
+        pending.attempts += 1;
+        pending.in_flight += 1;
+        pending.may_have_run.push(PossibleRun { attempt: attempt.number, sent_at: self.now, server });
+        target.in_flight += 1;
+        target.slow_start_spent = spent;
+        target.reinstated_at = 0;
+        let lost_after = (LOST_RESPONSE_MULTIPLE * target.response_time.value()) as Micros + 1;
+        let timeout = if kind == CallKind::CacheRead { slow_after } else { lost_after.max(slow_after) };
+        self.set_timer(timeout, Timer::AttemptTimeout(attempt));
+        self.count_sent(attempt, kind, key);
+        let sent = Attempt { server, kind, key, sent_at: self.now, latency_objective, slow_after };
+        self.attempts.insert(attempt, sent);
+        actions.push(Action::Send { request: id, server, give_up_after: 0 });
+        true
+    }
+
+    fn may_send(&self, id: RequestId, server: ServerId) -> bool {
+        let (Some(pending), Some(target)) = (self.requests.get(&id), self.servers.get(server)) else {
+            return false;
+        };
+        self.now < pending.deadline
+            && !pending.attempts_exhausted(&self.settings)
+            && target.is_available()
+            && (pending.in_flight == 0 || self.settings.may_duplicate)
+            && self.slow_start().has_budget(target)
+            && retry::may_send(pending, target, &self.servers, &self.settings, self.now)
+    }
+
+    fn count_sent(&mut self, attempt: AttemptId, kind: CallKind, key: u64) {
+        if kind == CallKind::CacheRead {
+            self.servers.count_cache_attempt();
+            return;
+        }
+        self.origin_limits.count_sent(kind);
+        if kind == CallKind::Fetch && self.settings.coalesce_fetches {
+            self.shared_fetches.share(key, attempt);
+        }
+    }
+
+    /// An attempt has had no response for long.
+    pub(super) fn on_attempt_timeout(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
+        let Some(&attempt) = self.attempts.get(&id) else { return };
+        let lost = retry::response_is_lost(&attempt, self.servers.get(attempt.server), self.now);
+        if lost {
+            self.resend_lost(id.request, &attempt, actions);
+        }
+        if attempt.kind != CallKind::CacheRead {
+            return;
+        }
+        let age = attempt.age(self.now);
+        let next_timeout = attempt.slow_after + 1;
+        let just_slow = age < next_timeout * 3 / 2;
+        let late = age >= attempt.latency_objective;
+        // Half a sign when it becomes slow, and is counted, and half when nearly late: slow is not yet lost.
+        self.admission.record_overload(
+            if late || lost { 0.0 } else { SIGN_OF_SLOWNESS },
+            if just_slow { 1.0 } else { 0.0 },
+        );
+        if just_slow {
+            self.hedge(id.request, attempt.server, actions);
+        }
+        if !late {
+            return self.set_timer(next_timeout, Timer::AttemptTimeout(id));
+        }
+        // One failure for one attempt: a single slow request is no sign of a faulty server.
+        if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
+            self.record_failure(attempt.server, actions);
+        }
+    }
+
+    /// Counts a failure against a server.
+    pub(super) fn record_failure(&mut self, id: ServerId, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(id) else { return };
+        if server.outlier.record_failure(self.now, self.latency.longest) {
+            actions.push(LogMessage::ServerEjected(id).into());
+        }
+    }
+
+    /// Resends a request whose response is lost, to the same server, within the retry budget and the origin's
+    /// limits: otherwise it would wait until its deadline.
+    fn resend_lost(&mut self, id: RequestId, lost: &Attempt, actions: &mut Vec<Action>) {
+        let is_only_attempt = self.requests.get(&id).is_some_and(|pending| pending.in_flight == 1);
+        let kind = retry::resend_kind(lost.kind);
+        let allowed = is_only_attempt
+            && self.retry_budget.allows_attempt()
+            && (kind == CallKind::CacheRead || self.acquire_origin_call(kind));
+        if allowed && self.send(id, lost.server, kind, actions) {
+            self.retry_budget.spend_attempt();
+            actions.push(Action::Explain { request: id, reason: Reason::ResponseLost });
+        }
+    }
+
+    /// Sends a slow read to the next server too, if the hedging rule allows it.
+    fn hedge(&mut self, id: RequestId, slow_server: ServerId, actions: &mut Vec<Action>) {
+        let is_well_known = self
+            .servers
+            .get(slow_server)
+            .is_some_and(|server| hedging::is_well_known(server, self.now, self.latency.longest));
+        // Under the start-up limit a request waits for the crowd of the start: no sign of a slow server.
+        let allowed = self.startup_allows_attempt() && !is_well_known;
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        if !allowed || !hedging::may_hedge(pending, &self.retry_budget, &self.settings) {
+            return;
+        }
+        pending.tried.push(slow_server);
+        let next = self.choose_server(id);
+        if next.is_some_and(|server| self.send(id, server, CallKind::CacheRead, actions)) {
+            self.retry_budget.spend_attempt();
+            actions.push(Action::Explain { request: id, reason: Reason::Hedged });
+        }
+    }
+}
--- /dev/null
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -0,0 +1,284 @@
+//! The policy of one node: dispatches events and timers to the parts that decide.
+//!
+//! Ordinary path: a read goes to the first server in its key's order that is within the load bound; after a
+//! miss the value is fetched from the origin, and a write goes straight there, through the limits of the
+//! origin; a call that they block is retried after a random backoff. All else is a departure from it for a
+//! fault that the code names.
+//!
+//! Each rule has a module of its own beside this one, which owns its state. The modules below carry requests
+//! and attempts through the rules.
+
+mod attempts;
+mod origin_calls;
+mod outcomes;
+mod requests;
+mod server_list;
+
+use std::collections::BTreeMap;
+
+use crate::action::{Action, Reason};
+use crate::admission::Admission;
+use crate::attempt::{Attempt, AttemptId};
+use crate::balancing::Balancing;
+use crate::coalescing::SharedFetches;
+use crate::discovery_backoff::DiscoveryBackoff;
+use crate::event::Event;
+use crate::hash::{self, unit_hash};
+use crate::ids::{Micros, RequestId};
+use crate::key_history::KeyHistory;
+use crate::log_message::LogMessage;
+use crate::origin_limits::{OriginLimits, OriginShare};
+use crate::pending_request::PendingRequest;
+use crate::random::Random;
+use crate::retry::RetryBudget;
+use crate::server_entry::ListUpdate;
+use crate::servers::ServerPool;
+use crate::settings::Settings;
+use crate::slow_start::SlowStart;
+use crate::startup::{StartupInputs, StartupLimit};
+use crate::timers::{Timer, TimerQueue};
+
+/// Latency objective where no class has one.
+const DEFAULT_OBJECTIVE: Micros = 1_000_000;
+/// The least part of the node's quota that a process has.
+const MIN_PROCESS_SHARE: f64 = 0.05;
+/// Reviews in the longest latency objective.
+const REVIEWS_PER_OBJECTIVE: Micros = 8;
+/// The least time between two reviews, however short an objective is.
+const MIN_REVIEW_PERIOD: Micros = 5_000;
+/// Idle connections are closed where one in a hundred nodes' price of keeping them, times the nodes, exceeds
+/// this many handshakes.
+const HANDSHAKES_PER_IDLE_CONNECTION: f64 = 100.0;
+
+/// The policy of one node: what it was notified of, what it has learned and what it owes.
+pub struct Policy {
+    settings: Settings,
+    random: Random,
+    now: Micros,
+    latency: LatencyObjectives,
+    servers: ServerPool,
+    requests: BTreeMap<RequestId, PendingRequest>,
+    attempts: BTreeMap<AttemptId, Attempt>,
+    timers: TimerQueue,
+    key_history: KeyHistory,
+    admission: Admission,
+    origin_limits: OriginLimits,
+    shared_fetches: SharedFetches,
+    retry_budget: RetryBudget,
+    startup: StartupLimit,
+    discovery_backoff: DiscoveryBackoff,
+    /// This process's part of the node's quota.
+    process_share: f64,
+    shutting_down: bool,
+    /// Whether so many nodes share the servers that idle connections cost more than handshakes.
+    closes_idle_connections: bool,
+    /// Makes draws by a request's number differ between nodes.
+    node_salt: u64,
+}
+
+/// Latency objectives over all classes.
+#[derive(Clone, Copy)]
+struct LatencyObjectives {
+    /// The unit of most time spans of the rules; never 0.
+    longest: Micros,
+    /// What the origin's answers are measured by.
+    shortest: Micros,
+}
+
+impl LatencyObjectives {
+    fn of(settings: &Settings) -> Self {
+        let objectives = settings.classes.iter().map(|class| class.latency_objective);
+        LatencyObjectives {
+            longest: objectives.clone().max().unwrap_or(DEFAULT_OBJECTIVE).max(1),
+            shortest: objectives.min().unwrap_or(DEFAULT_OBJECTIVE),
+        }
+    }
+}
+
+impl Policy {
+    /// The policy of a node that knows its settings and nothing else yet.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let mut admission = Admission::new();
+        admission.apply_settings(&settings, &[]);
+        let mut servers = ServerPool::default();
+        servers.apply_settings(&settings, 0);
+        let process_share = 1.0;
+        let origin_share = OriginShare { request_rate: admission.request_rate(), process_share };
+        let mut timers = TimerQueue::default();
+        timers.set(0, Timer::PollDiscovery);
+        timers.set(0, Timer::Review);
+        Policy {
+            random: Random::new(seed),
+            now: 0,
+            latency: LatencyObjectives::of(&settings),
+            servers,
+            requests: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            timers,
+            key_history: KeyHistory::default(),
+            admission,
+            origin_limits: OriginLimits::new(origin_share),
+            shared_fetches: SharedFetches::default(),
+            retry_budget: RetryBudget::new(),
+            startup: StartupLimit::new(seed, settings.node_index),
+            discovery_backoff: DiscoveryBackoff::default(),
+            process_share,
+            shutting_down: false,
+            closes_idle_connections: idle_connections_cost_too_much(&settings),
+            node_salt: unit_hash(seed, settings.node_index, hash::purpose::NODE_SALT).to_bits(),
+            settings,
+        }
+    }
+
+    /// Takes one event at a clock value and adds the actions that it calls for.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        self.now = now;
+        self.startup.note_time(now);
+        self.handle_event(event, actions);
+        self.run_due_timers(actions);
+    }
+
+    fn handle_event(&mut self, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::ServerList { kind: ListUpdate::Failed, .. } => self.on_discovery_failed(0, actions),
+            Event::ServerList { kind: ListUpdate::TimedOut { silent_for, was_established }, .. } => {
+                self.on_discovery_timed_out(silent_for, was_established, actions);
+            }
+            Event::ServerList { kind, servers } => self.on_server_list(kind, servers),
+            Event::Request(request) => self.on_request(&request, actions),
+            Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
+            // A streamed response belongs to the client from here on: nothing is owed, and no deadline runs.
+            Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
+                self.requests.remove(&request);
+            }
+            Event::Timer(_) => self.timers.fired(self.now + self.settings.tick),
+            Event::OriginUnavailable { duration } => {
+                log(self.origin_limits.set_unavailable(self.now, duration), actions);
+            }
+            Event::ProcessShare(share) => self.process_share = share.clamp(MIN_PROCESS_SHARE, 1.0),
+            Event::ShuttingDown => self.shut_down(actions),
+            Event::Settings { settings, tenants } => self.apply_settings(*settings, &tenants),
+            Event::Exclude { server, excluded } => self.on_exclude(server, excluded, actions),
+            Event::PeerMessage { .. } | Event::HealthCheckFinished { .. } => {}
+        }
+    }
+
+    fn run_due_timers(&mut self, actions: &mut Vec<Action>) {
+        while let Some(timer) = self.next_due_timer(actions) {
+            match timer {
+                Timer::Deadline(request) => self.on_deadline(request, actions),
+                Timer::Retry { request, .. } => self.next_attempt(request, actions),
+                Timer::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt, actions),
+                Timer::PollDiscovery if self.settings.poll_discovery => actions.push(Action::Subscribe(true)),
+                Timer::PollDiscovery => {}
+                Timer::Review => self.review(actions),
+            }
+        }
+    }
+
+    fn next_due_timer(&mut self, actions: &mut Vec<Action>) -> Option<Timer> {
+        let (requests, attempts) = (&self.requests, &self.attempts);
+        self.timers.next_due(self.now, actions, |timer| match timer {
+            Timer::Deadline(request) => !requests.contains_key(&request),
+            Timer::Retry { request, backoff } => {
+                requests.get(&request).is_none_or(|pending| pending.backoff != backoff)
+            }
+            Timer::AttemptTimeout(attempt) => !attempts.contains_key(&attempt),
+            Timer::PollDiscovery | Timer::Review => false,
+        })
+    }
+
+    /// Takes new settings. `previous_positions`: where each tenant was in those before. What requests have
+    /// been charged goes with their tenants; all else that was learned stays.
+    fn apply_settings(&mut self, settings: Settings, previous_positions: &[Option<usize>]) {
+        self.latency = LatencyObjectives::of(&settings);
+        self.admission.apply_settings(&settings, previous_positions);
+        for request in self.requests.values_mut() {
+            let position = |tenant| previous_positions.iter().position(|previous| *previous == Some(tenant));
+            request.charged_tenant = request.charged_tenant.and_then(position);
+        }
+        self.closes_idle_connections = idle_connections_cost_too_much(&settings);
+        self.servers.apply_settings(&settings, self.now);
+        self.settings = settings;
+    }
+
+    /// Answers all that is owed.
+    fn shut_down(&mut self, actions: &mut Vec<Action>) {
+        self.shutting_down = true;
+        let pending: Vec<RequestId> = self.requests.keys().copied().collect();
+        for request in pending {
+            self.finish(request, Reason::ShuttingDown, actions);
+        }
+    }
+
+    fn review(&mut self, actions: &mut Vec<Action>) {
+        let period =
+            (self.latency.longest / REVIEWS_PER_OBJECTIVE).max(self.settings.tick).max(MIN_REVIEW_PERIOD);
+        let idle = self.servers.cache_attempts() == 0;
+        log(self.admission.review(period, idle), actions);
+        self.origin_limits.review();
+        self.set_timer(period, Timer::Review);
+    }
+
+    /// How many of the cache servers that are listed are avoided now, excluded by an operator or ejected.
+    pub fn avoided_server_count(&self) -> usize {
+        self.servers.avoided_count()
+    }
+
+    fn set_timer(&mut self, after: Micros, timer: Timer) {
+        self.timers.set(self.now + after, timer);
+    }
+
+    /// The inputs of the origin's limits.
+    fn origin_share(&self) -> OriginShare {
+        OriginShare { request_rate: self.admission.request_rate(), process_share: self.process_share }
+    }
+
+    /// The slow-start rule at this moment.
+    fn slow_start(&self) -> SlowStart<'_> {
+        SlowStart {
+            settings: &self.settings,
+            now: self.now,
+            request_rate: self.admission.request_rate(),
+            process_share: self.process_share,
+            total_weight: self.servers.total_weight(),
+            peak_weight: self.servers.peak_weight(),
+            node_salt: self.node_salt,
+        }
+    }
+
+    /// The balancing rule at this moment.
+    fn balancing(&self) -> Balancing<'_> {
+        Balancing {
+            settings: &self.settings,
+            pool: &self.servers,
+            slow_start: self.slow_start(),
+            now: self.now,
+            longest_objective: self.latency.longest,
+            origin_saturation: self.origin_limits.saturation(),
+            shedding: self.admission.is_shedding(),
+        }
+    }
+
+    /// Whether the start-up limit allows one more attempt at a cache server.
+    fn startup_allows_attempt(&self) -> bool {
+        self.startup.allows(&StartupInputs {
+            settings: &self.settings,
+            now: self.now,
+            longest_objective: self.latency.longest,
+            cache_server_shares: self.servers.cache_server_shares(),
+            in_flight: self.servers.cache_attempts(),
+        })
+    }
+}
+
+/// Whether keeping a connection open costs more than opening it again: the price of the first grows with the
+/// number of nodes, that of the second does not.
+fn idle_connections_cost_too_much(settings: &Settings) -> bool {
+    f64::from(settings.nodes) * settings.connection_price
+        > HANDSHAKES_PER_IDLE_CONNECTION * settings.handshake_price
+}
+
+fn log(message: Option<LogMessage>, actions: &mut Vec<Action>) {
+    actions.extend(message.map(Action::from));
+}
--- /dev/null
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -0,0 +1,170 @@
+//! What the end of an attempt teaches, and what becomes of its request.
+
+use super::{Policy, log};
+use crate::action::{Action, Reason};
+use crate::admission::SIGN_OF_OVERLOAD;
+use crate::attempt::{Attempt, AttemptId, CallKind};
+use crate::log_message::LogMessage;
+use crate::origin_limits::OutcomeContext;
+use crate::outcome::{AttemptStatus, Outcome};
+use crate::retry;
+
+impl Policy {
+    /// An attempt has ended.
+    pub(super) fn on_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let id = AttemptId { request: outcome.request, number: outcome.attempt };
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        if outcome.status == AttemptStatus::Served {
+            let from_cache = attempt.kind == CallKind::CacheRead;
+            self.servers.record_response_time(attempt.server, attempt.sent_at, self.now, from_cache);
+        }
+        self.learn(&attempt, outcome, actions);
+        self.settle_attempt(&attempt, outcome);
+        self.continue_request(&attempt, outcome, actions);
+    }
+
+    /// Takes an ended attempt into the account of its request.
+    fn settle_attempt(&mut self, attempt: &Attempt, outcome: &Outcome) {
+        // A broken connection or a malformed response says little of a sound server, which still caches the
+        // key; the next in the order would have to fetch it.
+        let is_isolated = matches!(outcome.status, AttemptStatus::Malformed | AttemptStatus::Reset)
+            && self.servers.get(attempt.server).is_some_and(|server| server.outlier.failures_are_isolated());
+        let Some(pending) = self.requests.get_mut(&outcome.request) else { return };
+        pending.in_flight -= 1;
+        if outcome.status.proves_not_run() {
+            pending.may_have_run.retain(|run| run.attempt != outcome.attempt);
+        }
+        let missed = outcome.status == AttemptStatus::Miss;
+        pending.missed |= missed;
+        if attempt.kind == CallKind::CacheRead && !missed && !is_isolated {
+            pending.tried.push(attempt.server);
+        }
+    }
+
+    /// Ends a request that is answered, and retries one that is not.
+    fn continue_request(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(&outcome.request) else { return };
+        if outcome.request_finished || outcome.status == AttemptStatus::Served {
+            self.cancel_attempts(outcome.request, actions);
+            self.requests.remove(&outcome.request);
+            return;
+        }
+        if pending.in_flight > 0 && outcome.status != AttemptStatus::Miss {
+            return; // The outcomes of the others decide.
+        }
+        if attempt.kind != CallKind::CacheRead && outcome.status == AttemptStatus::Rejected {
+            return self.back_off(outcome.request, actions);
+        }
+        if let Err(reason) = self.pay_for_retry(attempt, outcome) {
+            return self.finish(outcome.request, reason, actions);
+        }
+        self.retry(outcome, actions);
+    }
+
+    /// Takes a retry from the budget, where it may add work for the servers.
+    fn pay_for_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
+        let Some(pending) = self.requests.get(&outcome.request) else { return Ok(()) };
+        // Where each attempt opens a connection, a rejected one has cost the server work all the same.
+        let is_costly = self.closes_idle_connections
+            && attempt.kind == CallKind::CacheRead
+            && outcome.status != AttemptStatus::Miss;
+        if outcome.status.proves_not_run() && !is_costly {
+            return Ok(());
+        }
+        if !retry::is_retryable(pending.class.idempotency, outcome.status) {
+            return Err(Reason::MayHaveRun);
+        }
+        let cost = retry::retry_cost(outcome.status, attempt, self.now);
+        if self.retry_budget.try_spend(cost) { Ok(()) } else { Err(Reason::RetryBudgetExhausted) }
+    }
+
+    fn retry(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let id = outcome.request;
+        let attempts = |policy: &Policy| policy.requests.get(&id).map_or(0, |pending| pending.attempts);
+        let before = attempts(self);
+        self.next_attempt(id, actions);
+        if attempts(self) > before {
+            actions.push(Action::Explain { request: id, reason: Reason::Retry(outcome.status) });
+        }
+    }
+
+    /// What an outcome teaches of its server and of the load on all, or of the origin.
+    fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(attempt.server) else { return };
+        server.in_flight = server.in_flight.saturating_sub(1);
+        if server.in_flight == 0 && self.closes_idle_connections {
+            actions.push(Action::CloseIdle(attempt.server));
+        }
+        if attempt.kind == CallKind::CacheRead {
+            self.servers.end_cache_attempt();
+            self.learn_overload(attempt, outcome.status);
+            self.learn_cache_server(attempt, outcome.status, actions);
+        } else {
+            self.learn_origin(attempt, outcome, actions);
+        }
+    }
+
+    /// A late attempt was counted when it became slow: waiting for its end would lag behind the overload.
+    fn learn_overload(&mut self, attempt: &Attempt, status: AttemptStatus) {
+        if attempt.is_timely(self.now) {
+            let signs = if status == AttemptStatus::Rejected { SIGN_OF_OVERLOAD } else { 0.0 };
+            self.admission.record_overload(signs, 1.0);
+        }
+    }
+
+    fn learn_cache_server(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(attempt.server) else { return };
+        match status {
+            // A server that fails each request at once looks idle and would draw ever more of them.
+            AttemptStatus::ConnectFailed
+            | AttemptStatus::Reset
+            | AttemptStatus::Error
+            | AttemptStatus::Malformed => {
+                server.outlier.note_connect_failed(status == AttemptStatus::ConnectFailed);
+                self.record_failure(attempt.server, actions);
+            }
+            AttemptStatus::TimedOut => server.outlier.note_connect_failed(false),
+            AttemptStatus::NotSent | AttemptStatus::Cancelled => {}
+            AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Rejected => {
+                self.learn_answer(attempt, status, actions);
+            }
+        }
+    }
+
+    fn learn_answer(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+        let Some(server) = self.servers.get_mut(attempt.server) else { return };
+        let service_time = attempt.age(self.now) as f64 / (1.0 + server.requests_per_core());
+        server.count_answer(self.now, attempt.latency_objective);
+        if let Some(readmission) = server.outlier.record_answer() {
+            // A server that had refused connections and answers is a new process, of which the list may be
+            // late to tell.
+            if readmission.restarted {
+                server.presume_restarted(self.now);
+            }
+            actions.push(LogMessage::ServerReadmitted(attempt.server).into());
+        }
+        if attempt.is_timely(self.now) {
+            self.startup.record_timely_answer();
+        }
+        if status == AttemptStatus::Served {
+            self.servers.record_service_time(service_time);
+        }
+    }
+
+    fn learn_origin(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+        let id = AttemptId { request: outcome.request, number: outcome.attempt };
+        self.shared_fetches.end(id, attempt);
+        if attempt.kind == CallKind::JoinedFetch {
+            return; // The call that it joined teaches it.
+        }
+        let context = OutcomeContext {
+            now: self.now,
+            share: self.origin_share(),
+            longest_objective: self.latency.longest,
+            shortest_objective: self.latency.shortest,
+            nodes: self.settings.nodes,
+        };
+        let message = self.origin_limits.record_outcome(attempt, outcome, context, &mut self.random);
+        log(message, actions);
+    }
+}
--- a/crates/stonevane-policy/src/server_entry.rs
+++ b/crates/stonevane-policy/src/server_entry.rs
@@ -19,8 +19,8 @@
     pub started: Micros,
     /// Whether it is ready, draining or gone.
     pub condition: Condition,
-    /// Number of nodes among which the capacity of this server is divided: for its slow start, for their start-up
-    /// limit and for the least load bound; 0: all nodes.
+    /// Number of nodes among which the capacity of this server is divided: for its slow start, for their
+    /// start-up limit and for the least load bound; 0: all nodes.
     pub sharing_nodes: u32,
 }
 
@@ -61,12 +61,13 @@
     Delta,
     /// A call to discovery failed or the subscription broke; the list in force stays.
     Failed,
-    /// The same after a silence: the node counts as notified of changes before long, whether or not they come.
+    /// The same after a silence: the node counts as notified of changes before long, whether or not they
+    /// come.
     TimedOut {
         /// How long it had lasted.
         silent_for: Micros,
-        /// Whether the silence alone ended the subscription, which had brought a line before, be it an empty one:
-        /// discovery had processed the call.
+        /// Whether the silence alone ended the subscription, which had brought a line before, be it an empty
+        /// one: discovery had processed the call.
         was_established: bool,
     },
 }
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -43,8 +43,8 @@
     pub may_message_peers: bool,
     /// Whether concurrent fetches of a key share one call to the origin.
     pub coalesce_fetches: bool,
-    /// Attempts per cache server that all nodes together may have in flight when they start, before answers allow
-    /// more; 0: no limit.
+    /// Attempts per cache server that all nodes together may have in flight when they start, before answers
+    /// allow more; 0: no limit.
     pub startup_attempts_per_server: f64,
     /// Weight of all cache servers, where this node is notified of a subset only; 0: it is notified of all.
     pub total_cache_weight: f64,
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -1,4 +1,5 @@
-//! The settings text of a deployment (JSON), as the simulator's first message and a node's configuration hold it.
+//! The settings text of a deployment (JSON), as the simulator's first message and a node's configuration hold
+//! it.
 //!
 //! The field names of the text are part of the protocol; this module alone maps them to [`Settings`].
 
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -1,122 +1,139 @@
-//! Slow start: a server that has just started bears a part of its capacity, and all balancers together must
-//! not send it more. They share nothing, so that each keeps to its own share of the one budget, however many
+//! Slow start: a server that has just started has a part of its capacity, and all nodes together must not
+//! send it more. They share nothing, so that each keeps to its own part of one budget, however many nodes
 //! there are.
 //!
-//! Two things make up the share. A token bucket holds this balancer to its rate. Where that rate earns less
-//! than one attempt in a window, a bucket alone would let every balancer send one all the same, and the sum
-//! would be the number of balancers: there an attempt passes by chance, as likely as the rate has earned one
-//! since its key was last asked for here. A key that is popular among all balancers then gets no more than
-//! the rate of all of them, however seldom one of them sees it, and a key that nobody asks for often passes
-//! nearly always.
+//! Inputs: a server's start time and the settings' warm-up (microseconds), the node's request rate, its part
+//! of the server, the weights. Two limits make up a node's part. A token bucket limits its rate. Where that
+//! rate earns less than one attempt in a window, a bucket alone would let every node send one all the same,
+//! and the sum would be the number of nodes: there an attempt passes by chance, as likely as the rate has
+//! earned one since its key was last requested here. A key that is popular among all nodes then gets no more
+//! than the rate of all of them, however seldom one of them sees it, and a key that is rarely requested
+//! passes nearly always.
 
-use crate::hash::unit_hash;
-use crate::state::{Held, Policy, Server, Spent};
-use crate::{Key, RequestId};
+use crate::hash::{self, unit_hash};
+use crate::ids::{Key, Micros, RequestId};
+use crate::servers::Server;
+use crate::settings::Settings;
+use crate::token_bucket::SpentTokens;
 
-/// A server in slow start gets this multiple of a warm server's equal part of the quotas, scaled by its
-/// warmth, and no more than this part of the multiple that it falls at: with a full bucket that leaves it a
-/// quarter of its budget.
-const RATE_MULTIPLE: f64 = 1.5;
-const PART_OF_FALL: f64 = 0.5;
-/// Requests for one key, where chance decides, may draw this multiple of the rate: few servers have a key
-/// that hash so much, and keys that are asked for seldom pass the sooner.
-const KEY_MULTIPLE: f64 = 2.0;
-/// A balancer's bucket holds what its rate earns in this part of the window that a budget is counted in.
+/// A server in slow start gets at most this multiple of a warm server's equal part of the quotas, scaled by
+/// its warmth.
+const MAX_RATE_MULTIPLE: f64 = 1.5;
+/// It gets no more than this part of the multiple under which it fails: a full bucket then leaves it a
+/// quarter.
+const OVERLOAD_PART: f64 = 0.5;
+/// Where chance decides, requests for one key draw this multiple of the rate: few servers have a key that is
+/// requested so often, and rare keys pass the sooner.
+const KEY_RATE_MULTIPLE: f64 = 2.0;
+/// A node's bucket holds what its rate earns in this part of the overload window.
 const BUCKET_WINDOW: f64 = 0.5;
-/// Attempts that all balancers together may send on top of their rates: what chance is granted is more.
-const CREDIT_OF_ALL: f64 = 1.0;
-/// In this time the weight that the fleet once had counts for half of what it did, where it has shrunk.
-const PEAK_HALF_LIFE: f64 = 300e6;
+/// Attempts that all nodes together may send on top of their rates.
+const SHARED_CREDIT: f64 = 1.0;
+/// The least weight of all servers, as a divisor.
+const MIN_TOTAL_WEIGHT: f64 = 0.01;
 
-/// What this balancer may send a server in slow start.
-struct Share {
-    /// Attempts a microsecond.
+/// The rule with its inputs at one moment.
+pub struct SlowStart<'a> {
+    pub settings: &'a Settings,
+    pub now: Micros,
+    /// Requests a second that are this node's to serve.
+    pub request_rate: f64,
+    /// This process's part of the node's quota.
+    pub process_share: f64,
+    /// Weight of the cache servers that are ready, and the highest that it was.
+    pub total_weight: f64,
+    pub peak_weight: f64,
+    /// Makes draws by a request's number differ between nodes.
+    pub node_salt: u64,
+}
+
+/// A read that looks for a server.
+pub struct SlowStartRead {
+    pub request: RequestId,
+    pub key: Key,
+    /// Whether the key was requested among the latest requests here.
+    pub popular: bool,
+    /// For how long the key was not requested here.
+    pub unseen_for: Micros,
+}
+
+/// What this node may send a server in slow start.
+struct NodeBudget {
+    /// Attempts per microsecond.
     rate: f64,
     /// Attempts that the bucket holds; below 1 the rate earns less than one attempt in its part of the
     /// window.
-    depth: f64,
+    capacity: f64,
     /// Attempts that are not earned back yet.
     spent: f64,
 }
 
-impl Policy {
-    /// Part of its capacity that a server has at the least, some time after its start.
-    pub(crate) fn warmth(&self, s: &Server) -> f64 {
-        let age =
-            self.now.saturating_sub(s.line.started) as f64 / self.settings.slow_start_duration.max(1) as f64;
-        let share = self.settings.initial_capacity;
-        if s.line.started == 0 { 1.0 } else { (share + (1.0 - share) * age).min(1.0) }
+impl SlowStart<'_> {
+    /// The least part of its capacity that a server has by its age.
+    fn warmth(&self, server: &Server) -> f64 {
+        let started = server.entry.started;
+        let age = self.now.saturating_sub(started) as f64 / self.settings.slow_start_duration.max(1) as f64;
+        let initial = self.settings.initial_capacity;
+        if started == 0 { 1.0 } else { (initial + (1.0 - initial) * age).min(1.0) }
     }
 
-    /// Whether a read may go to a server as warm as it is. In slow start it gets a part of its keys that
-    /// grows as it warms, the same keys from every balancer, none that is popular here, and from each
-    /// balancer no more than its share. `first_since_put_back`: a person has put it back at this balancer,
-    /// and one read goes there whatever its key.
-    pub(crate) fn slow_start_allows(
-        &self,
-        id: RequestId,
-        held: &Held,
-        key: Key,
-        s: &Server,
-        first_since_put_back: bool,
-    ) -> bool {
-        if self.warmth(s) >= 1.0 {
+    /// Whether a read may go to a server. In slow start it gets a part of its keys that grows as it warms up,
+    /// the same keys from every node, none that is popular here, and no more than the node's budget.
+    /// `probes_reinstated`: an operator has reinstated the server, and one read goes there whatever its key.
+    pub fn allows_read(&self, read: &SlowStartRead, server: &Server, probes_reinstated: bool) -> bool {
+        let warmth = self.warmth(server);
+        if warmth >= 1.0 {
             return true;
         }
-        if held.popular || !self.in_slow_start_share(s) {
+        if read.popular || !self.has_budget(server) {
             return false;
         }
-        first_since_put_back
-            || unit_hash(key, s.line.id, 1) < self.warmth(s) && self.drawn_for_share(id, held, s)
+        probes_reinstated
+            || unit_hash(read.key, server.entry.id, hash::purpose::SLOW_START_KEYS) < warmth
+                && self.wins_draw(read, server)
     }
 
-    /// Whether this balancer's bucket has room for one more attempt at a server, where that is in slow start.
-    pub(crate) fn in_slow_start_share(&self, s: &Server) -> bool {
-        if s.origin || self.warmth(s) >= 1.0 {
+    /// Whether the node's bucket has a token for one more attempt at a server, where that is in slow start.
+    pub fn has_budget(&self, server: &Server) -> bool {
+        if server.is_origin || self.warmth(server) >= 1.0 {
             return true;
         }
-        let share = self.slow_start_share(s);
-        share.spent + 1.0 <= share.depth.max(1.0)
-    }
-
-    /// Attempts at a server that are not earned back yet, with one more.
-    pub(crate) fn spent_with_one_more(&self, s: &Server) -> Spent {
-        Spent { attempts: self.slow_start_share(s).spent + 1.0, at: self.now }
+        let budget = self.node_budget(server);
+        budget.spent + 1.0 <= budget.capacity.max(1.0)
     }
 
-    /// Where the share is less than one attempt: whether this request hash one. What the rate has earned
-    /// since the key was last asked for here is what one request for it is worth, so that requests for one
-    /// key at all balancers draw no more than a multiple of the rate of all. As others leave, their keys come
-    /// here too, and fewer of them draw one.
-    fn drawn_for_share(&self, id: RequestId, held: &Held, s: &Server) -> bool {
-        let share = self.slow_start_share(s);
-        let credit = CREDIT_OF_ALL / f64::from(self.sharers(s).max(1));
-        let earned = credit + KEY_MULTIPLE * share.rate * held.unseen_for as f64;
-        share.depth >= 1.0 || unit_hash(id ^ self.salt, s.line.id, 5) < earned.min(self.remaining_fleet())
+    /// The spent tokens of a server, with one more attempt.
+    pub fn spend_one(&self, server: &Server) -> SpentTokens {
+        SpentTokens::new(self.node_budget(server).spent + 1.0, self.now)
     }
 
-    fn slow_start_share(&self, s: &Server) -> Share {
-        let quota = self.share() * self.portion(s);
-        // Against a rate that follows the load of the servers that are left: as others leave, one can do no
-        // more.
-        let fleet = self.peak_weight.value.max(self.settings.total_cache_weight).max(0.01);
-        let multiple = RATE_MULTIPLE.min(PART_OF_FALL * self.settings.overload_multiple).max(0.0);
-        let rate = self.part * multiple * self.warmth(s) * quota * self.weight(s) / fleet / 1e6;
-        let depth = rate * self.settings.overload_window as f64 * BUCKET_WINDOW;
-        Share { rate, depth, spent: s.spent.left(self.now, rate) }
+    /// Where the budget is less than one attempt: whether this request draws one. What the rate has earned
+    /// since the key was last requested here is the chance of one request for it, so that requests for one
+    /// key at all nodes draw no more than a multiple of the rate of all. As other servers leave, their keys
+    /// come here too, and fewer draw one.
+    fn wins_draw(&self, read: &SlowStartRead, server: &Server) -> bool {
+        let budget = self.node_budget(server);
+        let credit = SHARED_CREDIT / f64::from(server.sharing_nodes(self.settings).max(1));
+        let earned = credit + KEY_RATE_MULTIPLE * budget.rate * read.unseen_for as f64;
+        let draw =
+            || unit_hash(read.request ^ self.node_salt, server.entry.id, hash::purpose::SLOW_START_DRAW);
+        budget.capacity >= 1.0 || draw() < earned.min(self.remaining_weight_part())
     }
 
-    /// The weight of the servers that are ready, as a part of the most that were: keys of servers that have
-    /// left come to the others, and one in slow start takes no more for that.
-    fn remaining_fleet(&self) -> f64 {
-        (self.total / self.peak_weight.value.max(0.01)).min(1.0)
+    fn node_budget(&self, server: &Server) -> NodeBudget {
+        let quota = self.request_rate * server.node_share(self.settings);
+        // Not the weight of the servers that are left: as others leave, one can do no more.
+        let fleet_weight = self.peak_weight.max(self.settings.total_cache_weight).max(MIN_TOTAL_WEIGHT);
+        let multiple = MAX_RATE_MULTIPLE.min(OVERLOAD_PART * self.settings.overload_multiple).max(0.0);
+        let weight = self.settings.cache_weight_of(server.entry.weight);
+        let rate = self.process_share * multiple * self.warmth(server) * quota * weight / fleet_weight / 1e6;
+        let capacity = rate * self.settings.overload_window as f64 * BUCKET_WINDOW;
+        NodeBudget { rate, capacity, spent: server.slow_start_spent.remaining(self.now, rate) }
     }
 
-    /// Follows the weight of the servers that are ready.
-    pub(crate) fn note_peak_weight(&mut self) {
-        let peak = &mut self.peak_weight;
-        let fade = 0.5f64.powf(self.now.saturating_sub(peak.at) as f64 / PEAK_HALF_LIFE);
-        peak.value = self.total + (peak.value - self.total).max(0.0) * fade;
-        peak.at = self.now;
+    /// The weight of the servers that are ready, as a part of the highest that it was: keys of servers that
+    /// have left come to the others, and one in slow start takes no more for that.
+    fn remaining_weight_part(&self) -> f64 {
+        (self.total_weight / self.peak_weight.max(MIN_TOTAL_WEIGHT)).min(1.0)
     }
 }
