--- a/crates/stonevane-audit/src/auditor.rs
+++ b/crates/stonevane-audit/src/auditor.rs
@@ -7,10 +7,10 @@
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-use crate::history::{Effect, Event, Line, Outcome, Span};
+use crate::history::{Effect, Event, HistoryRecord, Outcome, TimeInterval};
 use crate::membership::Membership;
 use crate::report::{Evidence, Fault, Finding, Report, Rule};
-use crate::rules::{ClassRule, Kind, Rules, Scope, able};
+use crate::rules::{ClassRule, DedupScope, Idempotency, Rules, work_capacity};
 
 /// A request is held for this long after its time, for what may still come of it.
 const LINGER_US: u64 = 5_000_000;
@@ -30,7 +30,7 @@
 const MOST_STORED: (usize, usize) = (256, 65_536);
 
 /// A line and its number.
-type Seen = (usize, Rc<Line>);
+type Seen = (usize, Rc<HistoryRecord>);
 
 /// What is held of a request.
 #[derive(Default)]
@@ -64,7 +64,7 @@
 
 /// What came to a server within its window.
 struct Arrival {
-    t: Span,
+    t: TimeInterval,
     work: u64,
     /// It counts towards the part that makes an overload a breach.
     counts: bool,
@@ -92,13 +92,13 @@
         let (_, line) = self.start.as_ref()?;
         let cold = line.warm_us > 0 && line.capacity_us_per_s > 0.0;
         // The earliest start that is possible leaves it the most capacity.
-        cold.then_some((line.capacity_us_per_s, line.cold_share, line.t.begun, line.warm_us))
+        cold.then_some((line.capacity_us_per_s, line.cold_share, line.time.earliest, line.warm_us))
     }
 
     /// Work that it can do from a moment on for a time, while it warms evenly.
-    fn able(&self, from: u64, time: u64) -> f64 {
+    fn work_capacity(&self, from: u64, time: u64) -> f64 {
         let Some((capacity, share, start, warm)) = self.figures() else { return f64::INFINITY };
-        able(capacity, share, start, warm, from, time)
+        work_capacity(capacity, share, start, warm, from, time)
     }
 
     fn cold(&self, at: u64) -> bool {
@@ -120,7 +120,7 @@
 /// A node's process.
 #[derive(Default)]
 struct Node {
-    ready: Option<Span>,
+    ready: Option<TimeInterval>,
     term: Option<Seen>,
     kills: Vec<Seen>,
     /// There is no process now: what discovery writes to it is read by nobody.
@@ -134,8 +134,8 @@
 
 impl Node {
     /// Whether what a client wrote in a span may have come to no process.
-    fn may_be_dead(&self, t: Span) -> bool {
-        self.dead.iter().any(|(from, until)| *from <= t.ended && *until >= t.begun)
+    fn may_be_dead(&self, t: TimeInterval) -> bool {
+        self.dead.iter().any(|(from, until)| *from <= t.latest && *until >= t.earliest)
     }
 
     /// Whether it may have stood still in some of a time: what it owed then could not be answered.
@@ -143,11 +143,11 @@
         self.still.iter().any(|(begun, ended)| *begun <= until && *ended >= from)
     }
 
-    fn stills(&mut self, t: Span, begins: bool) {
+    fn stills(&mut self, t: TimeInterval, begins: bool) {
         if begins {
             self.stills += 1;
             if self.stills == 1 {
-                self.still.push_back((t.begun, u64::MAX));
+                self.still.push_back((t.earliest, u64::MAX));
                 if self.still.len() > MOST_ENDS {
                     self.still.pop_front();
                 }
@@ -156,11 +156,11 @@
         }
         self.stills = self.stills.saturating_sub(1);
         if let Some((_, until)) = self.still.back_mut().filter(|_| self.stills == 0) {
-            *until = (*until).min(t.ended + STILL_US);
+            *until = (*until).min(t.latest + STILL_US);
         }
     }
 
-    fn died(&mut self, t: Span) {
+    fn died(&mut self, t: TimeInterval) {
         if self.stills > 0 {
             self.stills = 1;
             self.stills(t, false);
@@ -168,7 +168,7 @@
         self.gone = true;
         // An end that is noted twice is one.
         if self.dead.back().is_none_or(|(_, until)| *until < u64::MAX) {
-            self.dead.push_back((t.begun, u64::MAX));
+            self.dead.push_back((t.earliest, u64::MAX));
             if self.dead.len() > MOST_ENDS {
                 self.dead.pop_front();
             }
@@ -290,19 +290,19 @@
     }
 
     /// Takes the next line; lines come in the order of their `t.ended`.
-    pub fn line(&mut self, number: usize, line: Line) {
+    pub fn line(&mut self, number: usize, line: HistoryRecord) {
         self.take((number, Rc::new(line)));
     }
 
     fn take(&mut self, seen: Seen) {
         self.report.events += 1;
-        self.now = self.now.max(seen.1.t.ended);
+        self.now = self.now.max(seen.1.time.latest);
         self.settle(self.now, false);
         match seen.1.event {
             Event::Begin | Event::Fault => {}
-            Event::Ask => self.ask(seen),
+            Event::Request => self.ask(seen),
             Event::Answer => self.answer(seen),
-            Event::Gone => {
+            Event::ClientLeft => {
                 let request = self.request(&seen);
                 request.gone = Some(seen);
             }
@@ -312,19 +312,19 @@
                     request.closed = Some(seen);
                 }
             }
-            Event::Stray => {
+            Event::UnsolicitedResponse => {
                 let what = format!("node {} sent bytes that answer nothing", seen.1.node);
                 let name = seen.1.request.clone();
-                self.accuse_by("stray", Rule::Answered, "twice", &name, what, &[seen]);
+                self.accuse_by("stray", Rule::FinalAnswer, "twice", &name, what, &[seen]);
             }
             Event::Attempt => self.attempt(seen),
             Event::Reply => self.reply(seen),
-            Event::Over => {
+            Event::AttemptEnded => {
                 let request = self.request(&seen);
                 request.replies.push(seen);
             }
             Event::Start => {
-                let server = self.servers.entry(seen.1.at().into()).or_default();
+                let server = self.servers.entry(seen.1.server_name().into()).or_default();
                 (server.zone, server.cell) = (seen.1.zone.clone(), seen.1.cell);
                 server.arrivals.clear();
                 server.ran.clear();
@@ -333,36 +333,36 @@
                 server.start = Some(seen);
             }
             Event::Down => {
-                if let Some(server) = self.servers.get_mut(seen.1.at()) {
+                if let Some(server) = self.servers.get_mut(seen.1.server_name()) {
                     server.arrivals.clear();
                 }
             }
-            Event::Change => note(self.changed.entry(seen.1.at().into()).or_default(), seen),
-            Event::Told
+            Event::Change => note(self.changed.entry(seen.1.server_name().into()).or_default(), seen),
+            Event::Notified
                 if self.nodes.get(&seen.1.node).is_some_and(|node| node.gone)
                     && self.judges("excuse-untold") => {}
-            Event::Told => {
-                let key = (seen.1.node.clone(), seen.1.at().to_owned());
+            Event::Notified => {
+                let key = (seen.1.node.clone(), seen.1.server_name().to_owned());
                 note(self.told.entry(key).or_default(), seen);
             }
             Event::Node => {
                 if let Some(member) = self.membership.number(&seen.1.node) {
-                    self.membership.process(seen.1.t, member, &seen.1.state);
+                    self.membership.process(seen.1.time, member, &seen.1.state);
                 }
                 self.node(seen);
             }
             Event::View => self.view(seen),
-            Event::Cut => {
+            Event::Partition => {
                 let ends = [&seen.1.node, &seen.1.server].map(|name| self.membership.number(name));
                 if let [Some(from), Some(to)] = ends {
-                    self.membership.cut(seen.1.t, from, to, seen.1.state == "cut");
+                    self.membership.cut(seen.1.time, from, to, seen.1.state == "cut");
                 }
             }
-            Event::Weather => {
+            Event::NetworkConditions => {
                 let (begins, mild) = (!seen.1.state.ends_with("-ends"), seen.1.state.starts_with("mild"));
-                self.membership.weather(seen.1.t, begins, mild);
+                self.membership.weather(seen.1.time, begins, mild);
             }
-            Event::Stored => self.stored(seen),
+            Event::Committed => self.stored(seen),
             // How busy discovery is breaks no rule.
             Event::Call => {}
             Event::End => self.ended = true,
@@ -380,9 +380,9 @@
         let name = &seen.1.request;
         if !self.requests.contains_key(name) {
             // Until it is known how long its client waits.
-            self.due.push(Reverse((seen.1.t.ended + 2 * LINGER_US, name.clone())));
+            self.due.push(Reverse((seen.1.time.latest + 2 * LINGER_US, name.clone())));
             self.requests.insert(name.clone(), Request::default());
-            self.report.held_at_most = self.report.held_at_most.max(self.requests.len());
+            self.report.peak_requests = self.report.peak_requests.max(self.requests.len());
         }
         self.requests.entry(name.clone()).or_default()
     }
@@ -391,21 +391,21 @@
 
     fn ask(&mut self, seen: Seen) {
         let name = seen.1.request.clone();
-        let until = seen.1.until;
+        let until = seen.1.deadline;
         let request = self.request(&seen);
         let first = request.asks.is_empty();
         request.asks.push(seen.clone());
         let closed = request.closed.take();
         // A close that crossed the request had not read it; an attempt before it is sent once more proves that
         // the node had, and lost it.
-        let read = request.attempts.iter().find(|(_, a)| a.t.ended < seen.1.t.begun).cloned();
+        let read = request.attempts.iter().find(|(_, a)| a.time.latest < seen.1.time.earliest).cloned();
         self.due.push(Reverse((until + self.rules.answer_slack_us + LINGER_US, name.clone())));
         if first {
             self.report.requests += 1;
         } else if let (Some(closed), Some(read)) = (closed, read) {
             let what = format!("node {} had read it and ended its connection with no answer", closed.1.node);
             let proof = [read, closed, seen];
-            self.accuse_by("lost-after-reading", Rule::Answered, "lost", &name, what, &proof);
+            self.accuse_by("lost-after-reading", Rule::FinalAnswer, "lost", &name, what, &proof);
         }
     }
 
@@ -414,7 +414,7 @@
         let request = self.request(&seen);
         if let Some(before) = request.answer.clone() {
             let what = "a second final answer".to_owned();
-            return self.accuse(Rule::Answered, "twice", &name, what, &[before, seen]);
+            return self.accuse(Rule::FinalAnswer, "twice", &name, what, &[before, seen]);
         }
         request.answer = Some(seen.clone());
         let ask = request.asks.last().cloned();
@@ -423,21 +423,21 @@
         let class = ask.as_ref().map_or("", |(_, ask)| ask.class.as_str()).to_owned();
         self.report.answers.entry(class).or_default()[outcome as usize] += 1;
         if let Some(ask) = ask {
-            let by = ask.1.until + self.rules.answer_slack_us;
+            let by = ask.1.deadline + self.rules.answer_slack_us;
             let node = self.nodes.get(&ask.1.node);
-            let still = node.is_some_and(|node| node.stood_still(ask.1.t.begun, by));
-            if seen.1.t.begun > by && !still {
-                let what = format!("answered {} us after its client had given up", seen.1.t.begun - by);
-                self.accuse(Rule::Answered, "late", &name, what, &[ask, seen.clone()]);
+            let still = node.is_some_and(|node| node.stood_still(ask.1.time.earliest, by));
+            if seen.1.time.earliest > by && !still {
+                let what = format!("answered {} us after its client had given up", seen.1.time.earliest - by);
+                self.accuse(Rule::FinalAnswer, "late", &name, what, &[ask, seen.clone()]);
             }
         }
         match outcome {
             Outcome::Served => self.served(&name, &kind, seen),
-            Outcome::Refused => {
+            Outcome::Rejected => {
                 let ran = self.requests[&name].attempts.iter().find(|(_, a)| a.effect == Some(Effect::Ran));
                 if let Some(ran) = ran.filter(|_| kind.refusal_harms()).cloned() {
                     let what = "refused, as if a retry did no harm, though it has run".to_owned();
-                    self.accuse(Rule::Once, "refused-after-run", &name, what, &[ran, seen]);
+                    self.accuse(Rule::DuplicateEffects, "refused-after-run", &name, what, &[ran, seen]);
                 }
             }
             Outcome::Failed => {}
@@ -452,14 +452,14 @@
         if versions.len() > MOST_STORED.0 {
             versions.pop_front();
         }
-        if line.token.is_empty() {
+        if line.idempotency_key.is_empty() {
             return;
         }
-        let token = line.token.clone();
+        let token = line.idempotency_key.clone();
         if let Some(before) = self.committed.insert(token.clone(), seen.clone()) {
             let what =
                 format!("the edit {token} was carried out twice: {} and {}", before.1.version, line.version);
-            return self.accuse(Rule::Once, "edit-twice", "", what, &[before, seen]);
+            return self.accuse(Rule::DuplicateEffects, "edit-twice", "", what, &[before, seen]);
         }
         self.committed_order.push_back(token);
         if self.committed_order.len() > MOST_STORED.1
@@ -470,10 +470,10 @@
     }
 
     /// The version that an answer from the store of record shows; `None` where the store has not made it by then.
-    fn of_store(&self, kind: &ClassRule, ask: &Line, answer: &Line) -> Option<u64> {
-        let in_time = |(_, commit): &&Seen| commit.t.begun <= answer.t.ended;
-        if kind.kind != Kind::Safe {
-            let (_, commit) = self.committed.get(&ask.token).filter(in_time)?;
+    fn of_store(&self, kind: &ClassRule, ask: &HistoryRecord, answer: &HistoryRecord) -> Option<u64> {
+        let in_time = |(_, commit): &&Seen| commit.time.earliest <= answer.time.latest;
+        if kind.kind != Idempotency::Idempotent {
+            let (_, commit) = self.committed.get(&ask.idempotency_key).filter(in_time)?;
             let own = commit.key == ask.key && commit.version.to_string() == answer.value;
             return own.then_some(commit.version);
         }
@@ -498,21 +498,21 @@
             };
             let mut lines = request.replies.clone();
             lines.push(seen);
-            return self.accuse_by(judgement, Rule::Answered, "value", name, what, &lines);
+            return self.accuse_by(judgement, Rule::FinalAnswer, "value", name, what, &lines);
         };
         let Some((_, ask)) = ask else { return };
-        if kind.kind == Kind::Safe {
+        if kind.kind == Idempotency::Idempotent {
             // An edit whose receipt its client had before this was asked must show.
             let newer = self.edited.get(&ask.key).into_iter().flatten();
-            let shows = ask.t.begun.saturating_sub(self.rules.visible_us);
+            let shows = ask.time.earliest.saturating_sub(self.rules.write_visible_us);
             let newer = newer.filter(|(at, new, _)| *at < shows && *new > version).max_by_key(|e| e.1);
             if let Some((_, new, edit)) = newer.cloned() {
                 let what = format!("served version {version} of a key that was at {new} before it was asked");
-                self.accuse(Rule::Answered, "stale", name, what, &[edit, seen]);
+                self.accuse(Rule::FinalAnswer, "stale", name, what, &[edit, seen]);
             }
         } else if version > 0 {
             let edits = self.edited.entry(ask.key.clone()).or_default();
-            edits.push((seen.1.t.ended, version, seen));
+            edits.push((seen.1.time.latest, version, seen));
             // Of two edits the one that is newer and was answered earlier says all that the other does.
             let all = std::mem::take(edits);
             let beaten = |e: &(u64, u64, Seen)| all.iter().any(|o| o.0 <= e.0 && o.1 > e.1);
@@ -528,7 +528,7 @@
     fn attempt(&mut self, seen: Seen) {
         self.report.attempts += 1;
         let (name, effect) = (seen.1.request.clone(), seen.1.effect.unwrap_or(Effect::Ran));
-        let cold = self.servers.get(seen.1.at()).is_some_and(|s| s.cold(seen.1.t.ended));
+        let cold = self.servers.get(seen.1.server_name()).is_some_and(|s| s.cold(seen.1.time.latest));
         let rules = self.rules.clone();
         let slack = rules.answer_slack_us;
         let request = self.request(&seen);
@@ -540,20 +540,20 @@
         }
         let before = std::mem::take(&mut request.attempts);
         let answer = request.answer.clone();
-        if effect != Effect::Void {
+        if effect != Effect::NotReceived {
             self.repeat(&name, &kind, &before, &seen, effect);
-            if let Some(answer) = answer.filter(|(_, a)| a.t.ended + slack < first(&seen).begun) {
+            if let Some(answer) = answer.filter(|(_, a)| a.time.latest + slack < first(&seen).earliest) {
                 let what = "sent to a server after its final answer".to_owned();
-                self.accuse(Rule::Answered, "sent-after-answer", &name, what, &[answer, seen.clone()]);
+                self.accuse(Rule::FinalAnswer, "sent-after-answer", &name, what, &[answer, seen.clone()]);
             }
             self.drain(&seen, &node);
             self.arrival(&seen, &node, cold_miss);
         }
-        if effect == Effect::Ran && !seen.1.token.is_empty() {
+        if effect == Effect::Ran && !seen.1.idempotency_key.is_empty() {
             self.token(&seen);
             self.ran_here(&kind, &seen);
         }
-        let server = self.servers.entry(seen.1.at().into()).or_default();
+        let server = self.servers.entry(seen.1.server_name().into()).or_default();
         server.highest = server.highest.max(seen.1.number);
         let request = self.request(&seen);
         request.attempts = before;
@@ -563,42 +563,51 @@
     fn repeat(&mut self, name: &str, kind: &ClassRule, before: &[Seen], seen: &Seen, effect: Effect) {
         let slack = self.rules.answer_slack_us;
         let refused = self.requests[name].answer.clone();
-        let refused = refused.filter(|(_, a)| a.outcome == Some(Outcome::Refused));
+        let refused = refused.filter(|(_, a)| a.outcome == Some(Outcome::Rejected));
         if let Some(answer) = refused.filter(|_| kind.refusal_harms() && effect == Effect::Ran) {
             let what = "refused, as if a retry did no harm, though it ran".to_owned();
             let proof = [answer, seen.clone()];
-            self.accuse_by("ran-after-refusal", Rule::Once, "refused-after-run", name, what, &proof);
+            self.accuse_by(
+                "ran-after-refusal",
+                Rule::DuplicateEffects,
+                "refused-after-run",
+                name,
+                what,
+                &proof,
+            );
         }
         for earlier in before.iter().filter(|(_, b)| b.effect == Some(Effect::Ran)) {
-            let after = first(seen).begun > earlier.1.t.ended;
+            let after = first(seen).earliest > earlier.1.time.latest;
             let ran = effect == Effect::Ran;
             let pair = [earlier.clone(), seen.clone()];
             match kind.kind {
-                Kind::Safe => {}
-                Kind::Unsafe if ran || after => {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent if ran || after => {
                     let what = "an unsafe request was sent again after it had run".to_owned();
-                    self.accuse(Rule::Once, "unsafe-again", name, what, &pair);
+                    self.accuse(Rule::DuplicateEffects, "unsafe-again", name, what, &pair);
                 }
-                Kind::Keyed if (ran || after) && !self.shares(kind.scope, &earlier.1, &seen.1) => {
-                    let what = format!("sent again to {}, which can't know it", seen.1.at());
-                    self.accuse(Rule::Once, "group", name, what, &pair);
+                Idempotency::WithKey if (ran || after) && !self.shares(kind.scope, &earlier.1, &seen.1) => {
+                    let what = format!("sent again to {}, which can't know it", seen.1.server_name());
+                    self.accuse(Rule::DuplicateEffects, "group", name, what, &pair);
                 }
-                Kind::Keyed if first(seen).begun > earlier.1.t.ended + kind.window_us + slack => {
-                    let late = first(seen).begun - earlier.1.t.ended;
+                Idempotency::WithKey
+                    if first(seen).earliest > earlier.1.time.latest + kind.window_us + slack =>
+                {
+                    let late = first(seen).earliest - earlier.1.time.latest;
                     let what = format!("sent again {late} us after it ran, past the {} us", kind.window_us);
-                    self.accuse(Rule::Once, "window", name, what, &pair);
+                    self.accuse(Rule::DuplicateEffects, "window", name, what, &pair);
                 }
-                Kind::Unsafe | Kind::Keyed => {}
+                Idempotency::NonIdempotent | Idempotency::WithKey => {}
             }
         }
     }
 
-    fn shares(&self, scope: Scope, one: &Line, other: &Line) -> bool {
-        let known = |line: &Line| self.servers.get(line.at()).filter(|s| s.start.is_some());
-        let place = |line: &Line| known(line).map(|s| (s.zone.as_str(), s.cell));
+    fn shares(&self, scope: DedupScope, one: &HistoryRecord, other: &HistoryRecord) -> bool {
+        let known = |line: &HistoryRecord| self.servers.get(line.server_name()).filter(|s| s.start.is_some());
+        let place = |line: &HistoryRecord| known(line).map(|s| (s.zone.as_str(), s.cell));
         match (scope, place(one), place(other)) {
-            (Scope::Zone, Some(one), Some(other)) => one.0 == other.0,
-            (Scope::Cell, Some(one), Some(other)) => one.1 == other.1,
+            (DedupScope::Zone, Some(one), Some(other)) => one.0 == other.0,
+            (DedupScope::Cell, Some(one), Some(other)) => one.1 == other.1,
             // Of servers whose place is not known nothing is proven.
             _ => true,
         }
@@ -609,13 +618,13 @@
         self.reply_to(&seen);
         let request = self.request(&seen);
         request.replies.push(seen.clone());
-        let own = |a: &&Seen| a.1.at() == seen.1.at() && a.1.number == seen.1.number;
+        let own = |a: &&Seen| a.1.server_name() == seen.1.server_name() && a.1.number == seen.1.number;
         let own = request.attempts.iter().find(own).cloned();
         // Sent again while nobody could know that the first attempt had not run.
         let blind = own.as_ref().and_then(|own| {
             let blind = |a: &&Seen| {
-                let surely = own.1.t.ended < first(a).begun && a.1.t.ended < seen.1.t.begun;
-                surely && a.1.effect != Some(Effect::Void)
+                let surely = own.1.time.latest < first(a).earliest && a.1.time.latest < seen.1.time.earliest;
+                surely && a.1.effect != Some(Effect::NotReceived)
             };
             request.attempts.iter().find(blind).cloned()
         });
@@ -623,38 +632,45 @@
         if !seen.1.value.is_empty() {
             self.made.insert(seen.1.value.clone(), name.clone());
         }
-        if let (Kind::Unsafe, Some(own), Some(blind)) = (kind, own, blind) {
+        if let (Idempotency::NonIdempotent, Some(own), Some(blind)) = (kind, own, blind) {
             let what = "an unsafe request was sent again while its first attempt was out".to_owned();
-            self.accuse_by("unsafe-blind", Rule::Once, "unsafe-again", &name, what, &[own, blind, seen]);
+            self.accuse_by(
+                "unsafe-blind",
+                Rule::DuplicateEffects,
+                "unsafe-again",
+                &name,
+                what,
+                &[own, blind, seen],
+            );
         }
     }
 
     /// A server that is to drop repeats and ran one is at fault itself.
     fn ran_here(&mut self, kind: &ClassRule, seen: &Seen) {
-        let server = self.servers.entry(seen.1.at().into()).or_default();
-        let before = server.ran.insert(seen.1.token.clone(), seen.clone());
+        let server = self.servers.entry(seen.1.server_name().into()).or_default();
+        let before = server.ran.insert(seen.1.idempotency_key.clone(), seen.clone());
         if before.is_none() {
-            server.ran_order.push_back(seen.1.token.clone());
+            server.ran_order.push_back(seen.1.idempotency_key.clone());
             if server.ran_order.len() > MOST_KEYS {
                 let oldest = server.ran_order.pop_front().unwrap_or_default();
                 server.ran.remove(&oldest);
             }
         }
-        let Some(before) = before.filter(|_| kind.kind == Kind::Keyed) else { return };
-        if seen.1.t.ended < before.1.t.begun + kind.window_us {
-            let what = format!("ran the key {} twice within {} us", seen.1.token, kind.window_us);
+        let Some(before) = before.filter(|_| kind.kind == Idempotency::WithKey) else { return };
+        if seen.1.time.latest < before.1.time.earliest + kind.window_us {
+            let what = format!("ran the key {} twice within {} us", seen.1.idempotency_key, kind.window_us);
             self.blame("ran-twice", what, &[before, seen.clone()]);
         }
     }
 
     /// Each reply is one to an attempt, and the only one.
     fn reply_to(&mut self, seen: &Seen) {
-        let own = |a: &&Seen| a.1.at() == seen.1.at() && a.1.number == seen.1.number;
+        let own = |a: &&Seen| a.1.server_name() == seen.1.server_name() && a.1.number == seen.1.number;
         let Some(request) = self.requests.get(&seen.1.request) else { return };
         let attempt = request.attempts.iter().find(own);
         let reply = request.replies.iter().find(own).filter(|(_, r)| r.event == Event::Reply).cloned();
         // What is held since it was asked has all its attempts; for the rest the server's own count tells.
-        let never = match self.servers.get(seen.1.at()) {
+        let never = match self.servers.get(seen.1.server_name()) {
             Some(server) => seen.1.number > server.highest,
             None => true,
         };
@@ -674,30 +690,42 @@
     fn tie(&mut self, name: &str, last: bool) {
         let Some(request) = self.requests.get(name) else { return };
         // Of a history that breaks off, the last moments may lack what was asked.
-        let settled = |a: &&Seen| !last || self.ended || a.1.t.ended + JUDGED_US < self.now;
+        let settled = |a: &&Seen| !last || self.ended || a.1.time.latest + JUDGED_US < self.now;
         // One that was seen so late that its request may be forgotten proves nothing.
-        let sure = |a: &&Seen| a.1.t.ended - first(a).begun.min(a.1.t.ended) < LINGER_US / 2;
+        let sure = |a: &&Seen| a.1.time.latest - first(a).earliest.min(a.1.time.latest) < LINGER_US / 2;
         let attempts: Vec<Seen> = request.attempts.iter().filter(settled).filter(sure).cloned().collect();
         let asks = request.asks.clone();
         let over: Vec<Seen> = request.replies.clone();
         let Some((_, ask)) = asks.first().cloned() else {
             if let Some(attempt) = attempts.first() {
                 let what = "no client asked for it".to_owned();
-                self.accuse(Rule::Tied, "unasked", name, what, std::slice::from_ref(attempt));
+                self.accuse(Rule::AttemptIntegrity, "unasked", name, what, std::slice::from_ref(attempt));
             }
             return;
         };
         for attempt in &attempts {
             let line = &attempt.1;
             let own = asks.iter().filter(|(_, ask)| ask.node == line.node);
-            match own.map(|(_, ask)| ask.t.begun).min() {
+            match own.map(|(_, ask)| ask.time.earliest).min() {
                 None => {
                     let what = format!("sent by node {}, which was not asked", line.node);
-                    self.accuse(Rule::Tied, "wrong-node", name, what, std::slice::from_ref(attempt));
+                    self.accuse(
+                        Rule::AttemptIntegrity,
+                        "wrong-node",
+                        name,
+                        what,
+                        std::slice::from_ref(attempt),
+                    );
                 }
-                Some(begun) if line.t.ended < begun => {
-                    let what = format!("sent {} us before it was asked", begun - line.t.ended);
-                    self.accuse(Rule::Tied, "too-early", name, what, std::slice::from_ref(attempt));
+                Some(begun) if line.time.latest < begun => {
+                    let what = format!("sent {} us before it was asked", begun - line.time.latest);
+                    self.accuse(
+                        Rule::AttemptIntegrity,
+                        "too-early",
+                        name,
+                        what,
+                        std::slice::from_ref(attempt),
+                    );
                 }
                 Some(_) => {}
             }
@@ -706,13 +734,13 @@
             let parts = [
                 ("wrong-key", "key", &ask.key, line.key.as_str()),
                 ("wrong-class", "class", &ask.class, line.class.as_str()),
-                ("wrong-token", "token", &ask.token, line.token.as_str()),
+                ("wrong-token", "token", &ask.idempotency_key, line.idempotency_key.as_str()),
                 ("wrong-body", "value's digest", &ask.digest, digest),
             ];
             for (code, part, asked, sent) in parts {
                 if asked != sent {
                     let what = format!("sent with the {part} `{sent}`, asked with `{asked}`");
-                    self.accuse(Rule::Tied, code, name, what, std::slice::from_ref(attempt));
+                    self.accuse(Rule::AttemptIntegrity, code, name, what, std::slice::from_ref(attempt));
                 }
             }
         }
@@ -720,7 +748,7 @@
     }
 
     fn limits(&mut self, name: &str, asks: &[Seen], attempts: &[Seen], over: &[Seen]) {
-        let came = |a: &&Seen| a.1.effect != Some(Effect::Void);
+        let came = |a: &&Seen| a.1.effect != Some(Effect::NotReceived);
         let most = self.rules.max_attempts as usize;
         let nodes: HashSet<&str> = asks.iter().map(|(_, ask)| ask.node.as_str()).collect();
         for node in nodes {
@@ -730,19 +758,21 @@
                 let what = format!("{} attempts by node {node}, {most} at the most", own.len());
                 self.accuse(Rule::Limits, "too-many", name, what, &own);
             }
-            if self.rules.second_copies {
+            if self.rules.hedging {
                 continue;
             }
             for (at, second) in own.iter().enumerate() {
                 // Out for certain: all of it had come, and what ended it came later or never.
                 let out = own[..at].iter().find(|earlier| {
-                    let ends = |o: &&Seen| o.1.at() == earlier.1.at() && o.1.number == earlier.1.number;
-                    earlier.1.t.ended < first(second).begun
+                    let ends = |o: &&Seen| {
+                        o.1.server_name() == earlier.1.server_name() && o.1.number == earlier.1.number
+                    };
+                    earlier.1.time.latest < first(second).earliest
                         && earlier.1.effect != Some(Effect::Busy)
-                        && !over.iter().filter(ends).any(|(_, o)| o.t.begun <= second.1.t.ended)
+                        && !over.iter().filter(ends).any(|(_, o)| o.time.earliest <= second.1.time.latest)
                 });
                 if let Some(out) = out {
-                    let what = format!("a second copy while the first was out at {}", out.1.at());
+                    let what = format!("a second copy while the first was out at {}", out.1.server_name());
                     self.accuse(Rule::Limits, "second-copy", name, what, &[out.clone(), second.clone()]);
                     break;
                 }
@@ -752,47 +782,47 @@
 
     /// Counts effects that happened more than once, whoever is to blame.
     fn token(&mut self, seen: &Seen) {
-        let until = seen.1.t.ended + TOKEN_US;
-        let place = format!("{}#{}", seen.1.at(), seen.1.number);
-        let (last, ran) = self.tokens.entry(seen.1.token.clone()).or_default();
+        let until = seen.1.time.latest + TOKEN_US;
+        let place = format!("{}#{}", seen.1.server_name(), seen.1.number);
+        let (last, ran) = self.tokens.entry(seen.1.idempotency_key.clone()).or_default();
         *last = until;
         ran.insert(place);
         if ran.len() == 2 {
-            self.report.tokens_run_twice += 1;
+            self.report.duplicate_effects += 1;
         }
-        self.token_due.push_back((until, seen.1.token.clone()));
+        self.token_due.push_back((until, seen.1.idempotency_key.clone()));
     }
 
     // Rule 3.
 
     fn drain(&mut self, seen: &Seen, node: &str) {
         let (grace, server) =
-            (self.rules.drain_grace_us + self.rules.answer_slack_us, seen.1.at().to_owned());
-        let due = seen.1.t.ended + JUDGED_US;
+            (self.rules.drain_grace_us + self.rules.answer_slack_us, seen.1.server_name().to_owned());
+        let due = seen.1.time.latest + JUDGED_US;
         let told = self.told.get(&(node.to_owned(), server.clone())).and_then(|t| t.down.clone());
-        if let Some(told) = told.filter(|(_, t)| first(seen).begun > t.t.ended + grace) {
+        if let Some(told) = told.filter(|(_, t)| first(seen).earliest > t.time.latest + grace) {
             return self.suspects.push_back(Suspect { due, seen: seen.clone(), told, by_told: true });
         }
-        let deemed = self.rules.deemed_told_us;
+        let deemed = self.rules.assumed_notified_us;
         let Some(change) = self.changed.get(&server).and_then(|t| t.down.clone()) else { return };
         // A node that has just started with an old list is given the same time.
-        let ready = self.nodes.get(node).and_then(|n| n.ready).map_or(0, |ready| ready.ended);
-        let known = change.1.t.ended.max(ready) + deemed;
-        if deemed > 0 && first(seen).begun > known + grace {
+        let ready = self.nodes.get(node).and_then(|n| n.ready).map_or(0, |ready| ready.latest);
+        let known = change.1.time.latest.max(ready) + deemed;
+        if deemed > 0 && first(seen).earliest > known + grace {
             self.suspects.push_back(Suspect { due, seen: seen.clone(), told: change, by_told: false });
         }
     }
 
     fn judge(&mut self, suspect: Suspect) {
         let Suspect { seen, told, by_told, .. } = suspect;
-        let key = (seen.1.node.clone(), seen.1.at().to_owned());
-        let now = if by_told { self.told.get(&key) } else { self.changed.get(seen.1.at()) };
+        let key = (seen.1.node.clone(), seen.1.server_name().to_owned());
+        let now = if by_told { self.told.get(&key) } else { self.changed.get(seen.1.server_name()) };
         // It may have been said to run again before the attempt was sent.
-        let cleared = |at: u64| at >= told.1.t.begun && at <= seen.1.t.ended;
+        let cleared = |at: u64| at >= told.1.time.earliest && at <= seen.1.time.latest;
         if now.is_some_and(|t| t.up.iter().copied().any(cleared)) {
             return;
         }
-        let late = first(&seen).begun - told.1.t.ended;
+        let late = first(&seen).earliest - told.1.time.latest;
         let how = if by_told { "was told" } else { "counts as told" };
         let what = format!(
             "sent to {} at least {late} us after node {} {how} of its {}",
@@ -800,14 +830,14 @@
         );
         let name = seen.1.request.clone();
         let judgement = if by_told { "drained" } else { "drained-deemed" };
-        self.accuse_by(judgement, Rule::Drained, "drained", &name, what, &[told, seen]);
+        self.accuse_by(judgement, Rule::Draining, "drained", &name, what, &[told, seen]);
     }
 
     // Rule 4.
 
     fn arrival(&mut self, seen: &Seen, node: &str, cold_miss: bool) {
-        let (t, work) = (seen.1.t, seen.1.work_us);
-        let Some(server) = self.servers.get_mut(seen.1.at()) else {
+        let (t, work) = (seen.1.time, seen.1.work_us);
+        let Some(server) = self.servers.get_mut(seen.1.server_name()) else {
             if seen.1.origin {
                 self.origin(seen, cold_miss);
             }
@@ -816,19 +846,19 @@
         if seen.1.origin {
             return self.origin(seen, cold_miss);
         }
-        if !server.figures().is_some_and(|f| t.begun >= f.2 && t.begun < f.2 + f.3) {
+        if !server.figures().is_some_and(|f| t.earliest >= f.2 && t.earliest < f.2 + f.3) {
             return;
         }
-        let since = server.start.as_ref().map_or(0, |(_, s)| s.since);
-        let deemed = server.start.as_ref().map_or(0, |(_, s)| s.t.ended) + self.rules.deemed_told_us;
-        let told = self.told.get(&(node.to_owned(), seen.1.at().to_owned())).and_then(|t| t.start);
-        let informed = told.is_some_and(|(start, at)| start >= since && at <= t.begun)
-            || self.rules.deemed_told_us > 0 && deemed <= t.begun;
-        let window = self.rules.fall_us;
-        while server.arrivals.front().is_some_and(|a| a.t.begun + window < t.ended) {
+        let since = server.start.as_ref().map_or(0, |(_, s)| s.started_at);
+        let deemed = server.start.as_ref().map_or(0, |(_, s)| s.time.latest) + self.rules.assumed_notified_us;
+        let told = self.told.get(&(node.to_owned(), seen.1.server_name().to_owned())).and_then(|t| t.start);
+        let informed = told.is_some_and(|(start, at)| start >= since && at <= t.earliest)
+            || self.rules.assumed_notified_us > 0 && deemed <= t.earliest;
+        let window = self.rules.overload_window_us;
+        while server.arrivals.front().is_some_and(|a| a.t.earliest + window < t.latest) {
             server.arrivals.pop_front();
         }
-        let at = server.arrivals.partition_point(|a| a.t.begun <= t.begun);
+        let at = server.arrivals.partition_point(|a| a.t.earliest <= t.earliest);
         server.arrivals.insert(at, Arrival { t, work, counts: informed, seen: seen.clone() });
         let (mut sum, mut counted) = (0, 0);
         let mut breach = None;
@@ -836,27 +866,28 @@
         for arrival in server.arrivals.iter().rev() {
             sum += arrival.work;
             counted += if arrival.counts { arrival.work } else { 0 };
-            let able = server.able(arrival.t.begun, window) * self.rules.fall_multiple;
-            let over = sum as f64 > able * (1.0 + self.rules.cold_slack);
-            if over && counted as f64 >= self.rules.informed_part * sum as f64 {
-                breach = Some((sum, able));
+            let work_capacity =
+                server.work_capacity(arrival.t.earliest, window) * self.rules.overload_multiple;
+            let over = sum as f64 > work_capacity * (1.0 + self.rules.cold_slack);
+            if over && counted as f64 >= self.rules.informed_share * sum as f64 {
+                breach = Some((sum, work_capacity));
             }
         }
-        let Some((sum, able)) = breach else { return };
+        let Some((sum, work_capacity)) = breach else { return };
         let mut lines: Vec<Seen> = server.start.iter().cloned().collect();
         let arrivals = server.arrivals.iter().filter(|a| a.counts).map(|a| a.seen.clone());
         lines.extend(ends(arrivals.collect()));
         let nodes: HashSet<&str> = server.arrivals.iter().map(|a| a.seen.1.node.as_str()).collect();
         let what = format!(
             "{} cold got {} ms of work in {} ms from {} nodes, {:.0} ms at the most",
-            seen.1.at(),
+            seen.1.server_name(),
             sum / 1_000,
             window / 1_000,
             nodes.len(),
-            able / 1e3
+            work_capacity / 1e3
         );
         server.arrivals.clear();
-        self.accuse(Rule::Cold, "cold-server", "", what, &lines);
+        self.accuse(Rule::SlowStart, "cold-server", "", what, &lines);
     }
 
     fn origin(&mut self, seen: &Seen, cold_miss: bool) {
@@ -864,28 +895,29 @@
         if rule.capacity_us_per_s <= 0.0 {
             return;
         }
-        let able = rule.fall_multiple * rule.capacity_us_per_s / 1e6 * rule.fall_us as f64;
-        let (window, part, t) = (rule.fall_us, rule.cold_part, seen.1.t);
-        let server = self.servers.entry(seen.1.at().into()).or_default();
-        while server.arrivals.front().is_some_and(|a| a.t.begun + window < t.ended) {
+        let work_capacity =
+            rule.overload_multiple * rule.capacity_us_per_s / 1e6 * rule.overload_window_us as f64;
+        let (window, part, t) = (rule.overload_window_us, rule.cold_share, seen.1.time);
+        let server = self.servers.entry(seen.1.server_name().into()).or_default();
+        while server.arrivals.front().is_some_and(|a| a.t.earliest + window < t.latest) {
             server.arrivals.pop_front();
         }
-        let at = server.arrivals.partition_point(|a| a.t.begun <= t.begun);
+        let at = server.arrivals.partition_point(|a| a.t.earliest <= t.earliest);
         let work = seen.1.work_us;
         server.arrivals.insert(at, Arrival { t, work, counts: cold_miss, seen: seen.clone() });
         let (mut sum, mut counted, mut over, mut breach) = (0, 0, false, None);
         for arrival in server.arrivals.iter().rev() {
             sum += arrival.work;
             counted += if arrival.counts { arrival.work } else { 0 };
-            if sum as f64 > able {
+            if sum as f64 > work_capacity {
                 over = true;
                 breach = (counted as f64 >= part * sum as f64).then_some((sum, counted)).or(breach);
             }
         }
         let Some((sum, counted)) = breach else {
             // Once for each window of an overload that others brought about.
-            if over && server.overrun.is_none_or(|at| at + window < t.ended) {
-                server.overrun = Some(t.ended);
+            if over && server.overrun.is_none_or(|at| at + window < t.latest) {
+                server.overrun = Some(t.latest);
                 self.report.origin_overruns += 1;
             }
             return;
@@ -897,10 +929,10 @@
             "the origin got {} ms of work in {} ms, {:.0} ms at the most, {} ms of it from misses at cold servers",
             sum / 1_000,
             window / 1_000,
-            able / 1e3,
+            work_capacity / 1e3,
             counted / 1_000
         );
-        self.accuse(Rule::Cold, "origin", "", what, &lines);
+        self.accuse(Rule::SlowStart, "origin", "", what, &lines);
     }
 
     // Nodes, and the end of requests.
@@ -908,9 +940,9 @@
     /// What a node holds of the others.
     fn view(&mut self, seen: Seen) {
         let Some(observer) = self.membership.number(&seen.1.node) else { return };
-        for breach in self.membership.view(seen.1.t, observer, &seen.1.state) {
+        for breach in self.membership.view(seen.1.time, observer, &seen.1.state) {
             let what = format!("n{} in the view of {}: {}", breach.member, seen.1.node, breach.what);
-            self.accuse(Rule::Members, breach.code, "", what, std::slice::from_ref(&seen));
+            self.accuse(Rule::Membership, breach.code, "", what, std::slice::from_ref(&seen));
         }
     }
 
@@ -920,43 +952,43 @@
             "starting" => node.gone = false,
             "ready" => {
                 node.gone = false;
-                (node.ready, node.term) = (Some(seen.1.t), None);
+                (node.ready, node.term) = (Some(seen.1.time), None);
                 if let Some((_, until)) = node.dead.back_mut().filter(|(_, until)| *until == u64::MAX) {
-                    *until = seen.1.t.ended;
+                    *until = seen.1.time.latest;
                 }
             }
             "term" => node.term = Some(seen),
-            "paused" | "slowed" => node.stills(seen.1.t, true),
-            "resumed" | "steady" => node.stills(seen.1.t, false),
+            "paused" | "slowed" => node.stills(seen.1.time, true),
+            "resumed" | "steady" => node.stills(seen.1.time, false),
             "killed" => {
-                node.died(seen.1.t);
+                node.died(seen.1.time);
                 // What it was told is gone with it.
                 let term = node.term.clone();
-                let after = term.as_ref().map(|(_, t)| seen.1.t.begun.saturating_sub(t.t.ended));
-                if after.is_none_or(|after| after <= self.rules.term_us) {
+                let after = term.as_ref().map(|(_, t)| seen.1.time.earliest.saturating_sub(t.time.latest));
+                if after.is_none_or(|after| after <= self.rules.kill_grace_us) {
                     node.kills.push(seen.clone());
                     let from = node.kills.len().saturating_sub(MOST_ENDS);
                     node.kills.drain(..from);
                 }
                 self.told.retain(|(name, _), _| *name != seen.1.node);
-                let exit = self.rules.exit_us;
+                let exit = self.rules.shutdown_limit_us;
                 if let Some((term, after)) = term.zip(after).filter(|(_, after)| exit > 0 && *after > exit) {
                     let what = format!("node {} had not ended {after} us after SIGTERM", seen.1.node);
                     self.accuse(Rule::Limits, "lingers", "", what, &[term, seen]);
                 }
             }
             "exited" => {
-                node.died(seen.1.t);
+                node.died(seen.1.time);
                 let expected = node.term.is_some();
                 self.told.retain(|(name, _), _| *name != seen.1.node);
                 if !expected {
                     let what = format!("node {} ended by itself", seen.1.node);
-                    self.accuse(Rule::Answered, "crashed", "", what, &[seen]);
+                    self.accuse(Rule::FinalAnswer, "crashed", "", what, &[seen]);
                 }
             }
             "crashed" => {
                 let what = format!("node {} did not exit with 0 after SIGTERM", seen.1.node);
-                self.accuse_by("crashed-after-term", Rule::Answered, "crashed", "", what, &[seen]);
+                self.accuse_by("crashed-after-term", Rule::FinalAnswer, "crashed", "", what, &[seen]);
             }
             _ => {}
         }
@@ -991,7 +1023,7 @@
             }
             return;
         };
-        let by = ask.1.until + self.rules.answer_slack_us;
+        let by = ask.1.deadline + self.rules.answer_slack_us;
         if !last && due < by + LINGER_US {
             return; // It was asked once more meanwhile.
         }
@@ -1000,22 +1032,22 @@
             let over = if self.ended { self.now > by } else { self.now > by + JUDGED_US };
             let node = self.nodes.get(&ask.1.node);
             let mut kills = node.into_iter().flat_map(|n| &n.kills);
-            let killed = kills.any(|(_, k)| k.t.ended >= ask.1.t.begun && k.t.begun <= by);
+            let killed = kills.any(|(_, k)| k.time.latest >= ask.1.time.earliest && k.time.earliest <= by);
             // Written to a process that was no more, or not yet.
-            let dead = node.is_some_and(|n| n.may_be_dead(ask.1.t));
+            let dead = node.is_some_and(|n| n.may_be_dead(ask.1.time));
             let gone = request.gone.is_some() && self.judges("excuse-gone");
-            let still = node.is_some_and(|n| n.stood_still(ask.1.t.begun, by));
+            let still = node.is_some_and(|n| n.stood_still(ask.1.time.earliest, by));
             if gone || still || killed && self.judges("excuse-killed") || dead && self.judges("excuse-dead") {
                 self.report.excused += 1;
             } else if let Some(closed) = request.closed.clone() {
                 let what = format!("node {} ended its connection with no answer", closed.1.node);
-                self.accuse(Rule::Answered, "lost", name, what, &[ask, closed]);
+                self.accuse(Rule::FinalAnswer, "lost", name, what, &[ask, closed]);
             } else if over {
                 let what = format!("node {} gave no answer", ask.1.node);
                 let lines = request.lines();
-                self.accuse(Rule::Answered, "unanswered", name, what, &lines);
+                self.accuse(Rule::FinalAnswer, "unanswered", name, what, &lines);
             } else {
-                self.report.unsettled += 1;
+                self.report.pending += 1;
             }
         }
         self.tie(name, last);
@@ -1072,7 +1104,7 @@
         if self.report.faults.len() >= Report::MOST {
             return;
         }
-        let server = proof.last().map_or("", |(_, line)| line.at()).to_owned();
+        let server = proof.last().map_or("", |(_, line)| line.server_name()).to_owned();
         self.report.faults.push(Fault { server, code, what, evidence: evidence(proof.to_vec()) });
     }
 }
@@ -1084,25 +1116,25 @@
     let quoted = proof
         .iter()
         .take(MOST_EVIDENCE)
-        .map(|(number, line)| Evidence { line: *number, text: line.text().trim_end().to_owned() });
+        .map(|(number, line)| Evidence { line: *number, text: line.to_json_line().trim_end().to_owned() });
     quoted.collect()
 }
 
 /// When an attempt's first byte came.
-fn first(seen: &Seen) -> Span {
-    seen.1.first.unwrap_or(seen.1.t)
+fn first(seen: &Seen) -> TimeInterval {
+    seen.1.first_byte.unwrap_or(seen.1.time)
 }
 
 /// Notes what is said of a server.
 fn note(told: &mut Told, seen: Seen) {
     if seen.1.status == "active" {
         told.down = None;
-        told.up.push_back(seen.1.t.begun);
+        told.up.push_back(seen.1.time.earliest);
         if told.up.len() > 8 {
             told.up.pop_front();
         }
-        if told.start.is_none_or(|(start, _)| start < seen.1.since) {
-            told.start = Some((seen.1.since, seen.1.t.ended));
+        if told.start.is_none_or(|(start, _)| start < seen.1.started_at) {
+            told.start = Some((seen.1.started_at, seen.1.time.latest));
         }
     } else if told.down.is_none() {
         told.down = Some(seen);
--- a/crates/stonevane-audit/src/history.rs
+++ b/crates/stonevane-audit/src/history.rs
@@ -21,22 +21,22 @@
 /// The moments between which an event happened, both included.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Default)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
-pub struct Span {
+pub struct TimeInterval {
     /// It had not happened before this.
-    pub begun: u64,
+    pub earliest: u64,
     /// It had happened by this.
-    pub ended: u64,
+    pub latest: u64,
 }
 
-impl From<(u64, u64)> for Span {
-    fn from((begun, ended): (u64, u64)) -> Span {
-        Span { begun: begun.min(ended), ended }
+impl From<(u64, u64)> for TimeInterval {
+    fn from((begun, ended): (u64, u64)) -> TimeInterval {
+        TimeInterval { earliest: begun.min(ended), latest: ended }
     }
 }
 
-impl From<Span> for (u64, u64) {
-    fn from(span: Span) -> (u64, u64) {
-        (span.begun, span.ended)
+impl From<TimeInterval> for (u64, u64) {
+    fn from(span: TimeInterval) -> (u64, u64) {
+        (span.earliest, span.latest)
     }
 }
 
@@ -48,22 +48,26 @@
     #[default]
     Begin,
     /// A client has written a request's last byte to a node.
-    Ask,
+    #[serde(rename = "ask")]
+    Request,
     /// A client has read a request's final answer, whole.
     Answer,
     /// A client has left before its answer.
-    Gone,
+    #[serde(rename = "gone")]
+    ClientLeft,
     /// A node ended a client's connection without a whole answer to this request.
     Closed,
     /// A node sent what answers nothing; `request` is the last one that its connection had answered.
-    Stray,
+    #[serde(rename = "stray")]
+    UnsolicitedResponse,
     /// The last byte of an attempt has come to a server.
     Attempt,
     /// A server writes the answer to an attempt.
     Reply,
     /// An attempt is out no longer though no whole answer was written: its connection has ended, or a fault spoilt
     /// the answer.
-    Over,
+    #[serde(rename = "over")]
+    AttemptEnded,
     /// A server has started, cold.
     Start,
     /// A server was killed, or fell over.
@@ -71,7 +75,8 @@
     /// Discovery knows of a change.
     Change,
     /// Discovery has told a node of a server.
-    Told,
+    #[serde(rename = "told")]
+    Notified,
     /// A node has called discovery: `state` is `taken`, or `turned-away` where it has too much to do.
     Call,
     /// Something became of a node's process: `state` is `starting`, `ready`, `term`, `killed`, `exited`, or
@@ -80,16 +85,19 @@
     /// `ready` again there is no process that could take a request.
     Node,
     /// The store of record has committed a version of a key: `key`, `version`, `value` and, of a keyed edit, `token`.
-    Stored,
+    #[serde(rename = "stored")]
+    Committed,
     /// A fault was put in or taken away.
     Fault,
     /// What a node holds of all others was read: `state` has a letter for each, `a`live, `s`uspect, `d`ead, `l`eft, `?`.
     View,
     /// Datagrams from `node` to `server`, another node, are all lost (`state` is `cut`) or pass again (`passes`).
-    Cut,
+    #[serde(rename = "cut")]
+    Partition,
     /// Datagrams between nodes begin to be lost, doubled or late, or no longer are: `state` is `mild` or `severe`, with
     /// `-ends` behind it at the end.
-    Weather,
+    #[serde(rename = "weather")]
+    NetworkConditions,
     /// The last line.
     End,
 }
@@ -101,7 +109,8 @@
     /// With a value or receipt.
     Served,
     /// Turned away: a retry does no harm.
-    Refused,
+    #[serde(rename = "refused")]
+    Rejected,
     /// No promise.
     Failed,
 }
@@ -113,23 +122,27 @@
     /// It ran, or began to.
     Ran,
     /// A repeat, dropped: the first receipt is given again.
-    Dropped,
+    #[serde(rename = "dropped")]
+    Deduplicated,
     /// It lacks the key.
     Miss,
     /// Turned away unseen.
     Busy,
     /// The server was dead or silent when the bytes came.
-    Void,
+    #[serde(rename = "void")]
+    NotReceived,
 }
 
 /// One line of a history. Fields that an event has no use for are left out.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
-pub struct Line {
+pub struct HistoryRecord {
     /// When.
-    pub t: Span,
+    #[serde(rename = "t")]
+    pub time: TimeInterval,
     /// Who wrote it.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub recorder: String,
     /// What happened.
     pub event: Event,
     /// The request's id.
@@ -152,19 +165,22 @@
     pub key: String,
     /// Its idempotency key.
     #[serde(skip_serializing_if = "String::is_empty")]
-    pub token: String,
+    #[serde(rename = "token")]
+    pub idempotency_key: String,
     /// A digest of the value that an edit carries.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub digest: String,
     /// Until when its client waits.
     #[serde(skip_serializing_if = "zero")]
-    pub until: u64,
+    #[serde(rename = "until")]
+    pub deadline: u64,
     /// The final answer.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub outcome: Option<Outcome>,
     /// When a refused client is to come back, milliseconds.
     #[serde(skip_serializing_if = "zero")]
-    pub advice_ms: u64,
+    #[serde(rename = "advice_ms")]
+    pub retry_after_ms: u64,
     /// What a server did.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub effect: Option<Effect>,
@@ -176,7 +192,8 @@
     pub version: u64,
     /// When an attempt's first byte came.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub first: Option<Span>,
+    #[serde(rename = "first")]
+    pub first_byte: Option<TimeInterval>,
     /// An attempt's number at its server, to tell attempts of one request apart.
     #[serde(skip_serializing_if = "zero")]
     pub number: u64,
@@ -203,16 +220,19 @@
     pub status: String,
     /// Which start of a server an entry of the list speaks of: the moment of that start, 0 for long ago.
     #[serde(skip_serializing_if = "zero")]
-    pub since: u64,
+    #[serde(rename = "since")]
+    pub started_at: u64,
     /// What became of a node, or which fault it is.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub state: String,
     /// Whether a request is sent once more because a node's close crossed it.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub resent: bool,
     /// Whether the connection had answered a request before, or the node was ending.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
-    pub kept: bool,
+    #[serde(rename = "kept")]
+    pub reused_connection: bool,
     /// Whether the server is the origin.
     #[serde(skip_serializing_if = "std::ops::Not::not")]
     pub origin: bool,
@@ -232,17 +252,17 @@
     *figure == 0.0
 }
 
-impl Line {
+impl HistoryRecord {
     /// The line as it stands in a history, its end included.
-    pub fn text(&self) -> String {
+    pub fn to_json_line(&self) -> String {
         let mut text = serde_json::to_string(self).unwrap_or_default();
         text.push('\n');
         text
     }
 
     /// The server that it speaks of.
-    pub fn at(&self) -> &str {
-        if self.server.is_empty() { &self.who } else { &self.server }
+    pub fn server_name(&self) -> &str {
+        if self.server.is_empty() { &self.recorder } else { &self.server }
     }
 }
 
@@ -275,7 +295,7 @@
 impl std::error::Error for HistoryError {}
 
 /// A line on its way to the auditor, the earliest end first.
-struct Waiting(u64, usize, Box<Line>);
+struct Waiting(u64, usize, Box<HistoryRecord>);
 
 impl PartialEq for Waiting {
     fn eq(&self, other: &Self) -> bool {
@@ -302,7 +322,7 @@
 ///
 /// # Errors
 /// [`HistoryError`] where the text can't be read or is no history.
-pub fn read(mut text: impl BufRead, mut each: impl FnMut(usize, Line)) -> Result<(), HistoryError> {
+pub fn read(mut text: impl BufRead, mut each: impl FnMut(usize, HistoryRecord)) -> Result<(), HistoryError> {
     let mut buffer = Vec::new();
     let mut number = 0;
     let mut begun = false;
@@ -319,7 +339,7 @@
         if buffer.trim_ascii().is_empty() {
             continue;
         }
-        let line: Line = match serde_json::from_slice(&buffer) {
+        let line: HistoryRecord = match serde_json::from_slice(&buffer) {
             Ok(line) => line,
             Err(_) if begun && buffer.last() != Some(&b'\n') => return Ok(()),
             Err(e) => {
@@ -349,8 +369,8 @@
             auditor = Some(Auditor::new(*line.rules.take().unwrap_or_default()));
             return;
         };
-        latest = latest.max(line.t.ended);
-        waiting.push(Waiting(line.t.ended, number, Box::new(line)));
+        latest = latest.max(line.time.latest);
+        waiting.push(Waiting(line.time.latest, number, Box::new(line)));
         while waiting.peek().is_some_and(|w| w.0 + REORDER_US < latest) {
             let Some(Waiting(_, number, line)) = waiting.pop() else { break };
             auditor.line(number, *line);
--- a/crates/stonevane-audit/src/lib.rs
+++ b/crates/stonevane-audit/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Stand-ins and clients write down what they saw as a [`history`]; the [`Auditor`] reads it from its first
 //! line to its last and proves breaches of the rules from these lines alone. It knows nothing of a node and
-//! has no clock: each event carries the [`Span`] in which it must have happened, and a breach is a
+//! has no clock: each event carries the [`TimeInterval`] in which it must have happened, and a breach is a
 //! [`Finding`] only where it holds for every order of events that the spans allow.
 //!
 //! ```
@@ -14,7 +14,7 @@
 //! {"t":[90000,90010],"who":"client","event":"answer","request":"r1","node":"n0","outcome":"failed"}
 //! "#;
 //! let report = audit(history.trim_start().as_bytes()).unwrap();
-//! assert_eq!(report.findings[0].rule, Rule::Answered);
+//! assert_eq!(report.findings[0].rule, Rule::FinalAnswer);
 //! assert_eq!(report.findings[0].code, "late");
 //! ```
 
@@ -25,7 +25,7 @@
 mod rules;
 
 pub use auditor::Auditor;
-pub use history::{Effect, Event, HistoryError, Line, Outcome, Span, audit};
+pub use history::{Effect, Event, HistoryError, HistoryRecord, Outcome, TimeInterval, audit};
 pub use membership::{Breach, Membership, MembershipFigures, MembershipRules};
 pub use report::{Evidence, Fault, Finding, Report, Rule};
-pub use rules::{ClassRule, Kind, OriginRule, Rules, Scope, able};
+pub use rules::{ClassRule, DedupScope, Idempotency, OriginRule, Rules, work_capacity};
--- a/crates/stonevane-audit/src/membership.rs
+++ b/crates/stonevane-audit/src/membership.rs
@@ -7,7 +7,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::history::Span;
+use crate::history::TimeInterval;
 
 /// The bounds, microseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
@@ -108,7 +108,7 @@
 
 impl MembershipFigures {
     /// A part of some times, the shortest first; `None` where there are none.
-    pub fn part(times: &[u64], part: f64) -> Option<u64> {
+    pub fn quantile(times: &[u64], part: f64) -> Option<u64> {
         let mut times = times.to_vec();
         times.sort_unstable();
         times.get((times.len().saturating_sub(1) as f64 * part) as usize).copied()
@@ -160,7 +160,7 @@
     }
 
     /// What became of a member's process: the states of the history's `node`, and `paused` and `resumed`.
-    pub fn process(&mut self, t: Span, member: usize, state: &str) {
+    pub fn process(&mut self, t: TimeInterval, member: usize, state: &str) {
         let Some(known) = self.members.get_mut(member) else { return };
         match state {
             // It may speak as soon as it is started, and counts as there once it is ready.
@@ -186,13 +186,13 @@
             "killed" | "exited" | "crashed" if known.down.is_none() => {
                 // One that was told to end has said so.
                 if !std::mem::take(&mut known.told) {
-                    let (at, knows) = (t.ended, vec![false; self.members.len()]);
+                    let (at, knows) = (t.latest, vec![false; self.members.len()]);
                     let death = Death { member, at, knows, first: None, last: None, over: false };
                     self.figures.deaths += 1;
                     self.deaths.push(death);
                 }
                 let known = &mut self.members[member];
-                known.down = Some(t.ended);
+                known.down = Some(t.latest);
                 known.pauses = 0;
             }
             _ => return,
@@ -213,7 +213,7 @@
     }
 
     /// Datagrams from one member to another are cut, or pass again.
-    pub fn cut(&mut self, t: Span, from: usize, to: usize, cut: bool) {
+    pub fn cut(&mut self, t: TimeInterval, from: usize, to: usize, cut: bool) {
         let count = self.members.len();
         if from >= count || to >= count {
             return;
@@ -231,7 +231,7 @@
 
     /// Datagrams begin to be lost, doubled or late, or no longer are. Mild weather loses no more than one in ten and
     /// delays by no more than a tenth of a probe's time: nobody is declared dead for it.
-    pub fn weather(&mut self, t: Span, begins: bool, mild: bool) {
+    pub fn weather(&mut self, t: TimeInterval, begins: bool, mild: bool) {
         let step = |count: usize| if begins { count + 1 } else { count.saturating_sub(1) };
         self.weather = step(self.weather);
         if !mild {
@@ -245,8 +245,8 @@
         member.down.is_none() && member.pauses == 0
     }
 
-    fn change(&mut self, t: Span) {
-        self.changed = self.changed.max(t.ended);
+    fn change(&mut self, t: TimeInterval) {
+        self.changed = self.changed.max(t.latest);
         let count = self.members.len();
         for member in 0..count {
             let clear = self.up(member) && {
@@ -263,13 +263,13 @@
                 2 * reached > all
             };
             let known = &mut self.members[member];
-            known.clear = clear.then(|| known.clear.unwrap_or(t.ended));
+            known.clear = clear.then(|| known.clear.unwrap_or(t.latest));
         }
     }
 
     /// Takes a view that was read: a letter for each member, `a`live, `s`uspect, `d`ead, `l`eft or `?`. What is broken
     /// of it is told once for each stretch of time.
-    pub fn view(&mut self, t: Span, observer: usize, states: &str) -> Vec<Breach> {
+    pub fn view(&mut self, t: TimeInterval, observer: usize, states: &str) -> Vec<Breach> {
         let mut breaches = Vec::new();
         let count = self.members.len();
         if observer >= count {
@@ -278,7 +278,7 @@
         self.figures.views += 1;
         self.measure(t, observer, states.as_bytes());
         let calm = self.any_cut == 0 && self.weather == 0 && !self.members.iter().any(|m| m.pauses > 0);
-        let settled = calm && t.begun > self.changed + self.rules.converge_us;
+        let settled = calm && t.earliest > self.changed + self.rules.converge_us;
         // Whoever is not in a view, nothing is known of: its owner's list of members is shorter.
         let states = states.bytes().chain(std::iter::repeat(b'?'));
         for (member, state) in states.take(count).enumerate() {
@@ -301,7 +301,7 @@
         &self.figures
     }
 
-    fn measure(&mut self, t: Span, observer: usize, states: &[u8]) {
+    fn measure(&mut self, t: TimeInterval, observer: usize, states: &[u8]) {
         let count = self.members.len();
         if self.members[observer].clear.is_none() {
             return;
@@ -309,7 +309,7 @@
         // So long that it can't be what was said of them before.
         let bound = self.rules.accuse_us;
         let clear_long =
-            |member: &Member| member.clear.is_some_and(|since| t.begun > since.saturating_add(bound));
+            |member: &Member| member.clear.is_some_and(|since| t.earliest > since.saturating_add(bound));
         for (member, state) in states.iter().enumerate().take(count) {
             let held = &mut self.views[observer * count + member];
             let falsely = &mut self.falsely[member];
@@ -327,7 +327,7 @@
             if states.get(death.member).is_none_or(|state| *state == b'a') || death.member == observer {
                 continue;
             }
-            let took = t.begun.saturating_sub(death.at);
+            let took = t.earliest.saturating_sub(death.at);
             if death.first.is_none() {
                 death.first = Some(took);
                 self.figures.first_us.push(took);
@@ -342,7 +342,7 @@
 
     fn judged(
         &mut self,
-        t: Span,
+        t: TimeInterval,
         observer: usize,
         member: usize,
         state: u8,
@@ -351,15 +351,15 @@
         let count = self.members.len();
         let about = self.members[member].clone();
         let clear = self.members[observer].clear;
-        let quiet = self.severe == 0 && t.begun > self.changed + self.rules.accuse_us;
+        let quiet = self.severe == 0 && t.earliest > self.changed + self.rules.accuse_us;
         let held = &mut self.views[observer * count + member];
         let turns = held.state != state;
         if turns {
-            (held.state, held.since) = (state, t.ended);
+            (held.state, held.since) = (state, t.latest);
         }
         let lives = matches!(state, b'a' | b's');
-        let over = |since: u64, bound: u64| t.begun > since.saturating_add(bound);
-        let ms = |since: u64| t.begun.saturating_sub(since) / 1_000;
+        let over = |since: u64, bound: u64| t.earliest > since.saturating_add(bound);
+        let ms = |since: u64| t.earliest.saturating_sub(since) / 1_000;
         let rules = &self.rules;
         let held = &mut self.views[observer * count + member];
         if !about.was && lives {
@@ -400,8 +400,8 @@
             }
             if state == b's' && turns && quiet {
                 let (first, times) = held.suspected;
-                let within = t.begun <= first.saturating_add(HOUNDED.1 * rules.refute_us);
-                held.suspected = if within { (first, times + 1) } else { (t.begun, 1) };
+                let within = t.earliest <= first.saturating_add(HOUNDED.1 * rules.refute_us);
+                held.suspected = if within { (first, times + 1) } else { (t.earliest, 1) };
                 if held.suspected.1 >= HOUNDED.0 {
                     let what =
                         format!("suspected {} times in {} ms with no reason", held.suspected.1, ms(first));
@@ -437,8 +437,8 @@
     const RULES: MembershipRules =
         MembershipRules { members: 5, detect_us: 100, accuse_us: 50, refute_us: 80, converge_us: 200 };
 
-    fn at(t: u64) -> Span {
-        Span { begun: t, ended: t }
+    fn at(t: u64) -> TimeInterval {
+        TimeInterval { earliest: t, latest: t }
     }
 
     /// Five members that run since 0.
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -12,32 +12,38 @@
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
     /// Each request taken gets exactly one final answer in time, and no value but one made for it.
-    Answered,
+    #[serde(rename = "answered")]
+    FinalAnswer,
     /// Nothing that may have run goes out again unless its class allows it.
-    Once,
+    #[serde(rename = "once")]
+    DuplicateEffects,
     /// Nothing new to a server past its drain's grace.
-    Drained,
+    #[serde(rename = "drained")]
+    Draining,
     /// No cold server, and no origin through cold servers' misses, pushed over.
-    Cold,
+    #[serde(rename = "cold")]
+    SlowStart,
     /// Each attempt is what was asked: of a request that a client asked of that node, with its key, class, token
     /// and value.
-    Tied,
+    #[serde(rename = "tied")]
+    AttemptIntegrity,
     /// The deployment's limits: attempts for a request, second copies, the time to end after SIGTERM.
     Limits,
     /// What nodes hold of one another.
-    Members,
+    #[serde(rename = "members")]
+    Membership,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Rule::Answered => "rule 1 (answered once, in time, with its own value)",
-            Rule::Once => "rule 2 (no effect twice)",
-            Rule::Drained => "rule 3 (drains kept)",
-            Rule::Cold => "rule 4 (no cold server pushed over)",
-            Rule::Tied => "the tie of attempts (each is what was asked)",
+            Rule::FinalAnswer => "rule 1 (answered once, in time, with its own value)",
+            Rule::DuplicateEffects => "rule 2 (no effect twice)",
+            Rule::Draining => "rule 3 (drains kept)",
+            Rule::SlowStart => "rule 4 (no cold server pushed over)",
+            Rule::AttemptIntegrity => "the tie of attempts (each is what was asked)",
             Rule::Limits => "the deployment's limits",
-            Rule::Members => "membership",
+            Rule::Membership => "membership",
         })
     }
 }
@@ -119,15 +125,18 @@
     /// Attempts that came to servers.
     pub attempts: usize,
     /// Requests that stood unanswered when the history ended, their time not over yet.
-    pub unsettled: usize,
+    #[serde(rename = "unsettled")]
+    pub pending: usize,
     /// Requests that a client left or whose node was killed.
     pub excused: usize,
     /// Idempotency keys whose effect happened more than once, whoever sent the repeat.
-    pub tokens_run_twice: usize,
+    #[serde(rename = "tokens_run_twice")]
+    pub duplicate_effects: usize,
     /// Times that the origin got more than its budget without its being held against the nodes.
     pub origin_overruns: usize,
     /// The most requests and recent ones that were held at once.
-    pub held_at_most: usize,
+    #[serde(rename = "held_at_most")]
+    pub peak_requests: usize,
     /// What was measured of membership.
     pub membership: MembershipFigures,
     /// Answers by class and outcome.
@@ -156,7 +165,7 @@
         write!(
             f,
             "{verdict}: {} breaches in {} events, {} requests, {} attempts ({} excused, {} not settled at the end)",
-            self.broken, self.events, self.requests, self.attempts, self.excused, self.unsettled
+            self.broken, self.events, self.requests, self.attempts, self.excused, self.pending
         )?;
         if self.faulty > 0 { write!(f, "; {} faults of stand-ins", self.faulty) } else { Ok(()) }
     }
--- a/crates/stonevane-audit/tests/table.rs
+++ b/crates/stonevane-audit/tests/table.rs
@@ -464,7 +464,7 @@
     let day = (0..20_000u64).fold(History::new(), |day, i| day.read(i * 10 * MS, &format!("r{i}")));
     let report = day.report();
     assert!(report.holds() && report.requests == 20_000, "{report}");
-    assert!(report.held_at_most < 1_000, "{} requests held", report.held_at_most);
+    assert!(report.peak_requests < 1_000, "{} requests held", report.peak_requests);
 }
 
 #[test]
--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_audit::{Effect, Event, Line, Span};
+use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_codec::resp;
 use stonevane_server_model::value::{digest, padded};
-use stonevane_server_model::work::{Cores, Window, able, drawn};
+use stonevane_server_model::work::{Cores, Window, drawn, work_capacity};
 
 use crate::record::{Mono, Recorder};
 use crate::server::{Due, Fault, Place, Ports, Speaker, lock};
@@ -233,18 +233,18 @@
         Ok(cache)
     }
 
-    fn tell_start(&self, t: Span, warm_us: u64) {
-        self.recorder.line(Line {
-            t,
-            who: self.spec.name.clone(),
+    fn tell_start(&self, t: TimeInterval, warm_us: u64) {
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: self.spec.name.clone(),
             event: Event::Start,
             zone: self.spec.zone.clone(),
             cell: self.spec.cell.into(),
             capacity_us_per_s: self.capacity(),
             cold_share: self.spec.cold_share,
             warm_us,
-            since: if warm_us == 0 { 0 } else { t.begun },
-            ..Line::default()
+            started_at: if warm_us == 0 { 0 } else { t.earliest },
+            ..HistoryRecord::default()
         });
     }
 
@@ -275,12 +275,12 @@
     /// Its process starts again, cold; the moment in microseconds of the monotonic clock.
     pub fn restart(&self) -> u64 {
         let t = Mono::at();
-        *lock(&self.state) = State::new(&self.spec, Some(t.begun));
+        *lock(&self.state) = State::new(&self.spec, Some(t.earliest));
         self.tell_start(t, self.spec.warm_us);
         if let Some(ports) = &*lock(&self.ports) {
             ports.set(None, Fault::None);
         }
-        t.begun
+        t.earliest
     }
 
     /// What is wrong at a node's door.
@@ -353,12 +353,17 @@
 
     fn line(&self, event: Event) {
         let who = self.spec.name.clone();
-        self.recorder.line(Line { t: Mono::at(), who, event, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: Mono::at(),
+            recorder: who,
+            event,
+            ..HistoryRecord::default()
+        });
     }
 
     /// Does a request's work; what is said, and when.
-    fn work(&self, node: &str, asked: &Asked, first: Span, t: Span) -> Due {
-        let now = t.ended;
+    fn work(&self, node: &str, asked: &Asked, first: TimeInterval, t: TimeInterval) -> Due {
+        let now = t.latest;
         let spec = &self.spec;
         let mut state = lock(&self.state);
         let mut counts = lock(&self.counts);
@@ -366,7 +371,7 @@
         counts.attempts += 1;
         let number = state.number;
         let (started, warm_us) = state.started.map_or((0, 0), |at| (at, spec.warm_us));
-        let share = able(1e6, spec.cold_share, started, warm_us, now, 1).max(0.01);
+        let share = work_capacity(1e6, spec.cold_share, started, warm_us, now, 1).max(0.01);
         let repeat = state.seen.get(&asked.token).filter(|(until, _)| *until > now).map(|(_, v)| *v);
         let held = if asked.write { None } else { state.store.get(&asked.key, now) };
         let version = match (asked.write, repeat) {
@@ -378,13 +383,13 @@
         let work_us = if version.is_some() { whole } else { whole / 10 };
         let slow = (work_us as f64 / share) as u64;
         let mut effect = match (asked.write, version, repeat) {
-            (true, _, Some(_)) => Effect::Dropped,
+            (true, _, Some(_)) => Effect::Deduplicated,
             (_, Some(_), _) => Effect::Ran,
             (_, None, _) => Effect::Miss,
         };
         // What would be done in the window, pushed over when it is too much for too long.
         let window = state.window.add(now, work_us, spec.fall_us);
-        let most = able(
+        let most = work_capacity(
             self.capacity(),
             spec.cold_share,
             started,
@@ -398,7 +403,13 @@
             counts.falls += 1;
             tracing::warn!(server = spec.name, "fell over");
             let (who, event, words) = (spec.name.clone(), Event::Fault, "fell over".to_owned());
-            self.recorder.line(Line { t, who, event, state: words, ..Line::default() });
+            self.recorder.line(HistoryRecord {
+                time: t,
+                recorder: who,
+                event,
+                state: words,
+                ..HistoryRecord::default()
+            });
         }
         let done = match state.draining || state.fallen {
             true => None,
@@ -425,27 +436,27 @@
                 state.store.void(&asked.key);
             }
             Effect::Ran => counts.hits += 1,
-            Effect::Dropped | Effect::Void => {}
+            Effect::Deduplicated | Effect::NotReceived => {}
         }
-        self.recorder.line(Line {
-            t,
-            who: spec.name.clone(),
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: spec.name.clone(),
             event: Event::Attempt,
             request: asked.request.clone(),
             node: node.into(),
             class: asked.class.clone(),
             key: asked.key.clone(),
-            token: asked.token.clone(),
+            idempotency_key: asked.token.clone(),
             digest: asked.digest.clone(),
             effect: Some(effect),
-            first: (first != t).then_some(first),
+            first_byte: (first != t).then_some(first),
             number,
             work_us,
-            ..Line::default()
+            ..HistoryRecord::default()
         });
         let mark =
             state.store.voided.get(&asked.key).filter(|(_, until)| now < *until).map(|(mark, _)| *mark);
-        let value = version.filter(|_| matches!(effect, Effect::Ran | Effect::Dropped)).map(|version| {
+        let value = version.filter(|_| matches!(effect, Effect::Ran | Effect::Deduplicated)).map(|version| {
             let filled = held.as_ref().and_then(|(_, value)| value.as_ref());
             let value = match filled {
                 // What is unique of a value stands first, up to a space.
@@ -489,9 +500,16 @@
     fn says(&self, event: Event, number: u64) {
         let Some((request, value, version)) = lock(&self.state).values.remove(&number) else { return };
         let t = Mono::at();
-        let base = Line { t, who: self.spec.name.clone(), event, request, number, ..Line::default() };
+        let base = HistoryRecord {
+            time: t,
+            recorder: self.spec.name.clone(),
+            event,
+            request,
+            number,
+            ..HistoryRecord::default()
+        };
         let said = event == Event::Reply;
-        self.recorder.line(if said { Line { value, version, ..base } } else { base });
+        self.recorder.line(if said { HistoryRecord { value, version, ..base } } else { base });
     }
 }
 
@@ -566,14 +584,19 @@
 }
 
 impl Speaker for Conn {
-    fn take(&mut self, buffer: &mut BytesMut, first: Span, last: Span) -> Result<Option<Due>, ()> {
+    fn take(
+        &mut self,
+        buffer: &mut BytesMut,
+        first: TimeInterval,
+        last: TimeInterval,
+    ) -> Result<Option<Due>, ()> {
         let Some(words) = resp::take_command(buffer).map_err(|_| ())? else { return Ok(None) };
         if let Some(asked) = asked(&words) {
             return Ok(Some(self.cache.work(&self.node, &asked, first, last)));
         }
-        if let Some(done) = self.cache.copied(&words, last.ended) {
+        if let Some(done) = self.cache.copied(&words, last.latest) {
             let bytes = Bytes::from_static(if done { b"+OK\r\n" } else { b"-ERR copy\r\n" });
-            return Ok(Some(Due { at: last.ended, bytes, number: 0, close: false }));
+            return Ok(Some(Due { at: last.latest, bytes, number: 0, close: false }));
         }
         let word = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
         let bytes: &'static [u8] = match word.as_slice() {
@@ -583,7 +606,7 @@
             b"OBJ.GET" | b"OBJ.SET" => b"-SYNTAX\r\n",
             _ => b"-ERR unknown command\r\n",
         };
-        Ok(Some(Due { at: last.ended, bytes: Bytes::from_static(bytes), number: 0, close: false }))
+        Ok(Some(Due { at: last.latest, bytes: Bytes::from_static(bytes), number: 0, close: false }))
     }
 
     fn says(&mut self, due: &Due) -> Option<Bytes> {
@@ -597,7 +620,7 @@
     }
 
     fn over(&mut self, due: &Due) {
-        self.cache.says(Event::Over, due.number);
+        self.cache.says(Event::AttemptEnded, due.number);
     }
 
     fn idle(&self) -> Duration {
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -8,7 +8,7 @@
 
 use bytes::{Bytes, BytesMut};
 use oorandom::Rand64;
-use stonevane_audit::{Event, Line, Outcome, Span};
+use stonevane_audit::{Event, HistoryRecord, Outcome, TimeInterval};
 use stonevane_codec::resp::{self, Value};
 use stonevane_server_model::value::{digest, padded};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -311,8 +311,8 @@
             let tried = self.attempt(&id, planned, class, left, tries > 0, node).await;
             let wait = match tried {
                 Tried::Answered(Outcome::Served, _) | Tried::Left | Tried::Silent => return,
-                Tried::Answered(Outcome::Refused, advice) if advice > 0 && planned.honours => advice,
-                Tried::Answered(Outcome::Refused, _) => self.load.backoff_ms,
+                Tried::Answered(Outcome::Rejected, advice) if advice > 0 && planned.honours => advice,
+                Tried::Answered(Outcome::Rejected, _) => self.load.backoff_ms,
                 Tried::Answered(Outcome::Failed, _) | Tried::Lost if !class.repeats => return,
                 Tried::Answered(Outcome::Failed, _) | Tried::Lost => self.load.backoff_ms,
                 Tried::Unreachable => {
@@ -372,9 +372,16 @@
     }
 
     fn stray(&self, target: &Target, conn: &Conn) {
-        let (t, who, event) = (self.mono.seen(), "client".to_owned(), Event::Stray);
+        let (t, who, event) = (self.mono.seen(), "client".to_owned(), Event::UnsolicitedResponse);
         let (node, request) = (target.name.clone(), conn.last.clone());
-        self.recorder.line(Line { t, who, event, node, request, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event,
+            node,
+            request,
+            ..HistoryRecord::default()
+        });
     }
 
     async fn look_at_idle(&self) {
@@ -454,11 +461,11 @@
     ) -> Tried {
         let class = &self.load.classes[planned.class];
         let target = &self.targets[node];
-        let base = || Line {
-            who: "client".into(),
+        let base = || HistoryRecord {
+            recorder: "client".into(),
             request: id.into(),
             node: target.name.clone(),
-            ..Line::default()
+            ..HistoryRecord::default()
         };
         let kept = !conn.last.is_empty();
         let begun = Mono::now();
@@ -471,17 +478,17 @@
             *until = ended + left_ms * 1_000;
             self.asked.fetch_add(1, Ordering::Relaxed);
         }
-        self.recorder.line(Line {
-            t: Span { begun, ended },
-            event: Event::Ask,
+        self.recorder.line(HistoryRecord {
+            time: TimeInterval { earliest: begun, latest: ended },
+            event: Event::Request,
             class: class.name.clone(),
             tenant: self.load.tenants.get(planned.tenant).map(|t| t.0.clone()).unwrap_or_default(),
             key: format!("{:016x}", planned.key),
-            token: (*token).into(),
+            idempotency_key: (*token).into(),
             digest: digest.clone(),
-            until: *until,
-            again,
-            kept,
+            deadline: *until,
+            resent: again,
+            reused_connection: kept,
             retry,
             ..base()
         });
@@ -491,16 +498,16 @@
         };
         let value = tokio::time::timeout(Duration::from_micros(patience), read(&mut conn)).await;
         let t = self.mono.seen();
-        let t = Span { begun: t.begun.max(begun), ended: t.ended };
+        let t = TimeInterval { earliest: t.earliest.max(begun), latest: t.latest };
         match value {
             Ok(Some(value)) => {
                 let (outcome, text, advice_ms) = meaning(value);
-                self.recorder.line(Line {
-                    t,
+                self.recorder.line(HistoryRecord {
+                    time: t,
                     event: Event::Answer,
                     outcome: Some(outcome),
                     value: text,
-                    advice_ms,
+                    retry_after_ms: advice_ms,
                     ..base()
                 });
                 conn.last = id.into();
@@ -513,11 +520,16 @@
                 Tried::Answered(outcome, advice_ms)
             }
             Ok(None) => {
-                self.recorder.line(Line { t, event: Event::Closed, kept, ..base() });
+                self.recorder.line(HistoryRecord {
+                    time: t,
+                    event: Event::Closed,
+                    reused_connection: kept,
+                    ..base()
+                });
                 Tried::Lost
             }
             Err(_) if planned.impatient => {
-                self.recorder.line(Line { t: Mono::at(), event: Event::Gone, ..base() });
+                self.recorder.line(HistoryRecord { time: Mono::at(), event: Event::ClientLeft, ..base() });
                 Tried::Left
             }
             Err(_) => Tried::Silent,
@@ -553,7 +565,7 @@
         },
         Value::Error(line) if line.starts_with(b"BUSY") => {
             let advice = text(line.get(5..).unwrap_or(b""));
-            (Outcome::Refused, String::new(), advice.parse().unwrap_or(0))
+            (Outcome::Rejected, String::new(), advice.parse().unwrap_or(0))
         }
         _ => (Outcome::Failed, String::new(), 0),
     }
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use bytes::BytesMut;
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 use stonevane_codec::http;
 use stonevane_server_model::service::Turns;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -210,7 +210,15 @@
                 let (since, status) = (entry.since, entry.status.clone());
                 tracing::debug!(server = name, status, index, "change");
                 let (event, who) = (Event::Change, "discovery".to_owned());
-                let line = Line { t: Mono::at(), who, event, server: name, status, since, ..Line::default() };
+                let line = HistoryRecord {
+                    time: Mono::at(),
+                    recorder: who,
+                    event,
+                    server: name,
+                    status,
+                    started_at: since,
+                    ..HistoryRecord::default()
+                };
                 own.recorder.line(line);
             }
             drop(state);
@@ -237,16 +245,16 @@
         (state.index, list, told.into_iter().cloned().collect())
     }
 
-    fn tell(&self, node: &str, t: Span, told: Vec<Entry>, snapshot: bool) {
-        let line = |server: String, status: String, since| Line {
-            t,
-            who: "discovery".into(),
-            event: Event::Told,
+    fn tell(&self, node: &str, t: TimeInterval, told: Vec<Entry>, snapshot: bool) {
+        let line = |server: String, status: String, since| HistoryRecord {
+            time: t,
+            recorder: "discovery".into(),
+            event: Event::Notified,
             node: node.into(),
             server,
             status,
-            since,
-            ..Line::default()
+            started_at: since,
+            ..HistoryRecord::default()
         };
         if snapshot {
             // What is not in a whole list is gone.
@@ -350,7 +358,7 @@
             let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
             let begun = Mono::now();
             stream.write_all(text.as_bytes()).await?;
-            self.tell(node, Span { begun, ended: Mono::now() }, told, true);
+            self.tell(node, TimeInterval { earliest: begun, latest: Mono::now() }, told, true);
         }
     }
 
@@ -365,7 +373,14 @@
     fn called(&self, node: &str, taken: bool) {
         let (t, who, event, node) = (Mono::at(), "discovery".into(), Event::Call, node.to_owned());
         let state = if taken { "taken" } else { "turned-away" }.into();
-        self.recorder.line(Line { t, who, event, node, state, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event,
+            node,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     async fn watch(&self, stream: &mut TcpStream, node: &str, mut held: Option<u64>) -> std::io::Result<()> {
@@ -384,7 +399,7 @@
             if snapshot || !told.is_empty() {
                 let begun = Mono::now();
                 stream.write_all(chunk(&(list + "\n")).as_bytes()).await?;
-                self.tell(node, Span { begun, ended: Mono::now() }, told, snapshot);
+                self.tell(node, TimeInterval { earliest: begun, latest: Mono::now() }, told, snapshot);
                 if now == Trouble::Dropping {
                     return Ok(());
                 }
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Buf, Bytes, BytesMut};
-use stonevane_audit::{Effect, Event, Line, Span};
+use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_codec::{http, resp};
 use stonevane_server_model::value::{digest, padded};
 use stonevane_server_model::work::{Cores, Window, drawn};
@@ -232,8 +232,8 @@
         Counts { reads: state.reads, writes: state.writes, falls: state.falls, peak }
     }
 
-    fn work(&self, node: &str, asked: Asked, first: Span, t: Span) -> Due {
-        let now = t.ended;
+    fn work(&self, node: &str, asked: Asked, first: TimeInterval, t: TimeInterval) -> Due {
+        let now = t.latest;
         let mut state = lock(&self.state);
         state.number += 1;
         let number = state.number;
@@ -252,12 +252,18 @@
             state.falls += 1;
             tracing::warn!(server = self.spec.name, "stopped");
             let (who, event, words) = (self.spec.name.clone(), Event::Fault, "stopped".to_owned());
-            self.recorder.line(Line { t, who, event, state: words, ..Line::default() });
+            self.recorder.line(HistoryRecord {
+                time: t,
+                recorder: who,
+                event,
+                state: words,
+                ..HistoryRecord::default()
+            });
         }
         let done = state.cores.take(now, work_us, self.spec.queue_us);
         let effect = match (done, repeat) {
             (None, _) => Effect::Busy,
-            (_, Some(_)) => Effect::Dropped,
+            (_, Some(_)) => Effect::Deduplicated,
             _ => Effect::Ran,
         };
         match asked.write {
@@ -281,22 +287,22 @@
         } else if let Some(first) = repeat {
             version = first;
         }
-        self.recorder.line(Line {
-            t,
-            who: self.spec.name.clone(),
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: self.spec.name.clone(),
             event: Event::Attempt,
             request: asked.request.clone(),
             node: node.into(),
             class: asked.class.clone(),
             key: asked.key.clone(),
-            token: asked.token.clone(),
+            idempotency_key: asked.token.clone(),
             digest: asked.digest.clone(),
             effect: Some(effect),
-            first: (first != t).then_some(first),
+            first_byte: (first != t).then_some(first),
             number,
             work_us,
             origin: true,
-            ..Line::default()
+            ..HistoryRecord::default()
         });
         let value = format!("{}.{version}.{}.{}.{number}", asked.key, asked.request, self.spec.name);
         state.answers.insert(number, Answer { asked, value, version, effect });
@@ -334,10 +340,17 @@
             self.tell_remote(&["LAB.FILL", &asked.key, &asked.request, &version.to_string()]);
         }
         let (t, who, request) = (Mono::at(), self.spec.name.clone(), asked.request);
-        let base = Line { t, who, request, number, event: Event::Over, ..Line::default() };
+        let base = HistoryRecord {
+            time: t,
+            recorder: who,
+            request,
+            number,
+            event: Event::AttemptEnded,
+            ..HistoryRecord::default()
+        };
         let said = if busy { String::new() } else { value.clone() };
         self.recorder.line(match told {
-            true => Line { event: Event::Reply, value: said, version, ..base },
+            true => HistoryRecord { event: Event::Reply, value: said, version, ..base },
             false => base,
         });
         if busy {
@@ -368,7 +381,12 @@
 }
 
 impl Speaker for Conn {
-    fn take(&mut self, buffer: &mut BytesMut, first: Span, last: Span) -> Result<Option<Due>, ()> {
+    fn take(
+        &mut self,
+        buffer: &mut BytesMut,
+        first: TimeInterval,
+        last: TimeInterval,
+    ) -> Result<Option<Due>, ()> {
         let Some(head) = http::request_head(buffer).map_err(|_| ())? else { return Ok(None) };
         let body = head.content_length.unwrap_or(0);
         if body > 16 * 1024 * 1024 {
@@ -381,7 +399,7 @@
         let body = buffer.split_to(body);
         let say = |text: &'static str| {
             let bytes = Bytes::from_static(text.as_bytes());
-            Ok(Some(Due { at: last.ended, bytes, number: 0, close: false }))
+            Ok(Some(Due { at: last.latest, bytes, number: 0, close: false }))
         };
         let write = match head.method.as_str() {
             "GET" if head.target == "/healthz" => return say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
--- a/crates/stonevane-emulators/src/postgres.rs
+++ b/crates/stonevane-emulators/src/postgres.rs
@@ -18,7 +18,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Mutex as Turn, Notify, OwnedMutexGuard, broadcast, watch};
 
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 
 use crate::record::{Mono, Recorder};
 use crate::server::lock;
@@ -209,19 +209,19 @@
             let query = "SELECT z.key, z.value, z.version, COALESCE(e.token, '') FROM zones z \
                          LEFT JOIN edits e ON e.version = z.version WHERE z.version > ?1 ORDER BY z.version";
             let Ok(mut statement) = db.prepare_cached(query) else { return };
-            let line = |row: &rusqlite::Row<'_>| -> rusqlite::Result<Line> {
+            let line = |row: &rusqlite::Row<'_>| -> rusqlite::Result<HistoryRecord> {
                 let (value, version): (Vec<u8>, i64) = (row.get(1)?, row.get(2)?);
                 newest.fetch_max(version, Ordering::Relaxed);
                 let value = String::from_utf8_lossy(&value).split(' ').next().unwrap_or_default().to_owned();
-                Ok(Line {
-                    t: Span { begun, ended: Mono::now() },
-                    who: "store".into(),
-                    event: Event::Stored,
+                Ok(HistoryRecord {
+                    time: TimeInterval { earliest: begun, latest: Mono::now() },
+                    recorder: "store".into(),
+                    event: Event::Committed,
                     key: row.get(0)?,
-                    token: row.get(3)?,
+                    idempotency_key: row.get(3)?,
                     value,
                     version: version.max(0) as u64,
-                    ..Line::default()
+                    ..HistoryRecord::default()
                 })
             };
             if let Ok(lines) = statement.query_map([newest.load(Ordering::Relaxed)], line) {
--- a/crates/stonevane-emulators/src/record.rs
+++ b/crates/stonevane-emulators/src/record.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
-use stonevane_audit::{Line, Span};
+use stonevane_audit::{HistoryRecord, TimeInterval};
 
 /// How often the heartbeat comes: what a stand-in sees had not happened two beats before.
 const BEAT: Duration = Duration::from_millis(2);
@@ -38,14 +38,14 @@
     }
 
     /// This moment.
-    pub fn at() -> Span {
+    pub fn at() -> TimeInterval {
         let now = Mono::now();
-        Span { begun: now, ended: now }
+        TimeInterval { earliest: now, latest: now }
     }
 
     /// The moments between which what has just been read must have come.
-    pub fn seen(&self) -> Span {
-        Span { begun: self.beats[1].load(Ordering::Relaxed), ended: Mono::now() }
+    pub fn seen(&self) -> TimeInterval {
+        TimeInterval { earliest: self.beats[1].load(Ordering::Relaxed), latest: Mono::now() }
     }
 
     /// Beats until it is dropped; to be spawned on the loop that reads the sockets.
@@ -63,7 +63,7 @@
 /// Where events are written down. A clone writes to the same history.
 #[derive(Clone)]
 pub struct Recorder {
-    lines: Option<Sender<Line>>,
+    lines: Option<Sender<HistoryRecord>>,
 }
 
 /// The thread that writes a history.
@@ -94,21 +94,21 @@
     }
 
     /// Writes an event down.
-    pub fn line(&self, line: Line) {
+    pub fn line(&self, line: HistoryRecord) {
         if let Some(lines) = &self.lines {
             let _ = lines.send(line);
         }
     }
 }
 
-fn write(mut out: impl Write, take: &Receiver<Line>) -> std::io::Result<u64> {
+fn write(mut out: impl Write, take: &Receiver<HistoryRecord>) -> std::io::Result<u64> {
     let (mut text, mut count) = (String::new(), 0);
     while let Ok(line) = take.recv() {
         text.clear();
-        text.push_str(&line.text());
+        text.push_str(&line.to_json_line());
         count += 1;
         while let Ok(line) = take.try_recv() {
-            text.push_str(&line.text());
+            text.push_str(&line.to_json_line());
             count += 1;
             if text.len() > 256 * 1024 {
                 break;
--- a/crates/stonevane-emulators/src/server.rs
+++ b/crates/stonevane-emulators/src/server.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_audit::Span;
+use stonevane_audit::TimeInterval;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -86,7 +86,12 @@
     ///
     /// # Errors
     /// Where the bytes are no request: the connection is closed.
-    fn take(&mut self, buffer: &mut BytesMut, first: Span, last: Span) -> Result<Option<Due>, ()>;
+    fn take(
+        &mut self,
+        buffer: &mut BytesMut,
+        first: TimeInterval,
+        last: TimeInterval,
+    ) -> Result<Option<Due>, ()>;
 
     /// The answer is being written; its bytes, where they were not known before.
     fn says(&mut self, due: &Due) -> Option<Bytes>;
@@ -238,7 +243,7 @@
 async fn exchange(mut peer: Peer, speaker: &mut impl Speaker, owed: &mut VecDeque<Due>) {
     let mut buffer = BytesMut::new();
     // When the first byte of what stands in the buffer came.
-    let mut first: Option<Span> = None;
+    let mut first: Option<TimeInterval> = None;
     // Since when nothing was read, where something else held this task up.
     let mut blind: Option<u64> = None;
     let mut idle_since = Mono::now();
@@ -282,7 +287,7 @@
                     return;
                 }
                 let mut came = peer.mono.seen();
-                came.begun = came.begun.min(blind.take().unwrap_or(u64::MAX));
+                came.earliest = came.earliest.min(blind.take().unwrap_or(u64::MAX));
                 let began = *first.get_or_insert(came);
                 let mut starts = began;
                 loop {
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -10,7 +10,8 @@
 
 use oorandom::Rand64;
 use stonevane_audit::{
-    ClassRule, Event, Kind as ClassKind, Line, MembershipRules, OriginRule, Rules, Scope, Span,
+    ClassRule, DedupScope, Event, HistoryRecord, Idempotency as ClassKind, MembershipRules, OriginRule,
+    Rules, TimeInterval,
 };
 use stonevane_emulators::cache::{Cache, CacheSpec};
 use stonevane_emulators::client::{Clients, key};
@@ -137,27 +138,31 @@
 /// The rules that a scenario's fleet is held to.
 pub fn rules(scenario: &Scenario) -> Rules {
     let class =
-        |name: &str, kind| ClassRule { name: name.into(), kind, scope: Scope::All, window_us: KEYED_US };
+        |name: &str, kind| ClassRule { name: name.into(), kind, scope: DedupScope::All, window_us: KEYED_US };
     let origin = &scenario.origin;
     Rules {
-        fall_multiple: scenario.cache.fall_multiple,
-        fall_us: scenario.cache.fall_us,
+        overload_multiple: scenario.cache.fall_multiple,
+        overload_window_us: scenario.cache.fall_us,
         classes: vec![
-            class("zone-lookup", ClassKind::Safe),
-            class("zone-edit", ClassKind::Keyed),
-            class("zone-move", ClassKind::Unsafe),
+            class("zone-lookup", ClassKind::Idempotent),
+            class("zone-edit", ClassKind::WithKey),
+            class("zone-move", ClassKind::NonIdempotent),
         ],
         origin: OriginRule {
             capacity_us_per_s: origin.slots as f64 * 1e6,
-            fall_multiple: origin.fall_multiple,
-            fall_us: origin.fall_us,
+            overload_multiple: origin.fall_multiple,
+            overload_window_us: origin.fall_us,
             ..OriginRule::default()
         },
         store: scenario.store.is_some(),
-        visible_us: scenario.store.as_ref().filter(|store| !store.placement).map_or(0, |s| s.copy_ms * 1_000),
-        exit_us: EXIT_US,
+        write_visible_us: scenario
+            .store
+            .as_ref()
+            .filter(|store| !store.placement)
+            .map_or(0, |s| s.copy_ms * 1_000),
+        shutdown_limit_us: EXIT_US,
         max_attempts: scenario.max_attempts,
-        second_copies: scenario.second_copies,
+        hedging: scenario.second_copies,
         membership: membership(scenario),
         ..Rules::default()
     }
@@ -489,7 +494,7 @@
         let begun = answered?;
         nodes.table.ready(node, life);
         nodes.served[node] = life;
-        nodes.all[node].is_ready(Span { begun, ended: Mono::now() });
+        nodes.all[node].is_ready(TimeInterval { earliest: begun, latest: Mono::now() });
         Some(true)
     }
 
@@ -507,7 +512,13 @@
     pub fn note(&self, words: &str) {
         tracing::info!(words, "lab");
         let (t, who, event, state) = (Mono::at(), "lab".into(), Event::Fault, words.to_owned());
-        self.recorder.line(Line { t, who, event, state, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     fn cache(&self, name: &str) -> Option<&Arc<Cache>> {
@@ -744,16 +755,30 @@
     fn tell_cut(&self, from: &[usize], to: &[usize], state: &str) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
-                let (t, who, event) = (Mono::at(), "lab".into(), Event::Cut);
+                let (t, who, event) = (Mono::at(), "lab".into(), Event::Partition);
                 let (node, server, state) = (node_name(from), node_name(to), state.to_owned());
-                self.recorder.line(Line { t, who, event, node, server, state, ..Line::default() });
+                self.recorder.line(HistoryRecord {
+                    time: t,
+                    recorder: who,
+                    event,
+                    node,
+                    server,
+                    state,
+                    ..HistoryRecord::default()
+                });
             }
         }
     }
 
     fn weather(&self, state: &str) {
-        let (t, who, event, state) = (Mono::at(), "lab".into(), Event::Weather, state.to_owned());
-        self.recorder.line(Line { t, who, event, state, ..Line::default() });
+        let (t, who, event, state) = (Mono::at(), "lab".into(), Event::NetworkConditions, state.to_owned());
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     /// Sends nodes datagrams that nobody in the fleet has sent.
@@ -797,9 +822,16 @@
                     // A view of the same life, read while it ran all the time.
                     let same = lock(&own.nodes).table.is(number, life, state) && state == State::Ready;
                     if let (Ok(Ok(state)), true) = (view, same) {
-                        let t = Span { begun, ended: Mono::now() };
+                        let t = TimeInterval { earliest: begun, latest: Mono::now() };
                         let (who, event, node) = ("lab".into(), Event::View, node_name(number));
-                        own.recorder.line(Line { t, who, event, node, state, ..Line::default() });
+                        own.recorder.line(HistoryRecord {
+                            time: t,
+                            recorder: who,
+                            event,
+                            node,
+                            state,
+                            ..HistoryRecord::default()
+                        });
                     }
                 }
             });
--- a/crates/stonevane-lab/src/nodes.rs
+++ b/crates/stonevane-lab/src/nodes.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rustix::process::{Pid, Signal, kill_process};
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 use stonevane_emulators::{Mono, Recorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -82,15 +82,15 @@
         Node { name, listen, kind, little, folder: folder.into(), life: None, seen: 0, recorder }
     }
 
-    fn line(&self, t: Span, state: &str) {
+    fn line(&self, t: TimeInterval, state: &str) {
         tracing::info!(node = self.name, state, pid = self.pid(), "node");
-        self.recorder.line(Line {
-            t,
-            who: "lab".into(),
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: "lab".into(),
             event: Event::Node,
             node: self.name.clone(),
             state: state.into(),
-            ..Line::default()
+            ..HistoryRecord::default()
         });
     }
 
@@ -136,12 +136,12 @@
             }
         }
         self.seen = begun;
-        self.line(Span { begun, ended: Mono::now() }, "starting");
+        self.line(TimeInterval { earliest: begun, latest: Mono::now() }, "starting");
         Ok(())
     }
 
     /// Notes that it was ready between two moments.
-    pub fn is_ready(&self, t: Span) {
+    pub fn is_ready(&self, t: TimeInterval) {
         self.line(t, "ready");
     }
 
@@ -174,7 +174,7 @@
             let _ = child.wait();
         }
         self.life = None;
-        self.line(Span { begun, ended: Mono::now() }, "killed");
+        self.line(TimeInterval { earliest: begun, latest: Mono::now() }, "killed");
     }
 
     fn signal(&self, signal: Signal) {
@@ -189,20 +189,23 @@
         let begun = Mono::now();
         self.signal(if stopped { Signal::STOP } else { Signal::CONT });
         if told {
-            self.line(Span { begun, ended: Mono::now() }, if stopped { "paused" } else { "resumed" });
+            self.line(
+                TimeInterval { earliest: begun, latest: Mono::now() },
+                if stopped { "paused" } else { "resumed" },
+            );
         }
     }
 
     /// Notes that one of several steps that have it stopped lets it go on.
     pub fn resumed(&self) {
         let now = Mono::now();
-        self.line(Span { begun: now, ended: now }, "resumed");
+        self.line(TimeInterval { earliest: now, latest: now }, "resumed");
     }
 
     /// Notes that it is slowed, or no longer is.
     pub fn slowed(&self, slowed: bool) {
         let now = Mono::now();
-        self.line(Span { begun: now, ended: now }, if slowed { "slowed" } else { "steady" });
+        self.line(TimeInterval { earliest: now, latest: now }, if slowed { "slowed" } else { "steady" });
     }
 
     /// Writes its configuration; where it stands.
@@ -220,7 +223,7 @@
         self.configure(config)?;
         self.signal(Signal::HUP);
         let now = Mono::now();
-        self.line(Span { begun: now, ended: now }, "reloaded");
+        self.line(TimeInterval { earliest: now, latest: now }, "reloaded");
         Ok(())
     }
 
@@ -232,12 +235,12 @@
             Some(Life::Little(end)) => drop(end.send(true)),
             None => return,
         }
-        self.line(Span { begun, ended: Mono::now() }, "term");
+        self.line(TimeInterval { earliest: begun, latest: Mono::now() }, "term");
     }
 
     /// Whether it has ended since it was looked at last: between which moments, and how. A little node ends at
     /// once.
-    pub fn ended(&mut self) -> Option<(Span, Option<ExitStatus>)> {
+    pub fn ended(&mut self) -> Option<(TimeInterval, Option<ExitStatus>)> {
         let now = Mono::now();
         let ended = match &mut self.life {
             Some(Life::Process(child)) => child.try_wait().ok().flatten().map(Some),
@@ -245,12 +248,12 @@
             None => None,
         };
         let begun = std::mem::replace(&mut self.seen, now);
-        ended.map(|status| (Span { begun, ended: now }, status))
+        ended.map(|status| (TimeInterval { earliest: begun, latest: now }, status))
     }
 
     /// Notes that it has ended. A process that was asked to, once it was ready, and did not exit with 0 has
     /// crashed.
-    pub fn note_end(&mut self, t: Span, status: Option<ExitStatus>, was_ready: bool) {
+    pub fn note_end(&mut self, t: TimeInterval, status: Option<ExitStatus>, was_ready: bool) {
         self.life = None;
         if was_ready && status.is_some_and(|status| !status.success()) {
             self.line(t, "crashed");
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stonevane_audit::{Event, HistoryError, Line, Report, Rules, audit};
+use stonevane_audit::{Event, HistoryError, HistoryRecord, Report, Rules, audit};
 use stonevane_emulators::client::{Clients, plan};
 use stonevane_emulators::{Mono, Recorder};
 use stonevane_server_model::value::digest;
@@ -117,9 +117,9 @@
 }
 
 /// The first line of a history.
-pub fn begin(rules: Rules) -> Line {
+pub fn begin(rules: Rules) -> HistoryRecord {
     let (t, who, event) = (Mono::at(), "lab".into(), Event::Begin);
-    Line { t, who, event, rules: Some(Box::new(rules)), ..Line::default() }
+    HistoryRecord { time: t, recorder: who, event, rules: Some(Box::new(rules)), ..HistoryRecord::default() }
 }
 
 /// Runs a scenario once, on processes of its own.
@@ -253,7 +253,12 @@
     watch.abort();
     views.abort();
     let t = Mono::at();
-    recorder.line(Line { t, who: "lab".into(), event: Event::End, ..Line::default() });
+    recorder.line(HistoryRecord {
+        time: t,
+        recorder: "lab".into(),
+        event: Event::End,
+        ..HistoryRecord::default()
+    });
     let queries = fleet.store.as_ref().map(|store| store.counts().reads);
     fleet.end().await;
     beat.abort();
--- a/crates/stonevane-lab/src/summary.rs
+++ b/crates/stonevane-lab/src/summary.rs
@@ -6,8 +6,8 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use stonevane_audit::history;
-use stonevane_audit::{Effect, Event, HistoryError, Line, Outcome, Report, Rules};
-use stonevane_server_model::work::{Window, able};
+use stonevane_audit::{Effect, Event, HistoryError, HistoryRecord, Outcome, Report, Rules};
+use stonevane_server_model::work::{Window, work_capacity};
 
 /// The width of a step of the chart, microseconds.
 pub const STEP_US: u64 = 250_000;
@@ -163,14 +163,14 @@
         step
     }
 
-    fn line(&mut self, line: &Line) {
+    fn line(&mut self, line: &HistoryRecord) {
         match line.event {
             Event::Begin => self.rules = line.rules.as_deref().cloned().unwrap_or_default(),
-            Event::Ask if !line.again => {
-                let step = self.step(line.t.ended);
+            Event::Request if !line.resent => {
+                let step = self.step(line.time.latest);
                 self.summary.steps[step].asked += 1;
                 self.summary.classes.entry(line.class.clone()).or_default().asked += 1;
-                self.open.insert(line.request.clone(), (line.class.clone(), line.t.ended, step));
+                self.open.insert(line.request.clone(), (line.class.clone(), line.time.latest, step));
             }
             Event::Answer => {
                 let Some((class, asked, step)) = self.open.remove(&line.request) else { return };
@@ -179,10 +179,10 @@
                 match line.outcome {
                     Some(Outcome::Served) => {
                         class.served += 1;
-                        class.times.0.saturating_record(line.t.ended.saturating_sub(asked));
+                        class.times.0.saturating_record(line.time.latest.saturating_sub(asked));
                         step.served += 1;
                     }
-                    Some(Outcome::Refused) => {
+                    Some(Outcome::Rejected) => {
                         class.refused += 1;
                         step.refused += 1;
                     }
@@ -194,14 +194,14 @@
             }
             Event::Start => {
                 let load = Load {
-                    started: line.t.begun,
+                    started: line.time.earliest,
                     share: line.cold_share,
                     warm: line.warm_us,
                     capacity: line.capacity_us_per_s,
                     second: Window::default(),
                     window: Window::default(),
                 };
-                self.loads.insert(line.at().into(), load);
+                self.loads.insert(line.server_name().into(), load);
             }
             Event::Attempt => self.attempt(line),
             Event::Call => {
@@ -214,14 +214,15 @@
             }
             Event::Fault => {
                 if line.state == "load" {
-                    self.start = Some(line.t.ended);
+                    self.start = Some(line.time.latest);
                 }
                 let fell = matches!(line.state.as_str(), "fell over" | "stopped");
                 if fell {
-                    self.summary.servers.entry(line.who.clone()).or_default().falls += 1;
+                    self.summary.servers.entry(line.recorder.clone()).or_default().falls += 1;
                 }
-                let at = line.t.ended.saturating_sub(self.start.unwrap_or(line.t.ended)) as f64 / 1e6;
-                let words = if fell { format!("{} {}", line.who, line.state) } else { line.state.clone() };
+                let at = line.time.latest.saturating_sub(self.start.unwrap_or(line.time.latest)) as f64 / 1e6;
+                let words =
+                    if fell { format!("{} {}", line.recorder, line.state) } else { line.state.clone() };
                 if self.summary.faults.len() < 1_000 {
                     self.summary.faults.push((at, words));
                 }
@@ -230,17 +231,17 @@
         }
     }
 
-    fn attempt(&mut self, line: &Line) {
-        let at = line.t.ended;
+    fn attempt(&mut self, line: &HistoryRecord) {
+        let at = line.time.latest;
         let step = self.step(at);
         self.summary.attempts += 1;
-        let server = self.summary.servers.entry(line.at().into()).or_default();
+        let server = self.summary.servers.entry(line.server_name().into()).or_default();
         server.attempts += 1;
         server.busy += u64::from(line.effect == Some(Effect::Busy));
         server.misses += u64::from(line.effect == Some(Effect::Miss));
         if line.origin {
             let capacity = self.rules.origin.capacity_us_per_s;
-            let load = self.loads.entry(line.at().into()).or_insert_with(|| Load {
+            let load = self.loads.entry(line.server_name().into()).or_insert_with(|| Load {
                 started: 0,
                 share: 1.0,
                 warm: 0,
@@ -248,21 +249,21 @@
                 second: Window::default(),
                 window: Window::default(),
             });
-            let window = self.rules.origin.fall_us;
+            let window = self.rules.origin.overload_window_us;
             let part = load.window.add(at, line.work_us, window) as f64 / (capacity / 1e6 * window as f64);
             server.peak = server.peak.max(part);
             self.summary.steps[step].origin += line.work_us as f64 / (capacity / 1e6 * STEP_US as f64);
             return;
         }
-        let Some(load) = self.loads.get_mut(line.at()) else { return };
+        let Some(load) = self.loads.get_mut(line.server_name()) else { return };
         let second = load.second.add(at, line.work_us, 1_000_000) as f64 / load.capacity;
         server.peak = server.peak.max(second);
         if load.warm > 0 && at < load.started + load.warm {
-            let window = self.rules.fall_us;
+            let window = self.rules.overload_window_us;
             let sum = load.window.add(at, line.work_us, window) as f64;
             let from = at.saturating_sub(window).max(load.started);
-            let most = able(load.capacity, load.share, load.started, load.warm, from, window);
-            let part = sum / (most * self.rules.fall_multiple);
+            let most = work_capacity(load.capacity, load.share, load.started, load.warm, from, window);
+            let part = sum / (most * self.rules.overload_multiple);
             server.cold_peak = server.cold_peak.max(part);
             let step = &mut self.summary.steps[step];
             step.coldest = step.coldest.max(part);
@@ -344,7 +345,7 @@
             "list_turned_away_again" => self.list_calls[2] as f64,
             "cache_peak" => servers(false, &|s| s.peak),
             "cold_peak" => servers(false, &|s| s.cold_peak),
-            "edits_run_twice" => report.tokens_run_twice as f64,
+            "edits_run_twice" => report.duplicate_effects as f64,
             "recovery_ms" => self.recovery_ms?,
             _ => return None,
         })
--- a/crates/stonevane-lab/tests/crooked.rs
+++ b/crates/stonevane-lab/tests/crooked.rs
@@ -51,59 +51,59 @@
 
 #[test]
 fn one_that_answers_twice_is_caught() {
-    caught(CALM, Crime::AnswersTwice, None, Rule::Answered, "twice");
+    caught(CALM, Crime::AnswersTwice, None, Rule::FinalAnswer, "twice");
 }
 
 #[test]
 fn one_that_answers_late_is_caught() {
     let text = CALM.replace("impatient = 0.05", "impatient = 0\ndeadline_ms = 400");
-    caught(&text, Crime::AnswersLate, None, Rule::Answered, "late");
+    caught(&text, Crime::AnswersLate, None, Rule::FinalAnswer, "late");
 }
 
 #[test]
 fn one_that_gives_the_value_of_another_request_is_caught() {
-    caught(CALM, Crime::OtherValue, None, Rule::Answered, "value");
+    caught(CALM, Crime::OtherValue, None, Rule::FinalAnswer, "value");
 }
 
 #[test]
 fn one_that_keeps_values_and_gives_old_ones_is_caught() {
-    caught(CALM, Crime::StaleValue, None, Rule::Answered, "value");
+    caught(CALM, Crime::StaleValue, None, Rule::FinalAnswer, "value");
 }
 
 #[test]
 fn one_that_drops_what_it_holds_at_sigterm_is_caught() {
-    caught(TERM, Crime::LosesAtTerm, None, Rule::Answered, "lost");
+    caught(TERM, Crime::LosesAtTerm, None, Rule::FinalAnswer, "lost");
 }
 
 #[test]
 fn one_that_sends_an_unsafe_write_again_is_caught() {
-    caught(CALM, Crime::ResendsUnsafe, None, Rule::Once, "unsafe-again");
+    caught(CALM, Crime::ResendsUnsafe, None, Rule::DuplicateEffects, "unsafe-again");
 }
 
 #[test]
 fn one_that_sends_to_a_server_past_its_drain_is_caught() {
-    caught(DRAIN, Crime::IgnoresDrains, None, Rule::Drained, "drained");
+    caught(DRAIN, Crime::IgnoresDrains, None, Rule::Draining, "drained");
 }
 
 #[test]
 fn one_that_floods_a_cold_cache_alone_is_caught() {
-    caught(COLD, Crime::Floods, Some(1), Rule::Cold, "cold-server");
+    caught(COLD, Crime::Floods, Some(1), Rule::SlowStart, "cold-server");
 }
 
 #[test]
 fn two_that_flood_a_cold_cache_only_together_are_caught_and_one_of_them_is_not() {
     let half = COLD.replace("per_s = 20", "per_s = 10");
     honest(&half, Crime::FloodsTogether, Some(1));
-    caught(COLD, Crime::FloodsTogether, Some(2), Rule::Cold, "cold-server");
+    caught(COLD, Crime::FloodsTogether, Some(2), Rule::SlowStart, "cold-server");
 }
 
 #[test]
 fn one_that_sends_something_else_than_it_was_asked_is_caught() {
     let reads = CALM.replace("edits = 0.2", "edits = 0").replace("moves = 0.1", "moves = 0");
-    caught(&reads, Crime::MixesKeys, Some(1), Rule::Tied, "wrong-key");
-    caught(CALM, Crime::Invents, None, Rule::Tied, "unasked");
-    caught(CALM, Crime::OtherClass, None, Rule::Tied, "wrong-class");
-    caught(CALM, Crime::OtherBody, None, Rule::Tied, "wrong-body");
+    caught(&reads, Crime::MixesKeys, Some(1), Rule::AttemptIntegrity, "wrong-key");
+    caught(CALM, Crime::Invents, None, Rule::AttemptIntegrity, "unasked");
+    caught(CALM, Crime::OtherClass, None, Rule::AttemptIntegrity, "wrong-class");
+    caught(CALM, Crime::OtherBody, None, Rule::AttemptIntegrity, "wrong-body");
 }
 
 #[test]
--- a/crates/stonevane-lab/tests/overlap.rs
+++ b/crates/stonevane-lab/tests/overlap.rs
@@ -5,7 +5,7 @@
 use std::io::BufReader;
 use std::path::PathBuf;
 
-use stonevane_audit::{Event, Line, history};
+use stonevane_audit::{Event, HistoryRecord, history};
 use stonevane_lab::{Crime, Kind, Options, Outcome, Scenario, run};
 
 const HEAD: &str = "name = \"overlap\"\n[load]\nper_s = 150\nfor_ms = 2500\nedits = 0.1\n[fleet]\nnodes = 4\nwarm_keys = 1\n";
@@ -23,7 +23,7 @@
 }
 
 /// Plays steps on a fleet of four; the outcome, and its history.
-fn play(name: &str, steps: &[String], kind: Kind) -> (Outcome, Vec<Line>) {
+fn play(name: &str, steps: &[String], kind: Kind) -> (Outcome, Vec<HistoryRecord>) {
     let path = std::env::temp_dir().join(format!("stonevane-overlap-{}-{name}.jsonl", std::process::id()));
     let kept = Kept(path);
     let scenario = Scenario::parse(&format!("{HEAD}{}", steps.concat())).unwrap();
@@ -35,7 +35,7 @@
 }
 
 /// What became of a node, in order.
-fn states(lines: &[Line], node: &str) -> Vec<String> {
+fn states(lines: &[HistoryRecord], node: &str) -> Vec<String> {
     let of = lines.iter().filter(|l| l.event == Event::Node && l.node == node);
     of.map(|l| l.state.clone()).collect()
 }
@@ -89,12 +89,17 @@
     let steps = [parted.to_owned(), step("kill", "cache-1", 500, 1_000), step("kill", "cache-1", 600, 300)];
     let (outcome, lines) = play("healed", &steps, Kind::Little(Crime::Honest));
     assert!(outcome.report.holds(), "{}", outcome.report);
-    let of = |event| lines.iter().filter(move |l| l.event == event && l.who == "cache-1").map(|l| l.t.begun);
+    let of = |event| {
+        lines.iter().filter(move |l| l.event == event && l.recorder == "cache-1").map(|l| l.time.earliest)
+    };
     let (down, up) = (of(Event::Down).collect::<Vec<_>>(), of(Event::Start).collect::<Vec<_>>());
     assert_eq!((down.len(), up.len()), (1, 2), "one death, and one start after the first");
     assert!(up[1] - down[0] > 900_000, "not when the partition healed nor when the shorter kill ended");
-    let between = |l: &&Line| {
-        l.event == Event::Attempt && l.who == "cache-1" && l.t.begun > down[0] && l.t.ended < up[1]
+    let between = |l: &&HistoryRecord| {
+        l.event == Event::Attempt
+            && l.recorder == "cache-1"
+            && l.time.earliest > down[0]
+            && l.time.latest < up[1]
     };
     assert_eq!(lines.iter().filter(between).count(), 0, "nothing comes to the dead");
 }
--- a/crates/stonevane-server-model/src/work.rs
+++ b/crates/stonevane-server-model/src/work.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-pub use stonevane_audit::able;
+pub use stonevane_audit::work_capacity;
 
 /// The work of one request: log-normal with this mean and coefficient of variation, drawn from the request's name
 /// alone, so that the same request is the same work wherever it goes. Without variation, the mean.
@@ -112,7 +112,7 @@
 
     #[test]
     fn a_cold_server_is_able_to_do_its_share_at_first_and_all_when_warm() {
-        let at = |from| able(1e6, 0.5, 0, 1_000, from, 1);
+        let at = |from| work_capacity(1e6, 0.5, 0, 1_000, from, 1);
         assert!(
             (at(0) - 0.5).abs() < 0.01 && (at(500) - 0.75).abs() < 0.01 && (at(2_000) - 1.0).abs() < 1e-9
         );
--- a/crates/stonevane-sim/src/members/world.rs
+++ b/crates/stonevane-sim/src/members/world.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 
 use oorandom::Rand64;
-use stonevane_audit::{Breach, Membership, MembershipFigures, Span};
+use stonevane_audit::{Breach, Membership, MembershipFigures, TimeInterval};
 use stonevane_membership::wire::MAX_DATAGRAM;
 use stonevane_membership::{Counts, Input, Machine, Mutant, Outputs, Setup};
 
@@ -119,8 +119,8 @@
         self.queue.push(Reverse((at, self.number, due)));
     }
 
-    fn span(&self) -> Span {
-        Span { begun: self.now, ended: self.now }
+    fn span(&self) -> TimeInterval {
+        TimeInterval { earliest: self.now, latest: self.now }
     }
 
     fn there(&self) -> usize {
--- a/crates/stonevane-sim/src/servers.rs
+++ b/crates/stonevane-sim/src/servers.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use bytes::{Buf, BytesMut};
-use stonevane_audit::{Effect, able};
+use stonevane_audit::{Effect, work_capacity};
 use stonevane_codec::resp;
 use stonevane_server_model::value::digest;
 use stonevane_server_model::work::{Cores, drawn};
@@ -142,7 +142,7 @@
         };
         let known = self.seen.get(&asked.token).filter(|(until, _)| *until > now && !asked.token.is_empty());
         let (mut effect, version) = match (asked.write, self.origin, known.map(|known| known.1)) {
-            (true, _, Some(version)) => (Effect::Dropped, version),
+            (true, _, Some(version)) => (Effect::Deduplicated, version),
             (true, _, None) => (Effect::Ran, number),
             (false, true, _) => (Effect::Ran, self.holds.get(&asked.key).copied().unwrap_or(0)),
             (false, false, _) => match self.holds.get(&asked.key) {
@@ -152,7 +152,7 @@
         };
         let whole = drawn(mean, VARIES, &asked.request);
         let work = if effect == Effect::Miss { whole / 10 } else { whole };
-        let share = self.started.map_or(1.0, |at| able(1e6, COLD.0, at, COLD.1, now, 1).max(0.01));
+        let share = self.started.map_or(1.0, |at| work_capacity(1e6, COLD.0, at, COLD.1, now, 1).max(0.01));
         let at = self.cores.take(now, (work as f64 / share) as u64, QUEUE).unwrap_or_else(|| {
             effect = Effect::Busy;
             now
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -7,7 +7,8 @@
 use bytes::BytesMut;
 use oorandom::Rand64;
 use stonevane_audit::{
-    Auditor, ClassRule, Effect, Event, Kind, Line, OriginRule, Outcome, Report, Rules, Scope, Span,
+    Auditor, ClassRule, DedupScope, Effect, Event, HistoryRecord, Idempotency, OriginRule, Outcome, Report,
+    Rules, TimeInterval,
 };
 use stonevane_codec::resp::{self, Value};
 use stonevane_config::operator;
@@ -15,7 +16,7 @@
     ConnId, Core, DiscoveryRequest, EndpointList, Input, LogLine, Mutant, Output, Outputs, Setup,
 };
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
+use stonevane_policy::{RequestClass, Settings, Tenant};
 use stonevane_server_model::value::{digest, padded};
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
@@ -208,17 +209,18 @@
 }
 
 fn rules() -> Rules {
-    let class = |name: &str, kind| ClassRule { name: name.into(), kind, scope: Scope::All, window_us: KEYED };
+    let class =
+        |name: &str, kind| ClassRule { name: name.into(), kind, scope: DedupScope::All, window_us: KEYED };
     Rules {
         classes: vec![
-            class(CLASSES[0].0, Kind::Safe),
-            class(CLASSES[1].0, Kind::Keyed),
-            class(CLASSES[2].0, Kind::Unsafe),
+            class(CLASSES[0].0, Idempotency::Idempotent),
+            class(CLASSES[1].0, Idempotency::WithKey),
+            class(CLASSES[2].0, Idempotency::NonIdempotent),
         ],
         origin: OriginRule { capacity_us_per_s: 4e6, ..OriginRule::default() },
         // As long as what it took after SIGTERM may be waited for: a kill within that is the plan's doing.
-        term_us: 450_000 + CLASSES[0].1,
-        exit_us: 3_200_000,
+        kill_grace_us: 450_000 + CLASSES[0].1,
+        shutdown_limit_us: 3_200_000,
         max_attempts: 4,
         ..Rules::default()
     }
@@ -231,9 +233,12 @@
         priority_weight: 1.0,
         late_weight: 0.5,
         idempotency: match (keyed, again) {
-            (true, _) => Idempotency::WithKey { scope: DedupScope::All, window: KEYED },
-            (false, true) => Idempotency::Idempotent,
-            (false, false) => Idempotency::NonIdempotent,
+            (true, _) => stonevane_policy::Idempotency::WithKey {
+                scope: stonevane_policy::DedupScope::All,
+                window: KEYED,
+            },
+            (false, true) => stonevane_policy::Idempotency::Idempotent,
+            (false, false) => stonevane_policy::Idempotency::NonIdempotent,
         },
     };
     let settings = Settings {
@@ -339,21 +344,30 @@
         self.queue.insert((at.max(self.now), self.order), ev);
     }
 
-    fn line(&mut self, line: Line) {
-        let t = Span { begun: if line.t.begun == 0 { self.now } else { line.t.begun }, ended: self.now };
-        let line = Line { t, ..line };
+    fn line(&mut self, line: HistoryRecord) {
+        let t = TimeInterval {
+            earliest: if line.time.earliest == 0 { self.now } else { line.time.earliest },
+            latest: self.now,
+        };
+        let line = HistoryRecord { time: t, ..line };
         self.lines += 1;
-        let words = (t.begun, line.event as u8, &line.request, &line.node, &line.value, line.number);
-        let words = format!("{words:?}{}{}{:?}", line.who, line.state, line.outcome);
+        let words = (t.earliest, line.event as u8, &line.request, &line.node, &line.value, line.number);
+        let outcome = line.outcome.map(|outcome| match outcome {
+            Outcome::Served => "Served",
+            Outcome::Rejected => "Refused",
+            Outcome::Failed => "Failed",
+        });
+        let outcome = outcome.map_or("None".to_owned(), |name| format!("Some({name})"));
+        let words = format!("{words:?}{}{}{outcome}", line.recorder, line.state);
         self.digest = xxhash_rust::xxh3::xxh3_64_with_seed(words.as_bytes(), self.digest);
         if self.options.history {
-            self.history.push_str(&line.text());
+            self.history.push_str(&line.to_json_line());
         }
         self.auditor.line(self.lines, line);
     }
 
-    fn who(&self, who: &str, event: Event) -> Line {
-        Line { who: who.into(), event, ..Line::default() }
+    fn who(&self, who: &str, event: Event) -> HistoryRecord {
+        HistoryRecord { recorder: who.into(), event, ..HistoryRecord::default() }
     }
 
     /// An invariant is broken; the first of each kind is kept.
@@ -374,15 +388,18 @@
 
     fn begin(&mut self) {
         if self.options.history {
-            let line = Line { rules: Some(Box::new(rules())), ..self.who("lab", Event::Begin) };
-            self.history.push_str(&line.text());
+            let line = HistoryRecord { rules: Some(Box::new(rules())), ..self.who("lab", Event::Begin) };
+            self.history.push_str(&line.to_json_line());
         }
         for at in 0..self.servers.len() {
             self.tell_start(at);
         }
         for entry in self.discovery.entries.clone() {
-            let line =
-                Line { server: entry.name, status: "active".into(), ..self.who("discovery", Event::Change) };
+            let line = HistoryRecord {
+                server: entry.name,
+                status: "active".into(),
+                ..self.who("discovery", Event::Change)
+            };
             self.line(line);
         }
         for node in 0..self.nodes.len() {
@@ -491,7 +508,8 @@
     }
 
     fn state(&mut self, node: usize, state: &str) {
-        let line = Line { node: Self::name(node), state: state.into(), ..self.who("lab", Event::Node) };
+        let line =
+            HistoryRecord { node: Self::name(node), state: state.into(), ..self.who("lab", Event::Node) };
         self.line(line);
     }
 
@@ -999,12 +1017,12 @@
     fn tell_start(&mut self, at: usize) {
         let server = &self.servers[at];
         let cold = server.started.is_some();
-        let line = Line {
+        let line = HistoryRecord {
             zone: "a".into(),
             capacity_us_per_s: server.capacity(),
             cold_share: COLD.0,
             warm_us: if cold { COLD.1 } else { 0 },
-            since: server.started.unwrap_or(0),
+            started_at: server.started.unwrap_or(0),
             ..self.who(&server.name, Event::Start)
         };
         self.line(line);
@@ -1047,15 +1065,15 @@
                     cache.holds.remove(&asked.key);
                 }
             }
-            let line = Line {
+            let line = HistoryRecord {
                 request: asked.request.clone(),
                 node: Self::name(node),
                 class: asked.class.clone(),
                 key: asked.key.clone(),
-                token: asked.token.clone(),
+                idempotency_key: asked.token.clone(),
                 digest: asked.digest.clone(),
                 effect: Some(work.effect),
-                first: (first != now).then_some(Span { begun: first, ended: first }),
+                first_byte: (first != now).then_some(TimeInterval { earliest: first, latest: first }),
                 number: work.number,
                 work_us: work.work,
                 origin,
@@ -1081,18 +1099,21 @@
             false => work.version,
         };
         let (name, origin) = (server.name.clone(), server.origin);
-        let says = matches!(work.effect, Effect::Ran | Effect::Dropped);
+        let says = matches!(work.effect, Effect::Ran | Effect::Deduplicated);
         let value = says.then(|| format!("{}.{version}.{}.{name}.{}", asked.key, asked.request, work.number));
         let torn = server.tears();
         let (silent, garbles, noisy) = (server.silent || server.vanished, server.garbles, server.noisy);
-        let base =
-            Line { request: asked.request.clone(), number: work.number, ..self.who(&name, Event::Over) };
+        let base = HistoryRecord {
+            request: asked.request.clone(),
+            number: work.number,
+            ..self.who(&name, Event::AttemptEnded)
+        };
         if torn || silent || garbles {
             self.line(base);
         } else {
             let said = value.clone().unwrap_or_default();
             let version = if says { version } else { 0 };
-            self.line(Line { event: Event::Reply, value: said, version, ..base });
+            self.line(HistoryRecord { event: Event::Reply, value: said, version, ..base });
         }
         if silent {
             return;
@@ -1210,7 +1231,11 @@
         self.wishes[at].over = true;
         if self.wishes[at].again {
             let node = Self::name(self.wishes[at].node);
-            let line = Line { request: self.wishes[at].id(), node, ..self.who("client", Event::Gone) };
+            let line = HistoryRecord {
+                request: self.wishes[at].id(),
+                node,
+                ..self.who("client", Event::ClientLeft)
+            };
             self.line(line);
         }
     }
@@ -1258,19 +1283,19 @@
         let until = before.max().map_or(until, |before| before.max(until));
         self.wishes[at].until = until;
         let patience = until.saturating_sub(now) + PATIENCE;
-        let line = Line {
+        let line = HistoryRecord {
             request: id.clone(),
             node: Self::name(node),
             class: name.into(),
             tenant: "all".into(),
             key,
-            token,
+            idempotency_key: token,
             digest: if writes { digest } else { String::new() },
-            until,
-            again,
-            kept,
+            deadline: until,
+            resent: again,
+            reused_connection: kept,
             retry,
-            ..self.who("client", Event::Ask)
+            ..self.who("client", Event::Request)
         };
         self.line(line);
         if let Some(it) = self.wires.get_mut(&wire) {
@@ -1331,18 +1356,22 @@
                 if matches!(&said, Value::Error(line) if line.starts_with(b"ERR no whole command")) {
                     return;
                 }
-                let line = Line { node: Self::name(node), request, ..self.who("client", Event::Stray) };
+                let line = HistoryRecord {
+                    node: Self::name(node),
+                    request,
+                    ..self.who("client", Event::UnsolicitedResponse)
+                };
                 return self.line(line);
             };
             it.last = Some(at);
             let (outcome, value, advice) = meaning(&said);
             let id = self.wishes[at].id();
-            let line = Line {
+            let line = HistoryRecord {
                 request: id,
                 node: Self::name(node),
                 outcome: Some(outcome),
                 value,
-                advice_ms: advice,
+                retry_after_ms: advice,
                 ..self.who("client", Event::Answer)
             };
             self.line(line);
@@ -1366,8 +1395,8 @@
                 (wish.over, wish.served) = (true, true);
                 return;
             }
-            Outcome::Refused if advice > 0 => advice * 1_000,
-            Outcome::Refused => BACKOFF,
+            Outcome::Rejected if advice > 0 => advice * 1_000,
+            Outcome::Rejected => BACKOFF,
             Outcome::Failed if may => BACKOFF,
             Outcome::Failed => {
                 wish.over = true;
@@ -1386,7 +1415,12 @@
     /// A node ended a client's connection without an answer to its request.
     fn closed(&mut self, at: usize, node: usize, kept: bool) {
         let id = self.wishes[at].id();
-        let line = Line { request: id, node: Self::name(node), kept, ..self.who("client", Event::Closed) };
+        let line = HistoryRecord {
+            request: id,
+            node: Self::name(node),
+            reused_connection: kept,
+            ..self.who("client", Event::Closed)
+        };
         self.line(line);
         let wish = &mut self.wishes[at];
         wish.wire = None;
@@ -1452,7 +1486,11 @@
             self.wishes[left].wire = None;
             if early {
                 let request = self.wishes[left].id();
-                let line = Line { request, node: Self::name(node), ..self.who("client", Event::Gone) };
+                let line = HistoryRecord {
+                    request,
+                    node: Self::name(node),
+                    ..self.who("client", Event::ClientLeft)
+                };
                 self.line(line);
             }
         }
@@ -1484,8 +1522,12 @@
         self.discovery.change(&name, status, since);
         let entry = self.discovery.entries.iter().find(|entry| entry.name == name);
         let since = entry.map_or(0, |entry| entry.since);
-        let line =
-            Line { server: name, status: status.into(), since, ..self.who("discovery", Event::Change) };
+        let line = HistoryRecord {
+            server: name,
+            status: status.into(),
+            started_at: since,
+            ..self.who("discovery", Event::Change)
+        };
         self.line(line);
         for node in 0..self.nodes.len() {
             self.tell_watch(node);
@@ -1516,12 +1558,12 @@
 
     fn note_told(&mut self, node: usize, told: &[Entry]) {
         for entry in told {
-            let line = Line {
+            let line = HistoryRecord {
                 node: Self::name(node),
                 server: entry.name.clone(),
                 status: entry.status.into(),
-                since: entry.since,
-                ..self.who("discovery", Event::Told)
+                started_at: entry.since,
+                ..self.who("discovery", Event::Notified)
             };
             self.line(line);
         }
@@ -1578,7 +1620,7 @@
 
     fn fault(&mut self, at: usize, begins: bool) {
         let fault = self.plan.faults[at];
-        let line = Line {
+        let line = HistoryRecord {
             state: format!("{:?} {}", fault.what, if begins { "begins" } else { "ends" }),
             ..self.who("lab", Event::Fault)
         };
@@ -1714,7 +1756,7 @@
         Value::Error(line) if line.starts_with(b"BUSY") => {
             let text = String::from_utf8_lossy(line).into_owned();
             (
-                Outcome::Refused,
+                Outcome::Rejected,
                 String::new(),
                 text.split(' ').nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0),
             )
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Subcommand;
-use stonevane_audit::{Effect, Event, Line, Outcome, Rules, Span, audit};
+use stonevane_audit::{Effect, Event, HistoryRecord, Outcome, Rules, TimeInterval, audit};
 use stonevane_emulators::client::{Clients, plan};
 use stonevane_emulators::{Mono, Recorder};
 use stonevane_lab::{Fleet, Kind, Scenario, summarise};
@@ -198,7 +198,13 @@
     let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
     let (recorder, writer) = Recorder::to(File::create(&path).map_err(text)?);
     let rules = Some(Box::new(Rules::default()));
-    recorder.line(Line { t: Mono::at(), who: "bench".into(), event: Event::Begin, rules, ..Line::default() });
+    recorder.line(HistoryRecord {
+        time: Mono::at(),
+        recorder: "bench".into(),
+        event: Event::Begin,
+        rules,
+        ..HistoryRecord::default()
+    });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(text)?;
     let own = std::process::id();
     // Behind a relay the node stands idle.
@@ -267,27 +273,31 @@
 
 /// Writes a history of reads that hit, four events each, and audits it.
 /// An honest history of about so many events: four a request, two thousand requests a second.
-fn made_up(events: u64, mut each: impl FnMut(Line)) {
-    each(Line { event: Event::Begin, rules: Some(Box::new(Rules::default())), ..Line::default() });
-    let at = |us: u64| Span { begun: us.saturating_sub(40), ended: us };
+fn made_up(events: u64, mut each: impl FnMut(HistoryRecord)) {
+    each(HistoryRecord {
+        event: Event::Begin,
+        rules: Some(Box::new(Rules::default())),
+        ..HistoryRecord::default()
+    });
+    let at = |us: u64| TimeInterval { earliest: us.saturating_sub(40), latest: us };
     for number in 0..events / 4 {
         let t = 1_000 + number * 500;
         let value = format!("v-{number:x}");
         let (node, class, key) = ("n0", "read", format!("{:016x}", number % 5_000));
-        let base = |t, event, who: &str| Line {
-            t: at(t),
+        let base = |t, event, who: &str| HistoryRecord {
+            time: at(t),
             event,
-            who: who.into(),
+            recorder: who.into(),
             request: format!("r{number:x}"),
-            ..Line::default()
+            ..HistoryRecord::default()
         };
-        let asked = |line| Line { node: node.into(), class: class.into(), key: key.clone(), ..line };
-        each(Line { until: t + 1_500_000, ..asked(base(t, Event::Ask, "client")) });
+        let asked = |line| HistoryRecord { node: node.into(), class: class.into(), key: key.clone(), ..line };
+        each(HistoryRecord { deadline: t + 1_500_000, ..asked(base(t, Event::Request, "client")) });
         let attempt = asked(base(t + 50, Event::Attempt, "s-1"));
-        each(Line { effect: Some(Effect::Ran), number, work_us: 4_000, ..attempt });
-        each(Line { number, value: value.clone(), ..base(t + 100, Event::Reply, "s-1") });
+        each(HistoryRecord { effect: Some(Effect::Ran), number, work_us: 4_000, ..attempt });
+        each(HistoryRecord { number, value: value.clone(), ..base(t + 100, Event::Reply, "s-1") });
         let answer = base(t + 150, Event::Answer, "client");
-        each(Line { node: node.into(), outcome: Some(Outcome::Served), value, ..answer });
+        each(HistoryRecord { node: node.into(), outcome: Some(Outcome::Served), value, ..answer });
     }
 }
 
@@ -322,7 +332,7 @@
     let mut written = Ok(());
     made_up(events, |line| {
         if written.is_ok() {
-            written = out.write_all(line.text().as_bytes());
+            written = out.write_all(line.to_json_line().as_bytes());
         }
     });
     written.map_err(text)?;
@@ -340,7 +350,7 @@
         bytes as f64 / 1e6,
         took.as_secs_f64(),
         report.events as f64 / took.as_secs_f64(),
-        report.held_at_most,
+        report.peak_requests,
         report.broken
     );
     Ok(())
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -173,10 +173,10 @@
                 let plan = MemberPlan::measured(self.seed + at as u64, members as usize, loss, slow, length);
                 let verdict = play(&MemberPlan { heeds_health, ..plan }, MemberOptions::default());
                 let figures = &verdict.figures;
-                let took = |times: &[u64], part| seconds(MembershipFigures::part(times, part));
+                let took = |times: &[u64], part| seconds(MembershipFigures::quantile(times, part));
                 let rate = figures.false_deaths as f64 / (verdict.member_s / 3_600.0).max(1e-9);
                 if let Ok(mut measured) = measured.lock() {
-                    measured.push((cells[at], MembershipFigures::part(&figures.last_us, 0.5), rate));
+                    measured.push((cells[at], MembershipFigures::quantile(&figures.last_us, 0.5), rate));
                 }
                 let row = vec![
                     members.to_string(),
@@ -554,7 +554,7 @@
         let member_s = sum(&|v| v.member_s).max(1e-9);
         let deaths: Vec<u64> =
             played.iter().flat_map(|(_, verdict)| verdict.figures.last_us.iter().copied()).collect();
-        let last = |part: f64| seconds(MembershipFigures::part(&deaths, part));
+        let last = |part: f64| seconds(MembershipFigures::quantile(&deaths, part));
         warn!(
             "{member_s:.0} member-seconds in {:.1} s; {:.2} datagrams and {:.0} bytes a member and second; a death is \
              seen by all after {} s (median), {} s (95 in a hundred), {} s (all); {} false deaths seen",
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -370,7 +370,7 @@
     let members = &outcome.report.membership;
     if members.views > 0 {
         let part = |times: &[u64], part| {
-            let us = stonevane_audit::MembershipFigures::part(times, part);
+            let us = stonevane_audit::MembershipFigures::quantile(times, part);
             us.map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e6))
         };
         say!(
--- a/crates/stonevane/src/standin.rs
+++ b/crates/stonevane/src/standin.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use clap::{Args, Subcommand};
-use stonevane_audit::{Event, Line, Rules};
+use stonevane_audit::{Event, HistoryRecord, Rules};
 use stonevane_emulators::cache::{Cache, CacheSpec};
 use stonevane_emulators::client::{Clients, plan};
 use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry};
@@ -121,7 +121,13 @@
     let Some(path) = history else { return Ok((Recorder::none(), None)) };
     let (recorder, writer) = Recorder::to(File::create(path)?);
     let (t, who, rules) = (Mono::at(), "stand-in".into(), Some(Box::new(Rules::default())));
-    recorder.line(Line { t, who, event: Event::Begin, rules, ..Line::default() });
+    recorder.line(HistoryRecord {
+        time: t,
+        recorder: who,
+        event: Event::Begin,
+        rules,
+        ..HistoryRecord::default()
+    });
     Ok((recorder, Some(writer)))
 }
 
