--- a/crates/stonevane-sim/src/clients.rs
+++ b/crates/stonevane-sim/src/clients.rs
@@ -43,8 +43,8 @@
     pub fn draw(number: u64, now: u64, plan: &Plan, rng: &mut Rand64) -> Wish {
         let kind = rng.rand_float();
         let class = match kind {
-            kind if kind < plan.edits => 1,
-            kind if kind < plan.edits + plan.moves => 2,
+            kind if kind < plan.edit_share => 1,
+            kind if kind < plan.edit_share + plan.move_share => 2,
             _ => 0,
         };
         // A few keys are far more popular than the rest.
--- a/crates/stonevane-sim/src/lib.rs
+++ b/crates/stonevane-sim/src/lib.rs
@@ -13,7 +13,7 @@
 mod wire;
 mod world;
 
-pub use plan::{Fault, Plan, What};
+pub use plan::{Fault, FaultKind, Plan};
 pub use shrink::{Shrunk, shrink};
 pub use stonevane_core::Mutant;
-pub use world::{Options, Sums, Verdict, run};
+pub use world::{FleetTotals, Options, Verdict, run};
--- a/crates/stonevane-sim/src/shrink.rs
+++ b/crates/stonevane-sim/src/shrink.rs
@@ -1,7 +1,7 @@
 //! Makes a plan that fails smaller, as long as it fails in the same way: faults go first, by halves and then one by one
 //! (delta debugging; Zeller and Hildebrandt, 2002), then nodes, caches, load, network and time.
 
-use crate::plan::{Fault, Plan, What};
+use crate::plan::{Fault, FaultKind, Plan};
 use crate::world::{Options, run};
 
 /// What is left.
@@ -59,48 +59,50 @@
     fn smaller(&mut self, plan: &mut Plan) -> bool {
         let before = plan.clone();
         self.fewer_faults(plan);
-        let last = plan.faults.iter().map(|fault| fault.at + fault.lasts).max().unwrap_or(0);
+        let last = plan.faults.iter().map(|fault| fault.start_us + fault.duration_us).max().unwrap_or(0);
         // Where it is that clients are not served again, they are given as much time as before.
         let rests: &[u64] = if self.code == "progress" { &[] } else { &[200_000, 1_000_000, 3_000_000] };
         for rest in rests {
-            if self.accept(plan, |plan| plan.length = plan.length.min(last + rest)) {
+            if self.accept(plan, |plan| plan.load_duration_us = plan.load_duration_us.min(last + rest)) {
                 break;
             }
         }
         while plan.nodes > 1 && self.accept(plan, without_last_node) {}
         while plan.caches > 1 && self.accept(plan, without_last_cache) {}
-        while plan.per_s > 4.0 && self.accept(plan, |plan| plan.per_s /= 2.0) {}
-        self.accept(plan, |plan| plan.split = 0.0);
-        self.accept(plan, |plan| plan.slow = 0.0);
-        self.accept(plan, |plan| plan.pipelined = 0.0);
-        self.accept(plan, |plan| plan.clocks.iter_mut().for_each(|clock| *clock = 0.0));
-        self.accept(plan, |plan| plan.delay = (100, 100));
-        self.accept(plan, |plan| plan.value = 24);
-        self.accept(plan, |plan| (plan.sockets, plan.memory_mb) = (256, 64));
-        self.accept(plan, |plan| plan.edits = 0.0);
-        self.accept(plan, |plan| plan.moves = 0.0);
+        while plan.requests_per_s > 4.0 && self.accept(plan, |plan| plan.requests_per_s /= 2.0) {}
+        self.accept(plan, |plan| plan.fragmented_share = 0.0);
+        self.accept(plan, |plan| plan.late_flush_share = 0.0);
+        self.accept(plan, |plan| plan.pipelined_share = 0.0);
+        self.accept(plan, |plan| plan.clock_drifts.iter_mut().for_each(|clock| *clock = 0.0));
+        self.accept(plan, |plan| plan.delay_us = (100, 100));
+        self.accept(plan, |plan| plan.value_bytes = 24);
+        self.accept(plan, |plan| (plan.max_sockets, plan.memory_mb) = (256, 64));
+        self.accept(plan, |plan| plan.edit_share = 0.0);
+        self.accept(plan, |plan| plan.move_share = 0.0);
         for at in 0..plan.faults.len() {
-            while plan.faults[at].lasts > 50_000 && self.accept(plan, |plan| plan.faults[at].lasts /= 2) {}
+            while plan.faults[at].duration_us > 50_000
+                && self.accept(plan, |plan| plan.faults[at].duration_us /= 2)
+            {}
         }
         *plan != before
     }
 }
 
-fn keep(plan: &mut Plan, keeps: impl Fn(What) -> bool) {
-    plan.faults.retain(|fault: &Fault| keeps(fault.what));
+fn keep(plan: &mut Plan, keeps: impl Fn(FaultKind) -> bool) {
+    plan.faults.retain(|fault: &Fault| keeps(fault.kind));
 }
 
 fn without_last_node(plan: &mut Plan) {
     plan.nodes -= 1;
-    plan.clocks.truncate(plan.nodes);
+    plan.clock_drifts.truncate(plan.nodes);
     let nodes = plan.nodes;
-    keep(plan, |what| what.whom().1.is_none_or(|node| node < nodes));
+    keep(plan, |what| what.node().is_none_or(|node| node < nodes));
 }
 
 fn without_last_cache(plan: &mut Plan) {
     plan.caches -= 1;
     let caches = plan.caches;
-    keep(plan, |what| what.whom().0.is_none_or(|cache| cache < caches));
+    keep(plan, |what| what.cache().is_none_or(|cache| cache < caches));
 }
 
 /// Shrinks a plan that fails; `None` where it does not. `most`: runs, at most.
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -21,7 +21,7 @@
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
 use crate::discovery::{Discovery, Entry};
-use crate::plan::{Plan, What};
+use crate::plan::{FaultKind, Plan};
 use crate::servers::{self, Asked, COLD, KEYED, Server, Work};
 use crate::wire::{Chunk, Peer, Wire, WireId};
 
@@ -59,19 +59,19 @@
     pub history: bool,
 }
 
-/// Sums over the whole fleet.
+/// FleetTotals over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct FleetTotals {
     /// Connections opened to servers.
-    pub opened: u64,
+    pub connections_opened: u64,
     /// Requests to the origin.
-    pub origin: u64,
+    pub origin_requests: u64,
     /// Of these, those that found no place in its table.
-    pub turned_away: u64,
+    pub origin_rejected: u64,
     /// Calls to discovery.
-    pub calls: u64,
+    pub discovery_calls: u64,
     /// Of these, those that were answered.
-    pub lists: u64,
+    pub discovery_answers: u64,
 }
 
 /// What a run showed.
@@ -80,17 +80,17 @@
     /// The auditor's word.
     pub report: Report,
     /// Invariants that were broken, the first of each kind.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests that clients had, and those that were served.
-    pub wishes: usize,
+    pub requests: usize,
     /// Of them served.
     pub served: usize,
-    /// Sums over the whole fleet.
-    pub sums: Sums,
+    /// FleetTotals over the whole fleet.
+    pub totals: FleetTotals,
     /// Steps of the world.
     pub steps: u64,
     /// Simulated time, microseconds.
-    pub time: u64,
+    pub simulated_us: u64,
     /// A digest of the history.
     pub digest: u64,
     /// The history, where it was to be kept.
@@ -100,7 +100,7 @@
 impl Verdict {
     /// Whether all holds.
     pub fn holds(&self) -> bool {
-        self.report.holds() && self.report.faulty == 0 && self.broken.is_empty()
+        self.report.holds() && self.report.faulty == 0 && self.violations.is_empty()
     }
 
     /// What failed, in one word: a code of the auditor's or the kind of an invariant.
@@ -108,7 +108,7 @@
         let finding = self.report.findings.first().map(|finding| finding.code.to_owned());
         let fault = self.report.faults.first().map(|fault| format!("stand-in:{}", fault.code));
         let kind = |what: &String| what.split(':').next().unwrap_or_default().to_owned();
-        finding.or(fault).or_else(|| self.broken.first().map(kind))
+        finding.or(fault).or_else(|| self.violations.first().map(kind))
     }
 }
 
@@ -191,7 +191,7 @@
     impatient: u32,
     crowd: u32,
     dark: u32,
-    sums: Sums,
+    sums: FleetTotals,
     /// Requests whose clients left before any server had them, and when; and all that a server has had.
     waited: HashMap<String, u64>,
     begun: HashSet<String>,
@@ -245,10 +245,10 @@
         nodes: plan.nodes as u32,
         node_index: me as u32,
         classes: CLASSES.map(class).to_vec(),
-        tenants: vec![Tenant { quota_per_s: plan.per_s * 2.0 + 100.0 }],
+        tenants: vec![Tenant { quota_per_s: plan.requests_per_s * 2.0 + 100.0 }],
         poll_discovery: true,
         // Where calls have a price, what the platform allows a large fleet.
-        list_staleness_limit: if plan.call.is_some() { 10_000_000 } else { 6_000_000 },
+        list_staleness_limit: if plan.discovery_call_us.is_some() { 10_000_000 } else { 6_000_000 },
         origin_kind: Some(1),
         max_attempts: 4,
         may_cancel: true,
@@ -283,7 +283,7 @@
         let mut servers: Vec<_> =
             (0..plan.caches).map(|at| Server::new(&format!("s-{at}"), address(1, at), false)).collect();
         servers.push(Server::new("origin", address(2, 0), true));
-        let held = (plan.keys as f64 * plan.warm) as u64;
+        let held = (plan.keys as f64 * plan.cached_share) as u64;
         for server in &mut servers {
             let keys = (0..held).map(|key| (format!("{:016x}", key + 1), 0));
             server.holds = if server.origin { BTreeMap::new() } else { keys.collect() };
@@ -303,10 +303,10 @@
             watch: None,
             ended: false,
             ending: false,
-            ppm: (plan.clocks.get(at).copied().unwrap_or(0.0) * 1e6) as i64,
+            ppm: (plan.clock_drifts.get(at).copied().unwrap_or(0.0) * 1e6) as i64,
             idle: Vec::new(),
         };
-        let value = padded("v", plan.value);
+        let value = padded("v", plan.value_bytes);
         World {
             plan,
             options,
@@ -328,7 +328,7 @@
             impatient: 0,
             crowd: 0,
             dark: 0,
-            sums: Sums::default(),
+            sums: FleetTotals::default(),
             waited: HashMap::new(),
             begun: HashSet::new(),
             steps: 0,
@@ -378,7 +378,7 @@
     }
 
     fn delay(&mut self) -> u64 {
-        let (least, most) = self.plan.delay;
+        let (least, most) = self.plan.delay_us;
         self.rng.rand_range(least..most.max(least) + 1)
     }
 
@@ -406,7 +406,7 @@
             self.start(node);
         }
         for (at, fault) in self.plan.faults.iter().enumerate() {
-            let (begins, ends) = (fault.at, fault.at + fault.lasts);
+            let (begins, ends) = (fault.start_us, fault.start_us + fault.duration_us);
             self.push(begins, Ev::Fault(at, true));
             self.push(ends, Ev::Fault(at, false));
         }
@@ -414,7 +414,7 @@
     }
 
     fn play(&mut self) {
-        let end = self.plan.length + QUIET;
+        let end = self.plan.load_duration_us + QUIET;
         while let Some(((at, _), ev)) = self.queue.pop_first() {
             if at > end {
                 break;
@@ -430,7 +430,7 @@
     }
 
     fn end(mut self) -> Verdict {
-        self.now = self.plan.length + QUIET;
+        self.now = self.plan.load_duration_us + QUIET;
         for node in 0..self.nodes.len() {
             let Some(core) = &self.nodes[node].core else { continue };
             let count = core.count();
@@ -440,7 +440,7 @@
                 self.breach("left", format!("node {node} holds {count:?} when all is quiet"));
             }
         }
-        let from = self.plan.length.saturating_sub(JUDGED).max(self.plan.quiet_from());
+        let from = self.plan.load_duration_us.saturating_sub(JUDGED).max(self.plan.last_fault_end_us());
         let late: Vec<_> = self.wishes.iter().filter(|wish| wish.begun >= from && wish.class == 0).collect();
         let served = late.iter().filter(|wish| wish.served).count();
         if late.len() >= 20 && (served as f64) < SERVED * late.len() as f64 {
@@ -452,12 +452,12 @@
         let served = self.wishes.iter().filter(|wish| wish.served).count();
         Verdict {
             report: self.auditor.finish(),
-            broken: self.broken,
-            wishes: self.wishes.len(),
+            violations: self.broken,
+            requests: self.wishes.len(),
             served,
-            sums: self.sums,
+            totals: self.sums,
             steps: self.steps,
-            time: self.now,
+            simulated_us: self.now,
             digest: self.digest,
             history: self.history,
         }
@@ -519,7 +519,7 @@
         let setup = Setup {
             deployment: deployment(plan, node),
             seed: plan.seed ^ (self.nodes[node].life << 32) ^ node as u64,
-            sockets: plan.sockets,
+            sockets: plan.max_sockets,
             memory_mb: plan.memory_mb,
             known: known.listing(0, EPOCH).0,
             discovery: SocketAddr::from(([10, 4, 0, 1], 8_500)),
@@ -672,7 +672,7 @@
         let it = &self.nodes[node];
         let Some(core) = &it.core else { return };
         let (count, wires) = (core.count(), it.wires.len());
-        let sockets = self.plan.sockets;
+        let sockets = self.plan.max_sockets;
         if count.clients + count.server_connections != wires {
             let what = format!(
                 "node {node} knows {} of {wires} connections",
@@ -748,7 +748,7 @@
 
     /// Bytes on their way, whole or in pieces.
     fn pieces(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
-        if bytes.len() < 2 || !self.chance(self.plan.split) {
+        if bytes.len() < 2 || !self.chance(self.plan.fragmented_share) {
             return vec![bytes.to_vec()];
         }
         let mut rest = bytes;
@@ -774,7 +774,7 @@
             return self.also(node, Input::Closed(id), outputs);
         }
         let mut pieces = self.pieces(bytes);
-        let rest = if self.chance(self.plan.slow) { pieces.pop() } else { None };
+        let rest = if self.chance(self.plan.late_flush_share) { pieces.pop() } else { None };
         for piece in pieces {
             self.send_to_peer(wire, Chunk::Bytes(piece));
         }
@@ -875,8 +875,8 @@
         let server = self.servers.iter().position(|server| server.address == address).unwrap_or(0);
         let life = self.nodes[node].life;
         let wire = self.wire(node, life, id, Peer::Server(server));
-        self.sums.opened += 1;
-        if let Some(places) = self.plan.places.filter(|_| self.servers[server].origin) {
+        self.sums.connections_opened += 1;
+        if let Some(places) = self.plan.origin_connections.filter(|_| self.servers[server].origin) {
             let held =
                 |it: &&Wire| it.peer == Peer::Server(server) && it.placed && it.node_open && it.peer_open;
             // This one counts already.
@@ -1056,8 +1056,8 @@
             self.begun.insert(asked.request.clone());
             let (server, now) = (&mut self.servers[at], self.now);
             let work = if placed { server.work(now, &asked) } else { server.turn_away(now) };
-            self.sums.origin += u64::from(server.origin);
-            self.sums.turned_away += u64::from(!placed);
+            self.sums.origin_requests += u64::from(server.origin);
+            self.sums.origin_rejected += u64::from(!placed);
             let (name, life, origin) = (server.name.clone(), server.life, server.origin);
             if origin && asked.write && work.effect == Effect::Ran {
                 // Copies that are made from now on are new.
@@ -1122,7 +1122,7 @@
             let caches = self.servers.iter_mut().filter(|server| !server.origin && server.up);
             caches.for_each(|cache| cache.fill(&asked.request, &asked.key, version));
         }
-        let whole = value.map(|value| padded(&value, self.plan.value));
+        let whole = value.map(|value| padded(&value, self.plan.value_bytes));
         let mut bytes = servers::answer(&asked, work.effect, whole.as_deref());
         if garbles {
             let at = self.rng.rand_range(0..bytes.len() as u64) as usize;
@@ -1180,13 +1180,13 @@
     // Clients.
 
     fn arrive(&mut self) {
-        if self.now >= self.plan.length {
+        if self.now >= self.plan.load_duration_us {
             return;
         }
         let wish = Wish::draw(self.wishes.len() as u64, self.now, self.plan, &mut self.rng);
         self.wishes.push(wish);
         self.try_wish(self.wishes.len() - 1);
-        let mean = 1e6 / self.plan.per_s;
+        let mean = 1e6 / self.plan.requests_per_s;
         let wait = (-(1.0 - self.rng.rand_float()).ln() * mean) as u64 + 1;
         self.push(self.now + wait, Ev::Arrive);
     }
@@ -1311,7 +1311,7 @@
 
     /// A connection to a node that may be used: one that is idle, or one that is not, where requests are pipelined.
     fn kept(&mut self, node: usize) -> Option<WireId> {
-        if self.chance(self.plan.pipelined) {
+        if self.chance(self.plan.pipelined_share) {
             let mut busy: Vec<_> = self
                 .wires
                 .iter()
@@ -1499,7 +1499,7 @@
 
     /// Clients that say nothing.
     fn come(&mut self, at: usize) {
-        let What::Crowd { per_s } = self.plan.faults[at].what else { return };
+        let FaultKind::Crowd { per_s } = self.plan.faults[at].kind else { return };
         if self.crowd == 0 {
             return;
         }
@@ -1573,21 +1573,21 @@
         if self.nodes[node].life != life || self.nodes[node].core.is_none() {
             return;
         }
-        self.sums.calls += u64::from(!taken);
+        self.sums.discovery_calls += u64::from(!taken);
         // A fleet that was started before its clients came is left out of discovery's account.
         let starts_the_run = !taken && !std::mem::replace(&mut self.nodes[node].has_called, true);
         if self.discovery.down {
             let at = self.now + self.delay();
             return self.push(at, Ev::Told(node, life, era, None));
         }
-        if let Some(takes) = self.plan.call.filter(|_| !taken && !starts_the_run) {
+        if let Some(takes) = self.plan.discovery_call_us.filter(|_| !taken && !starts_the_run) {
             let (at, answers) = self.discovery.take(self.now, takes);
             return match answers {
                 true => self.push(at, Ev::Worked(node, life, era, ask)),
                 false => self.push(at, Ev::Told(node, life, era, None)),
             };
         }
-        self.sums.lists += 1;
+        self.sums.discovery_answers += 1;
         if let DiscoveryRequest::Watch { after } = ask {
             // A whole list where it has none.
             self.nodes[node].watch = Some((era, after.unwrap_or(0)));
@@ -1621,12 +1621,12 @@
     fn fault(&mut self, at: usize, begins: bool) {
         let fault = self.plan.faults[at];
         let line = HistoryRecord {
-            state: format!("{:?} {}", fault.what, if begins { "begins" } else { "ends" }),
+            state: format!("{:?} {}", fault.kind, if begins { "begins" } else { "ends" }),
             ..self.who("lab", Event::Fault)
         };
         self.line(line);
-        match fault.what {
-            What::KillCache { cache } | What::ReplaceCache { cache } => {
+        match fault.kind {
+            FaultKind::KillCache { cache } | FaultKind::ReplaceCache { cache } => {
                 let name = self.servers[cache].name.clone();
                 if begins && self.servers[cache].up {
                     let line = self.who(&name, Event::Down);
@@ -1640,51 +1640,51 @@
                     self.push(self.now + LATE, Ev::Knows(name, "active", Some(self.now)));
                 }
             }
-            What::SilentCache { cache } => {
+            FaultKind::SilentCache { cache } => {
                 self.servers[cache].silent = begins;
                 if !begins {
                     // What it was sent meanwhile is never read.
                     self.reset(cache);
                 }
             }
-            What::VanishCache { cache } => {
+            FaultKind::VanishCache { cache } => {
                 self.servers[cache].vanished = begins;
                 if !begins {
                     self.reset(cache);
                 }
             }
-            What::DrainCache { cache } => {
+            FaultKind::DrainCache { cache } => {
                 let name = self.servers[cache].name.clone();
                 let status = if begins { "leaving" } else { "active" };
                 self.push(self.now + LATE, Ev::Knows(name, status, None));
             }
-            What::TearCache { cache, every } => self.servers[cache].tear = begins.then_some(every),
-            What::NoisyCache { cache } => self.servers[cache].noisy = begins,
-            What::GarbleCache { cache } => self.servers[cache].garbles = begins,
-            What::KillNode { node } => match (begins, self.nodes[node].core.is_some()) {
+            FaultKind::TearCache { cache, every } => self.servers[cache].tear = begins.then_some(every),
+            FaultKind::NoisyCache { cache } => self.servers[cache].noisy = begins,
+            FaultKind::GarbleCache { cache } => self.servers[cache].garbles = begins,
+            FaultKind::KillNode { node } => match (begins, self.nodes[node].core.is_some()) {
                 (true, true) => self.stop(node, "killed"),
                 (false, false) => self.start(node),
                 _ => {}
             },
-            What::TermNode { node } => {
+            FaultKind::TermNode { node } => {
                 if begins && self.nodes[node].core.is_some() && !self.nodes[node].paused {
                     self.state(node, "term");
                     self.nodes[node].ending = true;
                     self.feed(node, Input::Terminate);
                 }
             }
-            What::PauseNode { node } => self.pause(node, begins),
-            What::StallOrigin => {
+            FaultKind::PauseNode { node } => self.pause(node, begins),
+            FaultKind::StallOrigin => {
                 if begins && let Some(origin) = self.servers.last_mut() {
-                    origin.stall(self.now + fault.lasts);
+                    origin.stall(self.now + fault.duration_us);
                 }
             }
-            What::TearOrigin { every } => {
+            FaultKind::TearOrigin { every } => {
                 if let Some(origin) = self.servers.last_mut() {
                     origin.tear = begins.then_some(every);
                 }
             }
-            What::NoDiscovery => {
+            FaultKind::NoDiscovery => {
                 self.dark = self.dark.saturating_add_signed(if begins { 1 } else { -1 });
                 self.discovery.down = self.dark > 0;
                 for node in (0..self.nodes.len()).filter(|_| begins) {
@@ -1694,11 +1694,11 @@
                     }
                 }
             }
-            What::OldNews => self.discovery.old_news = begins,
-            What::Impatient => {
+            FaultKind::OldNews => self.discovery.old_news = begins,
+            FaultKind::Impatient => {
                 self.impatient = self.impatient.saturating_add_signed(if begins { 1 } else { -1 });
             }
-            What::Crowd { .. } => {
+            FaultKind::Crowd { .. } => {
                 self.crowd = self.crowd.saturating_add_signed(if begins { 1 } else { -1 });
                 if begins {
                     return self.come(at);
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stonevane_sim::{Fault, Mutant, Options, Plan, Verdict, What, run, shrink};
+use stonevane_sim::{Fault, FaultKind, Mutant, Options, Plan, Verdict, run, shrink};
 
 /// Seeds that the honest core is held to here; the command plays more.
 const SEEDS: u64 = 2_000;
@@ -21,7 +21,7 @@
     let work = || {
         let mut failed = Vec::new();
         while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed) as usize) {
-            let verdict = run(&Plan::draw(*seed), options);
+            let verdict = run(&Plan::generate(*seed), options);
             if !verdict.holds() {
                 failed.push((*seed, verdict));
             }
@@ -48,7 +48,8 @@
 
 fn holds_over(seeds: impl IntoIterator<Item = u64>) {
     let failed = failing(seeds, Options::default());
-    let told: Vec<_> = failed.iter().map(|(seed, verdict)| (seed, verdict.code(), &verdict.broken)).collect();
+    let told: Vec<_> =
+        failed.iter().map(|(seed, verdict)| (seed, verdict.code(), &verdict.violations)).collect();
     assert!(told.is_empty(), "{} fail: {:?}", told.len(), &told[..told.len().min(5)]);
 }
 
@@ -56,7 +57,7 @@
 fn every_mutant_is_found_within_forty_seeds() {
     for (mutant, name, _) in Mutant::ALL {
         let options = Options { mutant: Some(mutant), history: false };
-        let found = (1..=WITHIN).any(|seed| !run(&Plan::draw(seed), options).holds());
+        let found = (1..=WITHIN).any(|seed| !run(&Plan::generate(seed), options).holds());
         assert!(found, "{name} is not found in {WITHIN} seeds");
     }
 }
@@ -64,8 +65,9 @@
 #[test]
 fn what_goes_on_for_a_client_that_has_left_is_found_as_just_that() {
     let options = Options { mutant: Some(Mutant::ForgetGone), history: false };
-    let told =
-        |seed| run(&Plan::draw(seed), options).broken.iter().any(|what| what.starts_with("left-sent:"));
+    let told = |seed| {
+        run(&Plan::generate(seed), options).violations.iter().any(|what| what.starts_with("left-sent:"))
+    };
     assert!((1..=WITHIN).any(told));
 }
 
@@ -73,24 +75,24 @@
 fn the_same_seed_is_the_same_history_to_the_byte() {
     let options = Options { mutant: None, history: true };
     for seed in [1, 7, 23] {
-        let (one, other) = (run(&Plan::draw(seed), options), run(&Plan::draw(seed), options));
+        let (one, other) = (run(&Plan::generate(seed), options), run(&Plan::generate(seed), options));
         assert!(one.history == other.history && one.digest == other.digest, "seed {seed}");
         assert!(one.history.lines().count() > 100);
         // And what the auditor reads of it is the verdict that was given.
         let read = stonevane_audit::audit(one.history.as_bytes()).unwrap();
         assert_eq!((read.broken, read.requests), (one.report.broken, one.report.requests), "seed {seed}");
     }
-    assert_ne!(run(&Plan::draw(1), options).digest, run(&Plan::draw(2), options).digest);
+    assert_ne!(run(&Plan::generate(1), options).digest, run(&Plan::generate(2), options).digest);
 }
 
 #[test]
 fn a_plan_that_fails_is_cut_to_three_faults_or_fewer_and_fails_in_the_same_way() {
     let options = Options { mutant: Some(Mutant::ForgetDrain), history: false };
-    let seed = (1..=WITHIN).find(|seed| run(&Plan::draw(*seed), options).code().is_some()).unwrap();
-    let plan = Plan::draw(seed);
+    let seed = (1..=WITHIN).find(|seed| run(&Plan::generate(*seed), options).code().is_some()).unwrap();
+    let plan = Plan::generate(seed);
     let shrunk = shrink(&plan, options, 300).unwrap();
-    assert!(shrunk.plan.faults.len() <= 3 && shrunk.plan.nodes <= plan.nodes, "{}", shrunk.plan.text());
-    let again = Plan::parse(&shrunk.plan.text()).unwrap();
+    assert!(shrunk.plan.faults.len() <= 3 && shrunk.plan.nodes <= plan.nodes, "{}", shrunk.plan.to_json());
+    let again = Plan::parse(&shrunk.plan.to_json()).unwrap();
     assert_eq!(again, shrunk.plan, "it is read back as it was");
     assert_eq!(run(&again, options).code(), Some(shrunk.code));
     assert!(shrink(&Plan { faults: Vec::new(), ..plan }, Options::default(), 10).is_none(), "one that holds");
@@ -99,17 +101,23 @@
 /// Large fleets in a mass restart, with a lost zone, a mass replacement and bad servers, by few seeds.
 #[test]
 fn a_large_fleet_keeps_the_rules_and_its_sums_within_bounds() {
-    let large = |seed: u64| (seed, run(&Plan::large(seed), Options::default()));
+    let large = |seed: u64| (seed, run(&Plan::generate_large(seed), Options::default()));
     let seeds: Vec<_> = std::thread::scope(|scope| {
         let threads: Vec<_> = (1..=4).map(|seed| scope.spawn(move || large(seed))).collect();
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
     for (seed, verdict) in seeds {
-        let (sums, part) = (verdict.sums, verdict.served as f64 / verdict.wishes as f64);
-        println!("seed {seed}: {part:.3} of {} served, {sums:?}", verdict.wishes);
-        assert!(verdict.holds(), "seed {seed}: {:?}, {:?}", verdict.report.findings, verdict.broken);
-        assert!(sums.turned_away * 10 < sums.origin, "seed {seed}: the origin turns many away: {sums:?}");
-        assert!(sums.lists * 3 > sums.calls, "seed {seed}: discovery answers few calls: {sums:?}");
+        let (sums, part) = (verdict.totals, verdict.served as f64 / verdict.requests as f64);
+        println!("seed {seed}: {part:.3} of {} served, {sums:?}", verdict.requests);
+        assert!(verdict.holds(), "seed {seed}: {:?}, {:?}", verdict.report.findings, verdict.violations);
+        assert!(
+            sums.origin_rejected * 10 < sums.origin_requests,
+            "seed {seed}: the origin turns many away: {sums:?}"
+        );
+        assert!(
+            sums.discovery_answers * 3 > sums.discovery_calls,
+            "seed {seed}: discovery answers few calls: {sums:?}"
+        );
     }
 }
 
@@ -119,47 +127,47 @@
         seed: 5,
         nodes: 1,
         caches: 3,
-        length: 12_000_000,
-        per_s: 60.0,
-        edits: 0.1,
-        moves: 0.1,
+        load_duration_us: 12_000_000,
+        requests_per_s: 60.0,
+        edit_share: 0.1,
+        move_share: 0.1,
         keys: 50,
-        warm: 1.0,
-        pipelined: 0.3,
-        delay: (100, 300),
-        split: 1.0,
-        slow: 0.1,
-        clocks: vec![0.0],
-        sockets: 96,
+        cached_share: 1.0,
+        pipelined_share: 0.3,
+        delay_us: (100, 300),
+        fragmented_share: 1.0,
+        late_flush_share: 0.1,
+        clock_drifts: vec![0.0],
+        max_sockets: 96,
         memory_mb: 32,
-        value: 200,
-        places: None,
-        call: None,
+        value_bytes: 200,
+        origin_connections: None,
+        discovery_call_us: None,
         faults,
     }
 }
 
 #[test]
 fn a_pause_a_fast_clock_and_a_successor_at_the_same_address_leave_nothing_behind() {
-    let fault = |at, lasts, what| Fault { at, lasts, what };
+    let fault = |at, lasts, what| Fault { start_us: at, duration_us: lasts, kind: what };
     let faults = vec![
-        fault(1_000_000, 2_500_000, What::PauseNode { node: 0 }),
-        fault(1_200_000, 400_000, What::ReplaceCache { cache: 1 }),
-        fault(1_500_000, 900_000, What::TearCache { cache: 0, every: 1 }),
-        fault(1_600_000, 700_000, What::TermNode { node: 0 }),
-        fault(2_900_000, 100_000, What::StallOrigin),
+        fault(1_000_000, 2_500_000, FaultKind::PauseNode { node: 0 }),
+        fault(1_200_000, 400_000, FaultKind::ReplaceCache { cache: 1 }),
+        fault(1_500_000, 900_000, FaultKind::TearCache { cache: 0, every: 1 }),
+        fault(1_600_000, 700_000, FaultKind::TermNode { node: 0 }),
+        fault(2_900_000, 100_000, FaultKind::StallOrigin),
     ];
     for clock in [0.0, 0.1] {
-        let plan = Plan { clocks: vec![clock], ..quiet(faults.clone()) };
+        let plan = Plan { clock_drifts: vec![clock], ..quiet(faults.clone()) };
         let verdict = run(&plan, Options::default());
-        assert!(verdict.holds(), "{:?} {:?}", verdict.broken, verdict.report.findings.first());
-        assert!(verdict.served * 10 > verdict.wishes * 6, "{} of {}", verdict.served, verdict.wishes);
+        assert!(verdict.holds(), "{:?} {:?}", verdict.violations, verdict.report.findings.first());
+        assert!(verdict.served * 10 > verdict.requests * 6, "{} of {}", verdict.served, verdict.requests);
     }
 }
 
 #[test]
 fn a_plan_that_can_not_be_played_says_what_is_wrong_with_it() {
-    let good = quiet(Vec::new()).text();
+    let good = quiet(Vec::new()).to_json();
     let (none, node) =
         ("\"faults\": []", "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"kill-node\", \"node\": 4}]");
     let dance = "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"dance\"}]";
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -107,7 +107,7 @@
 }
 
 fn plan(file: Option<&PathBuf>, seed: u64) -> Result<Plan, String> {
-    let Some(file) = file else { return Ok(Plan::draw(seed)) };
+    let Some(file) = file else { return Ok(Plan::generate(seed)) };
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let plan = Plan::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?;
     Ok(Plan { seed, ..plan })
@@ -134,7 +134,7 @@
 /// What a run shows, in lines.
 fn told(seed: u64, verdict: &Verdict) -> String {
     let mut lines = format!("seed {seed} fails:");
-    verdict.broken.iter().for_each(|what| lines.push_str(&format!("\n  {what}")));
+    verdict.violations.iter().for_each(|what| lines.push_str(&format!("\n  {what}")));
     let findings = verdict.report.findings.iter().map(ToString::to_string);
     let faults = verdict.report.faults.iter().map(ToString::to_string);
     for finding in findings.chain(faults).take(2) {
@@ -163,31 +163,34 @@
                 if seed > last {
                     return;
                 }
-                let drawn =
-                    if self.large { Ok(Plan::large(seed)) } else { plan(self.scenario.as_ref(), seed) };
+                let drawn = if self.large {
+                    Ok(Plan::generate_large(seed))
+                } else {
+                    plan(self.scenario.as_ref(), seed)
+                };
                 let Ok(mut plan) = drawn else { return };
                 if let Some(nodes) = self.nodes {
                     plan.nodes = nodes as usize;
-                    plan.clocks.resize(plan.nodes, 0.0);
-                    plan.faults.retain(|fault| fault.what.whom().1.is_none_or(|node| node < plan.nodes));
+                    plan.clock_drifts.resize(plan.nodes, 0.0);
+                    plan.faults.retain(|fault| fault.kind.node().is_none_or(|node| node < plan.nodes));
                 }
                 let verdict = run(&plan, options);
                 if self.large {
-                    let sums = &verdict.sums;
+                    let sums = &verdict.totals;
                     warn!(
                         "  seed {seed}: {} of {} requests served, {} connections opened, {} calls to the origin \
                          ({} turned away), {} to discovery ({} answered)",
                         verdict.served,
-                        verdict.wishes,
-                        sums.opened,
-                        sums.origin,
-                        sums.turned_away,
-                        sums.calls,
-                        sums.lists
+                        verdict.requests,
+                        sums.connections_opened,
+                        sums.origin_requests,
+                        sums.origin_rejected,
+                        sums.discovery_calls,
+                        sums.discovery_answers
                     );
                 }
-                wishes.fetch_add(verdict.wishes as u64, Ordering::Relaxed);
-                time.fetch_add(verdict.time, Ordering::Relaxed);
+                wishes.fetch_add(verdict.requests as u64, Ordering::Relaxed);
+                time.fetch_add(verdict.simulated_us, Ordering::Relaxed);
                 done.fetch_add(1, Ordering::Relaxed);
                 if !verdict.holds()
                     && let Ok(mut failures) = failures.lock()
@@ -214,7 +217,10 @@
         for (seed, verdict) in failures.iter().take(if self.json { usize::MAX } else { TOLD }) {
             if self.json {
                 let findings: Vec<_> = verdict.report.findings.iter().map(|f| f.code).collect();
-                say!("{}", serde_json::json!({"seed": seed, "broken": verdict.broken, "findings": findings}));
+                say!(
+                    "{}",
+                    serde_json::json!({"seed": seed, "broken": verdict.violations, "findings": findings})
+                );
             } else {
                 say!("{}", told(*seed, verdict))
             }
@@ -249,15 +255,20 @@
         std::fs::write(file, &verdict.history).map_err(|e| (format!("{}: {e}", file.display()), UNUSABLE))?;
     }
     for fault in &plan.faults {
-        say!("{:>9.3} s  {:>7.3} s  {:?}", fault.at as f64 / 1e6, fault.lasts as f64 / 1e6, fault.what);
+        say!(
+            "{:>9.3} s  {:>7.3} s  {:?}",
+            fault.start_us as f64 / 1e6,
+            fault.duration_us as f64 / 1e6,
+            fault.kind
+        );
     }
-    verdict.broken.iter().for_each(|what| say!("{what}"));
+    verdict.violations.iter().for_each(|what| say!("{what}"));
     say!("{}", verdict.report);
     say!(
         "seed {seed}: {} nodes, {} caches, {} requests, {} served, {} steps, history {:016x}",
         plan.nodes,
         plan.caches,
-        verdict.wishes,
+        verdict.requests,
         verdict.served,
         verdict.steps,
         verdict.digest
@@ -282,9 +293,9 @@
         plan.faults.len(),
         shrunk.plan.nodes,
         shrunk.plan.caches,
-        shrunk.plan.length as f64 / 1e6,
+        shrunk.plan.load_duration_us as f64 / 1e6,
         shrunk.runs
     );
-    say!("{}", shrunk.plan.text());
+    say!("{}", shrunk.plan.to_json());
     Ok(true)
 }
