--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -7,7 +7,8 @@
 use bytes::BytesMut;
 use oorandom::Rand64;
 use stonevane_audit::{
-    Auditor, ClassRule, Effect, Event, Kind, Line, OriginRule, Outcome, Report, Rules, Scope, Span,
+    Auditor, ClassRule, DedupScope, Effect, Event, HistoryRecord, Idempotency, OriginRule, Outcome, Report,
+    Rules, TimeInterval,
 };
 use stonevane_codec::resp::{self, Value};
 use stonevane_config::operator;
@@ -15,12 +16,12 @@
     ConnId, Core, DiscoveryRequest, EndpointList, Input, LogLine, Mutant, Output, Outputs, Setup,
 };
 use stonevane_policy::settings::Deployment;
-use stonevane_policy::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
+use stonevane_policy::{RequestClass, Settings, Tenant};
 use stonevane_server_model::value::{digest, padded};
 
 use crate::clients::{BACKOFF, CLASSES, TRIES, Wish};
 use crate::discovery::{Discovery, Entry};
-use crate::plan::{Plan, What};
+use crate::plan::{FaultKind, Plan};
 use crate::servers::{self, Asked, COLD, KEYED, Server, Work};
 use crate::wire::{Chunk, Peer, Wire, WireId};
 
@@ -58,19 +59,19 @@
     pub history: bool,
 }
 
-/// Sums over the whole fleet.
+/// FleetTotals over the whole fleet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Sums {
+pub struct FleetTotals {
     /// Connections opened to servers.
-    pub opened: u64,
+    pub connections_opened: u64,
     /// Requests to the origin.
-    pub origin: u64,
+    pub origin_requests: u64,
     /// Of these, those that found no place in its table.
-    pub turned_away: u64,
+    pub origin_rejected: u64,
     /// Calls to discovery.
-    pub calls: u64,
+    pub discovery_calls: u64,
     /// Of these, those that were answered.
-    pub lists: u64,
+    pub discovery_answers: u64,
 }
 
 /// What a run showed.
@@ -79,17 +80,17 @@
     /// The auditor's word.
     pub report: Report,
     /// Invariants that were broken, the first of each kind.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Requests that clients had, and those that were served.
-    pub wishes: usize,
+    pub requests: usize,
     /// Of them served.
     pub served: usize,
-    /// Sums over the whole fleet.
-    pub sums: Sums,
+    /// FleetTotals over the whole fleet.
+    pub totals: FleetTotals,
     /// Steps of the world.
     pub steps: u64,
     /// Simulated time, microseconds.
-    pub time: u64,
+    pub simulated_us: u64,
     /// A digest of the history.
     pub digest: u64,
     /// The history, where it was to be kept.
@@ -99,7 +100,7 @@
 impl Verdict {
     /// Whether all holds.
     pub fn holds(&self) -> bool {
-        self.report.holds() && self.report.faulty == 0 && self.broken.is_empty()
+        self.report.holds() && self.report.faulty == 0 && self.violations.is_empty()
     }
 
     /// What failed, in one word: a code of the auditor's or the kind of an invariant.
@@ -107,7 +108,7 @@
         let finding = self.report.findings.first().map(|finding| finding.code.to_owned());
         let fault = self.report.faults.first().map(|fault| format!("stand-in:{}", fault.code));
         let kind = |what: &String| what.split(':').next().unwrap_or_default().to_owned();
-        finding.or(fault).or_else(|| self.broken.first().map(kind))
+        finding.or(fault).or_else(|| self.violations.first().map(kind))
     }
 }
 
@@ -190,7 +191,7 @@
     impatient: u32,
     crowd: u32,
     dark: u32,
-    sums: Sums,
+    sums: FleetTotals,
     /// Requests whose clients left before any server had them, and when; and all that a server has had.
     waited: HashMap<String, u64>,
     begun: HashSet<String>,
@@ -208,17 +209,18 @@
 }
 
 fn rules() -> Rules {
-    let class = |name: &str, kind| ClassRule { name: name.into(), kind, scope: Scope::All, window_us: KEYED };
+    let class =
+        |name: &str, kind| ClassRule { name: name.into(), kind, scope: DedupScope::All, window_us: KEYED };
     Rules {
         classes: vec![
-            class(CLASSES[0].0, Kind::Safe),
-            class(CLASSES[1].0, Kind::Keyed),
-            class(CLASSES[2].0, Kind::Unsafe),
+            class(CLASSES[0].0, Idempotency::Idempotent),
+            class(CLASSES[1].0, Idempotency::WithKey),
+            class(CLASSES[2].0, Idempotency::NonIdempotent),
         ],
         origin: OriginRule { capacity_us_per_s: 4e6, ..OriginRule::default() },
         // As long as what it took after SIGTERM may be waited for: a kill within that is the plan's doing.
-        term_us: 450_000 + CLASSES[0].1,
-        exit_us: 3_200_000,
+        kill_grace_us: 450_000 + CLASSES[0].1,
+        shutdown_limit_us: 3_200_000,
         max_attempts: 4,
         ..Rules::default()
     }
@@ -231,19 +233,22 @@
         priority_weight: 1.0,
         late_weight: 0.5,
         idempotency: match (keyed, again) {
-            (true, _) => Idempotency::WithKey { scope: DedupScope::All, window: KEYED },
-            (false, true) => Idempotency::Idempotent,
-            (false, false) => Idempotency::NonIdempotent,
+            (true, _) => stonevane_policy::Idempotency::WithKey {
+                scope: stonevane_policy::DedupScope::All,
+                window: KEYED,
+            },
+            (false, true) => stonevane_policy::Idempotency::Idempotent,
+            (false, false) => stonevane_policy::Idempotency::NonIdempotent,
         },
     };
     let settings = Settings {
         nodes: plan.nodes as u32,
         node_index: me as u32,
         classes: CLASSES.map(class).to_vec(),
-        tenants: vec![Tenant { quota_per_s: plan.per_s * 2.0 + 100.0 }],
+        tenants: vec![Tenant { quota_per_s: plan.requests_per_s * 2.0 + 100.0 }],
         poll_discovery: true,
         // Where calls have a price, what the platform allows a large fleet.
-        list_staleness_limit: if plan.call.is_some() { 10_000_000 } else { 6_000_000 },
+        list_staleness_limit: if plan.discovery_call_us.is_some() { 10_000_000 } else { 6_000_000 },
         origin_kind: Some(1),
         max_attempts: 4,
         may_cancel: true,
@@ -278,7 +283,7 @@
         let mut servers: Vec<_> =
             (0..plan.caches).map(|at| Server::new(&format!("s-{at}"), address(1, at), false)).collect();
         servers.push(Server::new("origin", address(2, 0), true));
-        let held = (plan.keys as f64 * plan.warm) as u64;
+        let held = (plan.keys as f64 * plan.cached_share) as u64;
         for server in &mut servers {
             let keys = (0..held).map(|key| (format!("{:016x}", key + 1), 0));
             server.holds = if server.origin { BTreeMap::new() } else { keys.collect() };
@@ -298,10 +303,10 @@
             watch: None,
             ended: false,
             ending: false,
-            ppm: (plan.clocks.get(at).copied().unwrap_or(0.0) * 1e6) as i64,
+            ppm: (plan.clock_drifts.get(at).copied().unwrap_or(0.0) * 1e6) as i64,
             idle: Vec::new(),
         };
-        let value = padded("v", plan.value);
+        let value = padded("v", plan.value_bytes);
         World {
             plan,
             options,
@@ -323,7 +328,7 @@
             impatient: 0,
             crowd: 0,
             dark: 0,
-            sums: Sums::default(),
+            sums: FleetTotals::default(),
             waited: HashMap::new(),
             begun: HashSet::new(),
             steps: 0,
@@ -339,21 +344,30 @@
         self.queue.insert((at.max(self.now), self.order), ev);
     }
 
-    fn line(&mut self, line: Line) {
-        let t = Span { begun: if line.t.begun == 0 { self.now } else { line.t.begun }, ended: self.now };
-        let line = Line { t, ..line };
+    fn line(&mut self, line: HistoryRecord) {
+        let t = TimeInterval {
+            earliest: if line.time.earliest == 0 { self.now } else { line.time.earliest },
+            latest: self.now,
+        };
+        let line = HistoryRecord { time: t, ..line };
         self.lines += 1;
-        let words = (t.begun, line.event as u8, &line.request, &line.node, &line.value, line.number);
-        let words = format!("{words:?}{}{}{:?}", line.who, line.state, line.outcome);
+        let words = (t.earliest, line.event as u8, &line.request, &line.node, &line.value, line.number);
+        let outcome = line.outcome.map(|outcome| match outcome {
+            Outcome::Served => "Served",
+            Outcome::Rejected => "Refused",
+            Outcome::Failed => "Failed",
+        });
+        let outcome = outcome.map_or("None".to_owned(), |name| format!("Some({name})"));
+        let words = format!("{words:?}{}{}{outcome}", line.recorder, line.state);
         self.digest = xxhash_rust::xxh3::xxh3_64_with_seed(words.as_bytes(), self.digest);
         if self.options.history {
-            self.history.push_str(&line.text());
+            self.history.push_str(&line.to_json_line());
         }
         self.auditor.line(self.lines, line);
     }
 
-    fn who(&self, who: &str, event: Event) -> Line {
-        Line { who: who.into(), event, ..Line::default() }
+    fn who(&self, who: &str, event: Event) -> HistoryRecord {
+        HistoryRecord { recorder: who.into(), event, ..HistoryRecord::default() }
     }
 
     /// An invariant is broken; the first of each kind is kept.
@@ -364,7 +378,7 @@
     }
 
     fn delay(&mut self) -> u64 {
-        let (least, most) = self.plan.delay;
+        let (least, most) = self.plan.delay_us;
         self.rng.rand_range(least..most.max(least) + 1)
     }
 
@@ -374,22 +388,25 @@
 
     fn begin(&mut self) {
         if self.options.history {
-            let line = Line { rules: Some(Box::new(rules())), ..self.who("lab", Event::Begin) };
-            self.history.push_str(&line.text());
+            let line = HistoryRecord { rules: Some(Box::new(rules())), ..self.who("lab", Event::Begin) };
+            self.history.push_str(&line.to_json_line());
         }
         for at in 0..self.servers.len() {
             self.tell_start(at);
         }
         for entry in self.discovery.entries.clone() {
-            let line =
-                Line { server: entry.name, status: "active".into(), ..self.who("discovery", Event::Change) };
+            let line = HistoryRecord {
+                server: entry.name,
+                status: "active".into(),
+                ..self.who("discovery", Event::Change)
+            };
             self.line(line);
         }
         for node in 0..self.nodes.len() {
             self.start(node);
         }
         for (at, fault) in self.plan.faults.iter().enumerate() {
-            let (begins, ends) = (fault.at, fault.at + fault.lasts);
+            let (begins, ends) = (fault.start_us, fault.start_us + fault.duration_us);
             self.push(begins, Ev::Fault(at, true));
             self.push(ends, Ev::Fault(at, false));
         }
@@ -397,7 +414,7 @@
     }
 
     fn play(&mut self) {
-        let end = self.plan.length + QUIET;
+        let end = self.plan.load_duration_us + QUIET;
         while let Some(((at, _), ev)) = self.queue.pop_first() {
             if at > end {
                 break;
@@ -413,7 +430,7 @@
     }
 
     fn end(mut self) -> Verdict {
-        self.now = self.plan.length + QUIET;
+        self.now = self.plan.load_duration_us + QUIET;
         for node in 0..self.nodes.len() {
             let Some(core) = &self.nodes[node].core else { continue };
             let count = core.count();
@@ -423,7 +440,7 @@
                 self.breach("left", format!("node {node} holds {count:?} when all is quiet"));
             }
         }
-        let from = self.plan.length.saturating_sub(JUDGED).max(self.plan.quiet_from());
+        let from = self.plan.load_duration_us.saturating_sub(JUDGED).max(self.plan.last_fault_end_us());
         let late: Vec<_> = self.wishes.iter().filter(|wish| wish.begun >= from && wish.class == 0).collect();
         let served = late.iter().filter(|wish| wish.served).count();
         if late.len() >= 20 && (served as f64) < SERVED * late.len() as f64 {
@@ -435,12 +452,12 @@
         let served = self.wishes.iter().filter(|wish| wish.served).count();
         Verdict {
             report: self.auditor.finish(),
-            broken: self.broken,
-            wishes: self.wishes.len(),
+            violations: self.broken,
+            requests: self.wishes.len(),
             served,
-            sums: self.sums,
+            totals: self.sums,
             steps: self.steps,
-            time: self.now,
+            simulated_us: self.now,
             digest: self.digest,
             history: self.history,
         }
@@ -491,7 +508,8 @@
     }
 
     fn state(&mut self, node: usize, state: &str) {
-        let line = Line { node: Self::name(node), state: state.into(), ..self.who("lab", Event::Node) };
+        let line =
+            HistoryRecord { node: Self::name(node), state: state.into(), ..self.who("lab", Event::Node) };
         self.line(line);
     }
 
@@ -501,7 +519,7 @@
         let setup = Setup {
             deployment: deployment(plan, node),
             seed: plan.seed ^ (self.nodes[node].life << 32) ^ node as u64,
-            sockets: plan.sockets,
+            sockets: plan.max_sockets,
             memory_mb: plan.memory_mb,
             known: known.listing(0, EPOCH).0,
             discovery: SocketAddr::from(([10, 4, 0, 1], 8_500)),
@@ -654,7 +672,7 @@
         let it = &self.nodes[node];
         let Some(core) = &it.core else { return };
         let (count, wires) = (core.count(), it.wires.len());
-        let sockets = self.plan.sockets;
+        let sockets = self.plan.max_sockets;
         if count.clients + count.server_connections != wires {
             let what = format!(
                 "node {node} knows {} of {wires} connections",
@@ -730,7 +748,7 @@
 
     /// Bytes on their way, whole or in pieces.
     fn pieces(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
-        if bytes.len() < 2 || !self.chance(self.plan.split) {
+        if bytes.len() < 2 || !self.chance(self.plan.fragmented_share) {
             return vec![bytes.to_vec()];
         }
         let mut rest = bytes;
@@ -756,7 +774,7 @@
             return self.also(node, Input::Closed(id), outputs);
         }
         let mut pieces = self.pieces(bytes);
-        let rest = if self.chance(self.plan.slow) { pieces.pop() } else { None };
+        let rest = if self.chance(self.plan.late_flush_share) { pieces.pop() } else { None };
         for piece in pieces {
             self.send_to_peer(wire, Chunk::Bytes(piece));
         }
@@ -857,8 +875,8 @@
         let server = self.servers.iter().position(|server| server.address == address).unwrap_or(0);
         let life = self.nodes[node].life;
         let wire = self.wire(node, life, id, Peer::Server(server));
-        self.sums.opened += 1;
-        if let Some(places) = self.plan.places.filter(|_| self.servers[server].origin) {
+        self.sums.connections_opened += 1;
+        if let Some(places) = self.plan.origin_connections.filter(|_| self.servers[server].origin) {
             let held =
                 |it: &&Wire| it.peer == Peer::Server(server) && it.placed && it.node_open && it.peer_open;
             // This one counts already.
@@ -999,12 +1017,12 @@
     fn tell_start(&mut self, at: usize) {
         let server = &self.servers[at];
         let cold = server.started.is_some();
-        let line = Line {
+        let line = HistoryRecord {
             zone: "a".into(),
             capacity_us_per_s: server.capacity(),
             cold_share: COLD.0,
             warm_us: if cold { COLD.1 } else { 0 },
-            since: server.started.unwrap_or(0),
+            started_at: server.started.unwrap_or(0),
             ..self.who(&server.name, Event::Start)
         };
         self.line(line);
@@ -1038,8 +1056,8 @@
             self.begun.insert(asked.request.clone());
             let (server, now) = (&mut self.servers[at], self.now);
             let work = if placed { server.work(now, &asked) } else { server.turn_away(now) };
-            self.sums.origin += u64::from(server.origin);
-            self.sums.turned_away += u64::from(!placed);
+            self.sums.origin_requests += u64::from(server.origin);
+            self.sums.origin_rejected += u64::from(!placed);
             let (name, life, origin) = (server.name.clone(), server.life, server.origin);
             if origin && asked.write && work.effect == Effect::Ran {
                 // Copies that are made from now on are new.
@@ -1047,15 +1065,15 @@
                     cache.holds.remove(&asked.key);
                 }
             }
-            let line = Line {
+            let line = HistoryRecord {
                 request: asked.request.clone(),
                 node: Self::name(node),
                 class: asked.class.clone(),
                 key: asked.key.clone(),
-                token: asked.token.clone(),
+                idempotency_key: asked.token.clone(),
                 digest: asked.digest.clone(),
                 effect: Some(work.effect),
-                first: (first != now).then_some(Span { begun: first, ended: first }),
+                first_byte: (first != now).then_some(TimeInterval { earliest: first, latest: first }),
                 number: work.number,
                 work_us: work.work,
                 origin,
@@ -1081,18 +1099,21 @@
             false => work.version,
         };
         let (name, origin) = (server.name.clone(), server.origin);
-        let says = matches!(work.effect, Effect::Ran | Effect::Dropped);
+        let says = matches!(work.effect, Effect::Ran | Effect::Deduplicated);
         let value = says.then(|| format!("{}.{version}.{}.{name}.{}", asked.key, asked.request, work.number));
         let torn = server.tears();
         let (silent, garbles, noisy) = (server.silent || server.vanished, server.garbles, server.noisy);
-        let base =
-            Line { request: asked.request.clone(), number: work.number, ..self.who(&name, Event::Over) };
+        let base = HistoryRecord {
+            request: asked.request.clone(),
+            number: work.number,
+            ..self.who(&name, Event::AttemptEnded)
+        };
         if torn || silent || garbles {
             self.line(base);
         } else {
             let said = value.clone().unwrap_or_default();
             let version = if says { version } else { 0 };
-            self.line(Line { event: Event::Reply, value: said, version, ..base });
+            self.line(HistoryRecord { event: Event::Reply, value: said, version, ..base });
         }
         if silent {
             return;
@@ -1101,7 +1122,7 @@
             let caches = self.servers.iter_mut().filter(|server| !server.origin && server.up);
             caches.for_each(|cache| cache.fill(&asked.request, &asked.key, version));
         }
-        let whole = value.map(|value| padded(&value, self.plan.value));
+        let whole = value.map(|value| padded(&value, self.plan.value_bytes));
         let mut bytes = servers::answer(&asked, work.effect, whole.as_deref());
         if garbles {
             let at = self.rng.rand_range(0..bytes.len() as u64) as usize;
@@ -1159,13 +1180,13 @@
     // Clients.
 
     fn arrive(&mut self) {
-        if self.now >= self.plan.length {
+        if self.now >= self.plan.load_duration_us {
             return;
         }
         let wish = Wish::draw(self.wishes.len() as u64, self.now, self.plan, &mut self.rng);
         self.wishes.push(wish);
         self.try_wish(self.wishes.len() - 1);
-        let mean = 1e6 / self.plan.per_s;
+        let mean = 1e6 / self.plan.requests_per_s;
         let wait = (-(1.0 - self.rng.rand_float()).ln() * mean) as u64 + 1;
         self.push(self.now + wait, Ev::Arrive);
     }
@@ -1210,7 +1231,11 @@
         self.wishes[at].over = true;
         if self.wishes[at].again {
             let node = Self::name(self.wishes[at].node);
-            let line = Line { request: self.wishes[at].id(), node, ..self.who("client", Event::Gone) };
+            let line = HistoryRecord {
+                request: self.wishes[at].id(),
+                node,
+                ..self.who("client", Event::ClientLeft)
+            };
             self.line(line);
         }
     }
@@ -1258,19 +1283,19 @@
         let until = before.max().map_or(until, |before| before.max(until));
         self.wishes[at].until = until;
         let patience = until.saturating_sub(now) + PATIENCE;
-        let line = Line {
+        let line = HistoryRecord {
             request: id.clone(),
             node: Self::name(node),
             class: name.into(),
             tenant: "all".into(),
             key,
-            token,
+            idempotency_key: token,
             digest: if writes { digest } else { String::new() },
-            until,
-            again,
-            kept,
+            deadline: until,
+            resent: again,
+            reused_connection: kept,
             retry,
-            ..self.who("client", Event::Ask)
+            ..self.who("client", Event::Request)
         };
         self.line(line);
         if let Some(it) = self.wires.get_mut(&wire) {
@@ -1286,7 +1311,7 @@
 
     /// A connection to a node that may be used: one that is idle, or one that is not, where requests are pipelined.
     fn kept(&mut self, node: usize) -> Option<WireId> {
-        if self.chance(self.plan.pipelined) {
+        if self.chance(self.plan.pipelined_share) {
             let mut busy: Vec<_> = self
                 .wires
                 .iter()
@@ -1331,18 +1356,22 @@
                 if matches!(&said, Value::Error(line) if line.starts_with(b"ERR no whole command")) {
                     return;
                 }
-                let line = Line { node: Self::name(node), request, ..self.who("client", Event::Stray) };
+                let line = HistoryRecord {
+                    node: Self::name(node),
+                    request,
+                    ..self.who("client", Event::UnsolicitedResponse)
+                };
                 return self.line(line);
             };
             it.last = Some(at);
             let (outcome, value, advice) = meaning(&said);
             let id = self.wishes[at].id();
-            let line = Line {
+            let line = HistoryRecord {
                 request: id,
                 node: Self::name(node),
                 outcome: Some(outcome),
                 value,
-                advice_ms: advice,
+                retry_after_ms: advice,
                 ..self.who("client", Event::Answer)
             };
             self.line(line);
@@ -1366,8 +1395,8 @@
                 (wish.over, wish.served) = (true, true);
                 return;
             }
-            Outcome::Refused if advice > 0 => advice * 1_000,
-            Outcome::Refused => BACKOFF,
+            Outcome::Rejected if advice > 0 => advice * 1_000,
+            Outcome::Rejected => BACKOFF,
             Outcome::Failed if may => BACKOFF,
             Outcome::Failed => {
                 wish.over = true;
@@ -1386,7 +1415,12 @@
     /// A node ended a client's connection without an answer to its request.
     fn closed(&mut self, at: usize, node: usize, kept: bool) {
         let id = self.wishes[at].id();
-        let line = Line { request: id, node: Self::name(node), kept, ..self.who("client", Event::Closed) };
+        let line = HistoryRecord {
+            request: id,
+            node: Self::name(node),
+            reused_connection: kept,
+            ..self.who("client", Event::Closed)
+        };
         self.line(line);
         let wish = &mut self.wishes[at];
         wish.wire = None;
@@ -1452,7 +1486,11 @@
             self.wishes[left].wire = None;
             if early {
                 let request = self.wishes[left].id();
-                let line = Line { request, node: Self::name(node), ..self.who("client", Event::Gone) };
+                let line = HistoryRecord {
+                    request,
+                    node: Self::name(node),
+                    ..self.who("client", Event::ClientLeft)
+                };
                 self.line(line);
             }
         }
@@ -1461,7 +1499,7 @@
 
     /// Clients that say nothing.
     fn come(&mut self, at: usize) {
-        let What::Crowd { per_s } = self.plan.faults[at].what else { return };
+        let FaultKind::Crowd { per_s } = self.plan.faults[at].kind else { return };
         if self.crowd == 0 {
             return;
         }
@@ -1484,8 +1522,12 @@
         self.discovery.change(&name, status, since);
         let entry = self.discovery.entries.iter().find(|entry| entry.name == name);
         let since = entry.map_or(0, |entry| entry.since);
-        let line =
-            Line { server: name, status: status.into(), since, ..self.who("discovery", Event::Change) };
+        let line = HistoryRecord {
+            server: name,
+            status: status.into(),
+            started_at: since,
+            ..self.who("discovery", Event::Change)
+        };
         self.line(line);
         for node in 0..self.nodes.len() {
             self.tell_watch(node);
@@ -1516,12 +1558,12 @@
 
     fn note_told(&mut self, node: usize, told: &[Entry]) {
         for entry in told {
-            let line = Line {
+            let line = HistoryRecord {
                 node: Self::name(node),
                 server: entry.name.clone(),
                 status: entry.status.into(),
-                since: entry.since,
-                ..self.who("discovery", Event::Told)
+                started_at: entry.since,
+                ..self.who("discovery", Event::Notified)
             };
             self.line(line);
         }
@@ -1531,21 +1573,21 @@
         if self.nodes[node].life != life || self.nodes[node].core.is_none() {
             return;
         }
-        self.sums.calls += u64::from(!taken);
+        self.sums.discovery_calls += u64::from(!taken);
         // A fleet that was started before its clients came is left out of discovery's account.
         let starts_the_run = !taken && !std::mem::replace(&mut self.nodes[node].has_called, true);
         if self.discovery.down {
             let at = self.now + self.delay();
             return self.push(at, Ev::Told(node, life, era, None));
         }
-        if let Some(takes) = self.plan.call.filter(|_| !taken && !starts_the_run) {
+        if let Some(takes) = self.plan.discovery_call_us.filter(|_| !taken && !starts_the_run) {
             let (at, answers) = self.discovery.take(self.now, takes);
             return match answers {
                 true => self.push(at, Ev::Worked(node, life, era, ask)),
                 false => self.push(at, Ev::Told(node, life, era, None)),
             };
         }
-        self.sums.lists += 1;
+        self.sums.discovery_answers += 1;
         if let DiscoveryRequest::Watch { after } = ask {
             // A whole list where it has none.
             self.nodes[node].watch = Some((era, after.unwrap_or(0)));
@@ -1578,13 +1620,13 @@
 
     fn fault(&mut self, at: usize, begins: bool) {
         let fault = self.plan.faults[at];
-        let line = Line {
-            state: format!("{:?} {}", fault.what, if begins { "begins" } else { "ends" }),
+        let line = HistoryRecord {
+            state: format!("{:?} {}", fault.kind, if begins { "begins" } else { "ends" }),
             ..self.who("lab", Event::Fault)
         };
         self.line(line);
-        match fault.what {
-            What::KillCache { cache } | What::ReplaceCache { cache } => {
+        match fault.kind {
+            FaultKind::KillCache { cache } | FaultKind::ReplaceCache { cache } => {
                 let name = self.servers[cache].name.clone();
                 if begins && self.servers[cache].up {
                     let line = self.who(&name, Event::Down);
@@ -1598,51 +1640,51 @@
                     self.push(self.now + LATE, Ev::Knows(name, "active", Some(self.now)));
                 }
             }
-            What::SilentCache { cache } => {
+            FaultKind::SilentCache { cache } => {
                 self.servers[cache].silent = begins;
                 if !begins {
                     // What it was sent meanwhile is never read.
                     self.reset(cache);
                 }
             }
-            What::VanishCache { cache } => {
+            FaultKind::VanishCache { cache } => {
                 self.servers[cache].vanished = begins;
                 if !begins {
                     self.reset(cache);
                 }
             }
-            What::DrainCache { cache } => {
+            FaultKind::DrainCache { cache } => {
                 let name = self.servers[cache].name.clone();
                 let status = if begins { "leaving" } else { "active" };
                 self.push(self.now + LATE, Ev::Knows(name, status, None));
             }
-            What::TearCache { cache, every } => self.servers[cache].tear = begins.then_some(every),
-            What::NoisyCache { cache } => self.servers[cache].noisy = begins,
-            What::GarbleCache { cache } => self.servers[cache].garbles = begins,
-            What::KillNode { node } => match (begins, self.nodes[node].core.is_some()) {
+            FaultKind::TearCache { cache, every } => self.servers[cache].tear = begins.then_some(every),
+            FaultKind::NoisyCache { cache } => self.servers[cache].noisy = begins,
+            FaultKind::GarbleCache { cache } => self.servers[cache].garbles = begins,
+            FaultKind::KillNode { node } => match (begins, self.nodes[node].core.is_some()) {
                 (true, true) => self.stop(node, "killed"),
                 (false, false) => self.start(node),
                 _ => {}
             },
-            What::TermNode { node } => {
+            FaultKind::TermNode { node } => {
                 if begins && self.nodes[node].core.is_some() && !self.nodes[node].paused {
                     self.state(node, "term");
                     self.nodes[node].ending = true;
                     self.feed(node, Input::Terminate);
                 }
             }
-            What::PauseNode { node } => self.pause(node, begins),
-            What::StallOrigin => {
+            FaultKind::PauseNode { node } => self.pause(node, begins),
+            FaultKind::StallOrigin => {
                 if begins && let Some(origin) = self.servers.last_mut() {
-                    origin.stall(self.now + fault.lasts);
+                    origin.stall(self.now + fault.duration_us);
                 }
             }
-            What::TearOrigin { every } => {
+            FaultKind::TearOrigin { every } => {
                 if let Some(origin) = self.servers.last_mut() {
                     origin.tear = begins.then_some(every);
                 }
             }
-            What::NoDiscovery => {
+            FaultKind::NoDiscovery => {
                 self.dark = self.dark.saturating_add_signed(if begins { 1 } else { -1 });
                 self.discovery.down = self.dark > 0;
                 for node in (0..self.nodes.len()).filter(|_| begins) {
@@ -1652,11 +1694,11 @@
                     }
                 }
             }
-            What::OldNews => self.discovery.old_news = begins,
-            What::Impatient => {
+            FaultKind::OldNews => self.discovery.old_news = begins,
+            FaultKind::Impatient => {
                 self.impatient = self.impatient.saturating_add_signed(if begins { 1 } else { -1 });
             }
-            What::Crowd { .. } => {
+            FaultKind::Crowd { .. } => {
                 self.crowd = self.crowd.saturating_add_signed(if begins { 1 } else { -1 });
                 if begins {
                     return self.come(at);
@@ -1714,7 +1756,7 @@
         Value::Error(line) if line.starts_with(b"BUSY") => {
             let text = String::from_utf8_lossy(line).into_owned();
             (
-                Outcome::Refused,
+                Outcome::Rejected,
                 String::new(),
                 text.split(' ').nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0),
             )
