--- a/crates/stonevane-policy/tests/behavior_digest.rs
+++ b/crates/stonevane-policy/tests/behavior_digest.rs
@@ -98,7 +98,9 @@
     fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
-        actions.iter().for_each(|action| self.action(action));
+        for action in &actions {
+            self.action(action);
+        }
     }
 
     fn number(&mut self, number: u64) {
@@ -137,7 +139,9 @@
             Action::Log(_) => [12, 0, 0, 0],
             Action::Fault(_) => [13, 0, 0, 0],
         };
-        fields.into_iter().for_each(|field| self.number(field));
+        for field in fields {
+            self.number(field);
+        }
     }
 
     /// Lets time pass, with the timers that come due.
@@ -178,7 +182,6 @@
         let (request, attempt, server) = self.in_flight.remove(position);
         let is_origin = server == SERVERS;
         let status = match self.sequence.below(20) {
-            0..=10 => AttemptStatus::Served,
             11..=13 if !is_origin => AttemptStatus::Miss,
             14 => AttemptStatus::Error,
             15 => AttemptStatus::Malformed,
--- a/crates/stonevane-policy/tests/common/mod.rs
+++ b/crates/stonevane-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node in miniature: drives a policy event by event and keeps what it answered.
+//! A small node: drives a policy event by event and records its actions.
 #![allow(dead_code, missing_docs)]
 
 use stonevane_policy::*;
@@ -56,7 +56,7 @@
 }
 
 impl Node {
-    /// A node that has run for some time without strain.
+    /// A node that has run for some time without load.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut node = Node::just_started(settings, servers);
         node.pass(10 * SECOND);
@@ -78,7 +78,7 @@
         node
     }
 
-    /// Passes an event on and returns what the policy answered to it.
+    /// Handles an event and returns the actions that it called for.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
@@ -109,7 +109,7 @@
         self.outcome_on(request, attempt, server, status, false)
     }
 
-    /// An outcome of which it is said whether its request was the first on its connection.
+    /// The same, where it matters whether the request was the first on its connection.
     pub fn outcome_on(
         &mut self,
         request: RequestId,
@@ -118,23 +118,11 @@
         status: AttemptStatus,
         first_on_connection: bool,
     ) -> Vec<Action> {
-        let over = status == AttemptStatus::Served;
-        let (note, load, took) = (CacheStatus::None, LoadReport::default(), MS);
-        let outcome = Outcome {
-            request,
-            attempt,
-            server,
-            status,
-            request_finished: over,
-            cache_status: note,
-            elapsed: took,
-            load,
-            first_on_connection,
-        };
+        let outcome = Outcome { first_on_connection, ..outcome(request, attempt, server, status) };
         self.event(Event::Outcome(outcome))
     }
 
-    /// Lets time pass, with the timers that come due, and returns what the policy answered meanwhile.
+    /// Lets time pass, with the timers that come due, and returns the actions of the policy meanwhile.
     pub fn pass(&mut self, time: Micros) -> Vec<Action> {
         let end = self.now + time;
         let from = self.actions.len();
@@ -147,6 +135,21 @@
     }
 }
 
+/// The end of an attempt; the request has its answer where it was served.
+pub fn outcome(request: RequestId, attempt: u16, server: ServerId, status: AttemptStatus) -> Outcome {
+    Outcome {
+        request,
+        attempt,
+        server,
+        status,
+        request_finished: status == AttemptStatus::Served,
+        cache_status: CacheStatus::None,
+        elapsed: MS,
+        load: LoadReport::default(),
+        first_on_connection: false,
+    }
+}
+
 /// Where the first attempt among these actions goes.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
--- a/crates/stonevane-policy/tests/service.rs
+++ b/crates/stonevane-policy/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What people do to a balancer in service: servers taken out by hand and put back, new settings.
+//! What operators do to a running node: excluded and reinstated servers, new settings, shutdown.
 #![allow(missing_docs)]
 
 mod common;
@@ -6,8 +6,8 @@
 use common::*;
 use stonevane_policy::*;
 
-fn exclude(node: &mut Node, server: ServerId, out: bool) {
-    node.event(Event::Exclude { server, excluded: out });
+fn exclude(node: &mut Node, server: ServerId, excluded: bool) {
+    node.event(Event::Exclude { server, excluded });
 }
 
 /// Attempts at a server among what follows from so many reads, each answered.
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_server_that_is_out_whatever_lists_settings_and_strikes_say() {
+fn nothing_goes_to_an_excluded_server_whatever_lists_settings_and_outcomes_say() {
     let mut node = Node::new(settings(), 4);
     assert!(reads(&mut node, 1, 100, 2) > 0);
     exclude(&mut node, 2, true);
@@ -40,18 +40,22 @@
     assert_eq!(reads(&mut node, 3_000, 200, 2), 0);
     node.event(Event::Settings { settings: Box::new(settings()), tenants: Vec::new() });
     assert_eq!(reads(&mut node, 4_000, 200, 2), 0);
-    // Not the last server of the order either, when all others fail or are out.
-    [1, 3, 4].iter().for_each(|id| exclude(&mut node, *id, true));
+    // Not the last server of the order either, when all others are excluded.
+    for id in [1, 3, 4] {
+        exclude(&mut node, id, true);
+    }
     let actions = node.request(read(9_000, 5));
     assert!(refused(&actions, 9_000) && sends(&actions) == 0, "refused at once");
-    [1, 3, 4].iter().for_each(|id| exclude(&mut node, *id, false));
+    for id in [1, 3, 4] {
+        exclude(&mut node, id, false);
+    }
     exclude(&mut node, 2, false);
     assert_eq!(node.policy.avoided_server_count(), 0);
     assert!(reads(&mut node, 10_000, 200, 2) > 0, "one call back undoes both calls out");
 }
 
 #[test]
-fn a_retry_and_a_second_copy_avoid_a_server_that_went_out_meanwhile() {
+fn retries_and_hedged_requests_avoid_a_server_excluded_meanwhile() {
     let mut node = Node::new(settings(), 2);
     let mut checked = 0;
     for id in 1..60 {
@@ -69,8 +73,8 @@
 }
 
 #[test]
-fn a_server_put_back_has_a_clean_record_and_is_used_soon_by_every_balancer_of_a_large_fleet() {
-    // Of 200 servers one gets few of a balancer's reads: two a second here.
+fn a_reinstated_server_has_a_clean_record_and_is_used_soon_by_every_node_of_a_large_fleet() {
+    // Of 200 servers one gets few of a node's reads: two a second here.
     let mut node = Node::new(Settings { nodes: 300, slow_start_duration: 60 * SECOND, ..settings() }, 200);
     for attempt in 0..10 {
         let id = 1 + attempt;
@@ -92,38 +96,38 @@
     assert!((1..=2).contains(&there), "{there} reads of six in the three seconds after it was put back");
 }
 
-fn told(change: impl FnOnce(&mut Settings)) -> Event {
+fn new_settings(change: impl FnOnce(&mut Settings)) -> Event {
     let mut settings = settings();
     change(&mut settings);
     Event::Settings { settings: Box::new(settings), tenants: Vec::new() }
 }
 
 #[test]
-fn an_open_request_keeps_the_class_it_came_with() {
-    // What may have run goes again as long as the class says that it is safe; the class turns unsafe meanwhile.
+fn a_pending_request_keeps_the_class_it_arrived_with() {
+    // What may have run is retried while its class is idempotent; the class changes meanwhile.
     let mut node = Node::new(settings(), 3);
     let first = sent_to(&node.request(read(1, 5))).unwrap();
-    node.event(told(|s| s.classes[0].idempotency = Idempotency::NonIdempotent));
+    node.event(new_settings(|s| s.classes[0].idempotency = Idempotency::NonIdempotent));
     let again = node.outcome(1, 0, first, AttemptStatus::Reset);
     assert_eq!(sends(&again), 1, "the request came as a safe one");
     let newer = sent_to(&node.request(read(2, 6))).unwrap();
     let again = node.outcome(2, 0, newer, AttemptStatus::Reset);
     assert!(sends(&again) == 0 && failed(&again, 2), "this one came as an unsafe one");
-    // And the other way round: an unsafe request stays one though its class is safe now.
+    // And the other way round: a non-idempotent request stays one.
     let mut node = Node::new(settings(), 3);
     let once = write(1, 2);
     node.request(once);
-    node.event(told(|s| s.classes[2].idempotency = Idempotency::Idempotent));
+    node.event(new_settings(|s| s.classes[2].idempotency = Idempotency::Idempotent));
     let after = node.outcome(1, 0, ORIGIN, AttemptStatus::Reset);
     assert!(sends(&after) == 0 && failed(&after, 1), "{after:?}");
 }
 
 #[test]
-fn an_open_request_makes_no_more_attempts_than_when_it_came_nor_than_are_allowed_now() {
+fn a_pending_request_makes_no_more_attempts_than_when_it_arrived_nor_than_are_allowed_now() {
     for (before, after, most) in [(2, 4, 2), (4, 2, 2)] {
         let mut node = Node::new(Settings { max_attempts: before, ..settings() }, 6);
         let mut to = sent_to(&node.request(read(1, 5)));
-        node.event(told(|s| s.max_attempts = after));
+        node.event(new_settings(|s| s.max_attempts = after));
         let mut sent = 0;
         while let Some(server) = to {
             to = sent_to(&node.outcome(1, sent, server, AttemptStatus::ConnectFailed));
@@ -134,7 +138,7 @@
 }
 
 #[test]
-fn a_class_that_goes_while_its_requests_wait_at_the_gate_leaves_them_whole() {
+fn a_class_that_is_removed_while_its_requests_are_blocked_leaves_them_intact() {
     let mut node = Node::new(settings(), 3);
     let mut waiting = Vec::new();
     for id in 1..200 {
@@ -144,7 +148,7 @@
         }
     }
     assert!(!waiting.is_empty());
-    node.event(told(|s| s.classes.truncate(1)));
+    node.event(new_settings(|s| s.classes.truncate(1)));
     node.pass(2 * SECOND);
     for id in waiting {
         let ended = refused(&node.actions, id) || failed(&node.actions, id);
@@ -154,22 +158,22 @@
 }
 
 #[test]
-fn what_tenants_have_used_goes_over_to_their_new_places() {
+fn tenants_keep_their_used_quota_in_their_new_positions() {
     let tenant = |quota_per_s| Tenant { quota_per_s };
     let tenants = vec![tenant(1.0), tenant(1000.0)];
     let mut node = Node::just_started(Settings { tenants: tenants.clone(), ..settings() }, 3);
-    let ask = |node: &mut Node, id: u64, tenant: usize| {
+    let request = |node: &mut Node, id: u64, tenant: usize| {
         let actions = node.request(Request { tenant, ..read(id, id) });
         let to = sent_to(&actions);
         to.inspect(|to| drop(node.outcome(id, 0, *to, AttemptStatus::Served)));
         to.is_some()
     };
-    let spent = (1..100).take_while(|id| ask(&mut node, *id, 0)).count();
+    let spent = (1..100).take_while(|id| request(&mut node, *id, 0)).count();
     assert!(spent < 99, "the first tenant's bucket is empty");
     let swapped = Settings { tenants: vec![tenants[1].clone(), tenants[0].clone()], ..settings() };
     node.event(Event::Settings { settings: Box::new(swapped), tenants: vec![Some(1), Some(0)] });
-    assert!(!ask(&mut node, 500, 1), "it stays empty in its new place");
-    assert!(ask(&mut node, 501, 0), "and the other's is full still");
+    assert!(!request(&mut node, 500, 1), "it stays empty in its new place");
+    assert!(request(&mut node, 501, 0), "and the other's is full still");
 }
 
 #[test]
@@ -192,8 +196,8 @@
 }
 
 #[test]
-fn two_processes_of_a_balancer_have_one_balancers_share_of_the_origin_and_of_cold_servers() {
-    // Calls that go out at once, from so many processes that each have their part.
+fn two_processes_of_a_node_share_its_quota_of_the_origin() {
+    // Calls sent at once, by processes that each have a part.
     let calls = |parts: &[f64]| -> usize {
         let processes = parts.iter().map(|part| {
             let mut node = Node::new(settings(), 3);
@@ -211,7 +215,7 @@
 }
 
 #[test]
-fn a_balancer_that_is_about_to_end_answers_what_it_owes_and_begins_nothing() {
+fn a_node_that_shuts_down_answers_what_it_owes_and_starts_nothing() {
     let mut node = Node::new(settings(), 3);
     for id in 1..40 {
         node.request(if id % 2 == 0 { write(id, 2) } else { read(id, id) });
--- /dev/null
+++ b/crates/stonevane-policy/tests/scenarios/main.rs
@@ -0,0 +1,17 @@
+//! The policy of one node, event by event: one test for each behavior and each failure found.
+#![allow(missing_docs)]
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod balancing;
+mod coalescing;
+mod deadlines;
+mod discovery;
+mod origin_limits;
+mod outlier;
+mod retry;
+mod robustness;
+mod slow_start;
+mod startup;
--- /dev/null
+++ b/crates/stonevane-policy/tests/settings.rs
@@ -0,0 +1,72 @@
+//! Settings texts with figures of any size.
+#![allow(missing_docs)]
+
+mod common;
+
+use common::*;
+use proptest::prelude::*;
+use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
+use stonevane_policy::*;
+
+/// A settings text with figures of any size, some of them absurd.
+fn text() -> impl Strategy<Value = (String, bool)> {
+    let figure = || prop::sample::select(vec![0.0, 1.0, 1e3, 1e6, 8.64e10, 1e12, 1e30]);
+    let count = || prop::sample::select(vec![0u32, 1, 4, 100, u32::MAX]);
+    (count(), count(), prop::collection::vec(figure(), 7)).prop_map(|(balancers, me, f)| {
+        let text = format!(
+            r#"{{"balancers":{balancers},"me":{me},"discovery":"ask","periodUs":{},"zones":["a"],
+               "classes":[{{"name":"read","effect":"pure","goalTimeUs":{},"deadlineUs":{}}}],
+               "realms":[{{"name":"all","quotaPerS":{}}}],"specifics":{{"mode":"aside","originKind":1}},
+               "guarantees":{{"askWithinUs":{},"coldUs":{},"tipAfterUs":{}}}}}"#,
+            f[0], f[1], f[2], f[3], f[4], f[5], f[6]
+        );
+        let times = [f[0], f[1], f[2], f[4], f[5], f[6]];
+        let set = f[1] > 0.0 && f[2] > 0.0;
+        let sane =
+            set && balancers > me && f[4] > 0.0 && f[3] <= 1e9 && times.iter().all(|time| *time <= 8.64e10);
+        (text, sane)
+    })
+}
+
+#[test]
+fn settings_of_any_size_are_refused_in_one_line_or_give_finite_limits() {
+    let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[3; 32]);
+    let mut runner = TestRunner::new_with_rng(Config { cases: 500, ..Config::default() }, rng);
+    let handled = |(text, sane): (String, bool)| {
+        let deployment = stonevane_policy::settings::read(text.as_bytes());
+        prop_assert_eq!(deployment.is_ok(), sane, "{:?}", deployment.err());
+        let settings = match deployment {
+            Ok(deployment) => deployment.settings,
+            Err(error) => {
+                let line = error.to_string();
+                prop_assert!(line.lines().count() == 1 && line.len() < 200, "{line}");
+                return Ok(());
+            }
+        };
+        let mut node = Node::just_started(settings, 3);
+        for id in 1..=60 {
+            node.list(ListUpdate::Failed, Vec::new());
+            let mut actions = node.request(read(id, id));
+            for attempt in 0..3 {
+                let Some(server) = sent_to(&actions) else { break };
+                actions = node.outcome(
+                    id,
+                    attempt,
+                    server,
+                    [AttemptStatus::Miss, AttemptStatus::Rejected][usize::from(attempt > 0)],
+                );
+            }
+            node.pass(SECOND / 2);
+        }
+        let calls = node.actions.iter().filter(|action| **action == Action::Subscribe(true)).count();
+        prop_assert!(calls <= 62, "{calls} calls in half a minute, all of which fail");
+        let pauses = node.actions.iter().filter_map(|action| match action {
+            Action::Timer { after, .. } => Some(*after),
+            _ => None,
+        });
+        prop_assert!(pauses.clone().count() <= 10_000, "{} timers in half a minute", pauses.clone().count());
+        prop_assert!(pauses.max().unwrap_or(0) <= 2 * 86_400 * SECOND);
+        Ok(())
+    };
+    runner.run(&text(), handled).unwrap();
+}
--- a/crates/stonevane-policy/tests/subset.rs
+++ b/crates/stonevane-policy/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Many balancers that each use some of the cache servers only: what one cold server gets of all who may send to it.
+//! Many nodes that each use a subset of the cache servers: what one server in slow start gets of all of them.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,9 +11,9 @@
 /// The server that has just been restarted.
 const COLD: ServerId = 1;
 const BEGIN: Micros = 60 * SECOND;
-/// As long as a cold server bears too much, by the settings' default.
+/// The overload window of the settings' default.
 const WINDOW: Micros = 2 * SECOND;
-/// What a cold server may have, as a multiple of a warm one's requests at its present part of capacity.
+/// What a cold server may get, as a multiple of a warm one's requests at its present part of capacity.
 const COLD_MULTIPLE: f64 = 1.5;
 
 /// A region whose servers all nodes of the fleet use, those of other regions as a fallback.
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The servers as a node is told of them.
+    /// The server list of a node.
     fn list(&self, me: u32, divided: bool) -> Vec<ServerEntry> {
         let sharers = if me < self.home { 2 * self.home } else { 2 * self.nodes() };
         let sharers = if divided { sharers } else { 0 };
@@ -67,11 +67,11 @@
         (1..=self.servers).map(line).chain([origin()]).collect()
     }
 
-    /// How often the cold server is sent to in the window by the nodes that a filter lets through. All nodes ask at their
+    /// Attempts at the cold server in the window by the nodes that a filter selects. All nodes send at their
     /// rate, each answer comes at once.
-    fn sent_to_cold(&self, divided: bool, asks: impl Fn(u32) -> bool) -> u32 {
+    fn sent_to_cold(&self, divided: bool, selects: impl Fn(u32) -> bool) -> u32 {
         let mut sent = 0;
-        for me in (0..self.nodes()).filter(|me| asks(*me)) {
+        for me in (0..self.nodes()).filter(|me| selects(*me)) {
             let mut policy = Policy::new(self.settings(me, divided), u64::from(me) + 1);
             let mut out = Vec::new();
             let servers = self.list(me, divided);
@@ -84,18 +84,9 @@
                 for action in std::mem::take(&mut out) {
                     let Action::Send { request, server, .. } = action else { continue };
                     sent += u32::from(server == COLD);
-                    let (status, note) = (AttemptStatus::Served, CacheStatus::Hit);
-                    let (took, load) = (0, LoadReport::default());
                     let end = Outcome {
-                        request,
-                        attempt: 0,
-                        server,
-                        status,
-                        request_finished: true,
-                        cache_status: note,
-                        elapsed: took,
-                        load,
-                        first_on_connection: false,
+                        cache_status: CacheStatus::Hit,
+                        ..outcome(request, 0, server, AttemptStatus::Served)
                     };
                     policy.handle(now, Event::Outcome(end), &mut out);
                 }
@@ -111,7 +102,7 @@
 }
 
 #[test]
-fn a_cold_server_gets_no_more_than_it_bears_however_many_fall_back_on_its_region() {
+fn a_cold_server_is_not_overloaded_however_many_nodes_fall_back_on_its_region() {
     let fleets = (5..60u32, 0..200u32, 2..10u32, 0..40u32, 5..60u32);
     let fleets = fleets.prop_map(|(home, others, servers, more, rate)| Fleet {
         home,
@@ -135,22 +126,22 @@
 const SIX_REGIONS: Fleet = Fleet { home: 40, others: 200, servers: 5, all_servers: 30, rate: 40 };
 
 #[test]
-fn without_the_division_a_cold_server_gets_several_times_what_it_bears() {
+fn without_the_division_a_cold_server_gets_several_times_its_budget() {
     let sent = SIX_REGIONS.sent_to_cold(false, |_| true);
     assert!(f64::from(sent) > 3.0 * SIX_REGIONS.budget(), "{sent} sent, {}", SIX_REGIONS.budget());
 }
 
 #[test]
-fn the_nodes_of_its_region_alone_give_a_cold_server_about_half_of_what_it_bears() {
+fn the_nodes_of_its_region_alone_give_a_cold_server_about_half_of_its_budget() {
     let sent = f64::from(SIX_REGIONS.sent_to_cold(true, |me| me < SIX_REGIONS.home));
     let half = SIX_REGIONS.budget() / 2.0;
     assert!(sent <= half + chance(half) && sent > half / 3.0, "{sent} sent, half is {half}");
 }
 
-/// Attempts that nodes of a life of no answers have out when they start together.
-fn out_at_start(fleet: &Fleet, divided: bool, asks: impl Fn(u32) -> bool) -> u32 {
+/// Attempts in flight of nodes that start together, before any answer.
+fn out_at_start(fleet: &Fleet, divided: bool, selects: impl Fn(u32) -> bool) -> u32 {
     let mut sent = 0;
-    for me in (0..fleet.nodes()).filter(|me| asks(*me)) {
+    for me in (0..fleet.nodes()).filter(|me| selects(*me)) {
         let settings = Settings { startup_attempts_per_server: 8.0, ..fleet.settings(me, divided) };
         let mut policy = Policy::new(settings, u64::from(me) + 1);
         let mut out = Vec::new();
@@ -166,7 +157,7 @@
 }
 
 #[test]
-fn nodes_that_start_together_have_no_more_out_than_the_servers_of_a_region_may_have() {
+fn nodes_that_start_together_keep_to_the_startup_limit_of_a_regions_servers() {
     let fleet = Fleet { servers: 50, all_servers: 300, ..SIX_REGIONS };
     let may = 8.0 * f64::from(fleet.servers);
     let home = f64::from(out_at_start(&fleet, true, |me| me < fleet.home));
@@ -178,13 +169,13 @@
     assert!(undivided < may / 4.0, "{undivided} out, {may} for all");
 }
 
-/// Calls to the origin of a node that has served writes for some seconds and gets a crowd of them at once.
-fn calls_of_a_crowd(fleet: &Fleet, divided: bool) -> usize {
+/// Calls to the origin of a node that has served writes for some seconds and gets many of them at once.
+fn calls_of_a_burst(fleet: &Fleet, divided: bool) -> usize {
     let mut policy = Policy::new(fleet.settings(0, divided), 1);
     let mut out = Vec::new();
     let servers = fleet.list(0, divided);
     policy.handle(BEGIN, Event::ServerList { kind: ListUpdate::Full, servers }, &mut out);
-    // Somewhat less often than its share, which the gate's windows are made for.
+    // Somewhat less often than its share, which the rate limit allows.
     let (answered, each) = (3_000, 1_250);
     for id in 1..=answered {
         let now = BEGIN + id * each;
@@ -194,19 +185,7 @@
             out.iter().any(|action| matches!(action, Action::Send { server: ORIGIN, .. })),
             "{id}: {out:?}"
         );
-        let (request, server, status) = (id, ORIGIN, AttemptStatus::Served);
-        let (note, took, load) = (CacheStatus::None, 0, LoadReport::default());
-        let end = Outcome {
-            request,
-            attempt: 0,
-            server,
-            status,
-            request_finished: true,
-            cache_status: note,
-            elapsed: took,
-            load,
-            first_on_connection: false,
-        };
+        let end = outcome(id, 0, ORIGIN, AttemptStatus::Served);
         policy.handle(now, Event::Outcome(end), &mut out);
     }
     out.clear();
@@ -218,16 +197,16 @@
 }
 
 #[test]
-fn the_gate_of_the_origin_is_that_of_all_balancers_whatever_is_told_of_the_servers() {
+fn the_origin_limits_do_not_depend_on_the_subset_of_servers() {
     let fleet = Fleet { rate: 1_000, ..SIX_REGIONS };
-    let calls = calls_of_a_crowd(&fleet, false);
-    // The ceiling of calls out at once: 0.06 for each request a second that is the node's share.
+    let calls = calls_of_a_burst(&fleet, false);
+    // The concurrency limit: 0.06 for each request a second of the node's share.
     assert_eq!(calls, 60);
-    assert_eq!(calls_of_a_crowd(&fleet, true), calls);
+    assert_eq!(calls_of_a_burst(&fleet, true), calls);
 }
 
 #[test]
-fn quotas_are_those_of_all_balancers_whatever_is_told_of_the_servers() {
+fn quotas_do_not_depend_on_the_subset_of_servers() {
     let fleet = SIX_REGIONS;
     let refused = [false, true].map(|divided| {
         let mut policy = Policy::new(fleet.settings(0, divided), 1);
@@ -243,7 +222,7 @@
 }
 
 #[test]
-fn what_a_quiet_node_may_have_in_flight_at_a_server_goes_by_those_who_share_the_server() {
+fn the_least_load_bound_depends_on_the_nodes_that_share_a_server() {
     let both_on_one = |sharers| {
         let mut node = Node::new(Settings { nodes: 100, startup_attempts_per_server: 0.0, ..settings() }, 5);
         let line = |id| ServerEntry { sharing_nodes: sharers, ..server(id) };
