--- /dev/null
+++ b/crates/stonevane-wire-adapter/src/codec/events.rs
@@ -0,0 +1,245 @@
+//! Event records: what the simulator sends. Offsets are those of the protocol page.
+
+use stonevane_policy::{
+    AttemptStatus, CacheStatus, Condition, Event, ListUpdate, LoadReport, Micros, Outcome, Request,
+    ServerEntry,
+};
+
+use super::{CodecError, f32_at, u16_at, u32_at, u64_at};
+
+/// Size of a batch header.
+pub const BATCH_HEADER_SIZE: usize = 20;
+/// Size of an event record.
+pub const EVENT_SIZE: usize = 48;
+/// Size of a server entry in the tail of a frame.
+const ENTRY_SIZE: usize = 22;
+/// Status of a health check that succeeded.
+const HEALTHY: u16 = 200;
+/// Figures of a load report.
+const LOAD_VALUES: u8 = 4;
+
+/// Codes of event records.
+mod code {
+    pub const CLIENT_DISCONNECTED: u8 = 1;
+    pub const TIMER: u8 = 2;
+    pub const OUTCOME: u8 = 3;
+    pub const REQUEST: u8 = 4;
+    pub const START: u8 = 5;
+    pub const HEALTH_CHECK: u8 = 6;
+    pub const STOP: u8 = 7;
+    pub const RESPONSE_STARTED: u8 = 8;
+    pub const LIST: u8 = 9;
+    pub const LIST_UPDATE: u8 = 10;
+    pub const PEER_MESSAGE: u8 = 11;
+}
+
+/// Bits in the flags of a request.
+mod flag {
+    pub const HAS_COST: u8 = 1;
+    pub const IS_RETRY: u8 = 2;
+    pub const WRITE: u8 = 4;
+}
+
+/// The header of a batch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct BatchHeader {
+    /// The clock, microseconds.
+    pub now: Micros,
+    /// Bytes that follow the header.
+    pub length: usize,
+    /// Event records among them.
+    pub records: usize,
+    /// Number of the batch.
+    pub number: u32,
+}
+
+impl BatchHeader {
+    /// Reads a header and checks that its records fit its length.
+    pub fn read(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<Self, CodecError> {
+        let header = BatchHeader {
+            now: u64_at(bytes, 0),
+            length: u32_at(bytes, 8) as usize,
+            records: u32_at(bytes, 12) as usize,
+            number: u32_at(bytes, 16),
+        };
+        if header.records.saturating_mul(EVENT_SIZE) > header.length {
+            return Err(CodecError::RecordsExceedFrame { batch: header.number });
+        }
+        Ok(header)
+    }
+}
+
+/// An event record, resolved as far as its own frame allows.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Record<'a> {
+    /// An instance starts with a seed and a settings text.
+    Start {
+        /// The instance.
+        node: u16,
+        /// Its seed.
+        seed: u64,
+        /// Its settings.
+        settings: &'a [u8],
+    },
+    /// A numbered server list for later records.
+    List {
+        /// Number of the list.
+        number: u16,
+        /// Its entries.
+        entries: Vec<ServerEntry>,
+    },
+    /// An instance is killed.
+    Stop(u16),
+    /// An instance is notified of a list by its number.
+    ListUpdate {
+        /// The instance.
+        node: u16,
+        /// How the list relates to the one in force.
+        kind: ListUpdate,
+        /// Number of the list.
+        number: u16,
+    },
+    /// Any other event of an instance.
+    Event(u16, Event),
+}
+
+/// Reads event record `index` of the body of a frame with `records` records.
+pub fn read_record(body: &[u8], records: usize, index: usize) -> Result<Record<'_>, CodecError> {
+    let record = &body[index * EVENT_SIZE..(index + 1) * EVENT_SIZE];
+    let tail = &body[records * EVENT_SIZE..];
+    let node = u16_at(record, 1);
+    match record[0] {
+        code::START => {
+            let settings = tail_part(tail, record, 11, 1)?;
+            Ok(Record::Start { node, seed: u64_at(record, 3), settings })
+        }
+        code::STOP => Ok(Record::Stop(node)),
+        code::LIST => {
+            let entries = tail_part(tail, record, 3, ENTRY_SIZE)?.chunks_exact(ENTRY_SIZE);
+            Ok(Record::List { number: node, entries: entries.map(server_entry).collect::<Result<_, _>>()? })
+        }
+        code::LIST_UPDATE => {
+            let kind = list_update(record[9])?;
+            Ok(Record::ListUpdate { node, kind, number: u16_at(record, 3) })
+        }
+        _ => Ok(Record::Event(node, event(record, tail)?)),
+    }
+}
+
+fn event(record: &[u8], tail: &[u8]) -> Result<Event, CodecError> {
+    Ok(match record[0] {
+        code::CLIENT_DISCONNECTED => Event::ClientDisconnected(u64_at(record, 3)),
+        code::TIMER => Event::Timer(u32_at(record, 3)),
+        code::OUTCOME => Event::Outcome(outcome(record)?),
+        code::REQUEST => Event::Request(request(record)),
+        code::HEALTH_CHECK => Event::HealthCheckFinished {
+            ok: u16_at(record, 3) == HEALTHY,
+            took: u32_at(record, 5).into(),
+            server: u32_at(record, 9),
+            load: load_report(record, 13),
+        },
+        code::RESPONSE_STARTED => {
+            Event::ResponseStarted { request: u64_at(record, 3), attempt: u16_at(record, 15) }
+        }
+        code::PEER_MESSAGE => {
+            Event::PeerMessage { from: u32_at(record, 3), bytes: tail_part(tail, record, 7, 1)?.to_vec() }
+        }
+        other => return Err(CodecError::UnknownEvent(other)),
+    })
+}
+
+fn list_update(kind: u8) -> Result<ListUpdate, CodecError> {
+    match kind {
+        0 => Ok(ListUpdate::Full),
+        1 => Ok(ListUpdate::Cached),
+        2 => Ok(ListUpdate::Failed),
+        3 => Ok(ListUpdate::Delta),
+        other => Err(CodecError::UnknownListKind(other)),
+    }
+}
+
+fn request(record: &[u8]) -> Request {
+    let flags = record[13];
+    Request {
+        id: u64_at(record, 3),
+        tenant: u16_at(record, 11).into(),
+        cost: (flags & flag::HAS_COST != 0).then(|| u32_at(record, 15).into()),
+        is_retry: flags & flag::IS_RETRY != 0,
+        write: flags & flag::WRITE != 0,
+        class: record[14].into(),
+        key: u64_at(record, 19),
+        size: f32_at(record, 27),
+        time_left: u32_at(record, 31).into(),
+    }
+}
+
+fn outcome(record: &[u8]) -> Result<Outcome, CodecError> {
+    Ok(Outcome {
+        request: u64_at(record, 3),
+        cache_status: cache_status(u32_at(record, 11)),
+        elapsed: u32_at(record, 15).into(),
+        attempt: u16_at(record, 19),
+        request_finished: record[21] != 0,
+        status: attempt_status(u16_at(record, 22))?,
+        server: u32_at(record, 24),
+        load: load_report(record, 28),
+        // Not part of the simulator's wire.
+        first_on_connection: false,
+    })
+}
+
+fn attempt_status(status: u16) -> Result<AttemptStatus, CodecError> {
+    Ok(match status {
+        200 => AttemptStatus::Served,
+        204 => AttemptStatus::Miss,
+        408 => AttemptStatus::TimedOut,
+        409 => AttemptStatus::NotSent,
+        429 => AttemptStatus::Rejected,
+        444 => AttemptStatus::Cancelled,
+        502 => AttemptStatus::Error,
+        520 => AttemptStatus::Reset,
+        521 => AttemptStatus::ConnectFailed,
+        other => return Err(CodecError::UnknownOutcome(other)),
+    })
+}
+
+fn cache_status(note: u32) -> CacheStatus {
+    match note {
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Miss,
+        3 => CacheStatus::MissBeingFetched,
+        _ => CacheStatus::None,
+    }
+}
+
+fn load_report(record: &[u8], at: usize) -> LoadReport {
+    let values = std::array::from_fn(|i| f32_at(record, at + 1 + 4 * i));
+    LoadReport { count: record[at].min(LOAD_VALUES), values }
+}
+
+fn server_entry(entry: &[u8]) -> Result<ServerEntry, CodecError> {
+    let condition = match entry[9] {
+        0 => Condition::Gone,
+        1 => Condition::Ready,
+        2 => Condition::Draining,
+        other => return Err(CodecError::UnknownCondition(other)),
+    };
+    Ok(ServerEntry {
+        zone: entry[0],
+        started: u64_at(entry, 1),
+        condition,
+        id: u32_at(entry, 10),
+        cell: u16_at(entry, 14),
+        kind: u16_at(entry, 16),
+        weight: f32_at(entry, 18),
+        sharing_nodes: 0,
+    })
+}
+
+/// The part of the tail that the field at `at` names: an offset and a count of items of `size` bytes.
+fn tail_part<'a>(tail: &'a [u8], record: &[u8], at: usize, size: usize) -> Result<&'a [u8], CodecError> {
+    let (offset, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
+    let end = count.checked_mul(size).and_then(|length| length.checked_add(offset));
+    let part = end.and_then(|end| tail.get(offset..end));
+    part.ok_or(CodecError::OutsideFrame { code: record[0], offset, count })
+}
--- /dev/null
+++ b/crates/stonevane-wire-adapter/src/codec/tests.rs
@@ -0,0 +1,103 @@
+//! The codec byte by byte.
+
+use super::actions::ACTION_SIZE;
+use super::events::EVENT_SIZE;
+use super::*;
+use stonevane_policy::*;
+
+fn encoded(action: &Action) -> (Vec<u8>, Vec<u8>) {
+    let (mut reply, mut frame) = (Reply::default(), Vec::new());
+    reply.push(3, action);
+    reply.finish(12, &mut frame);
+    assert_eq!(u32_at(&frame, 0), 1);
+    assert_eq!(u32_at(&frame, 4) as usize, frame.len() - 12);
+    assert_eq!(u32_at(&frame, 8), 12);
+    (frame[12..36].to_vec(), frame[36..].to_vec())
+}
+
+fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
+    let mut r = vec![0; ACTION_SIZE];
+    (r[0], r[1]) = (code, 3);
+    for (at, bytes) in fields {
+        r[*at..at + bytes.len()].copy_from_slice(bytes);
+    }
+    r
+}
+
+#[test]
+fn every_action_has_its_code_and_its_fields_in_their_places() {
+    let (id, server, tail) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
+    let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
+    let cases = [
+        (
+            Action::Send { request: id, server, give_up_after: 80_000 },
+            record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
+        ),
+        (Action::Reject { request: id, retry_after: 7 }, record(2, &[(3, &i), (11, &7u32.to_le_bytes())])),
+        (Action::Fail(id), record(3, &[(3, &i)])),
+        (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &i), (11, &[2])])),
+        (
+            Action::Timer { after: 500_000, token: 77 },
+            record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
+        ),
+        (Action::HealthCheck(server), record(6, &[(3, &s)])),
+        (Action::CloseIdle(server), record(7, &[(3, &s)])),
+        (Action::SendToPeer { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
+        (Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
+        (Action::Log("hi".into()), record(9, &[(3, &tail)])),
+        (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
+        (Action::Subscribe(true), record(11, &[(3, &[1])])),
+        (Action::Subscribe(false), record(11, &[])),
+        (Action::FetchList, record(12, &[])),
+    ];
+    for (action, expected) in cases {
+        let (got, rest) = encoded(&action);
+        assert_eq!(got, expected, "{action:?}");
+        let text = matches!(action, Action::SendToPeer { .. } | Action::Log(_) | Action::Fault(_));
+        assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
+    }
+}
+
+#[test]
+fn a_request_and_an_outcome_are_read_from_their_places() {
+    let mut body = vec![0u8; 2 * EVENT_SIZE];
+    body[0] = 4;
+    body[3] = 9; // id
+    body[11] = 1; // tenant
+    body[13] = 7; // cost hint valid, a repeat, a write
+    body[14] = 2; // class
+    body[15] = 50; // cost
+    body[19] = 5; // key
+    body[32] = 1; // time budget 256
+    let r = EVENT_SIZE;
+    (body[r], body[r + 3], body[r + 11], body[r + 15], body[r + 19]) = (3, 9, 3, 40, 1);
+    body[r + 21] = 1;
+    body[r + 22..r + 24].copy_from_slice(&429u16.to_le_bytes());
+    (body[r + 24], body[r + 28]) = (6, 1);
+    body[r + 29..r + 33].copy_from_slice(&1.5f32.to_le_bytes());
+    let request = Request {
+        id: 9,
+        class: 2,
+        tenant: 1,
+        key: 5,
+        write: true,
+        is_retry: true,
+        time_left: 256,
+        cost: Some(50),
+        size: 0.0,
+    };
+    assert_eq!(read_record(&body, 2, 0), Ok(Record::Event(0, stonevane_policy::Event::Request(request))));
+    let load = LoadReport { count: 1, values: [1.5, 0.0, 0.0, 0.0] };
+    let outcome = Outcome {
+        request: 9,
+        attempt: 1,
+        server: 6,
+        status: AttemptStatus::Rejected,
+        request_finished: true,
+        cache_status: CacheStatus::MissBeingFetched,
+        elapsed: 40,
+        load,
+        first_on_connection: false,
+    };
+    assert_eq!(read_record(&body, 2, 1), Ok(Record::Event(0, stonevane_policy::Event::Outcome(outcome))));
+}
--- a/crates/stonevane-wire-adapter/tests/process.rs
+++ b/crates/stonevane-wire-adapter/tests/process.rs
@@ -40,27 +40,27 @@
     }
 
     /// A list of ready servers (id and machine kind), then its number to the instance.
-    fn list(&mut self, node: u16, number: u16, how: u8, servers: &[(u32, u16)]) -> &mut Self {
+    fn list(&mut self, node: u16, number: u16, kind: u8, servers: &[(u32, u16)]) -> &mut Self {
         let mut lines = Vec::new();
-        for (id, kind) in servers {
+        for (id, machine) in servers {
             lines.extend_from_slice(&[0; 9]);
             lines.push(1);
             lines.extend_from_slice(&id.to_le_bytes());
             lines.extend_from_slice(&[0; 2]);
-            lines.extend_from_slice(&kind.to_le_bytes());
+            lines.extend_from_slice(&machine.to_le_bytes());
             lines.extend_from_slice(&1f32.to_le_bytes());
         }
         let part = self.part(&lines, servers.len());
         self.record(9, number, &[(3, &part)]);
-        self.record(10, node, &[(3, &number.to_le_bytes()), (9, &[how])])
+        self.record(10, node, &[(3, &number.to_le_bytes()), (9, &[kind])])
     }
 
-    fn demand(&mut self, node: u16, id: u64, key: u64) -> &mut Self {
+    fn request(&mut self, node: u16, id: u64, key: u64) -> &mut Self {
         let budget = 1_500_000u32.to_le_bytes();
         self.record(4, node, &[(3, &id.to_le_bytes()), (19, &key.to_le_bytes()), (31, &budget)])
     }
 
-    fn report(&mut self, node: u16, id: u64, attempt: u16, server: u32, code: u16) -> &mut Self {
+    fn outcome(&mut self, node: u16, id: u64, attempt: u16, server: u32, code: u16) -> &mut Self {
         let (id, attempt, server) = (id.to_le_bytes(), attempt.to_le_bytes(), server.to_le_bytes());
         self.record(3, node, &[(3, &id), (19, &attempt), (22, &code.to_le_bytes()), (24, &server)])
     }
@@ -71,7 +71,9 @@
         frame.extend_from_slice(&length.to_le_bytes());
         frame.extend_from_slice(&(self.records.len() as u32).to_le_bytes());
         frame.extend_from_slice(&number.to_le_bytes());
-        self.records.iter().for_each(|r| frame.extend_from_slice(r));
+        for record in &self.records {
+            frame.extend_from_slice(record);
+        }
         frame.extend_from_slice(&self.tail);
         frame
     }
@@ -80,7 +82,7 @@
 fn spawn() -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_stonevane-wire-adapter"));
     command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::piped());
-    command.spawn().expect("the wirehost starts")
+    command.spawn().expect("the adapter starts")
 }
 
 fn run(input: &[u8]) -> Output {
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn no_input_ends_well_and_says_nothing() {
+fn empty_input_ends_successfully_and_writes_nothing() {
     let output = run(&[]);
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
@@ -132,7 +134,7 @@
 fn a_request_is_sent_missed_fetched_and_each_reply_comes_before_the_next_batch() {
     let mut child = spawn();
     let (mut stdin, mut stdout) = (child.stdin.take().unwrap(), child.stdout.take().unwrap());
-    let mut ask = |batch: &Batch, now: u64, number: u32| {
+    let mut process = |batch: &Batch, now: u64, number: u32| {
         stdin.write_all(&batch.frame(now, number)).unwrap();
         let mut header = [0u8; 12];
         stdout.read_exact(&mut header).unwrap();
@@ -142,16 +144,16 @@
         replies(&[&header[..], &body[..]].concat()).remove(0)
     };
     let mut first = Batch::default();
-    first.start(3, SETTINGS).list(3, 0, 1, &[(11, 0), (500, 1)]).demand(3, 77, 9);
-    let answer = ask(&first, 1_000_000, 1);
+    first.start(3, SETTINGS).list(3, 0, 1, &[(11, 0), (500, 1)]).request(3, 77, 9);
+    let answer = process(&first, 1_000_000, 1);
     assert_eq!(sends(&answer), [(3, 77, 11)]);
     assert!(answer.iter().any(|r| r[0] == 11 && r[3] == 1), "subscribes where discovery is asked");
     let mut second = Batch::default();
-    second.report(3, 77, 0, 11, 204);
-    assert_eq!(sends(&ask(&second, 1_010_000, 2)), [(3, 77, 500)]);
+    second.outcome(3, 77, 0, 11, 204);
+    assert_eq!(sends(&process(&second, 1_010_000, 2)), [(3, 77, 500)]);
     let mut third = Batch::default();
-    third.report(3, 77, 1, 500, 200);
-    assert_eq!(sends(&ask(&third, 1_020_000, 3)), []);
+    third.outcome(3, 77, 1, 500, 200);
+    assert_eq!(sends(&process(&third, 1_020_000, 3)), []);
     drop(stdin);
     assert!(child.wait().unwrap().success());
 }
@@ -161,16 +163,16 @@
     let mut batch = Batch::default();
     batch.start(0, SETTINGS).start(1, SETTINGS);
     batch.list(0, 4, 1, &[(11, 0)]).list(1, 4, 1, &[(22, 0)]);
-    batch.demand(0, 1, 9).demand(1, 2, 9);
+    batch.request(0, 1, 9).request(1, 2, 9);
     let output = run(&batch.frame(1_000_000, 1));
     assert_eq!(sends(&replies(&output.stdout)[0]), [(0, 1, 11), (1, 2, 22)]);
 }
 
 #[test]
-fn an_instance_killed_and_started_in_one_batch_begins_anew() {
+fn an_instance_killed_and_started_in_one_batch_starts_afresh() {
     let mut batch = Batch::default();
     batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]);
-    batch.record(7, 0, &[]).start(0, SETTINGS).list(0, 1, 1, &[(12, 0)]).demand(0, 1, 9);
+    batch.record(7, 0, &[]).start(0, SETTINGS).list(0, 1, 1, &[(12, 0)]).request(0, 1, 9);
     let output = run(&batch.frame(1_000_000, 1));
     assert_eq!(sends(&replies(&output.stdout)[0]), [(0, 1, 12)]);
 }
@@ -178,7 +180,7 @@
 #[test]
 fn every_event_of_the_wire_is_read() {
     let mut batch = Batch::default();
-    batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]).demand(0, 1, 9);
+    batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]).request(0, 1, 9);
     let blob = batch.part(b"hello", 5);
     batch.record(1, 0, &[(3, &99u64.to_le_bytes())]);
     batch.record(2, 0, &[(3, &5u32.to_le_bytes())]);
@@ -187,109 +189,67 @@
     batch.record(10, 0, &[(9, &[2])]);
     batch.record(11, 0, &[(3, &1u32.to_le_bytes()), (7, &blob)]);
     for (attempt, code) in [200, 502, 429, 408, 521, 520, 444, 409, 204].into_iter().enumerate() {
-        batch.report(0, 1, attempt as u16, 11, code);
+        batch.outcome(0, 1, attempt as u16, 11, code);
     }
     assert!(run(&batch.frame(1_000_000, 1)).status.success());
 }
 
+/// A frame of an instance that has started, with more records.
+fn started(add: impl FnOnce(&mut Batch) -> &mut Batch) -> Vec<u8> {
+    let mut batch = Batch::default();
+    batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]);
+    add(&mut batch);
+    batch.frame(1_000_000, 1)
+}
+
+/// A frame that starts an instance with a settings text.
+fn with_settings(settings: &str) -> Vec<u8> {
+    let mut batch = Batch::default();
+    batch.start(0, settings);
+    batch.frame(1, 1)
+}
+
+/// The adapter ends with one plain line and no half reply.
+fn assert_refused(expected: &str, input: &[u8]) {
+    let output = run(input);
+    let message = String::from_utf8(output.stderr).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{expected}: {message}");
+    assert!(message.contains(expected), "expected {expected:?} in {message:?}");
+    assert_eq!(message.lines().count(), 1, "{message}");
+    assert!(output.stdout.is_empty(), "{expected}: no reply half written");
+}
+
 #[test]
-fn malformed_input_ends_with_one_plain_line_and_no_half_reply() {
-    let started = |f: &dyn Fn(&mut Batch)| {
-        let mut batch = Batch::default();
-        batch.start(0, SETTINGS).list(0, 0, 1, &[(11, 0)]);
-        f(&mut batch);
-        batch.frame(1_000_000, 1)
-    };
-    let whole = started(&|_| {});
+fn malformed_frames_are_refused() {
+    let whole = started(|batch| batch);
     let mut long = whole.clone();
     long[8..12].copy_from_slice(&u32::MAX.to_le_bytes());
     let mut many = whole.clone();
     many[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    let mut bad_settings = Batch::default();
-    bad_settings.start(0, "{\"classes\": 3}");
-    let mut bad_effect = Batch::default();
-    bad_effect.start(0, "{\"classes\": [{\"effect\": \"maybe\"}]}");
+    assert_refused("truncated frame", &whole[..10]);
+    assert_refused("truncated frame", &whole[..60]);
+    assert_refused("truncated frame", &long);
+    assert_refused("records exceed", &many);
+}
+
+#[test]
+fn malformed_records_are_refused() {
     let far = [0xff, 0xff, 0xff, 0xff, 9, 0, 0, 0];
-    let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("truncated frame", whole[..10].to_vec()),
-        ("truncated frame", whole[..60].to_vec()),
-        ("truncated frame", long),
-        ("records exceed", many),
-        (
-            "unknown event code 77",
-            started(&|b| {
-                b.record(77, 0, &[]);
-            }),
-        ),
-        (
-            "unknown instance 5",
-            started(&|b| {
-                b.demand(5, 1, 9);
-            }),
-        ),
-        (
-            "unknown instance 5",
-            started(&|b| {
-                b.record(7, 5, &[]);
-            }),
-        ),
-        (
-            "unknown outcome 999",
-            started(&|b| {
-                b.report(0, 1, 0, 11, 999);
-            }),
-        ),
-        (
-            "leave the frame",
-            started(&|b| {
-                b.record(9, 0, &[(3, &far)]);
-            }),
-        ),
-        (
-            "leave the frame",
-            started(&|b| {
-                b.record(11, 0, &[(7, &far)]);
-            }),
-        ),
-        (
-            "out of range",
-            started(&|b| {
-                b.record(9, 16, &[]);
-            }),
-        ),
-        (
-            "unknown list 7",
-            started(&|b| {
-                b.record(10, 0, &[(3, &[7, 0])]);
-            }),
-        ),
-        (
-            "unknown kind 9",
-            started(&|b| {
-                b.record(10, 0, &[(9, &[9])]);
-            }),
-        ),
-        (
-            "class 3",
-            started(&|b| {
-                b.record(4, 0, &[(14, &[3])]);
-            }),
-        ),
-        (
-            "tenant 2",
-            started(&|b| {
-                b.record(4, 0, &[(11, &[2])]);
-            }),
-        ),
-        ("unreadable settings", bad_settings.frame(1, 1)),
-        ("unreadable settings", bad_effect.frame(1, 1)),
-    ];
-    for (expected, input) in cases {
-        let output = run(&input);
-        let message = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(1), "{expected}: {message}");
-        assert!(message.contains(expected), "expected {expected:?} in {message:?}");
-        assert_eq!(message.lines().count(), 1, "{message}");
-        assert!(output.stdout.is_empty(), "{expected}: no reply half written");
-    }
+    assert_refused("unknown event code 77", &started(|batch| batch.record(77, 0, &[])));
+    assert_refused("unknown instance 5", &started(|batch| batch.request(5, 1, 9)));
+    assert_refused("unknown instance 5", &started(|batch| batch.record(7, 5, &[])));
+    assert_refused("unknown outcome 999", &started(|batch| batch.outcome(0, 1, 0, 11, 999)));
+    assert_refused("leave the frame", &started(|batch| batch.record(9, 0, &[(3, &far)])));
+    assert_refused("leave the frame", &started(|batch| batch.record(11, 0, &[(7, &far)])));
+    assert_refused("out of range", &started(|batch| batch.record(9, 16, &[])));
+    assert_refused("unknown list 7", &started(|batch| batch.record(10, 0, &[(3, &[7, 0])])));
+    assert_refused("unknown kind 9", &started(|batch| batch.record(10, 0, &[(9, &[9])])));
+    assert_refused("class 3", &started(|batch| batch.record(4, 0, &[(14, &[3])])));
+    assert_refused("tenant 2", &started(|batch| batch.record(4, 0, &[(11, &[2])])));
+}
+
+#[test]
+fn unreadable_settings_are_refused() {
+    assert_refused("unreadable settings", &with_settings("{\"classes\": 3}"));
+    assert_refused("unreadable settings", &with_settings("{\"classes\": [{\"effect\": \"maybe\"}]}"));
 }
