--- a/crates/stonevane-policy/src/action.rs
+++ b/crates/stonevane-policy/src/action.rs
@@ -1,4 +1,4 @@
-//! What the policy tells its node to do, and why.
+//! Actions: what the policy wants its node to do, and why.
 
 use crate::ids::{Micros, RequestId, ServerId};
 use crate::outcome::AttemptStatus;
--- a/crates/stonevane-policy/src/admission.rs
+++ b/crates/stonevane-policy/src/admission.rs
@@ -12,9 +12,9 @@
 use crate::statistics::{EventRate, FadingRatio};
 use crate::token_bucket::TokenBucket;
 
-/// Overload signal from which tenants are held to their quotas.
+/// Overload signal from which tenants are limited to their quotas.
 const OVERLOAD_SIGNAL: f64 = 0.06;
-/// Overload signal from which they are held below them.
+/// Overload signal from which they are limited to less.
 const SEVERE_OVERLOAD_SIGNAL: f64 = 0.55;
 /// Admission level at the start: the quotas themselves.
 const QUOTA_LEVEL: f64 = 1.0;
@@ -125,7 +125,7 @@
         if self.level >= QUOTA_LEVEL
             && let Some(bucket) = self.tenants.get_mut(tenant)
         {
-            bucket.put_back();
+            bucket.refund();
         }
     }
 
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -10,7 +10,8 @@
 
 use crate::hash::KeyHasher;
 use crate::ids::{Micros, RequestId, ServerId};
-use crate::servers::{Candidate, Server, ServerPool};
+use crate::server::Server;
+use crate::server_pool::{Candidate, ServerPool};
 use crate::settings::Settings;
 use crate::slow_start::{SlowStart, SlowStartRead};
 
@@ -24,7 +25,7 @@
 /// A node's part of this many attempts at one server is within the bound: a quiet node would scatter its
 /// keys.
 const LOAD_BOUND_FLOOR: f64 = 8.0;
-/// The floor is divided among this many nodes at least: all of it from one is a crowd.
+/// The floor is divided among this many nodes at least: one alone must not use all of it.
 const MIN_SHARING_NODES: u32 = 2;
 /// The floor of a server that is quicker than the others is at most this multiple.
 const MAX_FLOOR_MULTIPLE: f64 = 2.0;
@@ -32,7 +33,7 @@
 const FULL_QUEUE: f64 = 0.5;
 /// A reinstated server that none of its keys has come by for this long gets the next read.
 const REINSTATED_WAIT: Micros = 1_000_000;
-/// Servers at the head of a key's order that are kept from the first pass.
+/// Servers at the head of a key's order that the first pass collects.
 const HEAD: usize = 16;
 
 /// A server's place in a key's order: the smaller, the earlier; ties by id.
@@ -167,7 +168,8 @@
         let load_bound = self.load_bound();
         for place in places {
             let Some(server) = self.pool.get(place.server) else { continue };
-            // Without this a reinstated server that no key of its own comes by for long would teach nothing.
+            // Without this a reinstated server that no key of its own comes by for long would get none, and
+            // nothing could be learned of it.
             let awaited = server.reinstated_at != 0 && self.now >= server.reinstated_at + REINSTATED_WAIT;
             if read.tried.contains(&place.server)
                 || !self.slow_start.allows_read(&read.slow_start, server, awaited)
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -1,4 +1,4 @@
-//! What happens at a node, as it reports it to the policy.
+//! Events: what happens at a node.
 
 use crate::ids::{Key, Micros, RequestId, ServerId};
 use crate::outcome::{LoadReport, Outcome};
@@ -15,7 +15,7 @@
         /// Its lines.
         servers: Vec<ServerEntry>,
     },
-    /// A client's request arrived; one final answer is owed from now on.
+    /// A client's request arrived; one final answer is due from now on.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
@@ -26,7 +26,7 @@
         /// The attempt whose response began.
         attempt: u16,
     },
-    /// The client disconnected, or the request ended otherwise; nothing is owed any more.
+    /// The client disconnected, or the request ended otherwise; no answer is due any more.
     ClientDisconnected(RequestId),
     /// A timer set by [`Action::Timer`](crate::Action::Timer) is due.
     Timer(u32),
@@ -41,7 +41,7 @@
     /// This process's part of the node's quota of the origin and of servers in slow start: 1, except while
     /// another process of the same node has the rest.
     ProcessShare(f64),
-    /// The node is shutting down: what is owed is to be answered now.
+    /// The node is shutting down: pending requests are to be answered now.
     ShuttingDown,
     /// An operator excludes a cache server, or reinstates it. Repeats are not counted: excluded twice and
     /// reinstated once is reinstated.
--- a/crates/stonevane-policy/src/hedging.rs
+++ b/crates/stonevane-policy/src/hedging.rs
@@ -7,7 +7,7 @@
 use crate::ids::Micros;
 use crate::pending_request::PendingRequest;
 use crate::retry::RetryBudget;
-use crate::servers::{ANSWER_CREDIT, Server};
+use crate::server::{ANSWER_CREDIT, Server};
 use crate::settings::{Idempotency, Settings};
 
 /// Whether a request whose only attempt is slow may be hedged.
--- a/crates/stonevane-policy/src/origin_limits.rs
+++ b/crates/stonevane-policy/src/origin_limits.rs
@@ -12,7 +12,6 @@
 use crate::ids::Micros;
 use crate::log_message::{Change, LogMessage};
 use crate::outcome::{AttemptStatus, Outcome};
-use crate::outlier::MAX_EJECTION_OBJECTIVES;
 use crate::random::Random;
 use crate::statistics::FadingRatio;
 
@@ -43,6 +42,11 @@
 const NODES_PER_PACE_STEP: f64 = 32.0;
 /// The least multiple by which an answer changes the pace of fetches.
 const MIN_PACE_STEP: f64 = 2.0;
+/// The longest pause between paced fetches, as a multiple of the longest latency objective.
+const MAX_PAUSE_OBJECTIVES: Micros = 8;
+/// For this multiple of the longest latency objective an answer on a reused connection shows the origin's
+/// latency.
+const KNOWN_LATENCY_OBJECTIVES: Micros = 8;
 /// The pause between paced fetches is random, from this part of what the pace calls for.
 const MIN_PACE_JITTER: f64 = 0.5;
 /// An answer later than this part of the shortest latency objective is a sign of congestion.
@@ -215,7 +219,7 @@
     /// connections have shown the origin's own time lately.
     fn is_handshake(&self, took: Micros, context: OutcomeContext) -> bool {
         let known_until =
-            self.reused_connection_answer_at + MAX_EJECTION_OBJECTIVES * context.longest_objective;
+            self.reused_connection_answer_at + KNOWN_LATENCY_OBJECTIVES * context.longest_objective;
         let known = self.reused_connection_answer_at != 0 && context.now < known_until;
         known && took <= context.longest_objective
     }
@@ -229,7 +233,7 @@
         let pace = if slow { self.fetch_pace / step } else { self.fetch_pace * step };
         self.fetch_pace = pace.clamp(min_pace.min(1.0), 1.0);
         // However many nodes there are, each calls the origin now and then.
-        let longest_pause = (MAX_EJECTION_OBJECTIVES * context.longest_objective) as f64;
+        let longest_pause = (MAX_PAUSE_OBJECTIVES * context.longest_objective) as f64;
         let pause = (took as f64 * (1.0 / self.fetch_pace - 1.0)).min(longest_pause);
         self.next_fetch_at = context.now + (pause * (MIN_PACE_JITTER + jitter)) as Micros;
     }
--- a/crates/stonevane-policy/src/outlier.rs
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -14,7 +14,7 @@
 /// The first ejection time, as a multiple of the longest latency objective.
 const MIN_EJECTION_OBJECTIVES: u64 = 1;
 /// The longest ejection time, as a multiple of the longest latency objective.
-pub const MAX_EJECTION_OBJECTIVES: u64 = 8;
+const MAX_EJECTION_OBJECTIVES: u64 = 8;
 
 /// What outlier detection knows of one server.
 #[derive(Default)]
--- a/crates/stonevane-policy/src/pending_request.rs
+++ b/crates/stonevane-policy/src/pending_request.rs
@@ -1,9 +1,9 @@
-//! Requests that are owed a final answer.
+//! Requests that wait for their final answer.
 
 use crate::ids::{Key, Micros, ServerId};
 use crate::settings::{RequestClass, Settings};
 
-/// A request that is owed a final answer.
+/// A request that waits for its final answer.
 #[derive(Default)]
 pub struct PendingRequest {
     /// Its class as it was when it arrived.
@@ -24,7 +24,7 @@
     pub min_retry_after: Micros,
     /// When its latency objective is over.
     pub objective_at: Micros,
-    /// When its client's patience is over, less a margin.
+    /// When its client gives up, less a margin.
     pub deadline: Micros,
     /// Attempts sent so far.
     pub attempts: u16,
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -6,7 +6,7 @@
 use crate::admission::SIGN_OF_SLOWNESS;
 use crate::attempt::{Attempt, AttemptId, CallKind};
 use crate::hedging;
-use crate::ids::{Micros, RequestId, ServerId};
+use crate::ids::{Key, Micros, RequestId, ServerId};
 use crate::log_message::LogMessage;
 use crate::pending_request::PossibleRun;
 use crate::retry::{self, LOST_RESPONSE_MULTIPLE};
@@ -66,7 +66,7 @@
             && retry::may_send(pending, target, &self.servers, &self.settings, self.now)
     }
 
-    fn count_sent(&mut self, attempt: AttemptId, kind: CallKind, key: u64) {
+    fn count_sent(&mut self, attempt: AttemptId, kind: CallKind, key: Key) {
         if kind == CallKind::CacheRead {
             self.servers.count_cache_attempt();
             return;
@@ -88,6 +88,7 @@
             return;
         }
         let age = attempt.age(self.now);
+        // Timeouts come after one and after two times this.
         let next_timeout = attempt.slow_after + 1;
         let just_slow = age < next_timeout * 3 / 2;
         let late = age >= attempt.latency_objective;
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -24,6 +24,7 @@
 use crate::discovery_backoff::DiscoveryBackoff;
 use crate::event::Event;
 use crate::hash::{self, unit_hash};
+use crate::idle_connections;
 use crate::ids::{Micros, RequestId};
 use crate::key_history::KeyHistory;
 use crate::log_message::LogMessage;
@@ -32,7 +33,7 @@
 use crate::random::Random;
 use crate::retry::RetryBudget;
 use crate::server_entry::ListUpdate;
-use crate::servers::ServerPool;
+use crate::server_pool::ServerPool;
 use crate::settings::Settings;
 use crate::slow_start::SlowStart;
 use crate::startup::{StartupInputs, StartupLimit};
@@ -46,11 +47,8 @@
 const REVIEWS_PER_OBJECTIVE: Micros = 8;
 /// The least time between two reviews, however short an objective is.
 const MIN_REVIEW_PERIOD: Micros = 5_000;
-/// Idle connections are closed where one in a hundred nodes' price of keeping them, times the nodes, exceeds
-/// this many handshakes.
-const HANDSHAKES_PER_IDLE_CONNECTION: f64 = 100.0;
 
-/// The policy of one node: what it was notified of, what it has learned and what it owes.
+/// The policy of one node: its settings, what it has learned, and the requests that wait for an answer.
 pub struct Policy {
     settings: Settings,
     random: Random,
@@ -70,7 +68,7 @@
     /// This process's part of the node's quota.
     process_share: f64,
     shutting_down: bool,
-    /// Whether so many nodes share the servers that idle connections cost more than handshakes.
+    /// Whether idle connections to servers are closed.
     closes_idle_connections: bool,
     /// Makes draws by a request's number differ between nodes.
     node_salt: u64,
@@ -124,7 +122,7 @@
             discovery_backoff: DiscoveryBackoff::default(),
             process_share,
             shutting_down: false,
-            closes_idle_connections: idle_connections_cost_too_much(&settings),
+            closes_idle_connections: idle_connections::should_close(&settings),
             node_salt: unit_hash(seed, settings.node_index, hash::purpose::NODE_SALT).to_bits(),
             settings,
         }
@@ -147,7 +145,7 @@
             Event::ServerList { kind, servers } => self.on_server_list(kind, servers),
             Event::Request(request) => self.on_request(&request, actions),
             Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
-            // A streamed response belongs to the client from here on: nothing is owed, and no deadline runs.
+            // A streamed response belongs to the client from here on: no answer is due, and no deadline runs.
             Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
                 self.requests.remove(&request);
             }
@@ -197,12 +195,12 @@
             let position = |tenant| previous_positions.iter().position(|previous| *previous == Some(tenant));
             request.charged_tenant = request.charged_tenant.and_then(position);
         }
-        self.closes_idle_connections = idle_connections_cost_too_much(&settings);
+        self.closes_idle_connections = idle_connections::should_close(&settings);
         self.servers.apply_settings(&settings, self.now);
         self.settings = settings;
     }
 
-    /// Answers all that is owed.
+    /// Answers all pending requests; new ones are rejected.
     fn shut_down(&mut self, actions: &mut Vec<Action>) {
         self.shutting_down = true;
         let pending: Vec<RequestId> = self.requests.keys().copied().collect();
@@ -272,13 +270,6 @@
     }
 }
 
-/// Whether keeping a connection open costs more than opening it again: the price of the first grows with the
-/// number of nodes, that of the second does not.
-fn idle_connections_cost_too_much(settings: &Settings) -> bool {
-    f64::from(settings.nodes) * settings.connection_price
-        > HANDSHAKES_PER_IDLE_CONNECTION * settings.handshake_price
-}
-
 fn log(message: Option<LogMessage>, actions: &mut Vec<Action>) {
     actions.extend(message.map(Action::from));
 }
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -11,28 +11,26 @@
     /// Calls the origin for a request, joins a call in flight, or backs off where the limits are reached.
     pub(super) fn call_origin(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
-        let (is_write, key) = (pending.write, pending.key);
+        let available = !self.origin_limits.is_unavailable(self.now);
+        let kind = if pending.write {
+            CallKind::Write
+        } else if available && self.shared_fetches.can_join(pending.key) {
+            CallKind::JoinedFetch
+        } else {
+            CallKind::Fetch
+        };
         let server = match self.settings.origin_kind {
             Some(_) => self.servers.origin(),
             // Servers that fetch for themselves take writes too.
             None => self.choose_server(id),
         };
-        let available = !self.origin_limits.is_unavailable(self.now);
-        let kind = match is_write {
-            true => CallKind::Write,
-            false if available && self.shared_fetches.can_join(key) => CallKind::JoinedFetch,
-            false => CallKind::Fetch,
-        };
-        let allowed = |policy: &mut Policy| {
-            kind == CallKind::JoinedFetch || available && policy.acquire_origin_call(kind)
-        };
-        match server.filter(|_| allowed(self)) {
-            None => self.back_off(id, actions),
-            Some(server) => {
-                if !self.send(id, server, kind, actions) {
-                    self.finish(id, Reason::MayHaveRun, actions);
-                }
-            }
+        let Some(server) = server else { return self.back_off(id, actions) };
+        let allowed = kind == CallKind::JoinedFetch || available && self.acquire_origin_call(kind);
+        if !allowed {
+            return self.back_off(id, actions);
+        }
+        if !self.send(id, server, kind, actions) {
+            self.finish(id, Reason::MayHaveRun, actions);
         }
     }
 
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt teaches, and what becomes of its request.
+//! The end of an attempt: what is learned of its server, and what becomes of its request.
 
 use super::{Policy, log};
 use crate::action::{Action, Reason};
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What an outcome teaches of its server and of the load on all, or of the origin.
+    /// Takes an outcome into what is known of its server and of the load on all, or of the origin.
     fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
@@ -136,8 +136,8 @@
         let service_time = attempt.age(self.now) as f64 / (1.0 + server.requests_per_core());
         server.count_answer(self.now, attempt.latency_objective);
         if let Some(readmission) = server.outlier.record_answer() {
-            // A server that had refused connections and answers is a new process, of which the list may be
-            // late to tell.
+            // A server that had refused connections and answers is a new process, which the list may show
+            // late.
             if readmission.restarted {
                 server.presume_restarted(self.now);
             }
@@ -155,7 +155,7 @@
         let id = AttemptId { request: outcome.request, number: outcome.attempt };
         self.shared_fetches.end(id, attempt);
         if attempt.kind == CallKind::JoinedFetch {
-            return; // The call that it joined teaches it.
+            return; // The call that it joined has an outcome of its own.
         }
         let context = OutcomeContext {
             now: self.now,
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -133,8 +133,8 @@
         let harmless =
             pending.class.idempotency == Idempotency::Idempotent || pending.may_have_run.is_empty();
         if harmless {
-            // The backoff of a blocked call: told to wait longer, clients come back too late, and displace
-            // others. Nor may they come back before an unavailable origin may be called again.
+            // No longer than the backoff of a blocked call, or clients retry too late and displace others;
+            // but not before an unavailable origin may be called again.
             let needs_origin = pending.missed || pending.write;
             let unavailable_for = if needs_origin { self.origin_limits.unavailable_for(self.now) } else { 0 };
             let backoff = backoff(pending.class.latency_objective, &mut self.random);
--- a/crates/stonevane-policy/src/retry.rs
+++ b/crates/stonevane-policy/src/retry.rs
@@ -8,7 +8,8 @@
 use crate::ids::Micros;
 use crate::outcome::AttemptStatus;
 use crate::pending_request::PendingRequest;
-use crate::servers::{Server, ServerPool};
+use crate::server::Server;
+use crate::server_pool::ServerPool;
 use crate::settings::{Idempotency, Settings};
 
 /// Tokens that each request adds to the budget.
@@ -24,9 +25,10 @@
 /// A response is lost that takes this multiple of its server's response time, while later attempts were
 /// answered.
 pub const LOST_RESPONSE_MULTIPLE: f64 = 6.0;
-/// The last byte of a duplicate must arrive within the deduplication window: this part of it, and some ticks,
-/// are left for a new connection and the transfer.
+/// A duplicate is sent no later than this part of the deduplication window before its end: the last byte must
+/// arrive within it, on a new connection perhaps.
 const WINDOW_MARGIN_DIVISOR: Micros = 8;
+/// Ticks by which it is sent earlier still: the node may send late.
 const WINDOW_MARGIN_TICKS: Micros = 2;
 
 /// The budget of retries and hedged requests of one node.
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -12,7 +12,7 @@
 
 use crate::hash::{self, unit_hash};
 use crate::ids::{Key, Micros, RequestId};
-use crate::servers::Server;
+use crate::server::Server;
 use crate::settings::Settings;
 use crate::token_bucket::SpentTokens;
 
--- a/crates/stonevane-policy/src/statistics.rs
+++ b/crates/stonevane-policy/src/statistics.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Part of the counts that [`FadingRatio::fade`] keeps.
+/// Factor of [`FadingRatio::fade`] on the counts.
 const DECAY_FACTOR: f64 = 0.85;
 /// Up to this many counts none fade, so that some are left to judge by.
 const MIN_COUNT: f64 = 10.0;
@@ -60,9 +60,9 @@
 
     /// Reduces the weight of what was counted so far.
     pub fn fade(&mut self) {
-        let kept = if self.total > MIN_COUNT { DECAY_FACTOR } else { 1.0 };
-        self.cases *= kept;
-        self.total *= kept;
+        let factor = if self.total > MIN_COUNT { DECAY_FACTOR } else { 1.0 };
+        self.cases *= factor;
+        self.total *= factor;
         self.recent = 0.0;
     }
 }
--- a/crates/stonevane-policy/src/token_bucket.rs
+++ b/crates/stonevane-policy/src/token_bucket.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns a token.
-    pub fn put_back(&mut self) {
+    pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
 }
