--- a/crates/stonevane-capacity/src/roles/discovery.rs
+++ b/crates/stonevane-capacity/src/roles/discovery.rs
@@ -56,7 +56,7 @@
             let first = if all_fail { Input::ListFailed(0) } else { Input::Wake };
             self.cores[place].handle(from, first, &mut outputs);
             self.count(from, from, &mut outputs);
-            while let Some(next) = self.cores[place].next().filter(|next| *next < end) {
+            while let Some(next) = self.cores[place].next_timeout().filter(|next| *next < end) {
                 let now = next.max(from);
                 self.cores[place].handle(now, Input::Wake, &mut outputs);
                 self.count(from, now, &mut outputs);
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -8,7 +8,7 @@
 use oorandom::Rand64;
 use stonevane_codec::resp;
 use stonevane_config::operator;
-use stonevane_core::{ConnId, Core, DiscoveryRequest, EndpointList, Input, Output, Outputs, Setup};
+use stonevane_core::{ConnId, Core, CoreConfig, DiscoveryRequest, EndpointList, Input, Output, Outputs};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{Idempotency, Micros, RequestClass, Settings, Tenant};
 
@@ -60,20 +60,20 @@
 }
 
 /// What a core is told at its start.
-pub fn setup(deployment: Deployment, known: EndpointList, sockets: usize, seed: u64) -> Setup {
-    Setup {
+pub fn setup(deployment: Deployment, known: EndpointList, sockets: usize, seed: u64) -> CoreConfig {
+    CoreConfig {
         deployment,
         seed,
-        sockets,
+        max_sockets: sockets,
         memory_mb: 192,
-        known,
+        cached_list: known,
         discovery: SocketAddr::from(([127, 0, 0, 1], 3)),
         clients: operator::Clients::default(),
         servers: operator::Servers { rest: REST },
-        store: false,
-        copies: false,
-        others: 0,
-        replaced: false,
+        has_store: false,
+        notifies_caches: false,
+        other_sockets: 0,
+        can_be_replaced: false,
         excluded: Vec::new(),
         regions: None,
     }
@@ -121,7 +121,7 @@
 
 impl DrivenNode {
     /// A node with clients that are connected, before servers that answer with so many bytes.
-    pub fn new(setup: Setup, clients: usize, answer: usize, seed: u64) -> DrivenNode {
+    pub fn new(setup: CoreConfig, clients: usize, answer: usize, seed: u64) -> DrivenNode {
         let mut node = DrivenNode {
             core: Core::new(START, setup),
             now: START,
@@ -169,7 +169,7 @@
                     self.tally.opened += 1;
                     self.push(OPENS_AFTER, Step::Opened(id));
                 }
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     self.tally.attempts += 1;
                     flushed.push_back(id);
                     self.push(ANSWERS_AFTER, Step::Answered(id));
@@ -205,7 +205,7 @@
     fn read(&mut self, id: ConnId, mut from: usize) {
         let answer = std::mem::take(&mut self.answer);
         while from < answer.len() {
-            let room = self.core.reads(id).min(PIECE).min(answer.len() - from);
+            let room = self.core.read_budget(id).min(PIECE).min(answer.len() - from);
             if room == 0 {
                 self.unread.push((id, from));
                 break;
@@ -226,7 +226,7 @@
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let step = self.queue.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
-            let wake = self.core.next().unwrap_or(Micros::MAX).max(self.now);
+            let wake = self.core.next_timeout().unwrap_or(Micros::MAX).max(self.now);
             let next = step.min(wake);
             if next > end {
                 break;
--- a/crates/stonevane-codec/src/http.rs
+++ b/crates/stonevane-codec/src/http.rs
@@ -28,7 +28,7 @@
     /// The load report (`X-Backend-Load`).
     pub load: Option<String>,
     /// How a read went (`X-Lookup`).
-    pub note: Option<String>,
+    pub lookup: Option<String>,
 }
 
 /// Reads a head at the front of a buffer; `None` while it is not all there.
@@ -55,7 +55,7 @@
             "connection" => head.close |= value.eq_ignore_ascii_case("close"),
             "x-unprocessed" => head.unprocessed = value == "1",
             "x-backend-load" => head.load = Some(value.into()),
-            "x-lookup" => head.note = Some(value.into()),
+            "x-lookup" => head.lookup = Some(value.into()),
             _ => {}
         }
     }
@@ -174,22 +174,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn chunks_are_joined_however_they_are_cut() {
-        let whole = b"5\r\nhello\r\n1;x=y\r\n!\r\n0\r\n\r\n";
-        for step in 1..whole.len() {
-            let (mut chunks, mut from, mut to) = (Chunks::default(), BytesMut::new(), BytesMut::new());
-            let mut ended = false;
-            for part in whole.chunks(step) {
-                from.extend_from_slice(part);
-                ended = chunks.take(&mut from, &mut to).unwrap();
-            }
-            assert!(ended && &to[..] == b"hello!", "in steps of {step}: {to:?}");
-        }
-        let mut bad = BytesMut::from("zz\r\n");
-        assert_eq!(Chunks::default().take(&mut bad, &mut BytesMut::new()), Err(Malformed));
-    }
-}
+mod tests;
--- a/crates/stonevane-codec/src/resp.rs
+++ b/crates/stonevane-codec/src/resp.rs
@@ -15,7 +15,9 @@
 const MAX_LENGTH_LINE: usize = 24;
 /// The longest plain or error line of an answer.
 const MAX_LINE: usize = 4096;
-/// How deep arrays of an answer may be nested.
+/// Elements of a served reply: value, lookup result, load report.
+const SERVED_ITEMS: usize = 3;
+/// How deep arrays of a reply may be nested.
 const MAX_DEPTH: u8 = 3;
 
 /// Input that can't be understood: from here on its framing is lost.
@@ -64,31 +66,43 @@
     Ok(Some(value))
 }
 
-/// The length that an answer states for its value, once it has.
-pub fn stated(buffer: &[u8]) -> Option<usize> {
+/// The length that a reply states for its value, once it has.
+pub fn stated_length(buffer: &[u8]) -> Option<usize> {
     let mut scan = Scan { bytes: buffer, at: 0, longest: usize::MAX };
     scan.length(b'*', MAX_WORDS).ok()??;
     scan.length(b'$', usize::MAX).ok()??
 }
 
-/// Where an answer's value begins and how long it is stated to be, where the answer is an array of three that begins with
-/// a bulk string; `None` while that is not all there, or for any other answer.
-pub fn value_begins(buffer: &[u8]) -> Option<(usize, usize)> {
+/// Where a value stands in a buffer.
+#[derive(Debug, PartialEq, Eq, Clone, Copy)]
+pub struct ValueHead {
+    /// Where it starts.
+    pub start: usize,
+    /// Its stated length, in bytes.
+    pub length: usize,
+}
+
+/// The value of a served reply, an array of three that begins with a bulk string; `None` while its head is incomplete,
+/// and for any other reply.
+pub fn value_head(buffer: &[u8]) -> Option<ValueHead> {
     let mut scan = Scan { bytes: buffer, at: 0, longest: usize::MAX };
     let count = scan.length(b'*', MAX_WORDS).ok()???;
     let length = scan.length(b'$', usize::MAX).ok()???;
-    (count == 3).then_some((scan.at, length))
+    (count == SERVED_ITEMS).then_some(ValueHead { start: scan.at, length })
 }
 
-/// What stands behind the value in such an answer is whole, or can't be understood; its length where it is whole.
-pub fn value_ends(buffer: &[u8], longest: usize) -> Result<Option<usize>, Malformed> {
+/// The length of what follows the value in such a reply; `None` while that is incomplete.
+///
+/// # Errors
+/// [`Malformed`] where it is no such reply.
+pub fn reply_end(buffer: &[u8], longest: usize) -> Result<Option<usize>, Malformed> {
     let mut scan = Scan { bytes: buffer, at: 0, longest };
     match buffer.get(..2) {
         None => return Ok(None),
         Some(b"\r\n") => scan.at = 2,
         Some(_) => return Err(Malformed("bulk string not ended")),
     }
-    for _ in 0..2 {
+    for _ in 1..SERVED_ITEMS {
         if scan.bulk()?.is_none() {
             return Ok(None);
         }
@@ -223,51 +237,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_command_is_taken_only_when_its_last_byte_is_there() {
-        let whole = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
-        for cut in 0..whole.len() {
-            let mut part = BytesMut::from(&whole[..cut]);
-            assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
-            assert_eq!(part.len(), cut);
-        }
-        let mut twice = BytesMut::from(&[&whole[..], &whole[..]].concat()[..]);
-        for _ in 0..2 {
-            let words = take_command(&mut twice).unwrap().unwrap();
-            assert_eq!(words, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
-        }
-        assert!(twice.is_empty());
-    }
-
-    #[test]
-    fn what_is_malformed_or_too_long_is_told_at_once() {
-        for bad in [
-            "GET k\r\n",
-            "*17\r\n",
-            "*1\r\n$65537\r\n",
-            "*1\r\n$-1\r\n",
-            "*1\r\n$+3\r\nabc\r\n",
-            "*1\r\n$3\r\nabcde",
-            "*99999999999999999999999\r\n",
-            "*11111111111111111111111111111",
-            "*\r\n",
-        ] {
-            assert!(take_command(&mut BytesMut::from(bad)).is_err(), "{bad:?}");
-        }
-    }
-
-    #[test]
-    fn answers_are_read_and_deep_nesting_is_not() {
-        let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
-        let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
-        let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
-        assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(array)));
-        assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
-        assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Number(7))));
-        assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(None));
-        assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE).is_err());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/stonevane-codec/src/resp/tests.rs
@@ -0,0 +1,48 @@
+//! RESP2, both directions.
+
+use super::*;
+
+#[test]
+fn a_command_is_taken_only_when_its_last_byte_is_there() {
+    let whole = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
+    for cut in 0..whole.len() {
+        let mut part = BytesMut::from(&whole[..cut]);
+        assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
+        assert_eq!(part.len(), cut);
+    }
+    let mut twice = BytesMut::from(&[&whole[..], &whole[..]].concat()[..]);
+    for _ in 0..2 {
+        let words = take_command(&mut twice).unwrap().unwrap();
+        assert_eq!(words, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
+    }
+    assert!(twice.is_empty());
+}
+
+#[test]
+fn what_is_malformed_or_too_long_is_told_at_once() {
+    for bad in [
+        "GET k\r\n",
+        "*17\r\n",
+        "*1\r\n$65537\r\n",
+        "*1\r\n$-1\r\n",
+        "*1\r\n$+3\r\nabc\r\n",
+        "*1\r\n$3\r\nabcde",
+        "*99999999999999999999999\r\n",
+        "*11111111111111111111111111111",
+        "*\r\n",
+    ] {
+        assert!(take_command(&mut BytesMut::from(bad)).is_err(), "{bad:?}");
+    }
+}
+
+#[test]
+fn answers_are_read_and_deep_nesting_is_not() {
+    let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
+    let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
+    let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
+    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(array)));
+    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
+    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Number(7))));
+    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(None));
+    assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE).is_err());
+}
--- a/crates/stonevane-core/src/clients/mod.rs
+++ b/crates/stonevane-core/src/clients/mod.rs
@@ -1,7 +1,8 @@
-//! Clients' connections: the places they may take, and who gives one up when others want it.
+//! Client connections: the sessions, their time limits, and the order in which they are evicted from a full table.
 
 mod resp;
 mod session;
+mod slot;
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -12,98 +13,132 @@
 
 use crate::reply::ConnId;
 
-pub use resp::{Asked, read, word};
-pub use session::{Over, PIECE, Session, Slot, Stand};
+pub use resp::{ClientCommand, decode, encode};
+pub use session::{EvictionClass, READ_CHUNK, Session, SessionTimeout};
+pub use slot::{Slot, StreamedAnswer};
 
-/// Time limits on clients' connections, points in time which no dribbled byte moves.
+/// Time limits on client connections. Each ends at a fixed point in time, which bytes that trickle in do not move.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    pub first: Micros,
-    pub whole: Micros,
-    pub written: Micros,
-    pub spare: Micros,
+pub struct ClientTimeouts {
+    /// For the first complete command after the connection was accepted.
+    pub first_command: Micros,
+    /// For a complete command after its first byte.
+    pub command: Micros,
+    /// For writing an answer once its turn has come.
+    pub write: Micros,
+    /// How long a connection must have been idle before it may be evicted.
+    pub evictable_idle: Micros,
+    /// After which an idle connection is closed in any case.
     pub idle: Micros,
 }
 
-impl From<operator::Clients> for Limits {
-    fn from(told: operator::Clients) -> Limits {
+impl From<&operator::Clients> for ClientTimeouts {
+    fn from(configured: &operator::Clients) -> ClientTimeouts {
         let micros = |time: std::time::Duration| time.as_micros() as Micros;
-        Limits {
-            first: micros(told.first),
-            whole: micros(told.whole),
-            written: micros(told.written),
-            spare: micros(told.spare),
-            idle: micros(told.idle),
+        ClientTimeouts {
+            first_command: micros(configured.first),
+            command: micros(configured.whole),
+            write: micros(configured.written),
+            evictable_idle: micros(configured.spare),
+            idle: micros(configured.idle),
         }
     }
 }
 
-/// All of them.
-pub struct Clients {
+/// A connection that may be evicted from some time on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EvictionCandidate {
+    /// From when on it may be evicted.
+    pub at: Micros,
+    /// The connection.
+    pub client: ConnId,
+}
+
+/// All client connections.
+pub struct ClientTable {
     pub sessions: HashMap<ConnId, Session>,
-    pub limits: Limits,
-    /// Those that may have to give their place up, in the order of [`Stand`], the longest first.
-    standing: BTreeSet<(Stand, Micros, ConnId)>,
-    /// Ids of the requests that are open. Against a client that names another's: the second is not taken. Clients
-    /// choose them, so that the hash is the standard library's, which none can flood.
-    pub ids: HashSet<Bytes>,
+    pub timeouts: ClientTimeouts,
+    /// Evictable connections in the order of their class, the longest in it first.
+    evictable: BTreeSet<(EvictionClass, Micros, ConnId)>,
+    /// Ids of the pending requests; a second request of the same id is rejected. Clients choose them, so that the
+    /// hash is the standard library's, which resists collision attacks.
+    pub pending_ids: HashSet<Bytes>,
 }
 
-impl Clients {
-    /// None.
-    pub fn new(limits: Limits) -> Clients {
-        let (sessions, standing, ids) = (HashMap::new(), BTreeSet::new(), HashSet::new());
-        Clients { sessions, limits, standing, ids }
+impl ClientTable {
+    /// An empty table.
+    pub fn new(timeouts: ClientTimeouts) -> ClientTable {
+        ClientTable {
+            sessions: HashMap::new(),
+            timeouts,
+            evictable: BTreeSet::new(),
+            pending_ids: HashSet::new(),
+        }
+    }
+
+    /// How many client connections there are.
+    pub fn len(&self) -> usize {
+        self.sessions.len()
     }
 
-    /// Notes how a client stands, after anything has happened on its connection.
-    pub fn note(&mut self, id: ConnId) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let is = session.stands();
-        let was = std::mem::replace(&mut session.noted, is);
-        if was != is {
-            was.map(|(stand, since)| self.standing.remove(&(stand, since, id)));
-            is.map(|(stand, since)| self.standing.insert((stand, since, id)));
+    /// Updates a connection's place in the order of eviction, after anything has happened on it.
+    pub fn update_eviction_order(&mut self, client: ConnId) {
+        let Some(session) = self.sessions.get_mut(&client) else { return };
+        let current = session.eviction_class();
+        let previous = std::mem::replace(&mut session.listed_eviction_class, current);
+        if previous == current {
+            return;
+        }
+        if let Some((class, since)) = previous {
+            self.evictable.remove(&(class, since, client));
+        }
+        if let Some((class, since)) = current {
+            self.evictable.insert((class, since, client));
         }
     }
 
-    /// Takes a client out.
-    pub fn remove(&mut self, id: ConnId) -> Option<Session> {
-        let session = self.sessions.remove(&id)?;
-        session.noted.map(|(stand, since)| self.standing.remove(&(stand, since, id)));
+    /// Removes a connection.
+    pub fn remove(&mut self, client: ConnId) -> Option<Session> {
+        let session = self.sessions.remove(&client)?;
+        if let Some((class, since)) = session.listed_eviction_class {
+            self.evictable.remove(&(class, since, client));
+        }
         Some(session)
     }
 
-    /// Who gives its place up for a newcomer. `silent`: a connection may be silent for so long at first. One that is
-    /// owed an answer never does.
-    pub fn gives_way(&self, now: Micros, silent: Micros) -> Option<ConnId> {
-        self.ways(silent).find(|(at, _)| *at <= now).map(|(_, id)| id)
+    /// The connection to evict for a client that has connected. `connect_timeout`: how long a new connection may stay
+    /// silent. A connection with a pending answer is never evicted.
+    pub fn evictable_now(&self, now: Micros, connect_timeout: Micros) -> Option<ConnId> {
+        let mut candidates = self.eviction_candidates(connect_timeout);
+        candidates.find(|candidate| candidate.at <= now).map(|candidate| candidate.client)
     }
 
-    /// Who gives its place up, and when, for newcomers that nobody has seen yet: strictly in the order of [`Stand`], so
-    /// that one that has been served stays for as long as some have said nothing.
-    pub fn next_to_give_way(&self, silent: Micros) -> Option<(Micros, ConnId)> {
-        self.ways(silent).next()
+    /// The connection to evict for clients that have not been accepted yet: strictly in the order of
+    /// [`EvictionClass`], so that a served connection stays as long as there are silent ones.
+    pub fn next_eviction_candidate(&self, connect_timeout: Micros) -> Option<EvictionCandidate> {
+        self.eviction_candidates(connect_timeout).next()
     }
 
-    /// Of each way to stand the one that has stood so for longest, and from when on it may have to go.
-    fn ways(&self, silent: Micros) -> impl Iterator<Item = (Micros, ConnId)> {
-        let stands = [
-            (Stand::Closing, 0),
-            (Stand::Silent, silent),
-            (Stand::Idle, self.limits.spare),
-            (Stand::Midway, self.limits.whole / 2),
+    /// The longest member of each class, and from when on it may be evicted.
+    fn eviction_candidates(&self, connect_timeout: Micros) -> impl Iterator<Item = EvictionCandidate> {
+        let least_ages = [
+            (EvictionClass::HalfClosed, 0),
+            (EvictionClass::Silent, connect_timeout),
+            (EvictionClass::Idle, self.timeouts.evictable_idle),
+            (EvictionClass::PartialCommand, self.timeouts.command / 2),
         ];
-        stands.into_iter().filter_map(|(stand, least)| {
-            let mut first = self.standing.range((stand, 0, 0)..=(stand, Micros::MAX, ConnId::MAX));
-            first.next().map(|(_, since, id)| (since + least, *id))
+        least_ages.into_iter().filter_map(|(class, least_age)| {
+            let mut members = self.evictable.range((class, 0, 0)..=(class, Micros::MAX, ConnId::MAX));
+            let (_, since, client) = *members.next()?;
+            Some(EvictionCandidate { at: since + least_age, client })
         })
     }
 
-    /// Those that stand between requests, in the order of their ids.
-    pub fn between(&self) -> Vec<ConnId> {
-        let mut all: Vec<_> = self.sessions.iter().filter(|(_, s)| s.between()).map(|(id, _)| *id).collect();
-        all.sort_unstable();
-        all
+    /// Connections between requests, in the order of their ids.
+    pub fn between_requests(&self) -> Vec<ConnId> {
+        let idle = self.sessions.iter().filter(|(_, session)| session.is_between_requests());
+        let mut ids: Vec<_> = idle.map(|(id, _)| *id).collect();
+        ids.sort_unstable();
+        ids
     }
 }
--- a/crates/stonevane-core/src/clients/session.rs
+++ b/crates/stonevane-core/src/clients/session.rs
@@ -1,459 +1,467 @@
-//! One client's connection: commands are taken off what came, and answered in their order.
+//! One client connection: commands are taken from its input, and answered in their order.
 
 use std::collections::VecDeque;
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp::{self, Malformed};
-use stonevane_policy::{Micros, RequestId};
+use stonevane_policy::Micros;
 
-use super::Limits;
-use crate::memory::Share;
+use super::ClientTimeouts;
+use super::slot::{NextPiece, Slot, StreamedAnswer};
+use crate::memory::MemoryReservation;
 use crate::reply::ConnId;
-use crate::servers::PASSAGE;
-use crate::timers::Armed;
-
-/// Requests of one connection that are answered at the same time; more wait unread. The first figure holds
-/// until it is known how long the answers are: together they may hold the third, as a part of the memory.
-const PIPELINE: (usize, usize, usize) = (16, 64, 16);
-/// Input is read in pieces of this size; a command that is longer has to wait for memory.
-pub const PIECE: usize = 4096;
-/// Read at once, where there is memory for it.
-const LONG_PIECE: usize = 64 * 1024;
-/// Answers that are ready together are written together, up to this.
-const TOGETHER: usize = 64 * 1024;
-
-/// The place of one answer.
-#[derive(Debug)]
-pub enum Slot {
-    /// It is owed.
-    Owed {
-        /// The request.
-        request: RequestId,
-        /// Its id, as the client names it.
-        id: Bytes,
-    },
-    /// It waits for those before it.
-    Answered(Bytes, Option<Share>),
-    /// Its value is passed on as it comes.
-    Passing(Passage),
-}
-
-/// A value that is passed on as it comes.
-#[derive(Debug)]
-pub struct Passage {
-    /// Where it comes from.
-    pub conn: ConnId,
-    /// The id of its request, and where that is counted.
-    pub id: Bytes,
-    pub counted: usize,
-    /// What has come and is not being written yet.
-    parts: VecDeque<Bytes>,
-    /// What has come and is not written.
-    held: usize,
-    /// Whether any of it has been given out for writing.
-    begun: bool,
-    /// Nothing more comes.
-    done: bool,
-    /// It has broken off.
-    pub broken: bool,
-    _share: Option<Share>,
-}
-
-/// How a connection stands that may have to give its place up: the first of these goes first.
+use crate::timers::ConnectionTimer;
+
+/// Pending requests of one connection until the size of its answers is known; more wait unread.
+const INITIAL_PIPELINE: usize = 16;
+/// The most pending requests of one connection.
+const MAX_PIPELINE: usize = 64;
+/// All answers of one connection together take at most this part of the memory budget.
+const PIPELINE_MEMORY_DIVISOR: usize = 16;
+/// Input is read in chunks of this size, in bytes; a longer command waits for memory.
+pub const READ_CHUNK: usize = 4096;
+/// Chunk size for a command that has its memory, in bytes.
+const LONG_READ_CHUNK: usize = 64 * 1024;
+/// Answers that are ready are written together up to this size, in bytes.
+const MAX_COALESCED_WRITE: usize = 64 * 1024;
+
+/// Why a connection may be evicted; the first class goes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stand {
+pub enum EvictionClass {
     /// Its last answer is written.
-    Closing,
-    /// It has said nothing yet.
+    HalfClosed,
+    /// It has sent nothing yet.
     Silent,
     /// It has been served, and is between requests.
     Idle,
     /// It is in the middle of a command.
-    Midway,
+    PartialCommand,
+}
+
+/// Which limit of a connection has passed.
+pub enum SessionTimeout {
+    /// An answer could not be written.
+    Write,
+    /// No complete command arrived; an error is queued, and no more input is read.
+    Command,
+    /// It was idle for too long.
+    Idle,
 }
 
-/// A connection.
+/// Answers that are being written.
+struct PendingWrite {
+    deadline: Micros,
+    /// Given back when all is written.
+    _reservations: Vec<MemoryReservation>,
+}
+
+/// A client connection.
 pub struct Session {
     input: BytesMut,
     /// Memory for a long command.
-    long: Option<Share>,
-    waits: bool,
-    /// Answers that are being written: by when they must be, and what they hold.
-    writing: Option<(Micros, Vec<Share>)>,
+    command_memory: Option<MemoryReservation>,
+    /// Whether it is queued for that memory.
+    awaits_memory: bool,
+    pending_write: Option<PendingWrite>,
     /// Answers in the order of their commands.
     pub slots: VecDeque<Slot>,
     /// Number of the first slot.
-    pub first: u64,
-    /// No more is read: the framing of the input is lost, or a time limit has passed.
-    pub broken: bool,
-    /// It came when there were only places for refusals left.
-    pub late: bool,
-    /// Its longest answer so far.
-    longest: usize,
-    /// When the command that is awaited must be whole; `None` where none has begun.
-    whole_by: Option<Micros>,
-    /// Since when nothing is owed.
+    pub first_slot: u64,
+    /// No more input is read: its framing is lost, or a time limit has passed.
+    pub input_closed: bool,
+    /// It was accepted when only the places for rejections were left.
+    pub over_capacity: bool,
+    /// Size of its longest answer so far, in bytes.
+    longest_answer: usize,
+    /// When the awaited command must be complete; `None` where none has begun.
+    command_deadline: Option<Micros>,
+    /// When its last write ended.
     pub idle_since: Micros,
-    /// Its one entry among the timers.
-    pub armed: Armed,
-    /// It was asked whether it may be read, and may not.
-    pub paused: bool,
-    /// It is being closed: what it has still to bring decides.
-    pub parting: bool,
-    /// Its last answer is written.
-    pub lingers: bool,
-    /// When its last byte came.
-    heard: Micros,
-    /// How it is noted to stand, and since when.
-    pub noted: Option<(Stand, Micros)>,
-    /// There was no room for more requests when it was looked at last.
-    full: bool,
-    /// How much of what is being written is of a passage that goes on.
-    passed: usize,
-    /// Passages that are written to their end.
-    ended: Vec<Passage>,
+    pub timer: ConnectionTimer,
+    /// The driver was told not to read it.
+    pub reading_paused: bool,
+    /// It is being closed, unless input arrives first.
+    pub closing: bool,
+    /// Its last answer is written; what it still sends is discarded.
+    pub half_closed: bool,
+    last_input_at: Micros,
+    /// Its entry in the order of eviction: the class, and since when.
+    pub listed_eviction_class: Option<(EvictionClass, Micros)>,
+    /// Whether its pipeline was full when it was looked at last.
+    was_full: bool,
+    /// Bytes of the first slot's streamed answer within the pending write.
+    streamed_in_write: usize,
+    /// Streamed answers that are written to their end.
+    finished_streams: Vec<StreamedAnswer>,
 }
 
 impl Session {
-    /// One that was just taken.
-    pub fn new(now: Micros, limits: &Limits) -> Session {
+    /// A connection that was just accepted.
+    pub fn new(now: Micros, timeouts: &ClientTimeouts) -> Session {
         Session {
             input: BytesMut::new(),
-            long: None,
-            waits: false,
-            writing: None,
+            command_memory: None,
+            awaits_memory: false,
+            pending_write: None,
             slots: VecDeque::new(),
-            first: 0,
-            broken: false,
-            late: false,
-            longest: 0,
-            whole_by: Some(now + limits.first),
+            first_slot: 0,
+            input_closed: false,
+            over_capacity: false,
+            longest_answer: 0,
+            command_deadline: Some(now + timeouts.first_command),
             idle_since: now,
-            armed: Armed::default(),
-            paused: false,
-            parting: false,
-            lingers: false,
-            heard: now,
-            noted: None,
-            full: false,
-            passed: 0,
-            ended: Vec::new(),
+            timer: ConnectionTimer::default(),
+            reading_paused: false,
+            closing: false,
+            half_closed: false,
+            last_input_at: now,
+            listed_eviction_class: None,
+            was_full: false,
+            streamed_in_write: 0,
+            finished_streams: Vec::new(),
         }
     }
 
-    /// How many requests may be open at once. Against a client that takes no answers: it must not hold the
-    /// memory that others need.
-    fn pipeline(&self, memory: usize) -> usize {
-        match self.longest {
-            0 => PIPELINE.0,
-            longest => (memory / PIPELINE.2 / longest).clamp(1, PIPELINE.1),
+    /// How many requests may be pending at once: a client that takes no answers must not fill the memory budget.
+    fn max_pipeline(&self, memory: usize) -> usize {
+        match self.longest_answer {
+            0 => INITIAL_PIPELINE,
+            longest => (memory / PIPELINE_MEMORY_DIVISOR / longest).clamp(1, MAX_PIPELINE),
         }
     }
 
     /// Whether another request may be taken.
-    fn room(&self, memory: usize) -> bool {
-        !self.broken && !self.lingers && self.writing.is_none() && self.slots.len() < self.pipeline(memory)
+    fn accepts_request(&self, memory: usize) -> bool {
+        !self.input_closed
+            && !self.half_closed
+            && self.pending_write.is_none()
+            && self.slots.len() < self.max_pipeline(memory)
     }
 
     /// How many bytes may be read now.
-    pub fn reads(&self, memory: usize) -> usize {
-        match (self.room(memory), &self.long) {
-            (false, _) => 0,
-            (true, Some(_)) => LONG_PIECE,
-            // Against commands that together are longer than the memory: the long ones wait their turn, with
-            // the client's own buffers, and those that wait too long are turned away.
-            (true, None) if self.input.len() >= PIECE => 0,
-            (true, None) => PIECE,
+    pub fn read_budget(&self, memory: usize) -> usize {
+        if !self.accepts_request(memory) {
+            0
+        } else if self.command_memory.is_some() {
+            LONG_READ_CHUNK
+        } else if self.input.len() >= READ_CHUNK {
+            // A long command waits for memory in the client's own buffers.
+            0
+        } else {
+            READ_CHUNK
         }
     }
 
-    /// Whether it wants memory for a long command, and has not asked for it.
-    pub fn wants(&mut self, memory: usize) -> bool {
-        let wants = self.room(memory) && self.long.is_none() && self.input.len() >= PIECE && !self.waits;
-        self.waits |= wants;
-        wants
+    /// Whether it needs memory for a long command and is not queued for it yet; it counts as queued from then on.
+    pub fn must_queue_for_memory(&mut self, memory: usize) -> bool {
+        let must_queue = self.accepts_request(memory)
+            && self.command_memory.is_none()
+            && self.input.len() >= READ_CHUNK
+            && !self.awaits_memory;
+        self.awaits_memory |= must_queue;
+        must_queue
     }
 
-    /// It has the memory that it wanted; kept where a long command is still under way.
-    pub fn granted(&mut self, share: Share) {
-        self.waits = false;
-        if !self.input.is_empty() && !self.broken {
-            self.long = Some(share);
+    /// Takes the memory for a long command, if that is still incomplete.
+    pub fn on_memory_granted(&mut self, reservation: MemoryReservation) {
+        self.awaits_memory = false;
+        if !self.input.is_empty() && !self.input_closed {
+            self.command_memory = Some(reservation);
         }
     }
 
-    /// Takes bytes that came. The limit on a command runs from its first byte.
-    pub fn bytes(&mut self, now: Micros, bytes: &[u8], limits: &Limits) {
-        if self.input.is_empty() && self.whole_by.is_none() {
-            self.whole_by = Some(now + limits.whole);
+    /// Takes input. The time limit of a command runs from its first byte.
+    pub fn on_input(&mut self, now: Micros, bytes: &[u8], timeouts: &ClientTimeouts) {
+        if self.input.is_empty() && self.command_deadline.is_none() {
+            self.command_deadline = Some(now + timeouts.command);
         }
-        self.heard = now;
+        self.last_input_at = now;
         self.input.extend_from_slice(bytes);
     }
 
-    /// The next whole command, where there is room for it.
-    pub fn take(
+    /// Takes the next complete command, if another request is accepted.
+    pub fn next_command(
         &mut self,
         now: Micros,
-        limits: &Limits,
+        timeouts: &ClientTimeouts,
         memory: usize,
     ) -> Option<Result<Vec<Bytes>, Malformed>> {
-        let room = self.room(memory);
-        if std::mem::replace(&mut self.full, !room) && room && self.whole_by.is_some() {
-            // While nothing was read the rest of a command could not come.
-            self.whole_by = Some(now + limits.whole);
+        let accepts = self.accepts_request(memory);
+        let was_full = std::mem::replace(&mut self.was_full, !accepts);
+        if was_full && accepts && self.command_deadline.is_some() {
+            // The rest of a command could not arrive while nothing was read.
+            self.command_deadline = Some(now + timeouts.command);
         }
-        let taken = if room && !self.input.is_empty() {
+        let command = if accepts && !self.input.is_empty() {
             resp::take_command(&mut self.input).transpose()
         } else {
             None
         };
-        match &taken {
-            Some(Ok(_)) => self.whole_by = (!self.input.is_empty()).then(|| now + limits.whole),
-            Some(Err(_)) => self.broken = true,
+        match &command {
+            Some(Ok(_)) => {
+                self.command_deadline = (!self.input.is_empty()).then(|| now + timeouts.command);
+            }
+            Some(Err(_)) => self.input_closed = true,
             None => {}
         }
-        if self.input.is_empty() || self.broken {
-            // The room that a long command took is given back.
-            (self.input, self.long) = (BytesMut::new(), None);
+        if self.input.is_empty() || self.input_closed {
+            self.discard_input();
         }
-        taken
+        command
+    }
+
+    fn discard_input(&mut self) {
+        self.input = BytesMut::new();
+        self.command_memory = None;
     }
 
     /// Number of the next slot.
     pub fn next_slot(&self) -> u64 {
-        self.first + self.slots.len() as u64
+        self.first_slot + self.slots.len() as u64
     }
 
-    /// An answer that needs no request.
-    pub fn answer_now(&mut self, answer: impl Into<Bytes>) {
-        self.slots.push_back(Slot::Answered(answer.into(), None));
+    fn slot_index(&self, slot: u64) -> Option<usize> {
+        slot.checked_sub(self.first_slot).map(|index| index as usize)
     }
 
-    /// The answer of a slot; the id of its request, which is open no more.
-    pub fn answer(&mut self, slot: u64, bytes: Bytes, share: Option<Share>) -> Option<Bytes> {
-        let place = self.slots.get_mut(slot.checked_sub(self.first)? as usize)?;
-        if !matches!(place, Slot::Owed { .. }) {
-            return None;
-        }
-        self.longest = self.longest.max(bytes.len());
-        match std::mem::replace(place, Slot::Answered(bytes, share)) {
-            Slot::Owed { id, .. } => Some(id),
-            Slot::Answered(..) | Slot::Passing(_) => None,
-        }
+    /// Queues an answer that belongs to no pending request.
+    pub fn push_answer(&mut self, answer: impl Into<Bytes>) {
+        self.slots.push_back(Slot::Answered(answer.into(), None));
     }
 
-    fn passage(&mut self, slot: u64) -> Option<&mut Passage> {
-        match self.slots.get_mut(slot.checked_sub(self.first)? as usize)? {
-            Slot::Passing(passage) => Some(passage),
-            _ => None,
-        }
+    /// Answers the request of a slot; returns the request's id, which is no longer pending.
+    pub fn answer(
+        &mut self,
+        slot: u64,
+        bytes: Bytes,
+        reservation: Option<MemoryReservation>,
+    ) -> Option<Bytes> {
+        let index = self.slot_index(slot)?;
+        let entry = self.slots.get_mut(index)?;
+        let Slot::Pending { id, .. } = entry else { return None };
+        let id = std::mem::take(id);
+        self.longest_answer = self.longest_answer.max(bytes.len());
+        *entry = Slot::Answered(bytes, reservation);
+        Some(id)
     }
 
-    /// The answer of a slot comes in pieces, from a connection; `head` goes before the first.
-    pub fn begin(
+    /// Begins a streamed answer of a pending request; `false` where the slot's request is not pending.
+    pub fn begin_stream(
         &mut self,
         slot: u64,
         conn: ConnId,
-        counted: usize,
+        class_slot: usize,
         head: Bytes,
-        share: Option<Share>,
+        reservation: Option<MemoryReservation>,
     ) -> bool {
-        let place = slot.checked_sub(self.first).and_then(|at| self.slots.get_mut(at as usize));
-        let Some(place @ Slot::Owed { .. }) = place else { return false };
-        let passage = |id| Passage {
-            conn,
-            id,
-            counted,
-            held: head.len(),
-            parts: VecDeque::from([head]),
-            begun: false,
-            done: false,
-            broken: false,
-            _share: share,
+        let Some(entry) = self.slot_index(slot).and_then(|index| self.slots.get_mut(index)) else {
+            return false;
         };
-        if let Slot::Owed { id, .. } = place {
-            *place = Slot::Passing(passage(std::mem::take(id)));
-        }
+        let Slot::Pending { id, .. } = entry else { return false };
+        let id = std::mem::take(id);
+        *entry = Slot::Streaming(StreamedAnswer::new(conn, id, class_slot, head, reservation));
         true
     }
 
-    /// A piece has come; whether there is room for more.
-    pub fn pass(&mut self, slot: u64, piece: Bytes, end: bool) -> bool {
-        let Some(passage) = self.passage(slot) else { return false };
-        passage.held += piece.len();
-        if !piece.is_empty() {
-            passage.parts.push_back(piece);
+    fn stream_mut(&mut self, slot: u64) -> Option<&mut StreamedAnswer> {
+        let index = self.slot_index(slot)?;
+        match self.slots.get_mut(index)? {
+            Slot::Streaming(stream) => Some(stream),
+            Slot::Pending { .. } | Slot::Answered(..) => None,
         }
-        if end {
-            passage.parts.push_back(Bytes::from_static(b"\r\n"));
-            passage.done = true;
-        }
-        passage.held < PASSAGE / 2
     }
 
-    /// Whether there is room for a piece.
-    pub fn passes(&mut self, slot: u64) -> bool {
-        self.passage(slot).is_some_and(|passage| passage.held < PASSAGE / 2)
+    /// Adds a piece to a streamed answer; returns whether there is space for more.
+    pub fn push_piece(&mut self, slot: u64, piece: Bytes, last: bool) -> bool {
+        let Some(stream) = self.stream_mut(slot) else { return false };
+        stream.push(piece, last);
+        stream.has_space()
+    }
+
+    /// Whether a streamed answer has space for another piece.
+    pub fn has_stream_space(&mut self, slot: u64) -> bool {
+        self.stream_mut(slot).is_some_and(|stream| stream.has_space())
     }
 
-    /// The first answer's passage.
-    pub fn front(&self) -> Option<&Passage> {
+    /// The server connection of the first slot's streamed answer.
+    pub fn front_stream_connection(&self) -> Option<ConnId> {
         match self.slots.front() {
-            Some(Slot::Passing(passage)) => Some(passage),
+            Some(Slot::Streaming(stream)) => Some(stream.conn),
             _ => None,
         }
     }
 
-    /// No more comes of a passage that is not at its end: takes it back where its client has seen nothing of it.
-    pub fn take_back(&mut self, slot: u64, answer: Bytes) -> Option<Passage> {
-        let at = slot.checked_sub(self.first)? as usize;
-        match self.slots.get(at)? {
-            Slot::Passing(passage) if !passage.begun => {}
-            _ => return None,
+    /// Replaces a streamed answer of which the client has seen nothing.
+    pub fn replace_unstarted_stream(&mut self, slot: u64, answer: Bytes) -> Option<StreamedAnswer> {
+        let index = self.slot_index(slot)?;
+        let entry = self.slots.get_mut(index)?;
+        if !matches!(entry, Slot::Streaming(stream) if !stream.is_started()) {
+            return None;
         }
-        match std::mem::replace(self.slots.get_mut(at)?, Slot::Answered(answer, None)) {
-            Slot::Passing(passage) => Some(passage),
-            _ => None,
+        match std::mem::replace(entry, Slot::Answered(answer, None)) {
+            Slot::Streaming(stream) => Some(stream),
+            Slot::Pending { .. } | Slot::Answered(..) => None,
         }
     }
 
-    /// No more comes of a passage of which its client has seen a part.
-    pub fn breaks(&mut self, slot: u64) {
-        if let Some(passage) = self.passage(slot) {
-            passage.broken = true;
+    /// Marks a streamed answer as broken: the client has seen a part of it.
+    pub fn mark_stream_broken(&mut self, slot: u64) {
+        if let Some(stream) = self.stream_mut(slot) {
+            stream.broken = true;
         }
     }
 
-    /// Passages that have been written to their end since this was asked last.
-    pub fn take_ended(&mut self) -> Vec<Passage> {
-        std::mem::take(&mut self.ended)
+    /// Takes the streamed answers that have been written to their end since the last call.
+    pub fn take_finished_streams(&mut self) -> Vec<StreamedAnswer> {
+        std::mem::take(&mut self.finished_streams)
     }
 
-    /// What is to be written now: all answers whose turn has come.
-    pub fn ready(&mut self, now: Micros, limits: &Limits) -> Option<Bytes> {
-        if self.writing.is_some() || self.lingers {
+    /// Takes what is to be written now: all answers whose turn has come, up to a size.
+    pub fn poll_write(&mut self, now: Micros, timeouts: &ClientTimeouts) -> Option<Bytes> {
+        if self.pending_write.is_some() || self.half_closed {
             return None;
         }
-        let (mut whole, mut shares) = (Bytes::new(), Vec::new());
-        let mut together = BytesMut::new();
-        while whole.len().max(together.len()) < TOGETHER {
-            let bytes = match self.slots.front_mut() {
-                Some(Slot::Passing(passage)) => match passage.parts.pop_front() {
-                    Some(bytes) => {
-                        passage.begun = true;
-                        self.passed += bytes.len();
-                        bytes
-                    }
-                    None if passage.done => {
-                        if let Some(Slot::Passing(passage)) = self.slots.pop_front() {
-                            self.ended.push(passage);
-                        }
-                        (self.first, self.passed) = (self.first + 1, 0);
-                        continue;
+        let mut write = CoalescedWrite::default();
+        let mut reservations = Vec::new();
+        while write.len() < MAX_COALESCED_WRITE {
+            let Some(bytes) = self.next_output(&mut reservations) else { break };
+            write.push(bytes);
+        }
+        let bytes = write.finish()?;
+        let deadline = now + timeouts.write;
+        self.pending_write = Some(PendingWrite { deadline, _reservations: reservations });
+        Some(bytes)
+    }
+
+    /// The next bytes in the order of the slots; `None` while the first slot has none.
+    fn next_output(&mut self, reservations: &mut Vec<MemoryReservation>) -> Option<Bytes> {
+        loop {
+            match self.slots.front_mut()? {
+                Slot::Pending { .. } => return None,
+                Slot::Answered(bytes, reservation) => {
+                    let bytes = std::mem::take(bytes);
+                    reservations.extend(reservation.take());
+                    self.slots.pop_front();
+                    self.first_slot += 1;
+                    return Some(bytes);
+                }
+                Slot::Streaming(stream) => match stream.next_piece() {
+                    NextPiece::Piece(piece) => {
+                        self.streamed_in_write += piece.len();
+                        return Some(piece);
                     }
-                    None => break,
+                    NextPiece::Awaited => return None,
+                    NextPiece::End => self.finish_front_stream(),
                 },
-                Some(Slot::Answered(..)) => {
-                    let Some(Slot::Answered(bytes, share)) = self.slots.pop_front() else { break };
-                    self.first += 1;
-                    shares.extend(share);
-                    bytes
-                }
-                _ => break,
-            };
-            // One that goes alone is not copied.
-            match (whole.is_empty(), together.is_empty()) {
-                (true, true) => whole = bytes,
-                (false, _) => {
-                    together.extend_from_slice(&std::mem::take(&mut whole));
-                    together.extend_from_slice(&bytes);
-                }
-                (true, false) => together.extend_from_slice(&bytes),
             }
         }
-        if !together.is_empty() {
-            whole = together.freeze();
-        }
-        if whole.is_empty() {
-            return None;
+    }
+
+    fn finish_front_stream(&mut self) {
+        if let Some(Slot::Streaming(stream)) = self.slots.pop_front() {
+            self.finished_streams.push(stream);
         }
-        self.writing = Some((now + limits.written, shares));
-        Some(whole)
+        self.first_slot += 1;
+        self.streamed_in_write = 0;
     }
 
-    /// What was being written is written.
-    pub fn flushed(&mut self, now: Micros) {
-        (self.writing, self.idle_since) = (None, now);
-        let passed = std::mem::take(&mut self.passed);
-        if let Some(Slot::Passing(passage)) = self.slots.front_mut() {
-            passage.held -= passed.min(passage.held);
+    /// The pending write is complete.
+    pub fn on_write_complete(&mut self, now: Micros) {
+        self.pending_write = None;
+        self.idle_since = now;
+        let written = std::mem::take(&mut self.streamed_in_write);
+        if let Some(Slot::Streaming(stream)) = self.slots.front_mut() {
+            stream.on_written(written);
         }
     }
 
-    /// Whether anything is owed.
-    pub fn owes(&self) -> bool {
-        !self.slots.is_empty() || self.writing.is_some()
+    /// Whether an answer is pending or being written.
+    pub fn has_pending_answers(&self) -> bool {
+        !self.slots.is_empty() || self.pending_write.is_some()
     }
 
-    /// Whether what is being written is the last that it is owed.
-    pub fn owes_no_more(&self) -> bool {
+    /// Whether nothing is pending behind the current write.
+    pub fn is_last_write(&self) -> bool {
         self.slots.is_empty() && self.input.is_empty()
     }
 
-    /// Whether it stands between requests.
-    pub fn between(&self) -> bool {
-        !self.owes() && self.input.is_empty() && !self.broken && !self.lingers
+    /// Whether it is between requests.
+    pub fn is_between_requests(&self) -> bool {
+        !self.has_pending_answers() && self.input.is_empty() && !self.input_closed && !self.half_closed
     }
 
-    /// Whether it has been served, and stands idle: its place may be given to others after a time.
-    pub fn idle(&self) -> bool {
-        self.first > 0 && self.between()
+    /// Whether any of its requests has been answered.
+    pub fn has_been_served(&self) -> bool {
+        self.first_slot > 0
     }
 
-    /// How it stands, and since when, where it may have to give its place up.
-    pub fn stands(&self) -> Option<(Stand, Micros)> {
-        match () {
-            () if self.parting => None,
-            () if self.lingers => Some((Stand::Closing, self.idle_since)),
-            () if self.owes() || self.broken => None,
-            () if !self.input.is_empty() => Some((Stand::Midway, self.heard)),
-            () if self.first == 0 => Some((Stand::Silent, self.idle_since)),
-            () => Some((Stand::Idle, self.idle_since)),
+    /// Its class of eviction and since when it is in it; `None` where it may not be evicted.
+    pub fn eviction_class(&self) -> Option<(EvictionClass, Micros)> {
+        if self.closing {
+            None
+        } else if self.half_closed {
+            Some((EvictionClass::HalfClosed, self.idle_since))
+        } else if self.has_pending_answers() || self.input_closed {
+            None
+        } else if !self.input.is_empty() {
+            Some((EvictionClass::PartialCommand, self.last_input_at))
+        } else if self.has_been_served() {
+            Some((EvictionClass::Idle, self.idle_since))
+        } else {
+            Some((EvictionClass::Silent, self.idle_since))
         }
     }
 
-    /// Its earliest limit.
-    pub fn limit(&self, memory: usize, limits: &Limits) -> Option<Micros> {
-        let whole = self.whole_by.filter(|_| self.room(memory));
-        let written = self.writing.as_ref().map(|(by, _)| *by);
-        let idle = self.idle().then_some(self.idle_since + limits.idle);
-        [whole, written, idle].into_iter().flatten().min()
+    /// Its earliest time limit.
+    pub fn next_timeout(&self, memory: usize, timeouts: &ClientTimeouts) -> Option<Micros> {
+        let command = self.command_deadline.filter(|_| self.accepts_request(memory));
+        let write = self.pending_write.as_ref().map(|write| write.deadline);
+        let is_idle = self.has_been_served() && self.is_between_requests();
+        let idle = is_idle.then_some(self.idle_since + timeouts.idle);
+        [command, write, idle].into_iter().flatten().min()
     }
 
-    /// Its limit has passed: what that means.
-    pub fn over(&mut self, now: Micros, memory: usize) -> Over {
-        if self.writing.as_ref().is_some_and(|(by, _)| *by <= now) {
-            return Over::Gone;
+    /// Its earliest time limit has passed.
+    pub fn on_timeout(&mut self, now: Micros, memory: usize) -> SessionTimeout {
+        if self.pending_write.as_ref().is_some_and(|write| write.deadline <= now) {
+            return SessionTimeout::Write;
         }
-        if self.room(memory) && self.whole_by.is_some_and(|by| by <= now) {
-            // Against clients that say nothing or leave a command half said: they hold a place that
-            // others want. What was whole before is still answered.
-            self.broken = true;
-            (self.input, self.long) = (BytesMut::new(), None);
-            self.answer_now("-ERR no whole command in time\r\n");
-            return Over::Broken;
+        if self.accepts_request(memory) && self.command_deadline.is_some_and(|by| by <= now) {
+            // Earlier complete commands are still answered.
+            self.input_closed = true;
+            self.discard_input();
+            self.push_answer("-ERR no whole command in time\r\n");
+            return SessionTimeout::Command;
         }
-        Over::Idle
+        SessionTimeout::Idle
     }
 }
 
-/// What a limit that has passed means.
-pub enum Over {
-    /// It takes nothing.
-    Gone,
-    /// Its input is read no more.
-    Broken,
-    /// It has stood idle for long.
-    Idle,
+/// Answers joined into one write. A single one is not copied.
+#[derive(Default)]
+struct CoalescedWrite {
+    single: Bytes,
+    joined: BytesMut,
+}
+
+impl CoalescedWrite {
+    fn len(&self) -> usize {
+        self.single.len().max(self.joined.len())
+    }
+
+    fn push(&mut self, bytes: Bytes) {
+        if self.single.is_empty() && self.joined.is_empty() {
+            self.single = bytes;
+            return;
+        }
+        if !self.single.is_empty() {
+            self.joined.extend_from_slice(&std::mem::take(&mut self.single));
+        }
+        self.joined.extend_from_slice(&bytes);
+    }
+
+    fn finish(self) -> Option<Bytes> {
+        let bytes = if self.joined.is_empty() { self.single } else { self.joined.freeze() };
+        (!bytes.is_empty()).then_some(bytes)
+    }
 }
--- a/crates/stonevane-core/src/discovery_timeouts.rs
+++ b/crates/stonevane-core/src/discovery_timeouts.rs
@@ -1,78 +1,59 @@
-//! How long discovery is waited for, and how calls to it end. No clock, no sockets: the driver waits.
+//! Timeouts of calls to discovery, and how calls end. The driver keeps the clock.
 
 use stonevane_policy::{Micros, Settings};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A watch brings a line every so often, an empty one while nothing changes (protocol).
-const BEAT: Micros = 2_000_000;
-/// Discovery that is one service for all nodes: a connection to it, and how much later than the beat a line may come.
-const SHARED: (Micros, Micros) = (1_000_000, 500_000);
-/// It works calls off in turn, a call of each node in about the time within which it is to be asked: its answer
-/// is waited for that long, within these bounds.
-const TURN: (Micros, Micros) = (1_000_000, 4_000_000);
-/// An agent on this machine answers at once: it is waited for half of the drain's grace, and called again after an
-/// eighth. Both together, with the answer behind them, must be over within the grace, since what the agent has counts
-/// as told whether or not a call is out: it may have been silent when the last one began.
-const AGENT: (Micros, Micros) = (2, 8);
-/// Bounds on these two: no busy loop, and a long grace is no reason to dawdle.
-const AGENT_LEAST: Micros = 10_000;
-const AGENT_MOST: (Micros, Micros) = (1_000_000, 100_000);
-
-/// Nodes that start together must not all call at once: discovery that all share works calls off in turn, and gives up
-/// those that wait for too long. The first call of a process that knows a list comes within this part of the time within
-/// which discovery is to be asked, and no later than this: what discovery has to tell counts as told six seconds later, and
-/// the call must still get its turn.
-const START: (Micros, Micros) = (4, 2_500_000);
-
-/// A process that stood still must find out before the shortest grace is over: something is due at this part of it, and
-/// what is found late by the other tells. Within bounds: a busy machine is often late by a little, and a long grace is no
-/// reason to look seldom.
-const STANDSTILL: (Micros, Micros) = (2, 4);
-const STANDSTILL_DUE: (Micros, Micros) = (50_000, 250_000);
-const STANDSTILL_LATE: (Micros, Micros) = (20_000, 100_000);
-
-/// How a process that stood still finds out.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PauseDetection {
-    /// The longest time in which nothing is due; idle connections are looked through as often.
-    pub due: Micros,
-    /// What is found due so late tells of it.
-    pub late: Micros,
-}
-
-impl PauseDetection {
-    /// What settings ask for.
-    pub fn of(settings: &Settings) -> PauseDetection {
-        let part = |of: Micros, (least, most)| (settings.drain_grace / of).clamp(least, most);
-        PauseDetection { due: part(STANDSTILL.0, STANDSTILL_DUE), late: part(STANDSTILL.1, STANDSTILL_LATE) }
-    }
-}
-
-/// How long a process that knows a list waits before its first call to a discovery that all nodes share: drawn with the
-/// seed of its random numbers, so that processes that start together do not call together. A node that is the only one
-/// calls at once.
-pub fn before_first_call(settings: &Settings, seed: u64) -> Micros {
+/// A watch brings a line at least this often, an empty one while nothing changes (protocol).
+const WATCH_HEARTBEAT: Micros = 2_000_000;
+
+/// Discovery as a service that all nodes share: timeout of a connect.
+const SHARED_CONNECT: Micros = 1_000_000;
+/// How much later than the heartbeat a shared service's line may come.
+const SHARED_HEARTBEAT_SLACK: Micros = 500_000;
+/// A shared service answers calls in turn, one of each node in about the limit of the list's staleness: an answer is
+/// awaited for that limit, within these bounds.
+const MIN_SHARED_ANSWER: Micros = 1_000_000;
+const MAX_SHARED_ANSWER: Micros = 4_000_000;
+
+/// An agent on this machine answers at once: it is awaited for this part of the drain grace. With the reconnect delay
+/// it is over within the grace, since a drain counts as notified whether or not a call is open.
+const AGENT_ANSWER_DIVISOR: Micros = 2;
+/// The delay before the agent is called again, as a part of the drain grace.
+const AGENT_RECONNECT_DIVISOR: Micros = 8;
+/// Least of both: no busy loop.
+const MIN_AGENT_WAIT: Micros = 10_000;
+const MAX_AGENT_ANSWER: Micros = 1_000_000;
+const MAX_AGENT_RECONNECT: Micros = 100_000;
+
+/// First calls of processes that start together are spread over this part of the limit of the list's staleness.
+const FIRST_CALL_DIVISOR: Micros = 4;
+/// The latest first call: what discovery has to say counts as notified six seconds later, and the call needs its turn.
+const MAX_FIRST_CALL_DELAY: Micros = 2_500_000;
+
+/// The delay before the first call of a process that has a cached list, to a discovery that all nodes share: drawn with
+/// the seed, so that processes that start together do not call together. The only node of a deployment calls at once.
+pub fn first_call_delay(settings: &Settings, seed: u64) -> Micros {
     let nodes = Micros::from(settings.nodes.max(1));
-    let longest = (settings.list_staleness_limit / START.0).min(START.1) / nodes * (nodes - 1);
+    let window = (settings.list_staleness_limit / FIRST_CALL_DIVISOR).min(MAX_FIRST_CALL_DELAY);
+    let longest = window / nodes * (nodes - 1);
     let drawn = xxh3_64(&seed.to_le_bytes());
     ((u128::from(drawn) * u128::from(longest)) >> 64) as Micros
 }
 
-/// The waits for one kind of discovery.
+/// Timeouts of calls to one discovery service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryTimeouts {
-    /// For a connection to it.
+    /// For its connection.
     pub connect: Micros,
     /// For the beginning of its answer.
     pub answer: Micros,
-    /// For the next line of a watch. What a silent one misses counts as told six seconds after it fell silent, whether
-    /// or not it came.
+    /// For the next line of a watch. What a silent watch misses counts as notified six seconds after it fell silent.
     pub silence: Micros,
-    /// Before a watch on pushed lists is opened again.
+    /// The delay before a watch on pushed lists is opened again.
     pub reconnect_delay: Micros,
 }
 
-/// What a call to discovery waits for at a time.
+/// What a call to discovery waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Awaited {
     /// Its connection.
@@ -86,7 +67,7 @@
 /// How a call to discovery ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It was refused, reset, turned away or spoilt, did not come up, or ended by itself.
+    /// It could not connect, was refused, reset or malformed, or ended by itself.
     Broken,
     /// It was not answered in time.
     Unanswered,
@@ -98,7 +79,7 @@
 }
 
 impl DiscoveryTimeouts {
-    /// How long nothing may come before the call is given up.
+    /// How long a call may bring nothing before it is given up.
     pub fn limit(&self, awaited: Awaited) -> Micros {
         match awaited {
             Awaited::Connection => self.connect,
@@ -107,59 +88,31 @@
         }
     }
 
-    /// The waits that settings ask for.
+    /// The timeouts for some settings.
     pub fn of(settings: &Settings) -> DiscoveryTimeouts {
         if settings.poll_discovery {
-            let (connect, late) = SHARED;
-            let answer = settings.list_staleness_limit.clamp(TURN.0, TURN.1);
-            return DiscoveryTimeouts { connect, answer, silence: BEAT + late, reconnect_delay: 0 };
+            DiscoveryTimeouts::of_shared_service(settings)
+        } else {
+            DiscoveryTimeouts::of_agent(settings)
         }
-        let part = |of: Micros, most: Micros| (settings.drain_grace / of).clamp(AGENT_LEAST, most);
-        let (answer, again) = (part(AGENT.0, AGENT_MOST.0), part(AGENT.1, AGENT_MOST.1));
-        DiscoveryTimeouts { connect: answer, answer, silence: BEAT + answer, reconnect_delay: again }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// What a silent watch misses counts as told so long after it fell silent (protocol).
-    const TOLD: Micros = 6_000_000;
-
-    #[test]
-    fn an_agent_is_heard_again_within_the_grace_however_short_and_a_silent_watch_before_it_counts() {
-        for drain_grace in [0, 50_000, 100_000, 500_000, 1_000_000, 10_000_000] {
-            let settings = Settings { poll_discovery: false, drain_grace, ..Settings::default() };
-            let waits = DiscoveryTimeouts::of(&settings);
-            // The slack of all limits on sockets comes on top.
-            let slack = 50_000;
-            assert!(
-                waits.answer + waits.reconnect_delay <= drain_grace + slack,
-                "{waits:?} at a grace of {drain_grace}"
-            );
-            assert!(waits.reconnect_delay > 0, "no busy loop");
-            assert!(waits.silence > BEAT && waits.silence + waits.answer + waits.reconnect_delay < TOLD);
+    fn of_shared_service(settings: &Settings) -> DiscoveryTimeouts {
+        DiscoveryTimeouts {
+            connect: SHARED_CONNECT,
+            answer: settings.list_staleness_limit.clamp(MIN_SHARED_ANSWER, MAX_SHARED_ANSWER),
+            silence: WATCH_HEARTBEAT + SHARED_HEARTBEAT_SLACK,
+            reconnect_delay: 0,
         }
     }
 
-    #[test]
-    fn a_standstill_of_a_grace_is_noticed_however_short_that_is() {
-        for drain_grace in [50_000, 100_000, 250_000, 500_000, 1_000_000, 10_000_000] {
-            let stands = PauseDetection::of(&Settings { drain_grace, ..Settings::default() });
-            // With the slack of all limits on sockets.
-            assert!(stands.due + stands.late <= drain_grace + 50_000, "{stands:?} at {drain_grace}");
-        }
-    }
-
-    #[test]
-    fn discovery_that_all_share_gets_its_turn_and_a_silent_watch_leaves_time_to_ask_anew() {
-        for ask_within in [1, 1_000_000, 6_500_000, 86_400_000_000] {
-            let settings =
-                Settings { poll_discovery: true, list_staleness_limit: ask_within, ..Settings::default() };
-            let waits = DiscoveryTimeouts::of(&settings);
-            assert!((TURN.0..=TURN.1).contains(&waits.answer));
-            assert!(waits.silence > BEAT && waits.silence + waits.connect < TOLD);
-        }
+    fn of_agent(settings: &Settings) -> DiscoveryTimeouts {
+        let grace = settings.drain_grace;
+        let answer = (grace / AGENT_ANSWER_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_ANSWER);
+        let reconnect_delay = (grace / AGENT_RECONNECT_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_RECONNECT);
+        DiscoveryTimeouts { connect: answer, answer, silence: WATCH_HEARTBEAT + answer, reconnect_delay }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/stonevane-core/src/discovery_timeouts/tests.rs
@@ -0,0 +1,35 @@
+//! Timeouts of calls to discovery.
+
+use super::*;
+
+/// What a silent watch misses counts as notified so long after it fell silent (protocol).
+const NOTIFIED: Micros = 6_000_000;
+
+#[test]
+fn an_agent_is_heard_again_within_the_grace_however_short_and_a_silent_watch_before_it_counts() {
+    for drain_grace in [0, 50_000, 100_000, 500_000, 1_000_000, 10_000_000] {
+        let settings = Settings { poll_discovery: false, drain_grace, ..Settings::default() };
+        let timeouts = DiscoveryTimeouts::of(&settings);
+        // The slack of all limits on sockets comes on top.
+        let slack = 50_000;
+        assert!(
+            timeouts.answer + timeouts.reconnect_delay <= drain_grace + slack,
+            "{timeouts:?} at a grace of {drain_grace}"
+        );
+        assert!(timeouts.reconnect_delay > 0, "no busy loop");
+        assert!(
+            timeouts.silence > WATCH_HEARTBEAT
+                && timeouts.silence + timeouts.answer + timeouts.reconnect_delay < NOTIFIED
+        );
+    }
+}
+
+#[test]
+fn discovery_that_all_share_gets_its_turn_and_a_silent_watch_leaves_time_to_ask_anew() {
+    for list_staleness_limit in [1, 1_000_000, 6_500_000, 86_400_000_000] {
+        let settings = Settings { poll_discovery: true, list_staleness_limit, ..Settings::default() };
+        let timeouts = DiscoveryTimeouts::of(&settings);
+        assert!((MIN_SHARED_ANSWER..=MAX_SHARED_ANSWER).contains(&timeouts.answer));
+        assert!(timeouts.silence > WATCH_HEARTBEAT && timeouts.silence + timeouts.connect < NOTIFIED);
+    }
+}
--- a/crates/stonevane-core/src/io.rs
+++ b/crates/stonevane-core/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the core and what comes out of it.
+//! Inputs and outputs of the core.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,150 +13,160 @@
 use crate::reply::{ConnId, Reply};
 use crate::request::Command;
 
-/// Something that has happened.
+/// An event that the core handles.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A client has connected; the connection has an id of [`crate::Core::next_id`].
+    /// A client has connected; the connection's id is of [`crate::Core::next_connection_id`].
     Accepted(ConnId),
-    /// A connection that was to be opened is up.
+    /// A connection is open, as [`Output::Open`] wanted it.
     Opened(ConnId),
-    /// Bytes came on a connection, no more than [`crate::Core::reads`] had said.
+    /// Bytes arrived on a connection, at most [`crate::Core::read_budget`] of them.
     Bytes(ConnId, &'a [u8]),
-    /// All of the last [`Output::Write`] has been handed to the machine.
+    /// All of the last [`Output::Write`] or [`Output::WriteRequest`] has been handed to the operating system.
     Flushed(ConnId),
-    /// The last answer is written and the end is behind it; [`Input::Ended`] follows.
+    /// The last answer and the end of the stream are written; [`Input::Closed`] follows.
     WriteClosed(ConnId),
-    /// A connection has ended, at either side, or could not be opened: it exists no more.
+    /// A connection was closed by the peer, broke, or could not be opened.
     Closed(ConnId),
-    /// A call that is no stream has its answer.
+    /// An [`Output::CallStore`] has its reply.
     CallReplied(ConnId, Reply),
-    /// Discovery has sent a list or a change.
+    /// Discovery has sent a full list or a delta.
     List(DiscoveryEpoch, EndpointList),
-    /// A call to discovery failed, or the watch broke; nothing is known of a silence before it.
+    /// A call to discovery failed, or the watch broke, without a known silence before it.
     ListFailed(DiscoveryEpoch),
-    /// A call to discovery failed or the watch broke, behind a silence that had lasted for so long; whether it was given
-    /// up for that silence and had brought a line before.
-    ListTimedOut(DiscoveryEpoch, Micros, bool),
-    /// The store in the origin's place has stopped: no call to it is any use for so long; 0: it answers again.
+    /// A call to discovery failed, or the watch broke, after a silence.
+    ListTimedOut {
+        /// The discovery service that was called.
+        epoch: DiscoveryEpoch,
+        /// How long the silence had lasted.
+        silent_for: Micros,
+        /// Whether the call was given up for that silence, and had brought a line before.
+        was_established: bool,
+    },
+    /// The store of record has failed: no call to it is of use for so long; 0: it answers again.
     OriginUnavailable(Micros),
-    /// Discovery is elsewhere from now on.
+    /// Discovery has another address from now on.
     DiscoveryMoved(SocketAddr),
-    /// Other settings hold from now on.
+    /// The settings have changed.
     Settings(Box<Deployment>),
-    /// A file that was to bring other settings can't be used.
+    /// A settings file could not be applied.
     ReloadFailed,
-    /// A person takes the cache server of a name out, or puts it back.
+    /// An operator excludes the cache server of a name (`true`), or puts it back.
     Exclude(String, bool),
-    /// So many nodes surely share the fleet's limits, whatever the settings say of their number. More make this one
-    /// more careful; fewer than the settings have make it no bolder.
+    /// So many nodes share the deployment's limits, as gossip has it. The settings' number counts where it is larger.
     NodeCount(u32),
-    /// What this process of the node may take, while another stands beside it or has ended.
+    /// This process's part of the node's capacity, which it shares with other processes of the same node.
     Handover(CapacityGrant),
-    /// The platform asks the node to end.
+    /// The platform has sent SIGTERM.
     Terminate,
-    /// Nothing has happened but time.
+    /// A timer is due.
     Wake,
 }
 
 impl Input<'_> {
-    /// A call to discovery has ended, where nothing had come for a time: since it began, its connection was up, or its
-    /// last bytes.
-    pub fn call_ended(end: CallEnd, era: DiscoveryEpoch, quiet: Micros) -> Self {
-        let stood = matches!(end, CallEnd::TimedOut { was_established: true });
-        Input::ListTimedOut(era, quiet, stood)
+    /// A call to discovery has ended, after a silence since it began, its connection was open, or its last bytes came.
+    pub fn call_ended(end: CallEnd, epoch: DiscoveryEpoch, silent_for: Micros) -> Self {
+        let was_established = matches!(end, CallEnd::TimedOut { was_established: true });
+        Input::ListTimedOut { epoch, silent_for, was_established }
     }
 }
 
-/// An attempt for a call that is no stream.
+/// An attempt at the store of record.
 #[derive(Debug)]
 pub struct StoreCall {
     /// The client's command.
     pub command: Command,
-    /// How long the node will wait, in milliseconds.
+    /// How long the node waits for the reply, in milliseconds.
     pub time_left_ms: u64,
     /// Caches that lacked the key for this request.
     pub missed_caches: Vec<SocketAddr>,
-    /// The newest version of the key that one of them was told of: what is older may not be served.
+    /// The newest version of the key that one of them has been notified of: an older one may not be served.
     pub min_version: u64,
 }
 
-/// A call to discovery. Whatever it brings names its era.
+/// A request to discovery. Whatever it brings names its epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryRequest {
-    /// Begin the watch, anew if there is one, after a version; its end is told.
+    /// Begin the watch, in place of an earlier one; its end is an input.
     Watch {
-        /// The version held, if any is.
+        /// The version of the current list, if there is one.
         after: Option<u64>,
     },
     /// End the watch.
     StopWatch,
-    /// Ask for the whole list once.
+    /// Fetch the full list once.
     FetchList,
-    /// Keep a watch, opened again by itself: lists are pushed by an agent on this machine.
+    /// Keep a watch on an agent of this machine, and reopen it when it ends.
     WatchAgent,
-    /// End all calls: discovery is elsewhere.
+    /// Cancel all calls: discovery has another address.
     CancelAll,
 }
 
-/// A call to discovery, and where and for whom.
+/// A call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryCall {
-    /// What is asked.
+    /// The request.
     pub request: DiscoveryRequest,
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub address: SocketAddr,
-    /// Names the discovery that is in force.
+    /// Distinguishes the discovery service in force from earlier ones.
     pub epoch: DiscoveryEpoch,
-    /// How long it is waited for.
+    /// Its timeouts.
     pub timeouts: DiscoveryTimeouts,
 }
 
-/// Something for the log.
+/// A line for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogLine {
-    /// The decision module says so.
+    /// For information.
     Info(String),
-    /// The decision module can't go on.
+    /// An internal error of the decision module.
     Error(String),
 }
 
-/// Something that is to be done, in the order given.
+/// An instruction to the driver; they are carried out in their order.
 #[derive(Debug)]
 pub enum Output {
-    /// Write to a connection. There is one at a time; its end is told by [`Input::Flushed`].
+    /// Write to a client. There is one write at a time; [`Input::Flushed`] follows.
     Write(ConnId, Bytes),
-    /// Write the last answer to a client, with the end right behind it ([`Input::Parted`]); where something has come on
-    /// the connection, that goes in and this is an [`Output::Write`].
+    /// Write the last answer to a client, and the end of the stream right behind it; [`Input::WriteClosed`] follows. If
+    /// input has arrived on the connection, it goes in, and this is an [`Output::Write`].
     WriteAndClose(ConnId, Bytes),
-    /// Write the first bytes of a request to a connection that may have ended unseen: what it brought meanwhile, or
-    /// its end, goes in first, and then nothing is written. Where it may not be repeated, the socket itself is asked.
-    WriteRequest(ConnId, Bytes, bool),
+    /// Write a request to a server connection, which may have been closed unseen. If input or a close has arrived on
+    /// it, that goes in and nothing is written. [`Input::Flushed`] follows.
+    WriteRequest {
+        /// The connection.
+        id: ConnId,
+        /// The request.
+        bytes: Bytes,
+        /// Check the socket itself before: the request is not idempotent.
+        check_socket: bool,
+    },
     /// Open a connection.
     Open(ConnId, SocketAddr),
-    /// Begin a call that is no stream.
+    /// Call the store of record; [`Input::CallReplied`] follows.
     CallStore(ConnId, Box<StoreCall>),
-    /// Close a connection, or give a call up, with no word back.
+    /// Close a connection or cancel a call; no input follows.
     Close(ConnId),
-    /// Close a client's connection where nothing has come on it; its bytes go in else. [`Input::Ended`] follows.
+    /// Close a client connection unless input has arrived, which goes in. [`Input::Closed`] follows.
     CloseIfIdle(ConnId),
-    /// Write no more, and read on for a moment, so that the last answer is not taken away by a reset.
-    /// [`Input::Ended`] follows.
+    /// Write no more, and read on for a moment, so that no reset overtakes the last answer. [`Input::Closed`] follows.
     CloseWrite(ConnId),
-    /// A connection that was not read may be read again.
+    /// Read a connection again.
     Resume(ConnId),
-    /// A call to discovery.
+    /// Call discovery.
     Discovery(DiscoveryCall),
-    /// The caches there are, where copies are told.
+    /// The caches to notify of writes have changed.
     CachesChanged(Vec<SocketAddr>),
-    /// What is listened on takes no more, but what the machine has taken already.
+    /// Stop listening; accept only what the operating system has accepted.
     Draining,
-    /// What is listened on is a newer process's from now on: nothing more is taken here.
+    /// Stop accepting: the listener is a newer process's from now on.
     Replaced,
     /// A line for the log.
     Log(LogLine),
-    /// All that was taken is answered: the node ends.
+    /// The drain is complete: end the process.
     Done,
 }
 
-/// What is to be done.
+/// A queue of outputs.
 pub type Outputs = VecDeque<Output>;
--- a/crates/stonevane-core/src/lib.rs
+++ b/crates/stonevane-core/src/lib.rs
@@ -1,34 +1,34 @@
-//! The node without sockets, clock or tasks. [`Core::handle`] takes what has happened and the time at which it did,
-//! and says what is to be done; whoever drives it opens, reads, writes, sleeps, and nothing else.
+//! A node without sockets, clock or tasks. [`Core::handle`] takes an [`Input`] and the time at which it happened, and
+//! returns [`Output`]s; the driver does the I/O and keeps the clock.
 //!
-//! It owns the decision module (`stonevane_policy`), the connections of clients ([`clients`]) and to servers ([`servers`]), the
-//! budgets of descriptors and memory, discovery's list and the drain at SIGTERM. It reads no clock, does no I/O, and
-//! has no randomness but the seed: the same inputs at the same times give the same outputs.
+//! The core owns the decision module (`stonevane_policy`), the connections of clients and to servers, the budgets of
+//! sockets and memory, the endpoint list, and the graceful shutdown. It is deterministic: the same inputs at the same
+//! times with the same seed give the same outputs.
 
 mod clients;
 pub mod discovery_timeouts;
 mod faults;
-mod figures;
 pub mod handover;
 mod io;
 mod list;
 pub mod management;
 mod memory;
+mod metrics;
 mod node;
+mod pause_detection;
 mod reply;
 mod request;
-mod scope;
 mod servers;
 mod start_times;
+mod subset;
 mod timers;
 mod trace;
 
-pub use faults::{Faults, Mutant, NoFaults};
-pub use figures::{Counts, RegionFigures, Report};
+pub use faults::{Faults, Mutant, MutantInfo, NoFaults};
 pub use io::{DiscoveryCall, DiscoveryRequest, Input, LogLine, Output, Outputs, StoreCall};
 pub use list::{DiscoveryEpoch, Endpoint, EndpointList};
-pub use node::{Core, ResourceCounts, Setup};
+pub use metrics::{ClassCounts, RegionMetrics, Report};
+pub use node::{Core, CoreConfig, HandoverStatus, ResourceCounts};
 pub use reply::{ConnId, Reply};
 pub use request::Command;
-pub use servers::cache;
 pub use trace::CloseReason;
--- a/crates/stonevane-core/src/list.rs
+++ b/crates/stonevane-core/src/list.rs
@@ -1,17 +1,17 @@
-//! The list of servers in discovery's form.
+//! The endpoint list in the form in which discovery sends it.
 
 use serde::Deserialize;
 
-/// Tells what one discovery said from what the next one says: versions of different ones can't be compared.
+/// Distinguishes one discovery service from the next: their list versions can't be compared.
 pub type DiscoveryEpoch = u64;
 
-/// A list of servers, or a change of it.
+/// A full endpoint list, or a delta.
 #[derive(Deserialize, Default, Debug)]
 pub struct EndpointList {
     /// Its version.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is whole.
+    /// Whether it is the full list.
     #[serde(default)]
     pub snapshot: bool,
     /// Its entries.
@@ -23,28 +23,28 @@
 pub struct Endpoint {
     /// Its name.
     pub name: String,
-    /// Where it is reached.
+    /// Its address; empty where it is unchanged.
     #[serde(default)]
     pub address: String,
-    /// Its zone.
+    /// Name of its zone.
     #[serde(default)]
     pub zone: String,
-    /// Its machine kind.
+    /// Name of its machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Its cell.
+    /// Number of its cell.
     #[serde(default)]
     pub group: u16,
     /// `active`, `leaving` or `left`.
     pub status: String,
     /// Its weight.
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     pub weight: f32,
-    /// When its process started, Unix time in milliseconds; 0 for long ago.
+    /// When its process started, Unix time in milliseconds; 0: long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
 
-fn one() -> f32 {
+fn default_weight() -> f32 {
     1.0
 }
--- /dev/null
+++ b/crates/stonevane-core/src/node/attempts.rs
@@ -0,0 +1,224 @@
+//! Attempts, from their sending to their outcome.
+
+use bytes::Bytes;
+use stonevane_policy::{AttemptStatus, Event, Idempotency, Micros, Outcome, RequestId, ServerId};
+
+use super::Core;
+use crate::faults::{Faults, Mutant};
+use crate::io::{Output, StoreCall};
+use crate::reply::{AttemptKey, ConnId, Reply};
+use crate::request::FinalAnswer;
+use crate::servers::{ConnState, Protocol};
+use crate::timers::TimerKind;
+use crate::trace::CloseReason;
+
+/// The least remaining time that a server is sent, in milliseconds: 0 would state none.
+const MIN_TIME_LEFT_MS: u64 = 1;
+/// The connection of an attempt that has none.
+const NO_CONNECTION: ConnId = 0;
+
+/// An attempt without an outcome.
+pub(super) struct Attempt {
+    pub server: ServerId,
+    pub sent_at: Micros,
+    pub conn: ConnId,
+    /// Whether its request was the first on its connection.
+    pub first_on_connection: bool,
+}
+
+impl<F: Faults> Core<F> {
+    /// Starts an attempt. `timeout` 0: until the request's deadline.
+    pub(super) fn send_attempt(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        let number = entry.attempts_made;
+        let key = (id, number);
+        entry.attempts_made += 1;
+        entry.attempts_in_flight += 1;
+        let is_allowed =
+            !entry.is_closed && u32::from(number) < entry.command.max_attempts && self.now < entry.deadline;
+        let timeout_at = match timeout {
+            0 => entry.deadline,
+            timeout => entry.deadline.min(self.now + timeout),
+        };
+        let target = self.endpoints.target(server).filter(|_| is_allowed);
+        let acquired = target.and_then(|target| self.acquire_connection(target, key));
+        let conn = acquired.as_ref().map_or(NO_CONNECTION, |acquired| acquired.id);
+        if self.reporter.trace.is_on() {
+            let name = self.endpoints.name(server).to_owned();
+            self.trace_request(id, format_args!("attempt {number} to {name} on connection {conn}"));
+        }
+        let attempt = Attempt { server, sent_at: self.now, conn, first_on_connection: false };
+        self.attempts.insert(key, attempt);
+        // The limit on sockets may leave no connection for it.
+        let Some(acquired) = acquired else {
+            return self.end_attempt(key, AttemptStatus::NotSent);
+        };
+        self.timers.push(timeout_at, TimerKind::AttemptTimeout(id, number));
+        if acquired.is_open {
+            self.write_attempt(key, conn);
+        }
+    }
+
+    /// Writes an attempt's request to its connection, which is open.
+    pub(super) fn write_attempt(&mut self, key: AttemptKey, id: ConnId) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        let server = attempt.server;
+        // While it waited for its connection, its server may have drained or moved, or its client disconnected.
+        let address = self.connections.pool.get(id).map(|conn| conn.address);
+        let is_wanted = self.endpoints.accepts_requests(server, address);
+        let entry = self.requests.get_open(key.0).filter(|entry| is_wanted && self.now < entry.deadline);
+        let Some(entry) = entry else {
+            self.release_connection(id, server);
+            return self.end_attempt(key, AttemptStatus::NotSent);
+        };
+        let Some(conn) = self.connections.pool.get_mut(id) else { return };
+        // The news of the server's drain may have arrived during a pause and not be read yet.
+        if let Some(until) = self.catching_up_until {
+            conn.state = ConnState::Resting;
+            conn.deadline = Some(until);
+            return self.arm_connection(id);
+        }
+        conn.requests_carried += 1;
+        let is_first = conn.requests_carried == 1;
+        if let Some(attempt) = self.attempts.get_mut(&key) {
+            attempt.first_on_connection = is_first;
+        }
+        let left_ms = ((entry.deadline - self.now) / 1_000).max(MIN_TIME_LEFT_MS);
+        if let Some(bytes) = conn.protocol.encode(&entry.command, left_ms, conn.address) {
+            conn.state = ConnState::Writing;
+            let repeatable = entry.command.rules.idempotency == Idempotency::Idempotent;
+            let check_socket = !is_first && !repeatable;
+            self.out.push_back(Output::WriteRequest { id, bytes, check_socket });
+        } else {
+            conn.state = ConnState::Reading;
+            let missed_caches = entry.missed_caches.iter().filter_map(|id| self.endpoints.address(*id));
+            let call = StoreCall {
+                command: entry.command.clone(),
+                time_left_ms: left_ms,
+                missed_caches: missed_caches.collect(),
+                min_version: entry.min_version,
+            };
+            self.out.push_back(Output::CallStore(id, Box::new(call)));
+        }
+    }
+
+    /// Withdraws an attempt whose request is not written completely: it has not run, and will not.
+    pub(super) fn withdraw_attempt(&mut self, key: AttemptKey) {
+        let Some(conn) = self.attempts.get(&key).map(|attempt| attempt.conn) else { return };
+        let state = self.connections.pool.get(conn).map(|conn| conn.state);
+        if state == Some(ConnState::Writing) {
+            self.close_server_connection(conn, CloseReason::GivenUp);
+            self.end_attempt(key, AttemptStatus::NotSent);
+        }
+    }
+
+    /// Withdraws attempts at servers that accept no new requests any more.
+    pub(super) fn withdraw_unwanted_attempts(&mut self) {
+        let is_unwanted = |attempt: &Attempt| {
+            let address = self.connections.pool.get(attempt.conn).map(|conn| conn.address);
+            !self.endpoints.accepts_requests(attempt.server, address)
+        };
+        let unwanted = self.attempts.iter().filter(|(_, attempt)| is_unwanted(attempt));
+        let mut keys: Vec<AttemptKey> = unwanted.map(|(key, _)| *key).collect();
+        keys.sort_unstable();
+        for key in keys {
+            self.withdraw_attempt(key);
+        }
+        self.run_policy();
+    }
+
+    /// Stops waiting for an attempt, by closing its connection.
+    pub(super) fn give_up_attempt(&mut self, key: AttemptKey, status: AttemptStatus) {
+        let Some(attempt) = self.attempts.get(&key) else { return };
+        let server = attempt.server;
+        let sent_at = attempt.sent_at;
+        self.close_server_connection(attempt.conn, CloseReason::GivenUp);
+        // Idle connections to a machine that vanished stay open and silent, and each would cost a request its whole
+        // time; a new one fails within the time-out of a connect.
+        if self.endpoints.last_heard(server).is_some_and(|heard| heard < sent_at) {
+            self.close_idle_connections(server);
+        }
+        self.end_attempt(key, status);
+    }
+
+    /// Notes that an attempt's server is up.
+    pub(super) fn note_server_heard(&mut self, key: AttemptKey) {
+        if let Some(attempt) = self.attempts.get(&key) {
+            self.endpoints.set_last_heard(attempt.server, self.now);
+        }
+    }
+
+    pub(super) fn end_attempt(&mut self, key: AttemptKey, status: AttemptStatus) {
+        self.end_attempt_with(key, Reply::of_status(status, false));
+    }
+
+    /// Ends an attempt: the first one that serves answers the client, and the decision module gets the outcome.
+    pub(super) fn end_attempt_with(&mut self, key: AttemptKey, mut reply: Reply) {
+        let Some(attempt) = self.attempts.remove(&key) else { return };
+        self.trace_outcome(key, &attempt, reply.status);
+        self.inject_reply_faults(&mut reply);
+        let (request, number) = key;
+        let Some(entry) = self.requests.get_mut(request) else { return };
+        entry.attempts_in_flight -= 1;
+        if reply.status == AttemptStatus::Miss && self.endpoints.origin_protocol() == Protocol::Store {
+            entry.missed_caches.push(attempt.server);
+            entry.min_version = entry.min_version.max(reply.min_version);
+        }
+        let request_finished = entry.is_closed || reply.status == AttemptStatus::Served;
+        if let Some(value) = reply.value {
+            self.answer(request, FinalAnswer::Served(value));
+        }
+        if request_finished {
+            self.close_request(request);
+        }
+        self.policy.events.push_back(Event::Outcome(Outcome {
+            request,
+            attempt: number,
+            server: attempt.server,
+            status: reply.status,
+            request_finished,
+            cache_status: reply.cache_status,
+            elapsed: self.now - attempt.sent_at,
+            load: reply.load,
+            first_on_connection: attempt.first_on_connection,
+        }));
+    }
+
+    fn inject_reply_faults(&self, reply: &mut Reply) {
+        if reply.status == AttemptStatus::Reset && self.faults.injects(Mutant::ResetNotRun) {
+            reply.status = AttemptStatus::ConnectFailed;
+        }
+        if reply.status == AttemptStatus::Miss && self.faults.injects(Mutant::ServeMiss) {
+            reply.status = AttemptStatus::Served;
+            reply.value = Some(Bytes::new());
+        }
+    }
+
+    fn trace_outcome(&mut self, key: AttemptKey, attempt: &Attempt, status: AttemptStatus) {
+        if !self.reporter.trace.is_on() {
+            return;
+        }
+        let name = self.endpoints.name(attempt.server).to_owned();
+        let elapsed = self.now - attempt.sent_at;
+        let status = status.name();
+        let (request, number) = key;
+        self.trace_request(
+            request,
+            format_args!("attempt {number} at {name} ended: {status} after {elapsed} us"),
+        );
+    }
+
+    /// An attempt whose connection was reset before its request was written may have a new connection, once: a used
+    /// connection had ended unseen, and a new one has carried nothing.
+    pub(super) fn retry_on_new_connection(&mut self, key: AttemptKey, was_used: bool) {
+        let server = self.attempts.get(&key).map(|attempt| attempt.server).filter(|_| was_used);
+        let target = server.and_then(|server| self.endpoints.target(server));
+        let conn = target.and_then(|target| self.open_connection(target, key));
+        if let (Some(conn), Some(attempt)) = (conn, self.attempts.get_mut(&key)) {
+            attempt.conn = conn;
+        } else {
+            self.end_attempt(key, AttemptStatus::ConnectFailed);
+            self.run_policy();
+        }
+    }
+}
--- /dev/null
+++ b/crates/stonevane-core/src/node/discovery.rs
@@ -0,0 +1,86 @@
+//! Calls to discovery: which service is called, and when.
+
+use std::net::SocketAddr;
+
+use stonevane_policy::{Event, ListUpdate, Micros};
+
+use super::Core;
+use crate::discovery_timeouts::DiscoveryTimeouts;
+use crate::faults::{Faults, Mutant};
+use crate::io::{DiscoveryCall, DiscoveryRequest, Output};
+use crate::list::DiscoveryEpoch;
+use crate::timers::TimerKind;
+
+/// The discovery service in force, and what is known from it.
+pub(super) struct DiscoveryState {
+    address: SocketAddr,
+    pub epoch: DiscoveryEpoch,
+    /// Version of the current list; `None` without one of this service.
+    pub list_version: Option<u64>,
+    /// When the first watch is to be opened, until it is.
+    pub first_watch_at: Option<Micros>,
+    /// No more calls are made after a failed one: a deliberate fault.
+    pub calls_stopped: bool,
+}
+
+impl DiscoveryState {
+    pub fn new(address: SocketAddr) -> DiscoveryState {
+        DiscoveryState { address, epoch: 0, list_version: None, first_watch_at: None, calls_stopped: false }
+    }
+}
+
+impl<F: Faults> Core<F> {
+    /// Version of the current endpoint list, if there is one.
+    pub fn list_version(&self) -> Option<u64> {
+        self.discovery.list_version
+    }
+
+    pub(super) fn call_discovery(&mut self, request: DiscoveryRequest) {
+        self.out.push_back(Output::Discovery(DiscoveryCall {
+            request,
+            address: self.discovery.address,
+            epoch: self.discovery.epoch,
+            timeouts: DiscoveryTimeouts::of(&self.deployment.settings),
+        }));
+    }
+
+    /// Opens the watch, the first one of the process not before its time.
+    pub(super) fn open_watch(&mut self) {
+        match self.discovery.first_watch_at {
+            Some(at) if at > self.now => self.timers.push(at, TimerKind::FirstWatch),
+            _ => {
+                self.discovery.first_watch_at = None;
+                let after = self.discovery.list_version;
+                self.call_discovery(DiscoveryRequest::Watch { after });
+            }
+        }
+    }
+
+    /// The first watch is due, unless it was opened meanwhile at another discovery service.
+    pub(super) fn on_first_watch(&mut self) {
+        if self.discovery.first_watch_at.is_some() && !self.discovery.calls_stopped {
+            self.open_watch();
+        }
+    }
+
+    pub(super) fn on_list_failed(&mut self) {
+        self.discovery.calls_stopped |= self.faults.injects(Mutant::Deaf);
+        self.notify_policy(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
+    }
+
+    /// Switches to another discovery service. It counts versions in its own way, so that its whole list is fetched;
+    /// after the old version the list would seem to stand still.
+    pub(super) fn move_discovery(&mut self, address: SocketAddr) {
+        if address == self.discovery.address {
+            return;
+        }
+        self.call_discovery(DiscoveryRequest::CancelAll);
+        self.discovery.first_watch_at = None;
+        self.discovery.address = address;
+        self.discovery.list_version = None;
+        self.discovery.epoch += 1;
+        let polls = self.deployment.settings.poll_discovery;
+        let watch = DiscoveryRequest::Watch { after: None };
+        self.call_discovery(if polls { watch } else { DiscoveryRequest::WatchAgent });
+    }
+}
--- /dev/null
+++ b/crates/stonevane-core/src/node/mod.rs
@@ -0,0 +1,275 @@
+//! The core: it composes the parts of a node, dispatches inputs and timers to them, and runs the decision module.
+//!
+//! The decision module decides; where the limit on sockets, the memory budget or an invalid input leaves no choice, a
+//! comment says so. Each module here owns the state of one part:
+//!
+//! - [`requests`]: requests from their arrival to their final answer
+//! - [`attempts`]: attempts from their sending to their outcome
+//! - [`connections`]: limits on connections, the memory budget, eviction
+//! - [`client_io`], [`server_io`]: what happens on connections of clients and servers
+//! - [`streaming`]: long values that are forwarded while they arrive
+//! - [`discovery`], [`endpoints`]: calls to discovery; the endpoint list, exclusions, the subset
+//! - [`reload`]: settings that change at run time
+//! - [`drain`]: graceful shutdown, and handover to another process
+//! - [`reports`]: counts, log and trace
+
+mod attempts;
+mod client_io;
+mod config;
+mod connections;
+mod discovery;
+mod drain;
+mod endpoints;
+mod policy;
+mod reload;
+mod reports;
+mod requests;
+mod server_io;
+mod streaming;
+
+use foldhash::{HashMap, HashMapExt};
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{AttemptStatus, Condition, Event, ListUpdate, Micros};
+
+use crate::discovery_timeouts::first_call_delay;
+use crate::faults::{Faults, Mutant, NoFaults};
+use crate::io::{DiscoveryRequest, Input, Outputs};
+use crate::pause_detection::PauseDetection;
+use crate::reply::{AttemptKey, ConnId};
+use crate::timers::{TimerKind, Timers};
+
+use attempts::Attempt;
+use connections::Connections;
+use discovery::DiscoveryState;
+use drain::{Drain, Handover, Phase};
+use endpoints::EndpointTable;
+use policy::PolicyRunner;
+use reload::Reload;
+use reports::Reporter;
+use requests::RequestTable;
+
+pub use config::CoreConfig;
+pub use drain::HandoverStatus;
+pub use reports::ResourceCounts;
+
+/// After a pause, inputs are taken for so long before timers fire and requests are sent: of what arrived meanwhile, the
+/// news of a draining server may be read after a request that would go there.
+const CATCH_UP_TIME: Micros = 5_000;
+/// Timers that are kept before stale ones are looked for.
+const MIN_PRUNED_TIMERS: usize = 512;
+/// Timers for each request, attempt and connection before stale ones are looked for.
+const PRUNED_TIMERS_PER_ENTRY: usize = 8;
+
+/// A node without I/O.
+pub struct Core<F = NoFaults> {
+    /// Deliberate faults; none outside the simulator.
+    faults: F,
+    now: Micros,
+    deployment: Deployment,
+    policy: PolicyRunner,
+    timers: Timers,
+    /// While the process catches up after a pause: until when.
+    catching_up_until: Option<Micros>,
+    requests: RequestTable,
+    attempts: HashMap<AttemptKey, Attempt>,
+    connections: Connections,
+    endpoints: EndpointTable,
+    discovery: DiscoveryState,
+    reload: Reload,
+    drain: Drain,
+    handover: Handover,
+    reporter: Reporter,
+    out: Outputs,
+}
+
+impl Core<NoFaults> {
+    /// A node that starts with a cached endpoint list. Its first outputs come with the first input.
+    pub fn new(now: Micros, config: CoreConfig) -> Core {
+        Core::with_faults(now, config, NoFaults)
+    }
+}
+
+impl<F: Faults> Core<F> {
+    /// A node with deliberate faults.
+    pub fn with_faults(now: Micros, mut config: CoreConfig, faults: F) -> Core<F> {
+        if faults.injects(Mutant::LongWindow) {
+            config::lengthen_idempotency_windows(&mut config.deployment);
+        }
+        let cached_list = std::mem::take(&mut config.cached_list);
+        let excluded = std::mem::take(&mut config.excluded);
+        let seed = config.seed;
+        let connections = Connections::new(&config);
+        let mut core = Core {
+            faults,
+            now,
+            policy: PolicyRunner::new(&config),
+            timers: Timers::default(),
+            catching_up_until: None,
+            requests: RequestTable::new(),
+            attempts: HashMap::new(),
+            handover: Handover::new(connections.capacity()),
+            connections,
+            discovery: DiscoveryState::new(config.discovery),
+            endpoints: EndpointTable::new(&mut config, now),
+            reload: Reload::default(),
+            drain: Drain::new(),
+            reporter: Reporter::new(&config.deployment.classes),
+            out: Outputs::new(),
+            deployment: config.deployment,
+        };
+        for name in excluded {
+            core.set_excluded(name, true);
+        }
+        let polls = core.deployment.settings.poll_discovery;
+        if polls && !cached_list.endpoints.is_empty() {
+            let delay = first_call_delay(&core.deployment.settings, seed);
+            core.discovery.first_watch_at = Some(now + delay);
+        }
+        core.apply_list(&cached_list, ListUpdate::Cached);
+        if !polls {
+            core.call_discovery(DiscoveryRequest::WatchAgent);
+        }
+        core.timers.push(now + core.pause_detection().check_interval, TimerKind::IdleSweep);
+        core.settle();
+        core
+    }
+
+    fn pause_detection(&self) -> PauseDetection {
+        PauseDetection::of(&self.deployment.settings)
+    }
+
+    /// When it must be woken at the latest.
+    pub fn next_timeout(&self) -> Option<Micros> {
+        let next = self.timers.next_timeout();
+        next.map(|next| next.max(self.catching_up_until.unwrap_or(0)))
+    }
+
+    /// Handles an input, and adds to the outputs what is to be done. The time never goes back.
+    pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Outputs) {
+        self.now = self.now.max(now);
+        self.detect_pause();
+        if self.catching_up_until.is_none_or(|until| until <= self.now) {
+            self.catching_up_until = None;
+            while let Some(kind) = self.timers.pop_due(self.now) {
+                self.on_timer(kind);
+            }
+        }
+        self.on_input(input);
+        self.settle();
+        outputs.append(&mut self.out);
+    }
+
+    fn detect_pause(&mut self) {
+        // Not during a drain: requests that arrive while it catches up could not be answered any more.
+        if self.catching_up_until.is_some() || self.drain.ends_at.is_some() {
+            return;
+        }
+        let lateness = self.pause_detection().lateness;
+        if self.timers.next_timeout().is_some_and(|due| due + lateness <= self.now) {
+            self.catching_up_until = Some(self.now + CATCH_UP_TIME);
+        }
+    }
+
+    fn on_input(&mut self, input: Input<'_>) {
+        match input {
+            Input::Accepted(id) => self.on_accepted(id),
+            Input::Bytes(id, bytes) => self.on_bytes(id, bytes),
+            Input::Flushed(id) => self.on_flushed(id),
+            Input::WriteClosed(id) => self.on_write_closed(id),
+            Input::Closed(id) => self.on_closed(id),
+            Input::Opened(id) => self.on_opened(id),
+            Input::CallReplied(id, reply) => self.on_reply(id, reply),
+            // The answer of an earlier discovery service: its list versions are no longer in force.
+            Input::List(epoch, _) | Input::ListFailed(epoch) | Input::ListTimedOut { epoch, .. }
+                if epoch != self.discovery.epoch => {}
+            Input::List(_, list) => {
+                let kind = if list.snapshot { ListUpdate::Full } else { ListUpdate::Delta };
+                self.apply_list(&list, kind);
+            }
+            Input::ListFailed(_) => self.on_list_failed(),
+            Input::ListTimedOut { silent_for, was_established, .. } => {
+                let kind = ListUpdate::TimedOut { silent_for, was_established };
+                self.notify_policy(Event::ServerList { kind, servers: Vec::new() });
+            }
+            Input::OriginUnavailable(duration) => {
+                self.notify_policy(Event::OriginUnavailable { duration });
+            }
+            Input::DiscoveryMoved(address) => self.move_discovery(address),
+            Input::Settings(deployment) => self.begin_reload(deployment),
+            Input::ReloadFailed => self.reporter.metrics.reloads_failed += 1,
+            Input::Exclude(name, excluded) => self.set_excluded(name, excluded),
+            Input::NodeCount(nodes) => self.set_node_count(nodes),
+            Input::Handover(grant) => self.apply_capacity_grant(grant),
+            Input::Terminate => self.begin_drain(),
+            Input::Wake => {}
+        }
+    }
+
+    fn on_timer(&mut self, kind: TimerKind) {
+        match kind {
+            TimerKind::Policy(token) => self.notify_policy(Event::Timer(token)),
+            TimerKind::AttemptTimeout(request, number) => {
+                self.give_up_attempt((request, number), AttemptStatus::TimedOut);
+                self.run_policy();
+            }
+            TimerKind::RequestDeadline(request) => self.on_request_deadline(request),
+            TimerKind::ConnectionLimit(conn) => self.on_connection_limit(conn),
+            // `settle` evicts.
+            TimerKind::Eviction => self.connections.eviction.timer_at = None,
+            TimerKind::FirstWatch => self.on_first_watch(),
+            TimerKind::ReloadComplete => self.on_reload_complete(),
+            TimerKind::SubsetRefresh => self.refresh_subset(),
+            TimerKind::IdleSweep => self.sweep_idle_connections(),
+            TimerKind::DrainEnding => self.notify_policy(Event::ShuttingDown),
+            TimerKind::DrainConnections => self.drain_connections(),
+            TimerKind::DrainCheck => self.check_drain(),
+        }
+    }
+
+    /// Does what follows from any input: distributes memory and connections that became free.
+    fn settle(&mut self) {
+        self.process_ready_connections();
+        self.prune_timers();
+        let is_ready = |servers: &EndpointTable| servers.has_condition(Condition::Ready);
+        if self.drain.phase == Phase::Starting && is_ready(&self.endpoints) {
+            self.enter(Phase::Ready);
+        }
+        self.close_surplus_idle();
+        self.evict_for_waiting_clients();
+    }
+
+    fn process_ready_connections(&mut self) {
+        loop {
+            if let Some(client) = self.connections.answered_clients.pop_front() {
+                self.process_client(client);
+            } else if let Some((conn, reservation)) = self.connections.memory.next_granted() {
+                self.on_memory_granted(conn, reservation);
+            } else {
+                break;
+            }
+        }
+    }
+
+    /// Drops timers of requests, attempts and connections that are gone, once they are the next or the most.
+    fn prune_timers(&mut self) {
+        let requests = &self.requests;
+        let attempts = &self.attempts;
+        let connections = &self.connections;
+        let is_stale = |kind| match kind {
+            TimerKind::AttemptTimeout(id, number) => !attempts.contains_key(&(id, number)),
+            TimerKind::RequestDeadline(id) => !requests.contains(id),
+            TimerKind::ConnectionLimit(id) => !connections.contains(id),
+            _ => false,
+        };
+        let entries = requests.len() + attempts.len() + connections.len();
+        self.timers.drop_stale_front(is_stale);
+        if self.timers.len() > MIN_PRUNED_TIMERS + PRUNED_TIMERS_PER_ENTRY * entries {
+            self.timers.retain(|kind| !is_stale(*kind));
+        }
+    }
+
+    /// Whether a connection is a client's.
+    pub fn is_client(&self, id: ConnId) -> bool {
+        self.connections.clients.sessions.contains_key(&id)
+    }
+}
--- /dev/null
+++ b/crates/stonevane-core/src/node/reports.rs
@@ -0,0 +1,162 @@
+//! Reports: counts, log lines, and the trace of single requests.
+
+use std::fmt::Arguments;
+
+use stonevane_policy::{Condition, ListUpdate, RequestId, ServerEntry};
+
+use super::Core;
+use crate::faults::Faults;
+use crate::io::{LogLine, Output};
+use crate::metrics::{ClassCounts, Metrics, Report};
+use crate::reply::ConnId;
+use crate::subset::EndpointSubset;
+use crate::trace::{CloseReason, Trace};
+
+/// Counts and the trace.
+pub(super) struct Reporter {
+    pub metrics: Metrics,
+    pub trace: Trace,
+    /// Slot of each class of the settings among the counts.
+    pub class_slots: Vec<usize>,
+}
+
+impl Reporter {
+    pub fn new(classes: &[String]) -> Reporter {
+        let mut metrics = Metrics::default();
+        let class_slots = metrics.register_classes(classes).unwrap_or_default();
+        Reporter { metrics, trace: Trace::default(), class_slots }
+    }
+
+    /// Counts these classes from now on.
+    pub fn set_classes(&mut self, classes: &[String]) {
+        self.class_slots = self.metrics.register_classes(classes).unwrap_or_default();
+    }
+
+    pub fn count_decision(&mut self, reason: &'static str) {
+        *self.metrics.decisions.entry(reason).or_default() += 1;
+    }
+}
+
+/// What a core holds, for checks that nothing leaks.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub struct ResourceCounts {
+    /// Client connections.
+    pub clients: usize,
+    /// Server connections, idle ones included.
+    pub server_connections: usize,
+    /// Idle server connections.
+    pub idle_server_connections: usize,
+    /// Requests whose client waits for an answer.
+    pub unanswered: usize,
+    /// Entries of requests: those without an answer, and those with attempts in flight.
+    pub request_entries: usize,
+    /// Attempts in flight.
+    pub attempts: usize,
+    /// Ids of pending requests.
+    pub claimed_ids: usize,
+    /// Reserved memory, in bytes.
+    pub memory: usize,
+    /// Timers.
+    pub timers: usize,
+}
+
+impl<F: Faults> Core<F> {
+    /// What it holds.
+    pub fn count(&self) -> ResourceCounts {
+        let connections = &self.connections;
+        ResourceCounts {
+            clients: connections.clients.len(),
+            server_connections: connections.pool.len(),
+            idle_server_connections: connections.pool.idle_count(),
+            unanswered: self.requests.unanswered,
+            request_entries: self.requests.len(),
+            attempts: self.attempts.len(),
+            claimed_ids: connections.clients.pending_ids.len(),
+            memory: connections.memory.reserved(),
+            timers: self.timers.len(),
+        }
+    }
+
+    /// The report of the management address.
+    pub fn report(&self) -> Report<'_> {
+        let metrics = &self.reporter.metrics;
+        let by_class = |count: fn(&ClassCounts) -> u64| {
+            metrics.classes().map(|(name, counts)| (name, count(counts))).collect()
+        };
+        Report {
+            served: by_class(|counts| counts.served),
+            refused: by_class(|counts| counts.rejected),
+            failed: by_class(|counts| counts.failed),
+            attempts: metrics.attempts,
+            in_flight: self.requests.unanswered,
+            cache_servers_known: self.endpoints.cache_count(),
+            cache_servers_excluded: self.policy.policy.avoided_server_count(),
+            reloads_ok: metrics.reloads_ok,
+            reloads_failed: metrics.reloads_failed,
+            decisions: &metrics.decisions,
+            closes: &metrics.closes,
+            regions: self.endpoints.subset().map(EndpointSubset::metrics),
+        }
+    }
+
+    /// Counts of each class.
+    pub fn counts(&self) -> impl Iterator<Item = (&str, &ClassCounts)> {
+        self.reporter.metrics.classes()
+    }
+
+    pub(super) fn log(&mut self, line: String) {
+        self.out.push_back(Output::Log(LogLine::Info(line)));
+    }
+
+    /// Logs a list that is applied.
+    pub(super) fn log_list(&mut self, kind: ListUpdate, entries: &[ServerEntry]) {
+        let count = |condition| entries.iter().filter(|entry| entry.condition == condition).count();
+        let warm_up = self.deployment.settings.slow_start_duration;
+        let is_warming_up =
+            |entry: &&ServerEntry| entry.started != 0 && self.now < entry.started.saturating_add(warm_up);
+        let in_slow_start = entries.iter().filter(is_warming_up).count();
+        self.log(format!(
+            "list: version {} ({kind:?}), {} lines: {} ready, {} draining, {} gone, {in_slow_start} in slow start; {} \
+             servers known",
+            self.discovery.list_version.unwrap_or(0),
+            entries.len(),
+            count(Condition::Ready),
+            count(Condition::Draining),
+            count(Condition::Gone),
+            self.endpoints.len(),
+        ));
+    }
+
+    /// Switches the trace of single requests and connections on or off.
+    pub fn trace_requests(&mut self, on: bool) {
+        self.reporter.trace.switch(on);
+    }
+
+    pub(super) fn trace(&mut self, text: Arguments<'_>) {
+        if let Some(line) = self.reporter.trace.line(text) {
+            self.log(line);
+        }
+    }
+
+    /// Traces a step of a request, under the id that its client gave it.
+    pub(super) fn trace_request(&mut self, request: RequestId, text: Arguments<'_>) {
+        if !self.reporter.trace.is_on() {
+            return;
+        }
+        let Some(entry) = self.requests.get(request) else { return };
+        let id = String::from_utf8_lossy(&entry.command.id).into_owned();
+        self.trace(format_args!("request {id} ({request}) {text}"));
+    }
+
+    /// Counts and traces the reason of a decision.
+    pub(super) fn explain(&mut self, request: RequestId, reason: &'static str) {
+        self.reporter.count_decision(reason);
+        self.trace_request(request, format_args!("{reason}"));
+    }
+
+    /// Counts and traces the closing of a connection.
+    pub(super) fn note_close(&mut self, id: ConnId, reason: CloseReason) {
+        *self.reporter.metrics.closes.entry(reason.name()).or_default() += 1;
+        self.trace(format_args!("connection {id} closed: {}", reason.name()));
+    }
+}
--- /dev/null
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -0,0 +1,299 @@
+//! Requests, from the arrival of a command to its final answer.
+
+use bytes::Bytes;
+use foldhash::{HashMap, HashMapExt};
+use stonevane_policy::{Event, Micros, Request, RequestId, ServerId};
+
+use super::Core;
+use super::drain::Phase;
+use crate::clients::{self, ClientCommand, READ_CHUNK, Slot};
+use crate::faults::{Faults, Mutant};
+use crate::memory::MemoryReservation;
+use crate::reply::ConnId;
+use crate::request::{Command, FinalAnswer};
+use crate::timers::TimerKind;
+
+/// The most requests without an answer, whatever the settings allow.
+const MAX_UNANSWERED: usize = 1024;
+/// Copies of a value that a request may hold: its own, and the one that is written to a server.
+const VALUE_COPIES: usize = 2;
+
+/// A request without an answer, or with attempts in flight.
+pub(super) struct RequestEntry {
+    pub command: Command,
+    pub client: ConnId,
+    /// Number of its answer's slot in the client's session.
+    pub slot: u64,
+    /// Memory of its value, until nothing more is sent.
+    reservation: Option<MemoryReservation>,
+    pub deadline: Micros,
+    pub attempts_made: u16,
+    pub attempts_in_flight: u16,
+    /// Whether it is answered, or its client is gone.
+    pub is_closed: bool,
+    /// Its class among the counts.
+    pub class_slot: usize,
+    /// Caches that lacked its key.
+    pub missed_caches: Vec<ServerId>,
+    /// The newest version that one of them has been notified of.
+    pub min_version: u64,
+}
+
+/// All requests without an answer or with attempts in flight.
+pub(super) struct RequestTable {
+    entries: HashMap<RequestId, RequestEntry>,
+    next_id: RequestId,
+    /// Requests whose client waits for an answer.
+    pub unanswered: usize,
+}
+
+impl RequestTable {
+    pub fn new() -> RequestTable {
+        RequestTable { entries: HashMap::new(), next_id: 1, unanswered: 0 }
+    }
+
+    pub fn get(&self, id: RequestId) -> Option<&RequestEntry> {
+        self.entries.get(&id)
+    }
+
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+        self.entries.get_mut(&id)
+    }
+
+    /// A request whose client waits for an answer.
+    pub fn get_open(&self, id: RequestId) -> Option<&RequestEntry> {
+        self.get(id).filter(|entry| !entry.is_closed)
+    }
+
+    pub fn contains(&self, id: RequestId) -> bool {
+        self.entries.contains_key(&id)
+    }
+
+    pub fn len(&self) -> usize {
+        self.entries.len()
+    }
+
+    /// Whether all requests are answered.
+    pub fn all_closed(&self) -> bool {
+        self.entries.values().all(|entry| entry.is_closed)
+    }
+
+    fn allocate_id(&mut self) -> RequestId {
+        let id = self.next_id;
+        self.next_id += 1;
+        id
+    }
+}
+
+/// Why a command is answered without asking the decision module.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum ArrivalError {
+    /// Only the connections reserved for rejections are left: this one is rejected and closed.
+    TableFull,
+    /// A request of the same id is pending.
+    DuplicateId,
+    /// Too many requests are pending, or there is no memory for another.
+    TooManyPending,
+}
+
+impl ArrivalError {
+    /// Its name among the decisions and in the trace.
+    fn name(self) -> &'static str {
+        match self {
+            ArrivalError::TableFull => "table-full",
+            ArrivalError::DuplicateId => "id-open",
+            ArrivalError::TooManyPending => "too-much-open",
+        }
+    }
+
+    fn answer(self) -> &'static str {
+        match self {
+            ArrivalError::TableFull | ArrivalError::TooManyPending => "-BUSY\r\n",
+            ArrivalError::DuplicateId => "-ERR a request with this id is open\r\n",
+        }
+    }
+}
+
+impl<F: Faults> Core<F> {
+    /// Handles a complete command of a client.
+    pub(super) fn on_command(&mut self, client: ConnId, arguments: &[Bytes]) {
+        let decoded = clients::decode(arguments, &self.deployment);
+        let Some(session) = self.connections.clients.sessions.get_mut(&client) else { return };
+        match decoded {
+            Ok(ClientCommand::Ping) => session.push_answer(match self.drain.phase {
+                Phase::Starting => "-LOADING no list of servers yet\r\n",
+                Phase::Ready | Phase::Draining => "+PONG\r\n",
+            }),
+            Ok(ClientCommand::Request(command)) => self.on_request(client, command),
+            // The decision module can't be asked about a request of no known class.
+            Err(reason) => session.push_answer(format!("-ERR {reason}\r\n")),
+        }
+    }
+
+    fn on_request(&mut self, client: ConnId, command: Command) {
+        let class_slot = self.reporter.class_slots[command.class];
+        self.reporter.metrics.class_mut(class_slot).accepted += 1;
+        match self.check_arrival(client, &command) {
+            Ok(reservation) => self.open_request(client, command, class_slot, reservation),
+            Err(error) => self.reject_arrival(client, &command, class_slot, error),
+        }
+    }
+
+    /// Checks the limits that the decision module does not know, and reserves the memory of a request.
+    fn check_arrival(
+        &mut self,
+        client: ConnId,
+        command: &Command,
+    ) -> Result<MemoryReservation, ArrivalError> {
+        let is_crowded = self.connections.is_crowded();
+        if let Some(session) = self.connections.clients.sessions.get_mut(&client) {
+            if session.over_capacity && is_crowded {
+                return Err(ArrivalError::TableFull);
+            }
+            session.over_capacity = false;
+        }
+        if self.connections.clients.pending_ids.contains(&command.id) {
+            return Err(ArrivalError::DuplicateId);
+        }
+        let value = command.value.as_ref().map_or(0, Bytes::len);
+        let max_unanswered = self.deployment.max_open.min(MAX_UNANSWERED);
+        if self.requests.unanswered >= max_unanswered {
+            return Err(ArrivalError::TooManyPending);
+        }
+        let reservation = self.connections.memory.try_reserve(READ_CHUNK + VALUE_COPIES * value);
+        reservation.ok_or(ArrivalError::TooManyPending)
+    }
+
+    fn reject_arrival(&mut self, client: ConnId, command: &Command, class_slot: usize, error: ArrivalError) {
+        let counts = self.reporter.metrics.class_mut(class_slot);
+        match error {
+            ArrivalError::TableFull | ArrivalError::TooManyPending => counts.rejected += 1,
+            ArrivalError::DuplicateId => counts.failed += 1,
+        }
+        if let Some(session) = self.connections.clients.sessions.get_mut(&client) {
+            session.input_closed |= error == ArrivalError::TableFull;
+            session.push_answer(error.answer());
+        }
+        self.reporter.count_decision(error.name());
+        let id = String::from_utf8_lossy(&command.id);
+        self.trace(format_args!("request {id} turned away: {}", error.name()));
+    }
+
+    fn open_request(
+        &mut self,
+        client: ConnId,
+        command: Command,
+        class_slot: usize,
+        reservation: MemoryReservation,
+    ) {
+        let clients = &mut self.connections.clients;
+        let Some(session) = clients.sessions.get_mut(&client) else { return };
+        let id = self.requests.allocate_id();
+        self.requests.unanswered += 1;
+        clients.pending_ids.insert(command.id.clone());
+        let slot = session.next_slot();
+        session.slots.push_back(Slot::Pending { request: id, id: command.id.clone() });
+        let deadline = self.now + command.time_left;
+        let request = Request {
+            id,
+            class: command.class,
+            tenant: command.tenant,
+            key: command.hashed_key(),
+            write: command.write,
+            is_retry: command.is_retry,
+            time_left: command.time_left,
+            cost: command.cost,
+            size: command.size,
+        };
+        let entry = RequestEntry {
+            command,
+            client,
+            slot,
+            reservation: Some(reservation),
+            deadline,
+            attempts_made: 0,
+            attempts_in_flight: 0,
+            is_closed: false,
+            class_slot,
+            missed_caches: Vec::new(),
+            min_version: 0,
+        };
+        self.requests.entries.insert(id, entry);
+        self.timers.push(deadline, TimerKind::RequestDeadline(id));
+        self.notify_policy(Event::Request(request));
+    }
+
+    /// The decision module ends a request before its deadline; should it fail to, the client still gets an answer.
+    pub(super) fn on_request_deadline(&mut self, id: RequestId) {
+        if self.requests.get_open(id).is_some() && !self.faults.injects(Mutant::ForgetRefusal) {
+            self.answer(id, FinalAnswer::Failed);
+            self.notify_policy(Event::ClientDisconnected(id));
+        }
+    }
+
+    /// Gives a request its final answer; later ones are ignored.
+    pub(super) fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+        let Some(entry) = self.requests.get_open(id) else { return };
+        let client = entry.client;
+        let class_slot = entry.class_slot;
+        let mut slot = entry.slot;
+        // A value without memory can't be forwarded, and the request fails.
+        let reservation = self.connections.memory.reserve_ahead(answer.size());
+        let answer = if reservation.is_some() { answer } else { FinalAnswer::Failed };
+        self.trace_request(id, format_args!("answered: {}", answer.name()));
+        let counts = self.reporter.metrics.class_mut(class_slot);
+        match answer {
+            FinalAnswer::Served(_) => counts.served += 1,
+            FinalAnswer::Rejected { .. } => counts.rejected += 1,
+            FinalAnswer::Failed => counts.failed += 1,
+        }
+        self.close_request(id);
+        let Some(session) = self.connections.clients.sessions.get_mut(&client) else { return };
+        if self.faults.injects(Mutant::SwapAnswers) {
+            let pending = session.slots.iter().position(|slot| matches!(slot, Slot::Pending { .. }));
+            slot = session.first_slot + pending.unwrap_or(0) as u64;
+        }
+        if let Some(client_id) = session.answer(slot, clients::encode(&answer), reservation) {
+            self.connections.clients.pending_ids.remove(&client_id);
+            self.requests.unanswered -= 1;
+            // Written once the decision module is done: it must not get this client's next request meanwhile.
+            self.connections.answered_clients.push_back(client);
+        }
+    }
+
+    /// Marks a request as answered or abandoned. Attempts in flight keep its entry until they end.
+    pub(super) fn close_request(&mut self, id: RequestId) {
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        entry.is_closed = true;
+        if self.faults.injects(Mutant::LeakMemory) {
+            std::mem::forget(entry.reservation.take());
+        }
+        entry.command.value = None;
+        entry.reservation = None;
+        if entry.attempts_in_flight == 0 {
+            self.requests.entries.remove(&id);
+        }
+    }
+
+    /// The client of a pending request is gone.
+    pub(super) fn abandon_request(&mut self, id: RequestId, client_id: &Bytes) {
+        if !self.faults.injects(Mutant::LeakId) {
+            self.connections.clients.pending_ids.remove(client_id);
+        }
+        self.requests.unanswered -= 1;
+        let entry = self.requests.get(id);
+        let attempts_made = entry.map_or(0, |entry| entry.attempts_made);
+        if let Some(class_slot) = entry.map(|entry| entry.class_slot) {
+            self.reporter.metrics.class_mut(class_slot).disconnected += 1;
+        }
+        if self.faults.injects(Mutant::ForgetGone) {
+            return;
+        }
+        self.close_request(id);
+        self.notify_policy(Event::ClientDisconnected(id));
+        for number in 0..attempts_made {
+            self.withdraw_attempt((id, number));
+        }
+        self.run_policy();
+    }
+}
--- /dev/null
+++ b/crates/stonevane-core/src/node/streaming.rs
@@ -0,0 +1,132 @@
+//! Values that are too long to be buffered: they are forwarded to the client while they arrive.
+
+use bytes::Bytes;
+use stonevane_policy::{AttemptStatus, Micros};
+
+use super::Core;
+use crate::clients::StreamedAnswer;
+use crate::faults::Faults;
+use crate::io::Output;
+use crate::reply::{ConnId, Reply};
+use crate::servers::{ConnState, StreamPiece, StreamTarget};
+use crate::trace::CloseReason;
+
+/// A streamed value that has space and brings nothing more for so long is broken.
+const STREAM_STALL_TIMEOUT: Micros = 4_000_000;
+
+impl<F: Faults> Core<F> {
+    /// Whether what a server connection brings has space with its client; true for what is not streamed.
+    pub(super) fn has_stream_space(&mut self, id: ConnId) -> bool {
+        let target = self.connections.pool.get(id).and_then(|conn| conn.stream_target);
+        let Some(StreamTarget { client, slot }) = target else { return true };
+        let session = self.connections.clients.sessions.get_mut(&client);
+        session.is_none_or(|session| session.has_stream_space(slot))
+    }
+
+    /// Has a server connection read again if it may.
+    pub(super) fn resume_server_connection(&mut self, id: ConnId) {
+        let has_stream_space = self.has_stream_space(id);
+        let Some(conn) = self.connections.pool.get_mut(id) else { return };
+        if !conn.reading_paused || conn.read_budget() == 0 || !has_stream_space {
+            return;
+        }
+        conn.reading_paused = false;
+        if conn.state == ConnState::Streaming {
+            conn.deadline = Some(self.now + STREAM_STALL_TIMEOUT);
+            conn.timer.arm(conn.deadline, id, &mut self.timers);
+        }
+        self.out.push_back(Output::Resume(id));
+    }
+
+    /// Begins to stream a value whose memory is reserved. Its request counts as served from then on: no more attempts
+    /// are made, and its deadline does not apply.
+    pub(super) fn begin_stream(&mut self, id: ConnId, length: usize) {
+        let Some(key) = self.connections.pool.get(id).and_then(|conn| conn.attempt) else { return };
+        let Some(entry) = self.requests.get_open(key.0) else {
+            self.close_server_connection(id, CloseReason::GivenUp);
+            return self.end_attempt(key, AttemptStatus::Cancelled);
+        };
+        let target = StreamTarget { client: entry.client, slot: entry.slot };
+        let class_slot = entry.class_slot;
+        self.note_server_heard(key);
+        let conn = self.connections.pool.get_mut(id);
+        let reservation = conn.and_then(|conn| conn.begin_stream(target));
+        let head = format!("${length}\r\n").into();
+        let session = self.connections.clients.sessions.get_mut(&target.client);
+        let begun = session
+            .is_some_and(|session| session.begin_stream(target.slot, id, class_slot, head, reservation));
+        if !begun {
+            self.close_server_connection(id, CloseReason::ReplyEndsConnection);
+        }
+        self.end_attempt_with(key, Reply::of_status(AttemptStatus::Served, true));
+        self.run_policy();
+        let max_value = self.connections.max_reply_value;
+        if let Some(conn) = self.connections.pool.get_mut(id) {
+            let piece = conn.next_piece(max_value);
+            self.forward_piece(id, piece);
+        }
+    }
+
+    /// Forwards a piece of a streamed value.
+    pub(super) fn forward_piece(&mut self, id: ConnId, piece: StreamPiece) {
+        let StreamPiece { bytes, is_last, reply_end } = piece;
+        let Some(conn) = self.connections.pool.get_mut(id) else { return };
+        let target = conn.stream_target;
+        let server = conn.server;
+        let has_space = target.is_none_or(|target| {
+            let session = self.connections.clients.sessions.get_mut(&target.client);
+            session.is_none_or(|session| session.push_piece(target.slot, bytes, is_last))
+        });
+        // What follows the value needs no space.
+        conn.deadline = (has_space || is_last).then_some(self.now + STREAM_STALL_TIMEOUT);
+        if is_last {
+            conn.stream_target = None;
+        }
+        self.arm_connection(id);
+        if let Some(reusable) = reply_end {
+            self.connections.pool.on_reply(id, false);
+            if reusable {
+                self.release_connection(id, server);
+            } else {
+                self.close_server_connection(id, CloseReason::ReplyEndsConnection);
+            }
+        }
+        if let Some(target) = target {
+            self.process_client(target.client);
+        }
+    }
+
+    /// A streamed value broke off. A client that has seen a part of it can tell only by the end of its connection; any
+    /// other gets an error.
+    pub(super) fn on_stream_broken(&mut self, target: StreamTarget) {
+        let StreamTarget { client, slot } = target;
+        let Some(session) = self.connections.clients.sessions.get_mut(&client) else { return };
+        let error = Bytes::from_static(b"-ERR failed\r\n");
+        if let Some(stream) = session.replace_unstarted_stream(slot, error) {
+            self.connections.clients.pending_ids.remove(&stream.id);
+            self.reporter.metrics.class_mut(stream.class_slot).failed += 1;
+            self.requests.unanswered -= 1;
+            self.process_client(client);
+        } else {
+            session.mark_stream_broken(slot);
+            self.close_connection(client, CloseReason::StreamBroken);
+            self.remove_client(client);
+        }
+    }
+
+    /// The client of a streamed answer is gone.
+    pub(super) fn abandon_stream(&mut self, stream: &StreamedAnswer) {
+        self.connections.clients.pending_ids.remove(&stream.id);
+        let counts = self.reporter.metrics.class_mut(stream.class_slot);
+        if stream.broken {
+            counts.failed += 1;
+        } else {
+            counts.disconnected += 1;
+        }
+        self.requests.unanswered -= 1;
+        let conn = self.connections.pool.get(stream.conn);
+        if conn.is_some_and(|conn| conn.stream_target.is_some()) {
+            self.close_server_connection(stream.conn, CloseReason::GivenUp);
+        }
+    }
+}
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -1,38 +1,46 @@
-//! What servers bring: answers, in no protocol's words.
+//! Replies of servers, independent of the protocol that carried them.
 
 use bytes::Bytes;
 use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport, RequestId};
 
-/// Names a connection of either side; never used twice.
+/// Names a connection to a client or to a server; never reused.
 pub type ConnId = u64;
-/// Names an attempt: its request and its number.
+
+/// Names an attempt: the request and the attempt's number within it.
 pub type AttemptKey = (RequestId, u16);
 
-/// What a server sent can't be understood; the connection is of no more use.
+/// The bytes of a server follow no protocol that is spoken here; its connection can't be used any more.
 #[derive(Debug, PartialEq, Clone, Copy)]
-pub struct Broken;
+pub struct MalformedReply;
 
-/// An answer of a server.
+/// A server's reply to one attempt.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
     /// How the attempt ended.
     pub status: AttemptStatus,
-    /// What was said of the key.
-    pub note: CacheStatus,
-    /// The load report.
+    /// What the server said of the key in its cache.
+    pub cache_status: CacheStatus,
+    /// The server's load report.
     pub load: LoadReport,
-    /// The value or the receipt.
+    /// The value of a read or the receipt of a write.
     pub value: Option<Bytes>,
-    /// Of a miss: the version of the key that the cache was told of last, where it says so; else 0. What is older than
-    /// this was edited before the request was asked.
-    pub at_least: u64,
+    /// Of a miss: the newest version of the key that the cache has been notified of; 0 where it names none. An older
+    /// version was overwritten before the request was sent.
+    pub min_version: u64,
     /// Whether the connection can carry another request.
-    pub keep: bool,
+    pub reusable: bool,
 }
 
 impl Reply {
-    /// One that says no more than how it ended.
-    pub fn bare(status: AttemptStatus, keep: bool) -> Reply {
-        Reply { status, note: CacheStatus::None, load: LoadReport::default(), value: None, at_least: 0, keep }
+    /// A reply that says no more than how the attempt ended.
+    pub fn of_status(status: AttemptStatus, reusable: bool) -> Reply {
+        Reply {
+            status,
+            cache_status: CacheStatus::None,
+            load: LoadReport::default(),
+            value: None,
+            min_version: 0,
+            reusable,
+        }
     }
 }
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -1,5 +1,7 @@
-//! What every front hands to the node, and what it gets back. A front reads its protocol into a [`Command`] and words
-//! the [`Final`] that comes back; it decides nothing.
+//! Requests and their final answers, independent of the protocol that carries them.
+//!
+//! A front end reads its protocol into a [`Command`] and encodes the [`FinalAnswer`] that comes back; it makes no
+//! decision of its own.
 
 use std::fmt::Write;
 
@@ -7,65 +9,58 @@
 use stonevane_policy::{Key, Micros, RequestClass};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The length of the longest time left in decimal digits.
-const LONGEST_TIME_LEFT: usize = 20;
-
-/// Where the node stands.
-#[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Phase {
-    /// It has no list of servers yet.
-    Starting,
-    /// It serves.
-    Ready,
-    /// It ends: connections are closed between requests.
-    Draining,
-}
+/// Length of the longest remaining time in decimal digits.
+const MAX_TIME_LEFT_DIGITS: usize = 20;
+/// Length of a key that is the hexadecimal form of its own hash.
+const HASHED_KEY_DIGITS: usize = 16;
+/// Memory that an answer takes beside its value, in bytes.
+const ANSWER_OVERHEAD: usize = 16;
 
 /// A command of a client.
 #[derive(Debug, Clone, Default)]
 pub struct Command {
-    /// Whether it writes.
+    /// Whether it is a write.
     pub write: bool,
     /// Its key.
     pub key: Bytes,
     /// Its id, as the client names it.
     pub id: Bytes,
-    /// What it says of itself, `name=value` with commas between.
+    /// Its parameters as the client sent them: `name=value`, separated by commas.
     pub facts: String,
-    /// What is written.
+    /// The value of a write.
     pub value: Option<Bytes>,
-    /// Position of its class.
+    /// Position of its class in the settings.
     pub class: usize,
-    /// What that class means, for as long as the request lives.
+    /// The class as it was when the request arrived: it holds for as long as the request lives.
     pub rules: RequestClass,
-    /// How many attempts it may make.
-    pub most: u32,
-    /// Position of its tenant.
+    /// How many attempts may be made.
+    pub max_attempts: u32,
+    /// Position of its tenant in the settings.
     pub tenant: usize,
-    /// For how long its client waits.
+    /// How long its client waits from the arrival on.
     pub time_left: Micros,
-    /// Whether it repeats an earlier try.
-    pub repeat: bool,
-    /// Expected work, where told.
+    /// Whether the client sends it again after an earlier attempt of its own.
+    pub is_retry: bool,
+    /// Expected cost, where the client states it.
     pub cost: Option<Micros>,
-    /// Size of the value, 0 where not told.
+    /// Size of the value, 0 where the client does not state it.
     pub size: f32,
 }
 
 impl Command {
-    /// The key as the module knows it, the same at every node.
+    /// The key as the decision module knows it, the same at every node.
     pub fn hashed_key(&self) -> Key {
-        let text = std::str::from_utf8(&self.key).ok();
-        let hex = text.filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
+        let text = std::str::from_utf8(&self.key).ok().filter(|text| text.len() == HASHED_KEY_DIGITS);
+        let hex = text.and_then(|text| u64::from_str_radix(text, 16).ok());
         hex.unwrap_or_else(|| xxh3_64(&self.key)).max(1)
     }
 
-    /// The facts as an attempt sends them to a server: `d` is the time that is left to the client now, in milliseconds;
-    /// everything else is passed on unchanged.
+    /// The parameters as an attempt sends them to a server: `d` becomes the client's remaining time in milliseconds,
+    /// everything else is forwarded unchanged.
     pub fn facts_with_time_left(&self, left_ms: u64) -> String {
-        let mut facts = String::with_capacity(self.facts.len() + LONGEST_TIME_LEFT);
-        for (place, fact) in self.facts.split(',').enumerate() {
-            if place > 0 {
+        let mut facts = String::with_capacity(self.facts.len() + MAX_TIME_LEFT_DIGITS);
+        for (position, fact) in self.facts.split(',').enumerate() {
+            if position > 0 {
                 facts.push(',');
             }
             if fact.starts_with("d=") {
@@ -78,32 +73,35 @@
     }
 }
 
-/// The one final answer to a request, in no protocol's words yet.
+/// The one final answer to a request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Final {
+pub enum FinalAnswer {
     /// The value or the receipt that a server made for this request.
     Served(Bytes),
-    /// Turned away: trying again is harmless, and best after this long (0: no advice).
-    Refused { retry_after: Micros },
-    /// No promise.
+    /// Not run: the client may safely send it again.
+    Rejected {
+        /// When sending it again makes sense; 0: no advice.
+        retry_after: Micros,
+    },
+    /// It may or may not have run.
     Failed,
 }
 
-impl Final {
+impl FinalAnswer {
     /// Its name in the trace.
     pub fn name(&self) -> &'static str {
         match self {
-            Final::Served(_) => "served",
-            Final::Refused { .. } => "refused",
-            Final::Failed => "failed",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Failed => "failed",
         }
     }
 
-    /// What it holds of the memory, in bytes.
+    /// Memory that it takes until it is written, in bytes.
     pub fn size(&self) -> usize {
         match self {
-            Final::Served(value) => value.len() + 16,
-            Final::Refused { .. } | Final::Failed => 16,
+            FinalAnswer::Served(value) => value.len() + ANSWER_OVERHEAD,
+            FinalAnswer::Rejected { .. } | FinalAnswer::Failed => ANSWER_OVERHEAD,
         }
     }
 }
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -1,14 +1,14 @@
-//! What is said to cache servers and what their answers mean.
+//! RESP2 as cache servers speak it: encodes attempts, decodes their replies.
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp::{self, Value};
 use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport};
 
-use crate::reply::{Broken, Reply};
+use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
-/// The command of a client as an attempt sends it to a cache server.
-pub(crate) fn encode(command: &Command, left_ms: u64) -> Bytes {
+/// Encodes a client's command as an attempt sends it to a cache server.
+pub(super) fn encode(command: &Command, left_ms: u64) -> Bytes {
     let facts = command.facts_with_time_left(left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
     match &command.value {
@@ -17,51 +17,63 @@
     }
 }
 
-/// Takes an answer off the front of what a connection brought; `None` while it is not all there. Against
-/// spoilt answers passed on: whatever is not just as the protocol has it is broken.
-pub(crate) fn decode(
+/// Takes a reply off the front of a buffer; `None` while it is incomplete. Whatever deviates from the protocol is
+/// malformed, so that no corrupted value is forwarded.
+pub(super) fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
-    longest: usize,
-) -> Result<Option<Reply>, Broken> {
-    let Some(value) = resp::take_value(buffer, longest).map_err(|_| Broken)? else { return Ok(None) };
-    let reply = |status| Reply::bare(status, true);
-    Ok(Some(match value {
-        Value::Array(items) => {
-            let Ok([Value::Bulk(value), Value::Bulk(how), Value::Bulk(report)]) =
-                <[Value; 3]>::try_from(items)
-            else {
-                return Err(Broken);
-            };
-            // A report or a word that can't be read tells nothing, and the answer is good all the same.
-            fn text(word: &Option<Bytes>) -> &str {
-                word.as_ref().and_then(|word| std::str::from_utf8(word).ok()).unwrap_or("")
-            }
-            let how = text(&how);
-            let (note, load) = (note(how), load(text(&report), load_names));
-            let status = if value.is_some() { AttemptStatus::Served } else { AttemptStatus::Miss };
-            let at_least = how.strip_prefix("miss:").and_then(|version| version.parse().ok()).unwrap_or(0);
-            Reply { note, load, value, at_least, ..reply(status) }
-        }
-        Value::Error(line) => {
-            let line = std::str::from_utf8(&line).map_err(|_| Broken)?;
-            let status = match line.split(' ').next() {
-                _ if line.chars().any(char::is_control) => return Err(Broken),
-                Some("BUSY") => AttemptStatus::Rejected,
-                Some("ERR") => AttemptStatus::Error,
-                _ => return Err(Broken),
-            };
-            let last = line.rsplit(' ').next().unwrap_or("");
-            Reply { load: load(last, load_names), ..reply(status) }
-        }
-        // Nothing of the protocol: what this connection brings next can't be matched to anything.
-        _ => return Err(Broken),
-    }))
+    max_value: usize,
+) -> Result<Option<Reply>, MalformedReply> {
+    let Some(value) = resp::take_value(buffer, max_value).map_err(|_| MalformedReply)? else {
+        return Ok(None);
+    };
+    match value {
+        Value::Array(items) => decode_served(items, load_names).map(Some),
+        Value::Error(line) => decode_error(&line, load_names).map(Some),
+        // No reply of the protocol: what follows on the connection can't be matched to a request.
+        Value::Bulk(_) | Value::Line(_) | Value::Number(_) => Err(MalformedReply),
+    }
+}
+
+/// Decodes an array of value, lookup result and load report. A lookup result or a load report that can't be read says
+/// nothing, and the reply counts all the same.
+fn decode_served(items: Vec<Value>, load_names: &[String]) -> Result<Reply, MalformedReply> {
+    let Ok([Value::Bulk(value), Value::Bulk(lookup), Value::Bulk(report)]) = <[Value; 3]>::try_from(items)
+    else {
+        return Err(MalformedReply);
+    };
+    let lookup = text(lookup.as_ref());
+    Ok(Reply {
+        status: if value.is_some() { AttemptStatus::Served } else { AttemptStatus::Miss },
+        cache_status: parse_cache_status(lookup),
+        load: parse_load(text(report.as_ref()), load_names),
+        value,
+        min_version: lookup.strip_prefix("miss:").and_then(|version| version.parse().ok()).unwrap_or(0),
+        reusable: true,
+    })
+}
+
+fn decode_error(line: &[u8], load_names: &[String]) -> Result<Reply, MalformedReply> {
+    let line = std::str::from_utf8(line).map_err(|_| MalformedReply)?;
+    if line.chars().any(char::is_control) {
+        return Err(MalformedReply);
+    }
+    let status = match line.split(' ').next() {
+        Some("BUSY") => AttemptStatus::Rejected,
+        Some("ERR") => AttemptStatus::Error,
+        _ => return Err(MalformedReply),
+    };
+    let report = line.rsplit(' ').next().unwrap_or("");
+    Ok(Reply { load: parse_load(report, load_names), ..Reply::of_status(status, true) })
+}
+
+fn text(word: Option<&Bytes>) -> &str {
+    word.and_then(|word| std::str::from_utf8(word).ok()).unwrap_or("")
 }
 
-/// How a read went, in a server's words. Caches that take voids from nodes say of a miss which version they were told
-/// of last (`miss:41`).
-pub fn note(word: &str) -> CacheStatus {
+/// Parses the result of a read's lookup. Caches that are notified of writes add to a miss the newest version of the
+/// key that they have heard of (`miss:41`).
+pub(super) fn parse_cache_status(word: &str) -> CacheStatus {
     match word.split(':').next().unwrap_or_default() {
         "hit" => CacheStatus::Hit,
         "miss" => CacheStatus::Miss,
@@ -70,13 +82,13 @@
     }
 }
 
-/// A load report in a server's words: names and values, put in the order that the settings name them.
-pub fn load(text: &str, names: &[String]) -> LoadReport {
+/// Parses a load report of names and values into the order in which the settings name them. Values that are not
+/// finite or negative void the whole report.
+pub(super) fn parse_load(text: &str, names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (slot, name) in names.iter().take(load.values.len()).enumerate() {
-        let pair = text.split(',').filter_map(|pair| pair.split_once('='));
-        let value = pair.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
-        // Against reports that parse and tell nothing: not a number, endless or negative.
+        let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
+        let value = pairs.filter(|(key, _)| key == name).find_map(|(_, value)| value.parse::<f32>().ok());
         let Some(value) = value.filter(|value| value.is_finite() && *value >= 0.0) else {
             return LoadReport::default();
         };
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -1,19 +1,22 @@
-//! What is said to the origin, in HTTP/1.1, and what its answers mean.
+//! HTTP/1.1 as the origin speaks it: encodes attempts, decodes their replies.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use stonevane_codec::http::{self, Chunks};
+use stonevane_codec::http::{self, Chunks, Head};
 use stonevane_policy::AttemptStatus;
 
 use super::cache;
-use crate::reply::{Broken, Reply};
+use super::conn::ValueHead;
+use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
-/// Interim answers (1xx) ahead of the final one, at most.
+/// Interim responses (1xx) ahead of the final one, at most.
 const MAX_INTERIM: usize = 8;
+/// Initial capacity of an encoded request, in bytes.
+const REQUEST_CAPACITY: usize = 512;
 
-/// The command of a client as an attempt sends it to the origin.
+/// Encodes a client's command as an attempt sends it to the origin.
 pub(super) fn encode(command: &Command, left_ms: u64, host: &str) -> Bytes {
-    let mut out = BytesMut::with_capacity(512);
+    let mut out = BytesMut::with_capacity(REQUEST_CAPACITY);
     out.put_slice(if command.write { b"PUT /" } else { b"GET /" });
     out.put_slice(&command.key);
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
@@ -28,76 +31,106 @@
     out.freeze()
 }
 
-/// Takes an answer off the front of what a connection brought; `None` while it is not all there.
+/// Takes a reply off the front of a buffer; `None` while it is incomplete.
 pub(super) fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
-    longest: usize,
-) -> Result<Option<Reply>, Broken> {
-    // Interim answers come ahead of the final one. They stay in the buffer until that has come, so that the
-    // few that are allowed are counted anew each time: against a server that sends them without end.
-    let mut ahead = 0;
-    let mut heads = 0..=MAX_INTERIM;
-    let head = loop {
-        heads.next().ok_or(Broken)?;
-        let Some(head) = http::head(&buffer[ahead..]).map_err(|_| Broken)? else { return Ok(None) };
-        match head.status {
-            100 | 102..200 => ahead += head.length,
-            200.. => break head,
-            // Nobody asked for another protocol, and there are no codes under 100.
-            _ => return Err(Broken),
-        }
-    };
-    let start = ahead + head.length;
-    let mut keep = !head.close;
-    let value = if head.chunked {
-        let (mut rest, mut body) = (BytesMut::from(&buffer[start..]), BytesMut::new());
-        if !Chunks::default().take(&mut rest, &mut body).map_err(|_| Broken)? {
-            return if rest.len() + body.len() > 2 * longest { Err(Broken) } else { Ok(None) };
-        }
-        keep = false;
-        if body.len() > longest {
-            return Err(Broken);
-        }
-        buffer.clear();
-        body.freeze()
+    max_value: usize,
+) -> Result<Option<Reply>, MalformedReply> {
+    let Some((interim_length, head)) = final_head(buffer)? else { return Ok(None) };
+    let body_start = interim_length + head.length;
+    let body = if head.chunked {
+        take_chunked_body(buffer, body_start, max_value)?
     } else {
-        let length = match head.content_length {
-            Some(length) if length <= longest => length,
-            // A value that ends with its connection can't be told from one that was cut off; of an answer
-            // without one, the head tells all.
-            None if head.status != 200 => {
-                keep = false;
-                0
-            }
-            _ => return Err(Broken),
-        };
-        if buffer.len() < start + length {
-            return Ok(None);
-        }
-        let _ = buffer.split_to(start);
-        buffer.split_to(length).freeze()
+        take_sized_body(buffer, body_start, &head, max_value)?
     };
+    let Some(Body { value, reusable }) = body else { return Ok(None) };
     let status = match head.status {
         200 => AttemptStatus::Served,
         503 | 504 if head.unprocessed => AttemptStatus::Rejected,
         _ => AttemptStatus::Error,
     };
-    let value = (status == AttemptStatus::Served).then_some(value);
-    let load = cache::load(head.load.as_deref().unwrap_or(""), load_names);
-    let note = cache::note(head.note.as_deref().unwrap_or(""));
-    Ok(Some(Reply { status, note, load, value, at_least: 0, keep }))
+    Ok(Some(Reply {
+        status,
+        cache_status: cache::parse_cache_status(head.lookup.as_deref().unwrap_or("")),
+        load: cache::parse_load(head.load.as_deref().unwrap_or(""), load_names),
+        value: (status == AttemptStatus::Served).then_some(value),
+        min_version: 0,
+        reusable: reusable && !head.close,
+    }))
+}
+
+/// Finds the head of the final response, and the length of the interim ones ahead of it. Those stay in the buffer until
+/// the final one is there, so that each call counts them all: a server could send them without end.
+fn final_head(buffer: &[u8]) -> Result<Option<(usize, Head)>, MalformedReply> {
+    let mut interim_length = 0;
+    for _ in 0..=MAX_INTERIM {
+        let head = http::head(&buffer[interim_length..]).map_err(|_| MalformedReply)?;
+        let Some(head) = head else { return Ok(None) };
+        match head.status {
+            100 | 102..200 => interim_length += head.length,
+            200.. => return Ok(Some((interim_length, head))),
+            // No other protocol was asked for, and there are no codes below 100.
+            _ => return Err(MalformedReply),
+        }
+    }
+    Err(MalformedReply)
+}
+
+struct Body {
+    value: Bytes,
+    /// Whether the body leaves the connection usable.
+    reusable: bool,
+}
+
+fn take_chunked_body(
+    buffer: &mut BytesMut,
+    start: usize,
+    max_value: usize,
+) -> Result<Option<Body>, MalformedReply> {
+    let mut rest = BytesMut::from(&buffer[start..]);
+    let mut value = BytesMut::new();
+    let complete = Chunks::default().take(&mut rest, &mut value).map_err(|_| MalformedReply)?;
+    if !complete {
+        let too_long = rest.len() + value.len() > 2 * max_value;
+        return if too_long { Err(MalformedReply) } else { Ok(None) };
+    }
+    if value.len() > max_value {
+        return Err(MalformedReply);
+    }
+    buffer.clear();
+    // Trailers are not read, so that the connection can't be used again.
+    Ok(Some(Body { value: value.freeze(), reusable: false }))
+}
+
+fn take_sized_body(
+    buffer: &mut BytesMut,
+    start: usize,
+    head: &Head,
+    max_value: usize,
+) -> Result<Option<Body>, MalformedReply> {
+    let length = match head.content_length {
+        Some(length) if length <= max_value => length,
+        // A value that ends with its connection can't be told from a truncated one; of a failure the head says all.
+        None if head.status != 200 => 0,
+        _ => return Err(MalformedReply),
+    };
+    if buffer.len() < start + length {
+        return Ok(None);
+    }
+    let _ = buffer.split_to(start);
+    let value = buffer.split_to(length).freeze();
+    Ok(Some(Body { value, reusable: head.content_length.is_some() }))
 }
 
-/// Where an answer's value begins, how long it is stated to be, and whether the connection can be used again: of a served
-/// answer whose head is all there.
-pub(super) fn value_begins(buffer: &[u8]) -> Option<(usize, usize, bool)> {
+/// The head of a served reply's value, where it is complete.
+pub(super) fn value_head(buffer: &[u8]) -> Option<ValueHead> {
     let head = http::head(buffer).ok()??;
     let length = head.content_length.filter(|_| head.status == 200 && !head.chunked)?;
-    Some((head.length, length, !head.close))
+    Some(ValueHead { start: head.length, length, reusable: !head.close })
 }
 
-/// The length that an answer states for its value, once it has.
-pub(super) fn stated(buffer: &[u8]) -> Option<usize> {
+/// The length that a reply states for its value, once it has.
+pub(super) fn stated_length(buffer: &[u8]) -> Option<usize> {
     http::head(buffer).ok().flatten().and_then(|head| head.content_length)
 }
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -1,4 +1,4 @@
-//! When something is due. A connection has one entry at most, so that what is open bounds them.
+//! The core's timers. A connection has one entry at most, so that open connections bound the number of entries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,94 +7,93 @@
 
 use crate::reply::ConnId;
 
-/// What is due.
+/// What a timer is for. Timers of the same time fire in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// A timer of the module.
+pub enum TimerKind {
+    /// A timer of the decision module.
     Policy(u32),
-    /// An attempt is given up.
-    Attempt(RequestId, u16),
-    /// A client's time is up.
-    Deadline(RequestId),
-    /// A limit of a connection.
-    Conn(ConnId),
-    /// A client of a full table may have to give its place up.
-    Room,
-    /// Idle connections are looked through.
-    Sweep,
-    /// The first watch on the list is opened.
+    /// The time-out of an attempt.
+    AttemptTimeout(RequestId, u16),
+    /// The deadline of a client's request.
+    RequestDeadline(RequestId),
+    /// A time limit of a connection.
+    ConnectionLimit(ConnId),
+    /// A client of a full table may be evicted.
+    Eviction,
+    /// Expired idle connections to servers are closed.
+    IdleSweep,
+    /// The first watch on the endpoint list is opened.
     FirstWatch,
-    /// Connections of clients are closed from now on.
-    Drain,
-    /// The time is nearly up: what is owed is answered as it stands.
-    Last,
-    /// Whether all is answered is looked at.
-    Ended,
-    /// Clients have had their time to name what the latest settings have.
-    Settled,
-    /// A cache server may have become warm, and the subset another.
-    Subset,
+    /// Draining of client connections begins.
+    DrainConnections,
+    /// Shortly before the drain's end: pending requests are answered as they stand.
+    DrainEnding,
+    /// Checks whether the drain is complete.
+    DrainCheck,
+    /// Clients have had their time to switch to the latest settings.
+    ReloadComplete,
+    /// A cache server may have warmed up, and the subset changes with it.
+    SubsetRefresh,
 }
 
-/// All that is due, the earliest first; what is due at the same time in the order of [`Due`].
+/// All timers, the earliest first.
 #[derive(Default)]
-pub struct Timers(BinaryHeap<Reverse<(Micros, Due)>>);
+pub struct Timers(BinaryHeap<Reverse<(Micros, TimerKind)>>);
 
 impl Timers {
-    /// Something is due at a time.
-    pub fn push(&mut self, at: Micros, due: Due) {
-        self.0.push(Reverse((at, due)));
+    /// Adds a timer.
+    pub fn push(&mut self, at: Micros, kind: TimerKind) {
+        self.0.push(Reverse((at, kind)));
     }
 
-    /// What is due by now.
-    pub fn pop(&mut self, now: Micros) -> Option<Due> {
+    /// Takes the earliest timer, if it is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<TimerKind> {
         self.0.peek().filter(|Reverse((at, _))| *at <= now)?;
-        self.0.pop().map(|Reverse((_, due))| due)
+        self.0.pop().map(|Reverse((_, kind))| kind)
     }
 
-    /// Drops what nothing is to be done for, up to the first that it is: nobody is woken for that.
-    pub fn skip(&mut self, stale: impl Fn(Due) -> bool) {
-        while self.0.peek().is_some_and(|Reverse((_, due))| stale(*due)) {
+    /// Drops stale timers at the front: no wake-up is spent on them.
+    pub fn drop_stale_front(&mut self, is_stale: impl Fn(TimerKind) -> bool) {
+        while self.0.peek().is_some_and(|Reverse((_, kind))| is_stale(*kind)) {
             self.0.pop();
         }
     }
 
-    /// When something is due next.
-    pub fn next(&self) -> Option<Micros> {
+    /// When the earliest timer is due.
+    pub fn next_timeout(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Keeps only some.
-    pub fn retain(&mut self, keep: impl Fn(&Due) -> bool) {
-        self.0.retain(|Reverse((_, due))| keep(due));
+    /// Keeps only some timers.
+    pub fn retain(&mut self, keep: impl Fn(&TimerKind) -> bool) {
+        self.0.retain(|Reverse((_, kind))| keep(kind));
     }
 
-    /// How many there are.
+    /// How many timers there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// The one entry of a connection, moved lazily: an earlier limit is entered at once, a later one when the entry that
-/// stands is due.
+/// The one timer of a connection. An earlier limit is entered at once, a later one when the existing entry fires.
 #[derive(Default, Clone, Copy, Debug)]
-pub struct Armed(Option<Micros>);
+pub struct ConnectionTimer(Option<Micros>);
 
-impl Armed {
-    /// Its limit is this now; enters it where it must.
+impl ConnectionTimer {
+    /// Sets the connection's limit; adds a timer where the existing one would be too late.
     pub fn arm(&mut self, limit: Option<Micros>, conn: ConnId, timers: &mut Timers) {
         if let Some(limit) = limit
-            && self.0.is_none_or(|stands| limit < stands)
+            && self.0.is_none_or(|entered| limit < entered)
         {
             self.0 = Some(limit);
-            timers.push(limit, Due::Conn(conn));
+            timers.push(limit, TimerKind::ConnectionLimit(conn));
         }
     }
 
-    /// An entry is due; `true` where the limit has passed, else what is left of it is entered anew.
-    pub fn due(&mut self, limit: Option<Micros>, now: Micros, conn: ConnId, timers: &mut Timers) -> bool {
-        if self.0.is_some_and(|stands| stands > now) {
-            return false; // One that was overtaken by an earlier one.
+    /// An entry has fired: returns whether the limit has passed, and enters a later limit anew.
+    pub fn fire(&mut self, limit: Option<Micros>, now: Micros, conn: ConnId, timers: &mut Timers) -> bool {
+        if self.0.is_some_and(|entered| entered > now) {
+            return false; // An earlier entry has fired in its place.
         }
         self.0 = None;
         if limit.is_some_and(|limit| limit <= now) {
--- a/crates/stonevane-core/src/trace.rs
+++ b/crates/stonevane-core/src/trace.rs
@@ -1,57 +1,57 @@
-//! Why connections are closed, and the trace: a line for each step of each request, off unless it is asked for.
+//! Reasons for which connections are closed, and the trace of single requests, which is off by default.
 
 use std::fmt;
 
-/// Why a connection is closed by this process.
+/// Why this process closes a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// A client's: it was asked for its place.
-    MadeRoom,
-    /// A client's: it said nothing for too long, or was too slow.
+    /// A client: evicted from a full table.
+    Evicted,
+    /// A client: one of its time limits has passed.
     TimeLimit,
-    /// A client's: it had its last answer, and this process ends.
+    /// A client: it has its last answer, and this process drains.
     Drain,
-    /// A client's: its last answer was an error that ends the connection, for a spoilt command or a full table.
+    /// A client: its last answer was an error that ends the connection, for a malformed command or a full table.
     AfterError,
-    /// A client's: a value that it had seen a part of has broken off.
-    ValueBroken,
-    /// A server's: its place was wanted.
-    PlaceWanted,
-    /// A server's: it stood idle for too long.
+    /// A client: a streamed value that it had seen a part of broke off. A server: a streamed value stalled.
+    StreamBroken,
+    /// A server: the place of its idle connection was needed.
+    CapacityNeeded,
+    /// A server: it was idle for too long.
     Idle,
-    /// A server's: the server wants nothing new, is gone, or is elsewhere now.
-    NotWanted,
-    /// A server's: an attempt on it was given up.
+    /// A server: it is draining, removed, not used any more, or has another address.
+    ServerUnavailable,
+    /// A server: the attempt on it was given up.
     GivenUp,
-    /// A server's: what it brought is no answer.
-    Spoilt,
-    /// A server's: it broke, ended, or did not come up.
+    /// A server: its reply was malformed.
+    Malformed,
+    /// A server: the connection broke, ended, or could not be opened.
     Lost,
-    /// A server's: its answer says that it ends, or nobody waits for the rest of it.
-    AnswerEnds,
+    /// A server: its reply ends the connection, or the rest of the reply is not needed.
+    ReplyEndsConnection,
 }
 
 impl CloseReason {
     /// Its name in logs and counts.
     pub fn name(self) -> &'static str {
         match self {
-            CloseReason::MadeRoom => "made-room",
+            CloseReason::Evicted => "made-room",
             CloseReason::TimeLimit => "time-limit",
             CloseReason::Drain => "drain",
             CloseReason::AfterError => "after-error",
-            CloseReason::ValueBroken => "value-broken",
-            CloseReason::PlaceWanted => "place-wanted",
+            CloseReason::StreamBroken => "value-broken",
+            CloseReason::CapacityNeeded => "place-wanted",
             CloseReason::Idle => "idle",
-            CloseReason::NotWanted => "not-wanted",
+            CloseReason::ServerUnavailable => "not-wanted",
             CloseReason::GivenUp => "given-up",
-            CloseReason::Spoilt => "spoilt",
+            CloseReason::Malformed => "spoilt",
             CloseReason::Lost => "lost",
-            CloseReason::AnswerEnds => "answer-ends",
+            CloseReason::ReplyEndsConnection => "answer-ends",
         }
     }
 }
 
-/// The log's lines for single requests and connections. While it is off nothing is formatted.
+/// Log lines for single requests and connections. Nothing is formatted while it is off.
 #[derive(Debug, Default)]
 pub struct Trace {
     on: bool,
@@ -68,7 +68,7 @@
         self.on
     }
 
-    /// A line, where it is on.
+    /// Formats a line, if it is on.
     pub fn line(&self, text: fmt::Arguments<'_>) -> Option<String> {
         self.on.then(|| format!("trace: {text}"))
     }
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use stonevane_codec::resp;
 use stonevane_config::operator;
-use stonevane_core::{Core, Endpoint, EndpointList, Setup};
+use stonevane_core::{Core, CoreConfig, Endpoint, EndpointList};
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{RequestClass, Settings, Tenant};
 
@@ -32,7 +32,7 @@
     rest: Duration,
     differs: impl FnOnce(&mut Deployment),
 ) -> Core {
-    Core::new(START, Setup { seed, ..setup_with(store, sockets, rest, differs) })
+    Core::new(START, CoreConfig { seed, ..setup_with(store, sockets, rest, differs) })
 }
 
 /// What such a core is told at its start.
@@ -41,7 +41,7 @@
     sockets: usize,
     rest: Duration,
     differs: impl FnOnce(&mut Deployment),
-) -> Setup {
+) -> CoreConfig {
     let names = |name: &str| vec![name.to_owned()];
     let class = RequestClass { latency_objective: 1_000_000, deadline: 2_000_000, ..RequestClass::default() };
     let settings = Settings {
@@ -74,12 +74,12 @@
         weight: 1.0,
         since_ms: 0,
     };
-    Setup {
+    CoreConfig {
         deployment,
         seed: 1,
-        sockets,
+        max_sockets: sockets,
         memory_mb: 64,
-        known: EndpointList {
+        cached_list: EndpointList {
             index: 1,
             snapshot: true,
             endpoints: vec![endpoint("cache", 1), endpoint("origin", 2)],
@@ -87,10 +87,10 @@
         discovery: SocketAddr::from(([127, 0, 0, 1], 3)),
         clients: operator::Clients::default(),
         servers: operator::Servers { rest },
-        store,
-        copies: store,
-        others: 0,
-        replaced: false,
+        has_store: store,
+        notifies_caches: store,
+        other_sockets: 0,
+        can_be_replaced: false,
         excluded: Vec::new(),
         regions: None,
     }
--- a/crates/stonevane-core/tests/crossings.rs
+++ b/crates/stonevane-core/tests/crossings.rs
@@ -72,7 +72,7 @@
                         self.feed(Input::Opened(id));
                     }
                 }
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     self.asked.push(id);
                     if self.flushes {
                         self.feed(Input::Flushed(id));
@@ -92,7 +92,7 @@
     /// Lets the time pass, and what is due be done.
     fn pass(&mut self, time: u64) {
         let end = self.now + time;
-        while let Some(at) = self.core.next().filter(|at| *at <= end) {
+        while let Some(at) = self.core.next_timeout().filter(|at| *at <= end) {
             self.now = self.now.max(at);
             self.feed(Input::Wake);
         }
@@ -308,7 +308,7 @@
     let words: Vec<u8> = (0..40).flat_map(|n| get(&format!("key{n}"), &n.to_string()).to_vec()).collect();
     let mut rest = &words[..];
     loop {
-        let reads = it.core.reads(client).min(rest.len());
+        let reads = it.core.read_budget(client).min(rest.len());
         if reads == 0 {
             break;
         }
@@ -361,7 +361,8 @@
         it.pass(2_000_000);
         let said: Vec<_> = it.said.iter().filter(|(to, _)| *to == client).collect();
         assert_eq!(said.len(), 1, "{order:?}: {said:?}");
-        let counts = it.core.counts().map(|(_, c)| c.served + c.refused + c.failed + c.left).sum::<u64>();
+        let counts =
+            it.core.counts().map(|(_, c)| c.served + c.rejected + c.failed + c.disconnected).sum::<u64>();
         assert_eq!(counts, 1, "{order:?}");
         it.clean();
     }
--- a/crates/stonevane-core/tests/crowd.rs
+++ b/crates/stonevane-core/tests/crowd.rs
@@ -62,7 +62,7 @@
         for output in out {
             match output {
                 Output::Open(id, _) => self.feed(Input::Opened(id)),
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     self.feed(Input::Flushed(id));
                     self.inputs.push_back((id, HIT.to_vec()));
                 }
@@ -70,7 +70,7 @@
                     self.answered.entry(id).or_insert_with(|| bytes.to_vec());
                     self.feed(Input::Flushed(id));
                 }
-                Output::CloseIfIdle(id) if self.core.parts(id) => {
+                Output::CloseIfIdle(id) if self.core.is_closing(id) => {
                     self.parted.push(id);
                     self.standing.retain(|other| *other != id);
                     self.feed(Input::Closed(id));
@@ -88,7 +88,7 @@
             while let Some((id, bytes)) = self.inputs.pop_front() {
                 self.feed(Input::Bytes(id, &bytes));
             }
-            let Some(next) = self.core.next().filter(|next| *next <= end) else { break };
+            let Some(next) = self.core.next_timeout().filter(|next| *next <= end) else { break };
             self.now = self.now.max(next);
             self.feed(Input::Wake);
         }
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -206,7 +206,7 @@
     fn step(&mut self) {
         let call_at = self.going.as_ref().map(|going| going.words.first().map_or(going.end.0, |word| word.0));
         let again_at = self.again.as_ref().map(|(at, _)| *at);
-        let core_at = self.core.next().unwrap_or(Micros::MAX);
+        let core_at = self.core.next_timeout().unwrap_or(Micros::MAX);
         let at = core_at.min(call_at.unwrap_or(Micros::MAX)).min(again_at.unwrap_or(Micros::MAX));
         self.now = self.now.max(at);
         if call_at == Some(at) {
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -53,7 +53,7 @@
     let mut now = START;
     while now <= until {
         opened.extend(watches(core, now, Input::Wake).iter().map(|_| now));
-        now = core.next().unwrap_or(Micros::MAX).max(now + 1);
+        now = core.next_timeout().unwrap_or(Micros::MAX).max(now + 1);
     }
     opened
 }
--- a/crates/stonevane-core/tests/hit.rs
+++ b/crates/stonevane-core/tests/hit.rs
@@ -41,7 +41,7 @@
             while let Some(output) = out.pop_front() {
                 match output {
                     Output::Open(id, _) => told.push(Input::Opened(id)),
-                    Output::WriteRequest(id, ..) => {
+                    Output::WriteRequest { id, .. } => {
                         told.push(Input::Flushed(id));
                         next = Some((id, HIT));
                     }
@@ -59,13 +59,13 @@
             {
                 // First that the request is written, then its answer.
                 core.handle(now, told.remove(0), &mut out);
-                assert!(core.reads(id) > 0);
+                assert!(core.read_budget(id) > 0);
             }
         }
     }
     assert_eq!(served, HITS + 100);
     let (mut wakes, end) = (0, now + 2_000_000);
-    while let Some(next) = core.next().filter(|next| *next < end) {
+    while let Some(next) = core.next_timeout().filter(|next| *next < end) {
         core.handle(next, Input::Wake, &mut out);
         wakes += 1;
     }
--- a/crates/stonevane-core/tests/passage.rs
+++ b/crates/stonevane-core/tests/passage.rs
@@ -61,7 +61,7 @@
         for output in out {
             match output {
                 Output::Open(id, _) => self.feed(Input::Opened(id)),
-                Output::WriteRequest(id, bytes, _) => {
+                Output::WriteRequest { id, bytes, .. } => {
                     let text = String::from_utf8_lossy(&bytes).into_owned();
                     let key = text.split("\r\n").nth(4).unwrap_or_default().to_owned();
                     self.feed(Input::Flushed(id));
@@ -97,7 +97,7 @@
         pieces: &mut impl Iterator<Item = usize>,
     ) -> &'a [u8] {
         while !bytes.is_empty() {
-            let room = self.core.reads(id).min(pieces.next().unwrap_or(1 << 16)).min(bytes.len());
+            let room = self.core.read_budget(id).min(pieces.next().unwrap_or(1 << 16)).min(bytes.len());
             if room == 0 {
                 break;
             }
@@ -226,7 +226,7 @@
     assert!(it.closed.contains(&it.client));
     let counts: Vec<_> = it.core.counts().map(|(_, counts)| *counts).collect();
     assert_eq!(
-        (counts[0].taken, counts[0].served, counts[0].failed, counts[0].left),
+        (counts[0].accepted, counts[0].served, counts[0].failed, counts[0].disconnected),
         (BEFORE + 3, BEFORE + 1, 2, 0)
     );
     assert_eq!(it.core.count().memory, 0);
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -56,7 +56,7 @@
                     self.opened += 1;
                     self.feed(Input::Opened(id));
                 }
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     let rested = self.answered.get(&id).is_none_or(|at| at + REST <= self.now);
                     assert!(rested, "written to before it has rested");
                     self.feed(Input::Flushed(id));
@@ -116,7 +116,7 @@
     it.ask(10);
     assert_eq!((it.opened, it.written.len()), (opened, 0));
     while it.written.len() < 10 {
-        it.now = it.core.next().unwrap();
+        it.now = it.core.next_timeout().unwrap();
         it.feed(Input::Wake);
     }
     assert!(it.now <= rested);
--- a/crates/stonevane-core/tests/start_times.rs
+++ b/crates/stonevane-core/tests/start_times.rs
@@ -53,7 +53,10 @@
 impl Node {
     fn start(off: i64, known: Vec<Endpoint>) -> Node {
         let known = EndpointList { index: 1, snapshot: true, endpoints: known };
-        let setup = stonevane_core::Setup { known, ..setup_with(false, 64, Duration::ZERO, |_| {}) };
+        let setup = stonevane_core::CoreConfig {
+            cached_list: known,
+            ..setup_with(false, 64, Duration::ZERO, |_| {})
+        };
         let core = Core::new(NOW.saturating_add_signed(off), setup);
         let mut node = Node { core, off, out: Outputs::new() };
         node.at(NOW, Input::Wake);
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -69,7 +69,7 @@
             deployment.settings.tenants[0].quota_per_s = 50.0 * f64::from(balancers);
             deployment.zones = ["a", "b", "c"].map(String::from).into();
         });
-        setup.known = EndpointList { index: 1, snapshot: true, endpoints: known };
+        setup.cached_list = EndpointList { index: 1, snapshot: true, endpoints: known };
         setup.regions = regions;
         let mut it = World {
             core: Core::new(START, setup),
@@ -96,7 +96,7 @@
                     self.ports.insert(id, address.port());
                     self.feed(Input::Opened(id));
                 }
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     self.sent.push(self.ports[&id]);
                     self.owing.push(id);
                     self.feed(Input::Flushed(id));
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -101,7 +101,7 @@
                     }
                     self.feed(node, Input::Opened(id));
                 }
-                Output::WriteRequest(id, ..) => {
+                Output::WriteRequest { id, .. } => {
                     self.feed(node, Input::Flushed(id));
                     match self.origin.get(&(node, id)) {
                         None => self.feed(node, Input::Bytes(id, MISS)),
@@ -125,7 +125,7 @@
                 _ => {}
             }
         }
-        if let Some(next) = self.nodes[node].next() {
+        if let Some(next) = self.nodes[node].next_timeout() {
             self.events.push(Reverse((next.max(self.now + 1), Event::Wake(node))));
         }
     }
--- a/crates/stonevane-node/src/driver.rs
+++ b/crates/stonevane-node/src/driver.rs
@@ -247,7 +247,8 @@
     /// What it holds of what all processes of the node may hold together, what is open, how far it has come, and that
     /// whole.
     pub fn standing(&self) -> (Capacity, usize, ProcessStage, Capacity) {
-        self.lock().core.handover_status()
+        let status = self.lock().core.handover_status();
+        (status.used, status.in_flight, status.stage, status.node_capacity)
     }
 
     /// Takes up what people have said to another process of this node.
@@ -280,7 +281,7 @@
                         self.write(state, id, bytes);
                     }
                 }
-                Output::WriteRequest(id, bytes, sure) => {
+                Output::WriteRequest { id, bytes, check_socket: sure } => {
                     // First: a connection that the server has ended is not written to, so that its request surely
                     // never ran.
                     if self.drained(state, id, sure) {
@@ -303,7 +304,7 @@
                 }
                 Output::Close(id) => drop(state.links.remove(&id)),
                 Output::CloseIfIdle(id) => {
-                    if state.core.parts(id)
+                    if state.core.is_closing(id)
                         && self.drained(state, id, true)
                         && let Some(link) = state.links.remove(&id)
                     {
@@ -352,7 +353,7 @@
         } else if !accepts {
             self.accepts.store(false, Ordering::Relaxed);
         }
-        let next = state.core.next().unwrap_or(Micros::MAX);
+        let next = state.core.next_timeout().unwrap_or(Micros::MAX);
         if next < self.armed.load(Ordering::Relaxed) {
             self.armed.store(next, Ordering::Relaxed);
             self.earlier.notify_one();
@@ -368,7 +369,7 @@
 
     async fn sleep(self: Arc<Self>) {
         loop {
-            let at = self.lock().core.next().unwrap_or_else(|| self.clock.now() + 1_000_000);
+            let at = self.lock().core.next_timeout().unwrap_or_else(|| self.clock.now() + 1_000_000);
             self.armed.store(at, Ordering::Relaxed);
             tokio::select! {
                 () = sleep_until(self.clock.instant(at)) => {
@@ -467,7 +468,7 @@
         if !state.links.contains_key(&id) {
             return Received::Over;
         }
-        let limit = state.core.reads(id).min(SCRATCH);
+        let limit = state.core.read_budget(id).min(SCRATCH);
         let left = state.core.is_client(id) && has_ended(stream);
         if limit == 0 && !left {
             return Received::Paused;
@@ -601,7 +602,7 @@
     use std::io::Read;
 
     use stonevane_config::operator;
-    use stonevane_core::{EndpointList, Setup};
+    use stonevane_core::{CoreConfig, EndpointList};
     use stonevane_policy::settings::Deployment;
     use stonevane_policy::{RequestClass, Settings, Tenant};
 
@@ -623,19 +624,19 @@
             max_open: 100,
             load_metric_names: Vec::new(),
         };
-        let setup = Setup {
+        let setup = CoreConfig {
             deployment,
             seed: 1,
-            sockets: 64,
+            max_sockets: 64,
             memory_mb: 16,
-            known: EndpointList::default(),
+            cached_list: EndpointList::default(),
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
-            store: false,
-            copies: false,
-            others: 0,
-            replaced: false,
+            has_store: false,
+            notifies_caches: false,
+            other_sockets: 0,
+            can_be_replaced: false,
             excluded: Vec::new(),
             regions: None,
         };
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -19,7 +19,7 @@
 
 use clap::Parser;
 use stonevane_config::operator::Operator;
-use stonevane_core::{Core, Input, Setup};
+use stonevane_core::{Core, CoreConfig, Input};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, oneshot};
@@ -76,20 +76,20 @@
     // Whoever takes the clients of a process over that runs meets no crowd that has waited for it.
     deployment.settings.startup_attempts_per_server = if replaced { 0.0 } else { config.operator.start.each };
     deployment.settings.coalesce_fetches = store.as_ref().is_some_and(|store| store.shares());
-    let setup = Setup {
+    let setup = CoreConfig {
         deployment,
         seed: config.seed,
-        sockets: config.sockets,
+        max_sockets: config.sockets,
         memory_mb: config.memory_mb,
-        known: config.known,
+        cached_list: config.known,
         discovery: config.discovery,
         clients: config.operator.clients,
         servers: config.operator.servers,
-        store: store.is_some(),
-        copies: store.as_ref().is_some_and(|store| store.copies()),
-        others,
+        has_store: store.is_some(),
+        notifies_caches: store.as_ref().is_some_and(|store| store.copies()),
+        other_sockets: others,
         excluded,
-        replaced,
+        can_be_replaced: replaced,
         regions: config.operator.regions.clone(),
     };
     let mut core = Core::new(clock.now(), setup);
--- a/crates/stonevane-node/src/store.rs
+++ b/crates/stonevane-node/src/store.rs
@@ -218,7 +218,7 @@
             true => edit(&self.0, job).await,
             false => fetch(&self.0, job).await,
         };
-        Reply { value, ..Reply::bare(status, true) }
+        Reply { value, ..Reply::of_status(status, true) }
     }
 }
 
--- a/crates/stonevane-scale/src/hollow.rs
+++ b/crates/stonevane-scale/src/hollow.rs
@@ -106,19 +106,19 @@
             seed,
             draw,
         };
-        let core = stonevane_core::Setup {
+        let core = stonevane_core::CoreConfig {
             deployment: setup.deployment,
             seed: setup.core_seed,
-            sockets: SOCKETS,
+            max_sockets: SOCKETS,
             memory_mb: MEMORY_MB,
-            known: EndpointList::default(),
+            cached_list: EndpointList::default(),
             discovery: setup.discovery,
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
-            store: false,
-            copies: false,
-            others: 0,
-            replaced: false,
+            has_store: false,
+            notifies_caches: false,
+            other_sockets: 0,
+            can_be_replaced: false,
             excluded: Vec::new(),
             regions: None,
         };
@@ -145,7 +145,7 @@
 
     /// When it wants to be woken, at the latest.
     pub fn next(&self) -> Micros {
-        self.core.next().map_or(self.machine.next(), |next| next.min(self.machine.next()))
+        self.core.next_timeout().map_or(self.machine.next(), |next| next.min(self.machine.next()))
     }
 
     /// Something has happened at a time, which never goes back: what is to be done.
@@ -162,7 +162,7 @@
                 if self.machine.next() <= now {
                     self.tell_machine(now, MachineInput::Wake, outputs);
                 }
-                if self.core.next().is_some_and(|next| next <= now) {
+                if self.core.next_timeout().is_some_and(|next| next <= now) {
                     self.tell_core(now, CoreInput::Wake, outputs);
                 }
             }
--- a/crates/stonevane-sim/src/lib.rs
+++ b/crates/stonevane-sim/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use plan::{Fault, Plan, What};
 pub use shrink::{Shrunk, shrink};
-pub use stonevane_core::Mutant;
+pub use stonevane_core::{Mutant, MutantInfo};
 pub use world::{Options, Sums, Verdict, run};
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -12,7 +12,7 @@
 use stonevane_codec::resp::{self, Value};
 use stonevane_config::operator;
 use stonevane_core::{
-    ConnId, Core, DiscoveryRequest, EndpointList, Input, LogLine, Mutant, Output, Outputs, Setup,
+    ConnId, Core, CoreConfig, DiscoveryRequest, EndpointList, Input, LogLine, Mutant, Output, Outputs,
 };
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
@@ -498,19 +498,19 @@
     fn start(&mut self, node: usize) {
         let plan = self.plan;
         let known = Discovery::of(&self.servers);
-        let setup = Setup {
+        let setup = CoreConfig {
             deployment: deployment(plan, node),
             seed: plan.seed ^ (self.nodes[node].life << 32) ^ node as u64,
-            sockets: plan.sockets,
+            max_sockets: plan.sockets,
             memory_mb: plan.memory_mb,
-            known: known.listing(0, EPOCH).0,
+            cached_list: known.listing(0, EPOCH).0,
             discovery: SocketAddr::from(([10, 4, 0, 1], 8_500)),
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
-            store: false,
-            copies: false,
-            others: 0,
-            replaced: false,
+            has_store: false,
+            notifies_caches: false,
+            other_sockets: 0,
+            can_be_replaced: false,
             excluded: Vec::new(),
             regions: None,
         };
@@ -571,7 +571,7 @@
                 Output::WriteAndClose(id, bytes) | Output::Write(id, bytes) => {
                     self.node_writes(node, id, &bytes, &mut outputs);
                 }
-                Output::WriteRequest(id, bytes, _) => {
+                Output::WriteRequest { id, bytes, .. } => {
                     if self.drained(node, id, &mut outputs) {
                         self.node_writes(node, id, &bytes, &mut outputs);
                     }
@@ -583,7 +583,7 @@
                     }
                 }
                 Output::CloseIfIdle(id) => {
-                    let parts = self.nodes[node].core.as_ref().is_some_and(|core| core.parts(id));
+                    let parts = self.nodes[node].core.as_ref().is_some_and(|core| core.is_closing(id));
                     if parts
                         && self.drained(node, id, &mut outputs)
                         && let Some(wire) = self.nodes[node].wires.remove(&id)
@@ -637,7 +637,7 @@
         }
         self.look(node);
         let Some(core) = &self.nodes[node].core else { return };
-        if let Some(next) = core.next() {
+        if let Some(next) = core.next_timeout() {
             let at = self.moment(node, next).max(self.now);
             if at < self.nodes[node].wake || self.nodes[node].wake <= self.now {
                 // A process wakes late now and then, and hears of other things before.
@@ -798,7 +798,7 @@
                 return;
             }
             let Some(core) = &mut self.nodes[node].core else { return };
-            let reads = core.reads(id);
+            let reads = core.read_budget(id);
             if reads == 0 {
                 return;
             }
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use stonevane_sim::{Fault, Mutant, Options, Plan, Verdict, What, run, shrink};
+use stonevane_sim::{Fault, Mutant, MutantInfo, Options, Plan, Verdict, What, run, shrink};
 
 /// Seeds that the honest core is held to here; the command plays more.
 const SEEDS: u64 = 2_000;
@@ -54,7 +54,7 @@
 
 #[test]
 fn every_mutant_is_found_within_forty_seeds() {
-    for (mutant, name, _) in Mutant::ALL {
+    for MutantInfo { mutant, name, .. } in Mutant::ALL {
         let options = Options { mutant: Some(mutant), history: false };
         let found = (1..=WITHIN).any(|seed| !run(&Plan::draw(seed), options).holds());
         assert!(found, "{name} is not found in {WITHIN} seeds");
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -123,7 +123,7 @@
             }
             Sim::Shrink { seed, scenario, mutant, runs } => smallest(seed, scenario.as_ref(), mutant, runs),
             Sim::Mutants => {
-                Mutant::ALL.iter().for_each(|(_, name, what)| say!("{name:<18} {what}"));
+                Mutant::ALL.iter().for_each(|info| say!("{:<18} {}", info.name, info.description));
                 Ok(true)
             }
         };
