--- a/crates/stonevane-node/src/copies.rs
+++ b/crates/stonevane-node/src/cache_updates.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, timeout};
 
-use crate::clock::log;
+use crate::log::log;
 
 /// Orders that wait, and what waits before one cache.
 const QUEUE: usize = 1_024;
--- a/crates/stonevane-node/src/clock.rs
+++ b/crates/stonevane-node/src/clock.rs
@@ -1,36 +1,36 @@
-//! The node's one clock, and its log.
+//! The daemon's clock, and conversions between [`Duration`] and the microseconds of the core.
 
-use std::io::Write;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use stonevane_policy::Micros;
 
-/// Writes a line to the log; a log that can't be written to is no reason to stop.
-pub fn log(line: &str) {
-    let _ = writeln!(std::io::stderr(), "stonevane-node: {line}");
-}
-
-/// The node's one clock: Unix time in microseconds at the start, and steady from there on.
+/// A monotonic clock that reads Unix time at its start, so that steps of the wall clock change no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    start: Instant,
-    unix: Micros,
+    started: Instant,
+    /// Unix time of the start.
+    unix_start: Micros,
 }
 
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix: unix.as_micros() as Micros }
+        Clock { started: Instant::now(), unix_start: to_micros(unix) }
     }
 
-    /// The time.
+    /// The time, in microseconds of Unix time.
     pub fn now(self) -> Micros {
-        self.unix + self.start.elapsed().as_micros() as Micros
+        self.unix_start + to_micros(self.started.elapsed())
     }
 
-    /// The instant of a time.
+    /// The runtime's instant of a time of this clock.
     pub fn instant(self, at: Micros) -> tokio::time::Instant {
-        (self.start + Duration::from_micros(at.saturating_sub(self.unix))).into()
+        (self.started + Duration::from_micros(at.saturating_sub(self.unix_start))).into()
     }
 }
+
+/// A duration in microseconds.
+pub fn to_micros(duration: Duration) -> Micros {
+    duration.as_micros() as Micros
+}
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -9,7 +9,7 @@
 
 use stonevane_core::EndpointList;
 
-use crate::listener;
+use crate::inherited_listener;
 
 /// All that a node is told at its start.
 #[derive(Debug)]
@@ -188,8 +188,10 @@
         };
         // Taken once: at a reload the clients' socket stays.
         let inherited = var("ROUTER_LISTEN_FD").filter(|_| last.is_none());
-        let inherited =
-            inherited.map(|number| listener::inherit(&number)).transpose().map_err(ConfigError::Inherited)?;
+        let inherited = inherited
+            .map(|number| inherited_listener::inherit(&number))
+            .transpose()
+            .map_err(ConfigError::Inherited)?;
         let mgmt = Some(var("ROUTER_MGMT").unwrap_or(file.mgmt)).filter(|at| !at.is_empty());
         let seed = u64::from_str_radix(&file.seed, 16);
         Ok(Config {
--- a/crates/stonevane-node/src/discovery.rs
+++ b/crates/stonevane-node/src/discovery.rs
@@ -16,7 +16,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-use crate::clock::log;
+use crate::log::log;
 
 /// The longest list.
 const MAX_LIST: usize = 4 * 1024 * 1024;
--- /dev/null
+++ b/crates/stonevane-node/src/driver/socket.rs
@@ -0,0 +1,62 @@
+//! Reads and writes of a TCP socket that never wait.
+
+use std::future::Future;
+use std::io::{Error, ErrorKind, Result};
+use std::pin::pin;
+use std::task::{Context, Waker};
+
+use rustix::io::retry_on_intr;
+use rustix::net::{RecvFlags, Shutdown};
+use tokio::io::Interest;
+use tokio::net::TcpStream;
+
+/// Interest in the end of the peer's stream, ahead of the bytes that can still be read. The runtime reports it with the
+/// readiness for urgent data, which nobody here sends.
+pub(super) const PEER_CLOSED: Interest = Interest::PRIORITY;
+
+/// Whether the runtime knows that the peer has ended its stream.
+pub(super) fn peer_has_closed(stream: &TcpStream) -> bool {
+    let mut context = Context::from_waker(Waker::noop());
+    pin!(stream.ready(PEER_CLOSED)).poll(&mut context).is_ready()
+}
+
+/// Reads what has arrived; `WouldBlock` without a system call where the runtime has reported nothing. A short read has
+/// emptied the socket: the runtime's readiness is cleared, as by its own reads.
+pub(super) fn read_if_ready(stream: &TcpStream, buffer: &mut [u8]) -> Result<usize> {
+    let mut short_read = 0;
+    let result = stream.try_io(Interest::READABLE, || {
+        let (count, _) = retry_on_intr(|| rustix::net::recv(stream, &mut *buffer, RecvFlags::empty()))?;
+        if count > 0 && count < buffer.len() {
+            short_read = count;
+            return Err(ErrorKind::WouldBlock.into());
+        }
+        Ok(count)
+    });
+    if short_read > 0 { Ok(short_read) } else { result }
+}
+
+/// Reads what has arrived, whatever the runtime knows of the socket.
+pub(super) fn read_from_socket(stream: &TcpStream, buffer: &mut [u8]) -> Result<usize> {
+    let received = retry_on_intr(|| rustix::net::recv(stream, &mut *buffer, RecvFlags::DONTWAIT));
+    received.map(|(count, _)| count).map_err(Error::from)
+}
+
+/// Writes what the kernel takes at once. A signal that arrives meanwhile ends no connection.
+pub(super) fn try_write(stream: &TcpStream, bytes: &[u8]) -> Result<usize> {
+    loop {
+        match stream.try_write(bytes) {
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            written => return written,
+        }
+    }
+}
+
+/// Ends this side of the stream.
+pub(super) fn shutdown_write(stream: &TcpStream) {
+    let _ = rustix::net::shutdown(stream, Shutdown::Write);
+}
+
+/// Whether the socket had nothing to read, or took nothing.
+pub(super) fn would_block<T>(result: &Result<T>) -> bool {
+    matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock)
+}
--- /dev/null
+++ b/crates/stonevane-node/src/driver/tests.rs
@@ -0,0 +1,71 @@
+use super::*;
+
+use std::io::Read;
+use std::time::Duration;
+
+use stonevane_config::operator;
+use stonevane_core::{EndpointList, Setup};
+use stonevane_policy::settings::Deployment;
+use stonevane_policy::{RequestClass, Settings, Tenant};
+
+fn core(clock: Clock) -> Core {
+    let list = |name: &str| vec![name.to_owned()];
+    let settings = Settings {
+        classes: vec![RequestClass::default()],
+        tenants: vec![Tenant { quota_per_s: 1e3 }],
+        ..Settings::default()
+    };
+    let deployment = Deployment {
+        settings,
+        classes: list("read"),
+        tenants: list("all"),
+        zones: list("a"),
+        machine_types: list("cache"),
+        connect_timeout: 100_000,
+        idle_close: 10_000_000,
+        max_open: 100,
+        load_metric_names: Vec::new(),
+    };
+    let setup = Setup {
+        deployment,
+        seed: 1,
+        sockets: 64,
+        memory_mb: 16,
+        known: EndpointList::default(),
+        discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
+        clients: operator::Clients::default(),
+        servers: operator::Servers::default(),
+        store: false,
+        copies: false,
+        others: 0,
+        replaced: false,
+        excluded: Vec::new(),
+        regions: None,
+    };
+    Core::new(clock.now(), setup)
+}
+
+#[test]
+fn a_client_between_requests_learns_of_its_connections_end_in_the_turn_that_decides_it() {
+    // Guards against clients that write to a connection whose close waits for the runtime's next turn.
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    runtime.block_on(async {
+        let clock = Clock::start();
+        let driver = Driver::new(core(clock), clock, Exclusions::new(None), None, None);
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        let listens = tokio::spawn(driver.clone().accept_clients(listener));
+        driver.input(Input::Wake);
+        while driver.handover_status().0.connections == 0 {
+            tokio::task::yield_now().await;
+        }
+        driver.input(Input::Terminate);
+        // From here on the runtime gets no turn.
+        std::thread::sleep(Duration::from_millis(600));
+        driver.input(Input::Wake);
+        assert_eq!(driver.handover_status().0.connections, 0, "it is closed");
+        client.set_nonblocking(true).unwrap();
+        assert_eq!(client.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "and its client knows");
+        listens.abort();
+    });
+}
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -1,8 +1,8 @@
-//! Another process of this node beside this one, while one replaces the other: files in `$TMPDIR` tell each of the
-//! other. Who may take what is `stonevane_core::handover`'s to say.
+//! Handover between two processes of this node while one replaces the other: files in a folder of `$TMPDIR` tell each
+//! process the status of the others. `stonevane_core::handover` decides how they divide the node's capacity.
 //!
-//! A process holds the lock of `SINCE-PID.lock` for as long as it lives, whatever ends it, and says in `SINCE-PID` what
-//! it may take, written anew by rename. A lock that can be had belongs to nobody: both files are removed.
+//! A process holds the lock of `STARTED-PID.lock` for as long as it lives, and publishes its status in `STARTED-PID`,
+//! replaced by rename. A lock that can be taken belongs to a process that has ended: both its files are removed.
 
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -13,213 +13,223 @@
 use stonevane_core::handover::{Capacity, ProcessStage, ProcessStatus, divide};
 use stonevane_policy::Micros;
 use tokio::sync::{mpsc, oneshot};
+use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-use crate::clock::log;
 use crate::driver::Driver;
+use crate::log::log;
+
+/// The folder within `$TMPDIR`; released versions meet there too.
+const FOLDER: &str = "spardeal-beside";
+/// Suffix of the lock's file name.
+const LOCK_SUFFIX: &str = ".lock";
+/// How often the folder is read while this process is the only one.
+const POLL_INTERVAL_ALONE: Duration = Duration::from_millis(200);
+/// How often the folder is read while there are other processes.
+const POLL_INTERVAL_SHARED: Duration = Duration::from_millis(50);
+/// At most so many other processes are considered.
+const MAX_OTHER_PROCESSES: usize = 8;
+
+/// Identity of a process: its start time and its process id. The newest is the last in this order.
+type ProcessId = (Micros, u32);
+
+fn status_file_name((started, pid): ProcessId) -> String {
+    format!("{started:020}-{pid}")
+}
 
-/// How often the others are looked for while there are none, and looked at while there are some.
-const LOOKS: (Duration, Duration) = (Duration::from_millis(200), Duration::from_millis(50));
-/// Other processes that are looked at, at most.
-const MOST: usize = 8;
+fn lock_file_name(process: ProcessId) -> String {
+    status_file_name(process) + LOCK_SUFFIX
+}
+
+fn parse_lock_file_name(file: &str) -> Option<ProcessId> {
+    let (started, pid) = file.strip_suffix(LOCK_SUFFIX)?.split_once('-')?;
+    Some((started.parse().ok()?, pid.parse().ok()?))
+}
+
+/// Replaces a file as one step, so that no reader sees a part of it.
+fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
+    let temporary = path.with_extension("new");
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
+}
 
 /// This process among those of its node.
-pub struct Beside {
+pub struct Handover {
     folder: PathBuf,
     own: ProcessStatus,
     /// Held for as long as the process lives.
     _lock: File,
-    said: String,
-}
-
-type Since = (Micros, u32);
-
-fn name(since: Since) -> String {
-    format!("{:020}-{}", since.0, since.1)
+    /// The status line as it was last written.
+    published: String,
 }
 
-fn read_name(file: &str) -> Option<Since> {
-    let (since, number) = file.strip_suffix(".lock")?.split_once('-')?;
-    Some((since.parse().ok()?, number.parse().ok()?))
-}
-
-impl Beside {
-    /// Takes its place among the processes of a node; `since`: the time, and the number of this process.
-    pub fn new(tmpdir: &Path, since: Since) -> std::io::Result<Beside> {
-        let folder = tmpdir.join("spardeal-beside");
+impl Handover {
+    /// Registers a process, by its start time and process id, among the processes of its node.
+    ///
+    /// # Errors
+    /// The folder or the lock cannot be created.
+    pub fn join(tmpdir: &Path, process: ProcessId) -> std::io::Result<Handover> {
+        let folder = tmpdir.join(FOLDER);
         std::fs::create_dir_all(&folder)?;
-        let lock = File::create(folder.join(name(since) + ".lock"))?;
+        let lock = File::create(folder.join(lock_file_name(process)))?;
         lock.try_lock().map_err(std::io::Error::other)?;
         let own = ProcessStatus {
-            started: since,
+            started: process,
             stage: ProcessStage::Starting,
             capacity: Capacity::default(),
             in_flight: 0,
         };
-        Ok(Beside { folder, own, _lock: lock, said: String::new() })
-    }
-
-    /// What the others that live have said. One that has said nothing that can be read may hold all but the spare.
-    fn others(&self, whole: Capacity) -> Vec<ProcessStatus> {
-        let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
-        let files = entries.filter_map(|entry| entry.file_name().into_string().ok());
-        let mut others = Vec::new();
-        for since in files.filter_map(|file| read_name(&file)).filter(|since| *since != self.own.started) {
-            let lock = self.folder.join(name(since)).with_extension("lock");
-            let Ok(file) = File::open(lock) else { continue };
-            let Some(said) = self.said_by(since, &file, whole) else { continue };
-            others.push(said);
-            if others.len() == MOST {
-                break;
-            }
-        }
-        others
+        Ok(Handover { folder, own, _lock: lock, published: String::new() })
     }
 
-    /// What another has said, by its lock; nothing where it has gone.
-    fn said_by(&self, since: Since, file: &File, whole: Capacity) -> Option<ProcessStatus> {
-        let path = self.folder.join(name(since));
-        let lock = path.with_extension("lock");
-        if !matches!(file.try_lock(), Err(TryLockError::WouldBlock)) {
-            // Its process is gone.
-            let _ = std::fs::remove_file(&path);
-            let _ = std::fs::remove_file(&lock);
-            return None;
-        }
-        let text = std::fs::read_to_string(&path).unwrap_or_default();
-        // One that ends takes the name of its lock away before what it said, and holds the lock to its very end: taken for one
-        // that has not spoken, it would leave nothing to who has its clients now.
-        if text.is_empty() && !lock.exists() {
-            return None;
-        }
-        let unread =
-            ProcessStatus { started: since, stage: ProcessStage::Starting, capacity: whole, in_flight: 0 };
-        // One that is older than this one and has not spoken may hold all, a newer one holds only what is left.
-        let silent = if since < self.own.started {
-            unread
-        } else {
-            ProcessStatus { capacity: Capacity::default(), ..unread }
-        };
-        Some(ProcessStatus::read(since, &text).unwrap_or(silent))
-    }
-
-    fn say(&mut self, room: Capacity) {
-        self.own.capacity = room;
-        let line = self.own.line();
-        if line == self.said {
-            return;
-        }
-        let path = self.folder.join(name(self.own.started));
-        let fresh = path.with_extension("new");
-        match std::fs::write(&fresh, &line).and_then(|()| std::fs::rename(&fresh, &path)) {
-            Ok(()) => self.said = line,
-            Err(e) => log(&format!("cannot say what this process takes: {e}")),
-        }
-    }
-
-    /// Looks once at the others, and has the driver hold to what that leaves; whether there are any.
-    pub fn look(&mut self, driver: &Arc<Driver>) -> bool {
-        let (held, open, stage, whole) = driver.standing();
-        (self.own.stage, self.own.in_flight) = (stage, open);
-        let others = self.others(whole);
-        let grant = divide(whole, &self.own, held, &others);
-        let room = grant.capacity;
-        // What is more is said before it is taken, what is less is let go before that is said.
-        let more = Capacity {
-            connections: room.connections.max(self.own.capacity.connections),
-            memory: room.memory.max(self.own.capacity.memory),
+    /// Reads the status of the other processes once and has the driver hold to the capacity that they leave. Returns
+    /// whether there are any.
+    pub fn poll(&mut self, driver: &Arc<Driver>) -> bool {
+        let (held, in_flight, stage, total) = driver.handover_status();
+        self.own.stage = stage;
+        self.own.in_flight = in_flight;
+        let others = self.others(total);
+        let grant = divide(total, &self.own, held, &others);
+        let granted = grant.capacity;
+        // A gain is published before it is used, a loss after it has been given up: the sum never exceeds the total.
+        let at_most = Capacity {
+            connections: granted.connections.max(self.own.capacity.connections),
+            memory: granted.memory.max(self.own.capacity.memory),
         };
-        self.say(more);
+        self.publish(at_most);
         driver.input(Input::Handover(grant));
-        self.say(room);
+        self.publish(granted);
         !others.is_empty()
     }
 
-    /// Looks at the others for as long as the process lives, and at once when told to; what people say to either reaches
-    /// both.
-    pub async fn run(mut self, driver: Arc<Driver>, mut at_once: mpsc::Receiver<oneshot::Sender<()>>) {
-        let mut was = false;
+    /// Starts to poll the folder until the task ends.
+    pub fn spawn(self, driver: Arc<Driver>) -> HandoverTask {
+        let (requests, polls) = mpsc::channel(1);
+        let task = tokio::spawn(self.run(driver, polls));
+        HandoverTask { task, poller: HandoverPoller { requests } }
+    }
+
+    /// Polls at an interval, and at once on request. Exclusions that an operator sets at either process reach both.
+    async fn run(mut self, driver: Arc<Driver>, mut requests: mpsc::Receiver<oneshot::Sender<()>>) {
+        let mut was_shared = false;
         loop {
-            let others = self.look(&driver);
-            if others || was {
-                driver.recall();
+            let shared = self.poll(&driver);
+            if shared || was_shared {
+                driver.reload_exclusions();
             }
-            if others != was {
-                log(if others {
+            if shared != was_shared {
+                log(if shared {
                     "another process of this node stands beside"
                 } else {
                     "this process is alone"
                 });
             }
-            was = others;
+            was_shared = shared;
+            let interval = if shared { POLL_INTERVAL_SHARED } else { POLL_INTERVAL_ALONE };
             tokio::select! {
-                () = sleep(if others { LOOKS.1 } else { LOOKS.0 }) => {}
-                Some(done) = at_once.recv() => {
-                    self.look(&driver);
-                    let _ = done.send(());
+                () = sleep(interval) => {}
+                Some(polled) = requests.recv() => {
+                    self.poll(&driver);
+                    let _ = polled.send(());
                 }
             }
         }
     }
+
+    /// The status of the other processes that live.
+    fn others(&self, total: Capacity) -> Vec<ProcessStatus> {
+        let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
+        let files = entries.filter_map(|entry| entry.file_name().into_string().ok());
+        let processes = files.filter_map(|file| parse_lock_file_name(&file));
+        processes
+            .filter(|process| *process != self.own.started)
+            .filter_map(|process| {
+                let lock = File::open(self.folder.join(lock_file_name(process))).ok()?;
+                self.status_of(process, &lock, total)
+            })
+            .take(MAX_OTHER_PROCESSES)
+            .collect()
+    }
+
+    /// The status of another process, by its lock; `None` if it has ended.
+    fn status_of(&self, process: ProcessId, lock: &File, total: Capacity) -> Option<ProcessStatus> {
+        let status_path = self.folder.join(status_file_name(process));
+        let lock_path = self.folder.join(lock_file_name(process));
+        if !matches!(lock.try_lock(), Err(TryLockError::WouldBlock)) {
+            let _ = std::fs::remove_file(&status_path);
+            let _ = std::fs::remove_file(&lock_path);
+            return None;
+        }
+        let text = std::fs::read_to_string(&status_path).unwrap_or_default();
+        // A process that ends removes its lock's name before its status, and holds the lock to its very end: taken for one
+        // that has published nothing yet, it would be granted the whole capacity.
+        if text.is_empty() && !lock_path.exists() {
+            return None;
+        }
+        Some(ProcessStatus::read(process, &text).unwrap_or_else(|| self.unpublished_status(process, total)))
+    }
+
+    /// What is assumed of a process without a readable status: an older one may hold the whole capacity, a newer one
+    /// holds only what is left.
+    fn unpublished_status(&self, process: ProcessId, total: Capacity) -> ProcessStatus {
+        let capacity = if process < self.own.started { total } else { Capacity::default() };
+        ProcessStatus { started: process, stage: ProcessStage::Starting, capacity, in_flight: 0 }
+    }
+
+    fn publish(&mut self, capacity: Capacity) {
+        self.own.capacity = capacity;
+        let line = self.own.line();
+        if line == self.published {
+            return;
+        }
+        match replace_file(&self.folder.join(status_file_name(self.own.started)), &line) {
+            Ok(()) => self.published = line,
+            Err(error) => log(&format!("cannot say what this process takes: {error}")),
+        }
+    }
 }
 
-impl Drop for Beside {
+impl Drop for Handover {
     fn drop(&mut self) {
-        let path = self.folder.join(name(self.own.started));
-        let _ = std::fs::remove_file(path.with_extension("lock"));
-        let _ = std::fs::remove_file(&path);
+        let _ = std::fs::remove_file(self.folder.join(lock_file_name(self.own.started)));
+        let _ = std::fs::remove_file(self.folder.join(status_file_name(self.own.started)));
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::sync::atomic::{AtomicBool, Ordering};
-
-    const WHOLE: Capacity = Capacity { connections: 320, memory: 16_000 };
-
-    #[test]
-    fn one_that_ends_leaves_all_that_it_held_at_every_moment_of_its_end() {
-        // Found where files are slow: its successor read nothing of it and took it for one that holds all, closed
-        // clients and refused others.
-        let folder = std::env::temp_dir().join(format!("spardeal-beside-test-{}", std::process::id()));
-        let own = Beside::new(&folder, (1_000, 0)).unwrap();
-        for turn in 0..300 {
-            let mut old = Beside::new(&folder, (turn, 0)).unwrap();
-            old.say(Capacity { connections: 20, memory: 1_000 });
-            let ends = AtomicBool::new(false);
-            std::thread::scope(|scope| {
-                let ended = scope.spawn(|| {
-                    while !ends.load(Ordering::Relaxed) {
-                        std::hint::spin_loop();
-                    }
-                    drop(old);
-                });
-                ends.store(true, Ordering::Relaxed);
-                loop {
-                    let done = ended.is_finished();
-                    for other in own.others(WHOLE) {
-                        assert_eq!(other.capacity.connections, 20, "in turn {turn}");
-                    }
-                    if done {
-                        break;
-                    }
-                }
-            });
-            assert!(own.others(WHOLE).is_empty(), "it has gone");
-        }
-        // Its lock is open here already when it takes all away, and is still held: by the time that it is read it has gone.
-        let mut old = Beside::new(&folder, (998, 0)).unwrap();
-        old.say(Capacity { connections: 20, memory: 1_000 });
-        let lock = File::open(own.folder.join(name((998, 0)) + ".lock")).unwrap();
-        assert!(own.said_by((998, 0), &lock, WHOLE).is_some());
-        for file in [name((998, 0)) + ".lock", name((998, 0))] {
-            std::fs::remove_file(own.folder.join(file)).unwrap();
+/// The task that polls for other processes.
+pub struct HandoverTask {
+    task: JoinHandle<()>,
+    poller: HandoverPoller,
+}
+
+impl HandoverTask {
+    /// Requests polls of this task.
+    pub fn poller(&self) -> HandoverPoller {
+        self.poller.clone()
+    }
+
+    /// Ends the task and removes the files of this process.
+    pub async fn stop(self) {
+        self.task.abort();
+        let _ = self.task.await;
+    }
+}
+
+/// Requests polls between the intervals.
+#[derive(Clone)]
+pub struct HandoverPoller {
+    requests: mpsc::Sender<oneshot::Sender<()>>,
+}
+
+impl HandoverPoller {
+    /// Has the folder read now, and waits until that is done.
+    pub async fn poll_now(&self) {
+        let (polled, done) = oneshot::channel();
+        if self.requests.send(polled).await.is_ok() {
+            let _ = done.await;
         }
-        assert_eq!(own.said_by((998, 0), &lock, WHOLE), None);
-        // One that has its place and has said nothing yet may hold all.
-        let _starts = Beside::new(&folder, (999, 0)).unwrap();
-        assert_eq!(own.others(WHOLE).iter().map(|other| other.capacity).collect::<Vec<_>>(), [WHOLE]);
-        let _ = std::fs::remove_dir_all(&folder);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/stonevane-node/src/handover/tests.rs
@@ -0,0 +1,80 @@
+use super::*;
+use std::sync::atomic::{AtomicBool, Ordering};
+
+const TOTAL: Capacity = Capacity { connections: 320, memory: 16_000 };
+
+#[test]
+fn a_process_that_ends_leaves_all_its_capacity_at_every_moment_of_its_end() {
+    // Guards against a successor that takes an ending process for one that holds the whole capacity.
+    let folder = std::env::temp_dir().join(format!("spardeal-beside-test-{}", std::process::id()));
+    let own = Handover::join(&folder, (1_000, 0)).unwrap();
+    for turn in 0..300 {
+        let mut old = Handover::join(&folder, (turn, 0)).unwrap();
+        old.publish(Capacity { connections: 20, memory: 1_000 });
+        let ends = AtomicBool::new(false);
+        std::thread::scope(|scope| {
+            let ended = scope.spawn(|| {
+                while !ends.load(Ordering::Relaxed) {
+                    std::hint::spin_loop();
+                }
+                drop(old);
+            });
+            ends.store(true, Ordering::Relaxed);
+            loop {
+                let done = ended.is_finished();
+                for other in own.others(TOTAL) {
+                    assert_eq!(other.capacity.connections, 20, "in turn {turn}");
+                }
+                if done {
+                    break;
+                }
+            }
+        });
+        assert!(own.others(TOTAL).is_empty(), "it has ended");
+    }
+    // Its lock is already open here when it removes its files, and is still held: when it is read, it has ended.
+    let mut old = Handover::join(&folder, (998, 0)).unwrap();
+    old.publish(Capacity { connections: 20, memory: 1_000 });
+    let lock = File::open(own.folder.join(lock_file_name((998, 0)))).unwrap();
+    assert!(own.status_of((998, 0), &lock, TOTAL).is_some());
+    for file in [lock_file_name((998, 0)), status_file_name((998, 0))] {
+        std::fs::remove_file(own.folder.join(file)).unwrap();
+    }
+    assert_eq!(own.status_of((998, 0), &lock, TOTAL), None);
+    // One that holds its lock and has published nothing yet may hold the whole capacity.
+    let _starts = Handover::join(&folder, (999, 0)).unwrap();
+    assert_eq!(own.others(TOTAL).iter().map(|other| other.capacity).collect::<Vec<_>>(), [TOTAL]);
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn files_have_the_names_and_the_form_of_the_released_version() {
+    // Guards against processes of two versions that do not see each other while one replaces the other.
+    let tmpdir = std::env::temp_dir().join(format!("handover-released-{}", std::process::id()));
+    let mut own = Handover::join(&tmpdir, (1_764_747_017_000_000, 42)).unwrap();
+    own.own.stage = ProcessStage::Serving;
+    own.own.in_flight = 3;
+    own.publish(Capacity { connections: 300, memory: 15_000 });
+    let folder = tmpdir.join("spardeal-beside");
+    let status = std::fs::read_to_string(folder.join("00001764747017000000-42")).unwrap();
+    assert_eq!(status, "1 serving 300 15000 3\n");
+    assert!(folder.join("00001764747017000000-42.lock").exists());
+
+    let lock = File::create(folder.join("00001764747016000000-41.lock")).unwrap();
+    lock.try_lock().unwrap();
+    std::fs::write(folder.join("00001764747016000000-41"), "1 draining 7 8 9\n").unwrap();
+    let released = ProcessStatus {
+        started: (1_764_747_016_000_000, 41),
+        stage: ProcessStage::Draining,
+        capacity: Capacity { connections: 7, memory: 8 },
+        in_flight: 9,
+    };
+    assert_eq!(own.others(TOTAL), [released]);
+    drop(own);
+    let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    assert!(
+        left.iter().all(|file| file.to_string_lossy().starts_with("00001764747016000000-41")),
+        "{left:?}"
+    );
+    std::fs::remove_dir_all(&tmpdir).unwrap();
+}
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -1,16 +1,17 @@
 //! One node: drives the core (`stonevane-core`) on sockets, with discovery, and with a store of record in the origin's
 //! place where the operator says so.
 
+mod cache_updates;
 mod clock;
 mod config;
-mod copies;
 pub mod discovery;
 mod driver;
-mod fleet;
+mod exclusions;
 mod handover;
-mod kept;
-mod listener;
+mod inherited_listener;
+mod log;
 mod management;
+mod membership;
 mod store;
 
 use std::path::{Path, PathBuf};
@@ -22,31 +23,26 @@
 use stonevane_core::{Core, Input, Setup};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::sync::{mpsc, oneshot};
 
-use clock::{Clock, log};
+use clock::Clock;
 use config::Config;
 use driver::Driver;
-use fleet::Fleet;
-use handover::Beside;
-use kept::Kept;
-use store::Record;
+use exclusions::Exclusions;
+use handover::{Handover, HandoverTask};
+use log::log;
+use membership::{Membership, MembershipConfig};
+use store::OriginStore;
 
 /// Set to 1, each step of each request and each connection that is closed is a line of the log.
 const TRACE: &str = "SPARDEAL_TRACE";
 
-/// Has the other processes of the node looked at now.
-async fn look(at_once: &Option<mpsc::Sender<oneshot::Sender<()>>>) {
-    let Some(at_once) = at_once else { return };
-    let (done, looked) = oneshot::channel();
-    if at_once.send(done).await.is_ok() {
-        let _ = looked.await;
-    }
-}
-
-async fn run(config: Config, store: Option<Arc<Record>>, part: Option<fleet::Part>) -> std::io::Result<()> {
+async fn run(
+    config: Config,
+    store: Option<Arc<OriginStore>>,
+    part: Option<MembershipConfig>,
+) -> std::io::Result<()> {
     let tmpdir = std::env::var_os("TMPDIR").filter(|dir| !dir.is_empty()).map(PathBuf::from);
-    let kept = Kept::new(tmpdir.clone());
+    let exclusions = Exclusions::new(tmpdir.clone());
     let clock = Clock::start();
     let mut terms = [signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?];
     let mut hangup = signal(SignalKind::hangup())?;
@@ -67,11 +63,11 @@
         None => None,
     };
     let fleet = match part {
-        Some(part) => Some(Fleet::start(part, clock).await?),
+        Some(part) => Some(Membership::start(part, clock).await?),
         None => None,
     };
     let others = management.as_ref().map_or(0, |_| management::SOCKETS) + usize::from(fleet.is_some());
-    let excluded = if management.is_some() { kept.excluded() } else { Vec::new() };
+    let excluded = if management.is_some() { exclusions.excluded() } else { Vec::new() };
     let mut deployment = config.deployment.clone();
     // Whoever takes the clients of a process over that runs meets no crowd that has waited for it.
     deployment.settings.startup_attempts_per_server = if replaced { 0.0 } else { config.operator.start.each };
@@ -94,21 +90,22 @@
     };
     let mut core = Core::new(clock.now(), setup);
     core.trace_requests(std::env::var_os(TRACE).is_some_and(|value| value == "1"));
-    let driver = Driver::new(core, clock, kept, store.clone(), fleet.clone());
+    let driver = Driver::new(core, clock, exclusions, store.clone(), fleet.clone());
     // Before anything is taken: what a process that is to be replaced holds counts for both.
-    let beside =
-        match tmpdir.filter(|_| replaced).map(|dir| Beside::new(&dir, (clock.now(), std::process::id()))) {
-            None => None,
-            Some(Ok(mut beside)) => {
-                beside.look(&driver);
-                let (at_once, told) = mpsc::channel(1);
-                Some((tokio::spawn(beside.run(driver.clone(), told)), at_once))
-            }
-            Some(Err(e)) => {
-                log(&format!("another process of this node can't be told from here: {e}"));
-                None
-            }
-        };
+    let handover = match tmpdir
+        .filter(|_| replaced)
+        .map(|dir| Handover::join(&dir, (clock.now(), std::process::id())))
+    {
+        None => None,
+        Some(Ok(mut handover)) => {
+            handover.poll(&driver);
+            Some(handover.spawn(driver.clone()))
+        }
+        Some(Err(e)) => {
+            log(&format!("another process of this node can't be told from here: {e}"));
+            None
+        }
+    };
     if let Some(fleet) = &fleet {
         let told = driver.clone();
         tokio::spawn(fleet.clone().run(move |sharers| told.input(Input::NodeCount(sharers))));
@@ -118,16 +115,20 @@
     }
     let told_peers = fleet.clone();
     let signals = driver.clone();
-    let looks = beside.as_ref().map(|(_, at_once)| at_once.clone());
+    let poller = handover.as_ref().map(HandoverTask::poller);
     tokio::spawn(async move {
         let [term, int] = &mut terms;
         tokio::select! { _ = term.recv() => {}, _ = int.recv() => {} }
         // Whether a newer process takes the clients over is to be known before anything is closed, and that one learns
         // at once that it takes them alone.
-        look(&looks).await;
+        if let Some(poller) = &poller {
+            poller.poll_now().await;
+        }
         fleet.iter().for_each(|fleet| fleet.leave());
         signals.input(Input::Terminate);
-        look(&looks).await;
+        if let Some(poller) = &poller {
+            poller.poll_now().await;
+        }
     });
     let reloads = driver.clone();
     let mut last = config.text;
@@ -154,10 +155,8 @@
         }
     });
     driver.run(listener).await;
-    if let Some((beside, _)) = beside {
-        // Its files go with it.
-        beside.abort();
-        let _ = beside.await;
+    if let Some(handover) = handover {
+        handover.stop().await;
     }
     if let Some(store) = store {
         log(&store.done());
@@ -232,7 +231,7 @@
     if told.is_some() && !allowed {
         log("the settings allow no messages between nodes: [fleet] stays off");
     }
-    let part = told.filter(|_| allowed).map(|told| fleet::Part::new(told, &config)).transpose();
+    let part = told.filter(|_| allowed).map(|told| MembershipConfig::new(told, &config)).transpose();
     let part = match part {
         Ok(part) => part,
         Err(lines) => {
@@ -240,7 +239,8 @@
             return ExitCode::from(2);
         }
     };
-    let store = match config.operator.store.as_ref().map(|told| (told, Record::open(told, config.seed))) {
+    let store = match config.operator.store.as_ref().map(|told| (told, OriginStore::open(told, config.seed)))
+    {
         None => None,
         Some((_, Ok(store))) => Some(Arc::new(store)),
         Some((told, Err(e))) => {
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -72,7 +72,7 @@
     };
     stage.store(WHOLE, Ordering::Relaxed);
     let answer = match called {
-        Ok(call) => driver.called(call),
+        Ok(call) => driver.answer(call),
         Err(answer) => answer,
     };
     stream.write_all(&answer.bytes()).await?;
--- a/crates/stonevane-node/src/fleet.rs
+++ b/crates/stonevane-node/src/membership.rs
@@ -30,13 +30,13 @@
 
 /// What a node is told of its fleet.
 #[derive(Debug)]
-pub struct Part {
+pub struct MembershipConfig {
     setup: Setup,
     listen: SocketAddr,
     peers: Vec<SocketAddr>,
 }
 
-impl Part {
+impl MembershipConfig {
     /// The addresses of a newer configuration, each at its number's place.
     ///
     /// # Errors
@@ -69,11 +69,11 @@
     ///
     /// # Errors
     /// A line for each thing that is wrong.
-    pub fn new(told: &operator::Fleet, config: &Config) -> Result<Part, Vec<String>> {
+    pub fn new(told: &operator::Fleet, config: &Config) -> Result<MembershipConfig, Vec<String>> {
         let listen = config.peer_listen.parse::<SocketAddr>().map_err(|_| {
             format!("[fleet]: unusable peer_listen in the configuration: {:?}", config.peer_listen)
         });
-        let (listen, peers) = match (listen, Part::addresses(config)) {
+        let (listen, peers) = match (listen, MembershipConfig::addresses(config)) {
             (Ok(listen), Ok(peers)) => (listen, peers),
             (listen, peers) => {
                 return Err(listen.err().into_iter().chain(peers.err().into_iter().flatten()).collect());
@@ -95,7 +95,7 @@
             // From the machine, and not from the configuration's seed or a clock: two starts never have the same.
             draw: RandomState::new().hash_one(std::process::id()) as u32,
         };
-        Ok(Part { setup, listen, peers })
+        Ok(MembershipConfig { setup, listen, peers })
     }
 }
 
@@ -112,7 +112,7 @@
 }
 
 /// This node among the others.
-pub struct Fleet {
+pub struct Membership {
     inner: Mutex<Inner>,
     socket: UdpSocket,
     period: Micros,
@@ -123,13 +123,13 @@
     changed: Notify,
 }
 
-impl Fleet {
+impl Membership {
     /// Opens the socket.
     ///
     /// # Errors
     /// Where the address can't be had.
-    pub async fn start(part: Part, clock: Clock) -> std::io::Result<Arc<Fleet>> {
-        let Part { setup, listen, peers } = part;
+    pub async fn start(part: MembershipConfig, clock: Clock) -> std::io::Result<Arc<Membership>> {
+        let MembershipConfig { setup, listen, peers } = part;
         let socket = UdpSocket::bind(listen).await;
         let socket =
             socket.map_err(|e| std::io::Error::new(e.kind(), format!("peer_listen {listen}: {e}")))?;
@@ -139,7 +139,7 @@
         let period = setup.period;
         let machine = Machine::new(clock.now(), setup);
         let inner = Inner { machine, outputs: Outputs::default(), numbers: numbers(&peers), peers };
-        Ok(Arc::new(Fleet {
+        Ok(Arc::new(Membership {
             inner: Mutex::new(inner),
             socket,
             period,
@@ -188,7 +188,7 @@
     /// # Errors
     /// What is wrong with it, a line for each thing; the old list stays.
     pub fn readdress(&self, config: &Config) -> Result<(), Vec<String>> {
-        let peers = Part::addresses(config)?;
+        let peers = MembershipConfig::addresses(config)?;
         let before = {
             let mut inner = self.lock();
             if peers.len() < inner.peers.len() {
@@ -254,7 +254,7 @@
     }
 
     /// What this node knows of the others, as JSON; `brief`: a letter for each.
-    pub fn told(&self, now: Micros, brief: bool) -> String {
+    pub fn report(&self, now: Micros, brief: bool) -> String {
         let inner = self.lock();
         if brief {
             let letter = |member| inner.machine.state(member).map_or("?", |state| &state.name()[..1]);
--- a/crates/stonevane-node/src/store.rs
+++ b/crates/stonevane-node/src/store.rs
@@ -20,8 +20,8 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-use crate::clock::log;
-use crate::copies::Teller;
+use crate::cache_updates::Teller;
+use crate::log::log;
 
 /// Repeats of a keyed edit are known for this long at the least, milliseconds.
 const REMEMBER_MS: u64 = 60_000;
@@ -113,14 +113,14 @@
 }
 
 /// The store, shared by all calls.
-pub struct Record(Arc<Inner>);
+pub struct OriginStore(Arc<Inner>);
 
-impl Record {
+impl OriginStore {
     /// Opens the file that the operator names, or makes ready to call the server.
     ///
     /// # Errors
     /// Why it can't be used.
-    pub fn open(told: &operator::Store, seed: u64) -> Result<Record, StoreError> {
+    pub fn open(told: &operator::Store, seed: u64) -> Result<OriginStore, StoreError> {
         let micros = |time: Duration| time.as_micros() as Micros;
         let store: Box<dyn Store> = match &told.place {
             operator::Place::Sqlite { file, readers, busy, here } => {
@@ -151,7 +151,7 @@
         };
         let guard =
             Guard { breaker: Breaker::new(limits), epoch: Instant::now(), chance: Rand64::new(seed.into()) };
-        Ok(Record(Arc::new(Inner {
+        Ok(OriginStore(Arc::new(Inner {
             store,
             stall: told.stall,
             sharing: Mutex::new(sharing),
@@ -211,7 +211,7 @@
     }
 }
 
-impl Record {
+impl OriginStore {
     /// Carries a fetch or an edit out. Dropped, it is given up.
     pub async fn call(&self, job: StoreCall) -> Reply {
         let (status, value) = match job.command.write {
