--- /dev/null
+++ b/crates/stonevane-node/src/cache_updates/connection.rs
@@ -0,0 +1,119 @@
+//! The connection to one cache: sends its commands one after the other, each answered by one line.
+
+use std::io::{ErrorKind, Result};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::time::timeout;
+
+use super::Command;
+use crate::log::log;
+
+/// A cache that has not answered by then is connected to anew.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// The longest line that a cache answers with.
+const MAX_LINE_BYTES: usize = 256;
+/// The line of a cache that has done what it was sent.
+const DONE_LINE: &[u8] = b"+OK\r\n";
+/// The first byte of a line that rejects a command.
+const ERROR_PREFIX: &[u8] = b"-";
+
+/// One command for a cache.
+pub(super) struct CacheCommand {
+    pub bytes: Bytes,
+    /// For an invalidation: the key and version that its answer acknowledges.
+    pub acknowledged: Option<(String, u64)>,
+}
+
+/// Sends a cache its commands, and reports to the dispatcher.
+pub(super) async fn run_connection(
+    cache: SocketAddr,
+    mut commands: mpsc::Receiver<CacheCommand>,
+    dispatcher: mpsc::Sender<Command>,
+) {
+    let mut stream: Option<BufReader<TcpStream>> = None;
+    let mut rejection_logged = false;
+    while let Some(command) = commands.recv().await {
+        let answer = timeout(ANSWER_TIMEOUT, exchange(&mut stream, cache, &command.bytes)).await;
+        let answer = answer.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
+        let report = match (answer, command.acknowledged) {
+            (Ok(true), None) => continue,
+            (Ok(true), Some((key, version))) => Command::Acknowledged { cache, key, version },
+            (Ok(false), _) => {
+                if !std::mem::replace(&mut rejection_logged, true) {
+                    log(&format!("cache {cache} takes no fills and voids from nodes"));
+                }
+                continue;
+            }
+            (Err(error), acknowledged) => {
+                stream = None;
+                if error.kind() != ErrorKind::ConnectionRefused || acknowledged.is_none() {
+                    continue;
+                }
+                Command::CacheEnded(cache)
+            }
+        };
+        if dispatcher.send(report).await.is_err() {
+            return;
+        }
+    }
+}
+
+/// Sends a command and reads its line; whether it was done. A line that says neither, or that more follows, ends the
+/// connection: what follows would be read as the next command's answer, and a void would count as acknowledged.
+async fn exchange(
+    stream: &mut Option<BufReader<TcpStream>>,
+    cache: SocketAddr,
+    command: &[u8],
+) -> Result<bool> {
+    // Taken while in use: given up half-way, its answer would be read as another command's.
+    let mut open = match stream.take().filter(has_no_input) {
+        Some(open) => open,
+        None => connect(cache).await?,
+    };
+    open.write_all(command).await?;
+    open.flush().await?;
+    let line = read_line(&mut open).await?;
+    let done = line == DONE_LINE;
+    let rejected = line.starts_with(ERROR_PREFIX);
+    if !open.buffer().is_empty() || !(done || rejected) {
+        return Err(ErrorKind::InvalidData.into());
+    }
+    *stream = Some(open);
+    Ok(done)
+}
+
+/// Whether nothing has arrived that was not asked for, the end of the stream included.
+fn has_no_input(stream: &BufReader<TcpStream>) -> bool {
+    matches!(stream.get_ref().try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
+}
+
+async fn connect(cache: SocketAddr) -> Result<BufReader<TcpStream>> {
+    let stream = TcpStream::connect(cache).await?;
+    stream.set_nodelay(true)?;
+    Ok(BufReader::new(stream))
+}
+
+async fn read_line(stream: &mut BufReader<TcpStream>) -> Result<Vec<u8>> {
+    let mut line = Vec::new();
+    loop {
+        let buffer = stream.fill_buf().await?;
+        if buffer.is_empty() {
+            return Err(ErrorKind::UnexpectedEof.into());
+        }
+        let end = buffer.iter().position(|byte| *byte == b'\n');
+        let length = end.map_or(buffer.len(), |end| end + 1);
+        line.extend_from_slice(&buffer[..length]);
+        stream.consume(length);
+        if end.is_some() {
+            return Ok(line);
+        }
+        if line.len() > MAX_LINE_BYTES {
+            return Err(ErrorKind::InvalidData.into());
+        }
+    }
+}
--- /dev/null
+++ b/crates/stonevane-node/src/discovery/call.rs
@@ -0,0 +1,198 @@
+//! One HTTP call to discovery: the request, the response's head, and the endpoint lists in its body.
+
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::BytesMut;
+use stonevane_codec::http::{self, Chunks, Head};
+use stonevane_codec::lines::ObjectReader;
+use stonevane_core::discovery_timeouts::{Awaited, DiscoveryTimeouts};
+use stonevane_core::{DiscoveryEpoch, Input};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout};
+
+use super::error::CallError;
+use super::{InputSink, Traffic};
+
+/// A longer list is malformed.
+const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
+/// Capacity for the next read.
+const READ_BYTES: usize = 4096;
+const STATUS_OK: u16 = 200;
+
+/// What a call needs beside its address and path.
+#[derive(Clone)]
+pub(super) struct CallContext {
+    pub sink: InputSink,
+    pub epoch: DiscoveryEpoch,
+    pub timeouts: DiscoveryTimeouts,
+    pub traffic: Arc<Traffic>,
+}
+
+impl CallContext {
+    fn timeout(&self, awaited: Awaited) -> Duration {
+        Duration::from_micros(self.timeouts.limit(awaited))
+    }
+
+    /// Brings an endpoint list to the core; an empty line is none.
+    fn deliver(&self, line: &[u8]) -> Result<(), CallError> {
+        if !line.trim_ascii().is_empty() {
+            let list = serde_json::from_slice(line).map_err(|_| CallError::Malformed)?;
+            (self.sink)(Input::List(self.epoch, list));
+        }
+        Ok(())
+    }
+}
+
+/// How long to wait for the head of a response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum HeadDeadline {
+    /// For the time that the context allows between two reads.
+    Timeout,
+    /// Until the connection ends.
+    None,
+}
+
+/// Makes a call and brings each list of its response to the core, until the response ends.
+pub(super) async fn receive_lists(
+    address: SocketAddr,
+    path: &str,
+    context: &CallContext,
+) -> Result<(), CallError> {
+    let mut last_received = Instant::now();
+    let mut call = PendingCall::send(address, path, context, &mut last_received).await?;
+    let head = call.head(context, HeadDeadline::Timeout, &mut last_received).await?;
+    call.lists(head, context, &mut last_received).await
+}
+
+/// A call whose request was sent, and what has arrived of its response. `last_received` is when discovery last sent
+/// anything, the acceptance of a connection included.
+pub(super) struct PendingCall {
+    stream: TcpStream,
+    received: BytesMut,
+    traffic: Arc<Traffic>,
+}
+
+impl PendingCall {
+    /// Connects and sends a request.
+    pub async fn send(
+        address: SocketAddr,
+        path: &str,
+        context: &CallContext,
+        last_received: &mut Instant,
+    ) -> Result<PendingCall, CallError> {
+        let connect = timeout(context.timeout(Awaited::Connection), TcpStream::connect(address)).await;
+        let mut stream = connect.map_err(|_| std::io::Error::from(ErrorKind::TimedOut))??;
+        *last_received = Instant::now();
+        let _ = stream.set_nodelay(true);
+        let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nAccept: application/json\r\n\r\n");
+        stream.write_all(request.as_bytes()).await?;
+        Traffic::add(&context.traffic.sent, request.len());
+        Ok(PendingCall { stream, received: BytesMut::new(), traffic: context.traffic.clone() })
+    }
+
+    /// The head of the response. What has arrived of it is kept where the wait is given up.
+    pub async fn head(
+        &mut self,
+        context: &CallContext,
+        deadline: HeadDeadline,
+        last_received: &mut Instant,
+    ) -> Result<Head, CallError> {
+        loop {
+            if let Some(head) = http::head(&self.received).map_err(|_| CallError::Malformed)? {
+                let accepted = head.status == STATUS_OK;
+                return if accepted { Ok(head) } else { Err(CallError::Status(head.status)) };
+            }
+            self.received.reserve(READ_BYTES);
+            let read = self.stream.read_buf(&mut self.received);
+            let count = match deadline {
+                HeadDeadline::Timeout => timeout(context.timeout(Awaited::Answer), read)
+                    .await
+                    .map_err(|_| CallError::Unanswered)??,
+                HeadDeadline::None => read.await?,
+            };
+            self.count_received(count, last_received)?;
+        }
+    }
+
+    /// Brings each list of the response to the core, until the response ends.
+    pub async fn lists(
+        mut self,
+        head: Head,
+        context: &CallContext,
+        last_received: &mut Instant,
+    ) -> Result<(), CallError> {
+        *last_received = Instant::now();
+        let mut body = Body::new(&head);
+        let mut objects = ObjectReader::default();
+        let mut established = false;
+        let _ = self.received.split_to(head.length);
+        loop {
+            let ended = body.take(&mut self.received)?;
+            // A body of a stated length is one list, on however many lines; otherwise lists follow one another.
+            while !body.is_single_list
+                && let Some(list) = objects.take(&mut body.bytes)
+            {
+                established = true;
+                context.deliver(&list)?;
+            }
+            if ended {
+                return context.deliver(&body.bytes);
+            }
+            if body.bytes.len() > MAX_LIST_BYTES {
+                return Err(CallError::Malformed);
+            }
+            self.received.reserve(READ_BYTES);
+            let read = self.stream.read_buf(&mut self.received);
+            let read = timeout(context.timeout(Awaited::Line), read).await;
+            let count = read.map_err(|_| CallError::Silent { established })??;
+            self.count_received(count, last_received)?;
+        }
+    }
+
+    /// Counts a read. The end of the stream is an error: what has arrived was cut off.
+    fn count_received(&self, count: usize, last_received: &mut Instant) -> Result<(), CallError> {
+        Traffic::add(&self.traffic.received, count);
+        if count == 0 {
+            return Err(CallError::Malformed);
+        }
+        *last_received = Instant::now();
+        Ok(())
+    }
+}
+
+/// The body of a response, without its transfer encoding.
+struct Body {
+    bytes: BytesMut,
+    is_single_list: bool,
+    is_chunked: bool,
+    chunks: Chunks,
+    /// Bytes still to come of a body that is not chunked.
+    remaining: usize,
+}
+
+impl Body {
+    fn new(head: &Head) -> Body {
+        Body {
+            bytes: BytesMut::new(),
+            is_single_list: head.content_length.is_some(),
+            is_chunked: head.chunked,
+            chunks: Chunks::default(),
+            remaining: head.content_length.unwrap_or(usize::MAX),
+        }
+    }
+
+    /// Takes what has arrived. Returns whether the body has ended.
+    fn take(&mut self, received: &mut BytesMut) -> Result<bool, CallError> {
+        if self.is_chunked {
+            return self.chunks.take(received, &mut self.bytes).map_err(|_| CallError::Malformed);
+        }
+        let part = received.split_to(received.len().min(self.remaining));
+        self.remaining -= part.len();
+        self.bytes.extend_from_slice(&part);
+        Ok(self.remaining == 0)
+    }
+}
--- /dev/null
+++ b/crates/stonevane-node/src/discovery/watch.rs
@@ -0,0 +1,86 @@
+//! The watch on changes of the endpoint list, where lists are polled from a remote discovery service.
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, PoisonError};
+
+use stonevane_codec::http::Head;
+use stonevane_core::DiscoveryEpoch;
+use tokio::time::Instant;
+
+use super::call::{CallContext, HeadDeadline, PendingCall};
+use super::error::CallError;
+
+/// The path of a watch on the changes after a version.
+pub(super) fn watch_path(after: Option<u64>) -> String {
+    match after {
+        None => "/v1/servers?watch=1".into(),
+        Some(version) => format!("/v1/servers?watch=1&after={version}"),
+    }
+}
+
+/// A watch whose response has not begun in time. Discovery serves calls in their order: this one keeps its place beside
+/// the next one, which would queue behind it.
+#[derive(Clone, Default)]
+pub(super) struct UnansweredWatch(Arc<Mutex<Option<(DiscoveryEpoch, PendingCall)>>>);
+
+impl UnansweredWatch {
+    /// Keeps a call, in place of an older one.
+    fn keep(&self, epoch: DiscoveryEpoch, call: Option<PendingCall>) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = call.map(|call| (epoch, call));
+    }
+
+    /// Takes the call, if it was made in this epoch of discovery.
+    fn take(&self, epoch: DiscoveryEpoch) -> Option<PendingCall> {
+        let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
+        kept.filter(|(of, _)| *of == epoch).map(|(_, call)| call)
+    }
+
+    /// Ends the call.
+    pub fn cancel(&self) {
+        *self.0.lock().unwrap_or_else(PoisonError::into_inner) = None;
+    }
+}
+
+/// Watches the changes after a version. The watch before may be answered first, and is then the watch.
+pub(super) async fn run_watch(
+    address: SocketAddr,
+    after: Option<u64>,
+    context: &CallContext,
+    unanswered: &UnansweredWatch,
+    last_received: &mut Instant,
+) -> Result<(), CallError> {
+    let mut previous = unanswered.take(context.epoch);
+    let mut present = None;
+    let path = watch_path(after);
+    let present_head = async {
+        let call = present.insert(PendingCall::send(address, &path, context, last_received).await?);
+        call.head(context, HeadDeadline::Timeout, last_received).await
+    };
+    let (call, head) = tokio::select! {
+        biased;
+        head = previous_head(&mut previous, context) => (previous, Ok(head)),
+        head = present_head => {
+            if head.is_err() {
+                let timed_out = matches!(head, Err(CallError::Unanswered));
+                unanswered.keep(context.epoch, present.take_if(|_| timed_out).or(previous));
+            }
+            (present, head)
+        }
+    };
+    let head = head?;
+    match call {
+        Some(call) => call.lists(head, context, last_received).await,
+        None => Ok(()),
+    }
+}
+
+/// The head of the response to the previous call. Never, where that fails: the present call goes on.
+async fn previous_head(previous: &mut Option<PendingCall>, context: &CallContext) -> Head {
+    if let Some(call) = previous
+        && let Ok(head) = call.head(context, HeadDeadline::None, &mut Instant::now()).await
+    {
+        return head;
+    }
+    *previous = None;
+    std::future::pending().await
+}
--- a/crates/stonevane-node/src/inherited_listener.rs
+++ b/crates/stonevane-node/src/inherited_listener.rs
@@ -1,29 +1,52 @@
-//! Where clients connect: an address that is bound, or a listening socket that the platform holds and passes on.
+//! The listening socket that the platform holds and passes on to each process of the node as a descriptor.
 
-use std::io::{Error, ErrorKind};
+use std::io;
 use std::net::TcpListener;
-use std::os::fd::OwnedFd;
+use std::os::fd::{OwnedFd, RawFd};
 
 use filedescriptor::FileDescriptor;
 use rustix::net::SocketType;
 use rustix::net::sockopt::{socket_acceptconn, socket_type};
 
-/// Takes over the socket of a number.
+/// Standard input, output and error are never the clients' socket.
+const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
+
+/// Why a descriptor is not the clients' socket.
+#[derive(Debug, thiserror::Error)]
+pub enum InheritError {
+    /// The text is no number of a descriptor.
+    #[error("{0:?} is no descriptor")]
+    NotADescriptor(String),
+    /// No descriptor of this number is open.
+    #[error("{0:?} is no open descriptor")]
+    NotOpen(String),
+    /// It is something else than a listening TCP socket.
+    #[error("{0:?} is no listening TCP socket")]
+    NotListening(String),
+    /// The socket cannot be used.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+}
+
+/// Takes over the listening socket of a descriptor number.
 ///
 /// # Errors
-/// Where it is no listening TCP socket.
-pub fn inherit(number: &str) -> std::io::Result<TcpListener> {
-    let wrong = |what: &str| Error::new(ErrorKind::InvalidInput, format!("{number:?} {what}"));
-    let number: i32 = number.parse().ok().filter(|n| *n > 2).ok_or_else(|| wrong("is no descriptor"))?;
-    // A copy: the number itself stays with whoever passed it on.
-    let copy = FileDescriptor::dup(&number).and_then(|copy| copy.as_file());
-    let socket = OwnedFd::from(copy.map_err(|_| wrong("is no open descriptor"))?);
-    if socket_type(&socket).ok() != Some(SocketType::STREAM) || socket_acceptconn(&socket).ok() != Some(true)
-    {
-        return Err(wrong("is no listening TCP socket"));
+/// The descriptor is no listening TCP socket.
+pub fn inherit(number: &str) -> Result<TcpListener, InheritError> {
+    let descriptor = number.parse::<RawFd>().ok().filter(|number| *number > LAST_STANDARD_DESCRIPTOR);
+    let descriptor = descriptor.ok_or_else(|| InheritError::NotADescriptor(number.into()))?;
+    // A copy: the descriptor itself stays with whoever passed it on.
+    let copy = FileDescriptor::dup(&descriptor).and_then(|copy| copy.as_file());
+    let socket = OwnedFd::from(copy.map_err(|_| InheritError::NotOpen(number.into()))?);
+    if !is_listening_tcp_socket(&socket) {
+        return Err(InheritError::NotListening(number.into()));
     }
     let listener = TcpListener::from(socket);
-    listener.local_addr().map_err(|_| wrong("is no listening TCP socket"))?;
+    listener.local_addr().map_err(|_| InheritError::NotListening(number.into()))?;
     listener.set_nonblocking(true)?;
     Ok(listener)
 }
+
+fn is_listening_tcp_socket(socket: &OwnedFd) -> bool {
+    socket_type(socket).ok() == Some(SocketType::STREAM) && socket_acceptconn(socket).ok() == Some(true)
+}
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -1,9 +1,10 @@
-//! The second address: takes calls, one to a connection, and hands them to the core. What the bytes mean is
-//! `stonevane_core::management`'s to say.
+//! The management address: accepts operators' calls, one to a connection, and hands them to the driver. What the bytes
+//! mean is decided by `stonevane_core::management`.
 
 use std::collections::VecDeque;
+use std::io::{ErrorKind, Result};
 use std::sync::atomic::{AtomicU8, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
 use stonevane_core::management::{self, Answer, Call, MAX_HEAD};
@@ -14,92 +15,143 @@
 
 use crate::driver::Driver;
 
-/// Callers at the same time.
-const CALLERS: usize = 8;
-/// Descriptors that all of this holds: the listener, the callers, and one that is just being taken or closed.
-pub const SOCKETS: usize = CALLERS + 3;
-/// A call has to be whole within this time, and its answer taken in as much again.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// What stands behind a call is read for so long, so that no reset takes the answer away.
-const LINGER: Duration = Duration::from_millis(100);
-
-/// How far a caller has come: nothing said, a part, a whole call.
-const SILENT: u8 = 0;
-const BEGUN: u8 = 1;
-const WHOLE: u8 = 2;
-
-struct Caller {
+/// Connections at the same time.
+const MAX_CONNECTIONS: usize = 8;
+/// Descriptors that the management address holds: the listener, the connections, and those that are being accepted or
+/// closed.
+pub const SOCKETS: usize = MAX_CONNECTIONS + 3;
+/// A call must be complete within this time.
+const READ_TIMEOUT: Duration = Duration::from_secs(4);
+/// A call must be read and its answer taken within this time.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
+/// What follows a call is read for so long, so that no reset takes the answer away.
+const HALF_CLOSED_TIME: Duration = Duration::from_millis(100);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// A call that is still incomplete at this length is rejected.
+const MAX_CALL_BYTES: usize = 2 * MAX_HEAD;
+/// At most so much is read at once.
+const READ_BUFFER_BYTES: usize = 1024;
+/// Bytes that are discarded at once after a call.
+const DISCARD_BUFFER_BYTES: usize = 512;
+
+/// How much of its call a connection has brought.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[repr(u8)]
+enum CallStage {
+    Silent,
+    Partial,
+    Complete,
+}
+
+/// The stage of a connection, shared with its task.
+#[derive(Clone)]
+struct SharedStage(Arc<AtomicU8>);
+
+impl SharedStage {
+    fn new() -> SharedStage {
+        SharedStage(Arc::new(AtomicU8::new(CallStage::Silent as u8)))
+    }
+
+    fn set(&self, stage: CallStage) {
+        self.0.store(stage as u8, Ordering::Relaxed);
+    }
+
+    fn is(&self, stage: CallStage) -> bool {
+        self.0.load(Ordering::Relaxed) == stage as u8
+    }
+}
+
+struct Connection {
     number: u64,
-    stage: Arc<AtomicU8>,
+    stage: SharedStage,
     task: AbortHandle,
 }
 
-/// Those that hold a place, the oldest first.
-type Callers = Arc<Mutex<VecDeque<Caller>>>;
+/// The open connections, the oldest first.
+#[derive(Clone, Default)]
+struct Connections(Arc<Mutex<VecDeque<Connection>>>);
 
-/// Takes callers until the process ends.
+impl Connections {
+    fn lock(&self) -> MutexGuard<'_, VecDeque<Connection>> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn remove(&self, number: u64) {
+        self.lock().retain(|connection| connection.number != number);
+    }
+}
+
+/// Closes connections until there is capacity for one more: the oldest silent one first, then the oldest with an
+/// incomplete call, so that callers that say nothing keep nobody out.
+fn evict(connections: &mut VecDeque<Connection>) {
+    while connections.len() >= MAX_CONNECTIONS {
+        let oldest = |stage| connections.iter().position(|connection| connection.stage.is(stage));
+        let evicted = oldest(CallStage::Silent).or_else(|| oldest(CallStage::Partial)).unwrap_or(0);
+        connections.remove(evicted).inspect(|connection| connection.task.abort());
+    }
+}
+
+/// Accepts calls until the process ends.
 pub async fn serve(listener: TcpListener, driver: Arc<Driver>) {
-    let callers = Callers::default();
+    let connections = Connections::default();
     for number in 0.. {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(Duration::from_millis(5)).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        let mut places = callers.lock().unwrap_or_else(PoisonError::into_inner);
-        // Against callers that hold a place and say nothing: the oldest silent one goes, then the oldest that has not
-        // said all.
-        while places.len() >= CALLERS {
-            let at = |stage| places.iter().position(|caller| caller.stage.load(Ordering::Relaxed) == stage);
-            let goes = at(SILENT).or_else(|| at(BEGUN)).unwrap_or(0);
-            places.remove(goes).inspect(|caller| caller.task.abort());
-        }
-        let stage = Arc::new(AtomicU8::new(SILENT));
-        let (own, from, told) = (callers.clone(), driver.clone(), stage.clone());
-        let call = async move {
-            let _ = timeout(2 * PATIENCE, answer(stream, &from, &told)).await;
-            let mut places = own.lock().unwrap_or_else(PoisonError::into_inner);
-            places.retain(|caller| caller.number != number);
-        };
-        places.push_back(Caller { number, stage, task: tokio::spawn(call).abort_handle() });
+        let mut open = connections.lock();
+        evict(&mut open);
+        let stage = SharedStage::new();
+        let (connections, driver, task_stage) = (connections.clone(), driver.clone(), stage.clone());
+        let task = tokio::spawn(async move {
+            let _ = timeout(CONNECTION_TIMEOUT, serve_call(stream, &driver, &task_stage)).await;
+            connections.remove(number);
+        });
+        open.push_back(Connection { number, stage, task: task.abort_handle() });
     }
 }
 
-async fn answer(mut stream: TcpStream, driver: &Arc<Driver>, stage: &AtomicU8) -> std::io::Result<()> {
+async fn serve_call(mut stream: TcpStream, driver: &Arc<Driver>, stage: &SharedStage) -> Result<()> {
     let _ = stream.set_nodelay(true);
-    let called = match timeout(PATIENCE, read(&mut stream, stage)).await {
-        Ok(called) => called?,
+    let call = match timeout(READ_TIMEOUT, read_call(&mut stream, stage)).await {
+        Ok(call) => call?,
         Err(_) => Err(Answer::line(408, "no whole call in time")),
     };
-    stage.store(WHOLE, Ordering::Relaxed);
-    let answer = match called {
+    stage.set(CallStage::Complete);
+    let answer = match call {
         Ok(call) => driver.answer(call),
-        Err(answer) => answer,
+        Err(rejection) => rejection,
     };
     stream.write_all(&answer.bytes()).await?;
     stream.shutdown().await?;
-    let mut sink = [0; 512];
-    let _ =
-        timeout(LINGER, async { while stream.read(&mut sink).await.is_ok_and(|count| count > 0) {} }).await;
+    let _ = timeout(HALF_CLOSED_TIME, discard_input(&mut stream)).await;
     Ok(())
 }
 
-async fn read(stream: &mut TcpStream, stage: &AtomicU8) -> std::io::Result<Result<Call, Answer>> {
-    let mut bytes = Vec::with_capacity(512);
-    let mut piece = [0; 1024];
+/// Reads a call, or the answer that rejects it.
+async fn read_call(stream: &mut TcpStream, stage: &SharedStage) -> Result<std::result::Result<Call, Answer>> {
+    let mut bytes = Vec::with_capacity(READ_BUFFER_BYTES);
+    let mut buffer = [0; READ_BUFFER_BYTES];
     loop {
-        let count = stream.read(&mut piece).await?;
+        let count = stream.read(&mut buffer).await?;
         if count == 0 {
-            return Err(std::io::ErrorKind::UnexpectedEof.into());
+            return Err(ErrorKind::UnexpectedEof.into());
         }
-        stage.store(BEGUN, Ordering::Relaxed);
-        bytes.extend_from_slice(&piece[..count]);
+        stage.set(CallStage::Partial);
+        bytes.extend_from_slice(&buffer[..count]);
         match management::read(&bytes) {
-            Ok(None) if bytes.len() > 2 * MAX_HEAD => {
+            Ok(None) if bytes.len() > MAX_CALL_BYTES => {
                 return Ok(Err(Answer::line(413, "the call is too long")));
             }
             Ok(None) => {}
             Ok(Some(call)) => return Ok(Ok(call)),
-            Err(answer) => return Ok(Err(answer)),
+            Err(rejection) => return Ok(Err(rejection)),
         }
     }
 }
+
+async fn discard_input(stream: &mut TcpStream) {
+    let mut buffer = [0; DISCARD_BUFFER_BYTES];
+    while stream.read(&mut buffer).await.is_ok_and(|count| count > 0) {}
+}
--- /dev/null
+++ b/crates/stonevane-node/src/membership/mod.rs
@@ -0,0 +1,182 @@
+//! This node's membership: the socket at `peer_listen`, driving the state machine of `stonevane-membership`.
+//!
+//! Datagrams are read in bounded batches, so that a flood of them delays no request. A datagram that is refused is counted
+//! and not logged.
+
+mod config;
+mod report;
+
+use std::io::{Error, Result};
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+use stonevane_membership::{Input, Machine, MemberEvent, Number, Outputs, State};
+use stonevane_policy::Micros;
+use tokio::net::UdpSocket;
+use tokio::sync::Notify;
+use tokio::time::sleep_until;
+
+pub use config::{MembershipConfig, PeersError};
+
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::datagrams::{DatagramReader, PeerTable};
+
+struct Inner {
+    machine: Machine,
+    outputs: Outputs,
+    peers: PeerTable,
+}
+
+/// This node's membership.
+pub struct Membership {
+    inner: Mutex<Inner>,
+    socket: UdpSocket,
+    /// The protocol period.
+    period: Micros,
+    clock: Clock,
+    /// Datagrams of addresses that are none of the peers'.
+    unknown_peer: AtomicU64,
+    /// Datagrams that the kernel did not take.
+    unsent: AtomicU64,
+    /// The machine has handled an input of another task, and may be due earlier.
+    rescheduled: Notify,
+}
+
+impl Membership {
+    /// Opens the socket.
+    ///
+    /// # Errors
+    /// The address cannot be bound.
+    pub async fn start(config: MembershipConfig, clock: Clock) -> Result<Arc<Membership>> {
+        let MembershipConfig { setup, listen, peers } = config;
+        let socket = UdpSocket::bind(listen).await;
+        let socket = socket.map_err(|e| Error::new(e.kind(), format!("peer_listen {listen}: {e}")))?;
+        let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
+        tracing::info!(me = setup.me, members = setup.members, %listen, keyed = setup.key.is_some(), "fleet");
+        let period = setup.period;
+        let machine = Machine::new(clock.now(), setup);
+        let inner = Inner { machine, outputs: Outputs::default(), peers: PeerTable::new(peers) };
+        Ok(Arc::new(Membership {
+            inner: Mutex::new(inner),
+            socket,
+            period,
+            clock,
+            unknown_peer: AtomicU64::new(0),
+            unsent: AtomicU64::new(0),
+            rescheduled: Notify::new(),
+        }))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Takes part until the process ends, and reports how many nodes share the fleet's limits whenever that changes.
+    pub async fn run(self: Arc<Self>, on_node_count: impl Fn(u32)) {
+        self.handle(Input::Wake);
+        let mut node_count = 0;
+        let mut reader = DatagramReader::new(&self.socket);
+        loop {
+            let next = self.lock().machine.next();
+            tokio::select! {
+                ready = reader.ready() => {
+                    reader.read(ready, |from, bytes| self.receive(from, bytes)).await;
+                }
+                () = sleep_until(self.clock.instant(next)) => self.handle(Input::Wake),
+                () = self.rescheduled.notified() => {}
+            }
+            let known = self.lock().machine.known() as u32;
+            if known != node_count {
+                node_count = known;
+                on_node_count(known);
+            }
+        }
+    }
+
+    /// Takes over the peers of a newer configuration: members that have moved are reached at their new addresses, and
+    /// new ones count as unknown.
+    ///
+    /// # Errors
+    /// What is wrong with the list; the one in force stays. Members keep their numbers, so a shorter list is rejected.
+    pub fn update_peers(&self, config: &Config) -> std::result::Result<(), Vec<PeersError>> {
+        let addresses = config::peer_addresses(config)?;
+        let present = addresses.len();
+        let previous = {
+            let mut inner = self.lock();
+            let previous = inner.peers.addresses().len();
+            if present < previous {
+                return Err(vec![PeersError::Fewer { present, previous }]);
+            }
+            std::mem::replace(&mut inner.peers, PeerTable::new(addresses.clone()))
+        };
+        let previous = previous.addresses();
+        let moved = previous.iter().zip(&addresses).filter(|(before, now)| before != now).count();
+        if moved > 0 || previous.len() < present {
+            tracing::info!(members = present, moved, "peers");
+            self.handle(Input::Members(present as Number));
+            self.rescheduled.notify_one();
+        }
+        Ok(())
+    }
+
+    /// Announces that this node leaves.
+    pub fn leave(&self) {
+        self.handle(Input::Leave);
+        self.rescheduled.notify_one();
+    }
+
+    /// What this node knows of the others, as JSON; `brief`: a letter for each.
+    pub fn report(&self, now: Micros, brief: bool) -> String {
+        let inner = self.lock();
+        if brief {
+            return report::brief(&inner.machine, inner.peers.addresses().len());
+        }
+        let (status, peers) = (inner.machine.status(), inner.peers.clone());
+        drop(inner);
+        let figures = report::SocketFigures {
+            unknown_peer: self.unknown_peer.load(Ordering::Relaxed),
+            unsent: self.unsent.load(Ordering::Relaxed),
+        };
+        report::full(&status, peers.addresses(), self.period, now, &figures)
+    }
+
+    fn receive(&self, from: SocketAddr, bytes: &[u8]) {
+        let number = self.lock().peers.number_of(from);
+        match number {
+            Some(number) => self.handle(Input::Datagram(number as Number, bytes)),
+            None => drop(self.unknown_peer.fetch_add(1, Ordering::Relaxed)),
+        }
+    }
+
+    /// Brings an input to the machine, sends its datagrams and logs its events.
+    fn handle(&self, input: Input<'_>) {
+        let mut inner = self.lock();
+        let inner = &mut *inner;
+        inner.machine.handle(self.clock.now(), input, &mut inner.outputs);
+        while let Some((to, bytes)) = inner.outputs.sends.pop_front() {
+            let Some(address) = inner.peers.address_of(u32::from(to)) else { continue };
+            if self.socket.try_send_to(&bytes, address).is_err() {
+                self.unsent.fetch_add(1, Ordering::Relaxed);
+            }
+        }
+        for event in inner.outputs.news.drain(..) {
+            log_event(&event);
+        }
+    }
+}
+
+fn log_event(event: &MemberEvent) {
+    let record = event.now;
+    tracing::info!(
+        member = record.member,
+        was = event.was.map_or("unknown", State::name),
+        now = record.state.name(),
+        by = record.by,
+        generation = record.instance.generation,
+        draw = record.instance.nonce,
+        incarnation = record.incarnation,
+        "member"
+    );
+}
--- /dev/null
+++ b/crates/stonevane-node/src/membership/report.rs
@@ -0,0 +1,93 @@
+//! The membership report of the management address, as JSON.
+
+use std::net::SocketAddr;
+
+use serde_json::{Value, json};
+use stonevane_membership::{Counts, Machine, MemberStatus, Number, State, Status};
+use stonevane_policy::Micros;
+
+const MICROS_PER_MS: Micros = 1_000;
+
+/// What the report takes from the socket's side.
+pub(super) struct SocketFigures {
+    /// Datagrams of addresses that are none of the peers'.
+    pub unknown_peer: u64,
+    /// Datagrams that the kernel did not take.
+    pub unsent: u64,
+}
+
+/// The initial of each member's state, `?` for an unknown one.
+pub(super) fn brief(machine: &Machine, members: usize) -> String {
+    let initial = |member: Number| machine.state(member).map_or("?", |state| &state.name()[..1]);
+    let view: String = (0..members as Number).map(initial).collect();
+    json!({ "view": view }).to_string()
+}
+
+/// The whole report.
+pub(super) fn full(
+    status: &Status,
+    addresses: &[SocketAddr],
+    period: Micros,
+    now: Micros,
+    figures: &SocketFigures,
+) -> String {
+    let members = status.members.iter();
+    let members = members.map(|entry| member(status, entry, addresses[usize::from(entry.member)], now));
+    let counts = &status.counts;
+    json!({
+        "me": status.me, "life": status.life.nonce, "generation": status.life.generation,
+        "incarnation": status.incarnation, "health": status.health, "digest": format!("{:08x}", status.digest),
+        "period_ms": period / MICROS_PER_MS, "alone_ms": milliseconds_since(status.alone, now),
+        "members": members.collect::<Vec<_>>(),
+        "datagrams": datagrams(counts, figures),
+        "probes_failed": counts.probes_failed, "accused": counts.accused, "declared": counts.declared,
+        "refuted": counts.refuted, "stood_still": counts.stood_still, "claimed": counts.claimed,
+    })
+    .to_string()
+}
+
+fn datagrams(counts: &Counts, figures: &SocketFigures) -> Value {
+    json!({
+        "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
+        "heard_bytes": counts.heard_bytes, "unsent": figures.unsent,
+        "refused": {
+            "stranger": figures.unknown_peer, "length": counts.refused_length,
+            "version": counts.refused_version, "digest": counts.refused_digest, "form": counts.refused_form,
+            "address": counts.refused_address, "old": counts.refused_old,
+        },
+    })
+}
+
+fn member(status: &Status, entry: &MemberStatus, address: SocketAddr, now: Micros) -> Value {
+    let record = entry.record;
+    let since = |at| milliseconds_since(at, now);
+    json!({
+        "member": entry.member, "address": address.to_string(),
+        "state": entry.state.map_or("unknown", State::name), "for_ms": since(record.map(|_| entry.since)),
+        "by": record.map(|record| record.by), "generation": record.map(|record| record.instance.generation),
+        "life": record.map(|record| record.instance.nonce),
+        "incarnation": record.map(|record| record.incarnation),
+        "accusers": entry.accusers, "health": entry.health, "heard_ms": since(entry.heard),
+        "answered_ms": since(entry.answered), "unanswered_ms": since(entry.unanswered),
+        "link": link(status, entry),
+    })
+}
+
+/// Whether this node and a member reach each other.
+fn link(status: &Status, entry: &MemberStatus) -> &'static str {
+    if entry.member == status.me {
+        "self"
+    } else if entry.hears_not() {
+        "does not hear this node"
+    } else if entry.unheard() {
+        "is not heard"
+    } else if entry.answers() {
+        "both ways"
+    } else {
+        "not known"
+    }
+}
+
+fn milliseconds_since(at: Option<Micros>, now: Micros) -> Option<Micros> {
+    at.map(|at| now.saturating_sub(at) / MICROS_PER_MS)
+}
--- /dev/null
+++ b/crates/stonevane-node/src/process.rs
@@ -0,0 +1,153 @@
+//! The process of a node, from its configuration to the end of its drain.
+
+use std::io::{Error, Result};
+use std::net::{SocketAddr, TcpListener as StdListener};
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+
+use stonevane_core::{Core, Input, Setup};
+use tokio::net::TcpListener;
+
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::driver::Driver;
+use crate::exclusions::Exclusions;
+use crate::handover::{Handover, HandoverTask};
+use crate::log::log;
+use crate::management;
+use crate::membership::{Membership, MembershipConfig};
+use crate::signals::{Reloads, Signals, Termination};
+use crate::store::OriginStore;
+
+/// Set to 1, each step of each request and each connection that is closed is a line of the log.
+const TRACE_VARIABLE: &str = "SPARDEAL_TRACE";
+
+/// Runs a node until it has drained.
+///
+/// # Errors
+/// A socket cannot be opened, or a signal not be handled.
+pub async fn run(
+    mut config: Config,
+    store: Option<Arc<OriginStore>>,
+    membership: Option<MembershipConfig>,
+) -> Result<()> {
+    let tmpdir = temporary_folder();
+    let exclusions = Exclusions::new(tmpdir.clone());
+    let clock = Clock::start();
+    let signals = Signals::install()?;
+    let inherited = config.inherited.take();
+    let replaces_another = inherited.is_some();
+    let listener = open_client_listener(inherited, config.listen).await?;
+    let management = open_management_listener(config.mgmt).await?;
+    let membership = match membership {
+        Some(membership) => Some(Membership::start(membership, clock).await?),
+        None => None,
+    };
+
+    let sockets_in_use =
+        management.as_ref().map_or(0, |_| management::SOCKETS) + usize::from(membership.is_some());
+    let excluded = if management.is_some() { exclusions.excluded() } else { Vec::new() };
+    let document = std::mem::take(&mut config.document);
+    let setup = core_setup(config, store.as_deref(), sockets_in_use, excluded, replaces_another);
+    let mut core = Core::new(clock.now(), setup);
+    core.trace_requests(std::env::var_os(TRACE_VARIABLE).is_some_and(|value| value == "1"));
+    let driver = Driver::new(core, clock, exclusions, store.clone(), membership.clone());
+
+    let handover_folder = tmpdir.filter(|_| replaces_another);
+    let handover = handover_folder.and_then(|tmpdir| join_handover(&tmpdir, clock, &driver));
+    if let Some(membership) = &membership {
+        spawn_membership(membership.clone(), driver.clone());
+    }
+    if let Some(listener) = management {
+        tokio::spawn(management::serve(listener, driver.clone()));
+    }
+    let termination = Termination {
+        handover: handover.as_ref().map(HandoverTask::poller),
+        membership: membership.clone(),
+        driver: driver.clone(),
+    };
+    let reloads = Reloads { document, membership, driver: driver.clone() };
+    signals.spawn_handlers(termination, reloads);
+
+    driver.run(listener).await;
+    if let Some(handover) = handover {
+        handover.stop().await;
+    }
+    if let Some(store) = store {
+        log(&store.summary());
+    }
+    Ok(())
+}
+
+/// The folder in which processes of this node meet and exclusions are persisted.
+fn temporary_folder() -> Option<PathBuf> {
+    std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from)
+}
+
+async fn open_client_listener(inherited: Option<StdListener>, address: SocketAddr) -> Result<TcpListener> {
+    let listener = match inherited {
+        Some(inherited) => TcpListener::from_std(inherited)?,
+        None => TcpListener::bind(address).await?,
+    };
+    log(&format!("listening on {}", listener.local_addr()?));
+    Ok(listener)
+}
+
+async fn open_management_listener(address: Option<SocketAddr>) -> Result<Option<TcpListener>> {
+    let Some(address) = address else { return Ok(None) };
+    let listener = TcpListener::bind(address)
+        .await
+        .map_err(|error| Error::new(error.kind(), format!("mgmt {address}: {error}")))?;
+    log(&format!("the second address is {}", listener.local_addr()?));
+    Ok(Some(listener))
+}
+
+fn core_setup(
+    config: Config,
+    store: Option<&OriginStore>,
+    sockets_in_use: usize,
+    excluded: Vec<String>,
+    replaces_another: bool,
+) -> Setup {
+    let mut deployment = config.deployment;
+    // A process that takes over the clients of another meets no crowd that has waited for it.
+    deployment.settings.startup_attempts_per_server =
+        if replaces_another { 0.0 } else { config.operator.start.each };
+    deployment.settings.coalesce_fetches = store.is_some_and(OriginStore::coalesces_fetches);
+    Setup {
+        deployment,
+        seed: config.seed,
+        sockets: config.sockets,
+        memory_mb: config.memory_mb,
+        known: config.known_endpoints,
+        discovery: config.discovery,
+        clients: config.operator.clients,
+        servers: config.operator.servers,
+        store: store.is_some(),
+        copies: store.is_some_and(OriginStore::updates_caches),
+        others: sockets_in_use,
+        excluded,
+        replaced: replaces_another,
+        regions: config.operator.regions,
+    }
+}
+
+/// Joins the processes of this node. The first poll comes before anything is accepted: what the process to be replaced
+/// holds counts for both.
+fn join_handover(tmpdir: &Path, clock: Clock, driver: &Arc<Driver>) -> Option<HandoverTask> {
+    match Handover::join(tmpdir, (clock.now(), std::process::id())) {
+        Ok(mut handover) => {
+            handover.poll(driver);
+            Some(handover.spawn(driver.clone()))
+        }
+        Err(error) => {
+            log(&format!("another process of this node can't be told from here: {error}"));
+            None
+        }
+    }
+}
+
+/// Runs membership, and tells the core how many nodes share the fleet's limits.
+fn spawn_membership(membership: Arc<Membership>, driver: Arc<Driver>) {
+    tokio::spawn(membership.run(move |nodes| driver.input(Input::NodeCount(nodes))));
+}
--- /dev/null
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -0,0 +1,142 @@
+//! The circuit breaker in front of the store: while the store does not answer, calls fail at once, and the policy is told
+//! for how long they will.
+
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::time::Instant;
+
+use oorandom::Rand64;
+use stonevane_policy::Micros;
+use stonevane_store::StoreError;
+use stonevane_store::breaker::{Breaker, Limits, State, Word};
+
+use super::Inner;
+use crate::clock::to_micros;
+use crate::log::log;
+
+const MICROS_PER_MS: Micros = 1_000;
+
+/// The breaker with the clock and the random numbers that it needs.
+pub(super) struct CircuitBreaker(Mutex<BreakerState>);
+
+struct BreakerState {
+    breaker: Breaker,
+    epoch: Instant,
+    random: Rand64,
+}
+
+impl BreakerState {
+    fn now(&self) -> Micros {
+        to_micros(self.epoch.elapsed())
+    }
+}
+
+/// How calls changed the breaker.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Transition {
+    /// It is open, or has become so again: no calls for this long.
+    Opened(Micros),
+    /// It has left the open state.
+    Closed,
+}
+
+impl CircuitBreaker {
+    /// A closed breaker.
+    pub fn new(limits: Limits, seed: u64) -> CircuitBreaker {
+        let breaker = Breaker::new(limits);
+        let random = Rand64::new(seed.into());
+        CircuitBreaker(Mutex::new(BreakerState { breaker, epoch: Instant::now(), random }))
+    }
+
+    fn lock(&self) -> MutexGuard<'_, BreakerState> {
+        self.0.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn admit(&self) -> Word {
+        let mut state = self.lock();
+        let now = state.now();
+        state.breaker.call(now)
+    }
+
+    fn abandon_probe(&self) {
+        let mut state = self.lock();
+        let now = state.now();
+        state.breaker.abandoned(now);
+    }
+
+    /// Takes the end of a call into account.
+    fn record(&self, answered: bool) -> Option<Transition> {
+        let mut state = self.lock();
+        let now = state.now();
+        let drawn = state.random.rand_float();
+        let before = state.breaker.state();
+        if answered {
+            state.breaker.answered();
+        } else {
+            state.breaker.failed(now, drawn);
+        }
+        match (before, state.breaker.state()) {
+            (State::Open { .. }, State::Open { .. }) | (State::Closed { .. }, State::Closed { .. }) => None,
+            (_, State::Open { until, .. }) => Some(Transition::Opened(until.saturating_sub(now))),
+            _ => Some(Transition::Closed),
+        }
+    }
+}
+
+/// Permission for one call. Dropped without an outcome, the call was given up: a probe then has no result.
+pub(super) struct Permit {
+    inner: Arc<Inner>,
+    is_probe: bool,
+    /// How many calls the store had answered when this one was admitted.
+    answered_before: u64,
+}
+
+impl Permit {
+    /// Admits a call, unless the breaker is open.
+    pub fn acquire(inner: &Arc<Inner>) -> Result<Permit, StoreError> {
+        let word = inner.breaker.admit();
+        if matches!(word, Word::Refuse { .. }) {
+            return Err(StoreError::Stopped);
+        }
+        Ok(Permit {
+            inner: inner.clone(),
+            is_probe: word == Word::Probe,
+            answered_before: inner.store.answered(),
+        })
+    }
+
+    /// Takes the outcome of the call into account, and tells the policy when the store becomes available or unavailable.
+    pub fn complete<T>(mut self, result: &Result<T, StoreError>) {
+        self.is_probe = false;
+        let outage = result.as_ref().err().filter(|error| self.is_outage(error));
+        let Some(transition) = self.inner.breaker.record(outage.is_none()) else { return };
+        let unavailable = match transition {
+            Transition::Opened(pause) => pause,
+            Transition::Closed => 0,
+        };
+        match outage {
+            Some(error) => {
+                self.inner.counters.outages.increment();
+                log(&format!("store: {error}; no call for {} ms", unavailable / MICROS_PER_MS));
+            }
+            None => log("store: it answers again"),
+        }
+        if let Some(on_unavailable) = self.inner.on_unavailable.get() {
+            on_unavailable(unavailable);
+        }
+    }
+
+    /// Whether an error shows that the store does not answer. A call that only waited too long, for a row's lock or a
+    /// place in the pool, does not show it: the store has answered others meanwhile.
+    fn is_outage(&self, error: &StoreError) -> bool {
+        let none_answered = self.inner.store.answered() == self.answered_before;
+        error.is_silence() && (none_answered || *error == StoreError::Behind)
+    }
+}
+
+impl Drop for Permit {
+    fn drop(&mut self) {
+        if self.is_probe {
+            self.inner.breaker.abandon_probe();
+        }
+    }
+}
--- /dev/null
+++ b/crates/stonevane-node/src/store/fetches.rs
@@ -0,0 +1,164 @@
+//! Fetches: all fetches of a key that are in flight at once share one query, whichever of their callers leave.
+
+use std::collections::HashMap;
+use std::sync::Arc;
+
+use bytes::Bytes;
+use stonevane_core::{Reply, StoreCall};
+use stonevane_store::StoreError;
+use stonevane_store::flight::{FlightId, Flights, Joined, JoinerId, Limits};
+use tokio::sync::oneshot;
+use tokio::task::AbortHandle;
+use tokio::time::timeout;
+
+use super::circuit_breaker::Permit;
+use super::{CallKind, Inner, failed, key_text, served};
+
+/// A joiner of a shared fetch has no deadline of its own: its client's request has one.
+const NO_DEADLINE: u64 = u64::MAX;
+
+/// A value of the store.
+#[derive(Clone)]
+struct Value {
+    bytes: Bytes,
+    /// Its version; 0 where the store has no value.
+    version: u64,
+    /// Whether caches may keep it.
+    cacheable: bool,
+}
+
+type FetchResult = Result<Value, StoreError>;
+
+/// The fetches in flight and those who wait for them.
+pub(super) struct FetchTable {
+    pub flights: Flights<String>,
+    waiting: HashMap<JoinerId, oneshot::Sender<FetchResult>>,
+    tasks: HashMap<FlightId, AbortHandle>,
+    next_joiner: JoinerId,
+}
+
+impl FetchTable {
+    /// No fetches.
+    pub fn new() -> FetchTable {
+        FetchTable {
+            flights: Flights::new(Limits::default()),
+            waiting: HashMap::new(),
+            tasks: HashMap::new(),
+            next_joiner: 1,
+        }
+    }
+
+    fn next_joiner(&mut self) -> JoinerId {
+        let joiner = self.next_joiner;
+        self.next_joiner += 1;
+        joiner
+    }
+}
+
+/// One who waits for a fetch. Dropped, it has left; when the last one leaves, the fetch is ended.
+struct Waiter {
+    inner: Arc<Inner>,
+    joiner: JoinerId,
+}
+
+impl Drop for Waiter {
+    fn drop(&mut self) {
+        let mut fetches = self.inner.fetches();
+        fetches.waiting.remove(&self.joiner);
+        if let Some(flight) = fetches.flights.leave(self.joiner)
+            && let Some(task) = fetches.tasks.remove(&flight)
+        {
+            task.abort();
+        }
+    }
+}
+
+/// Carries out a fetch.
+pub(super) async fn fetch(inner: &Arc<Inner>, call: StoreCall) -> Reply {
+    match fetch_current(inner, &call).await {
+        Ok(value) => {
+            fill_missed_caches(inner, call, &value);
+            served(value.bytes)
+        }
+        Err(error) => failed(&error, CallKind::Fetch),
+    }
+}
+
+/// Fetches a value that is no older than an edit on another node which the request's cache knows of. A shared fetch may
+/// have begun before that edit; one that begins now began after it.
+async fn fetch_current(inner: &Arc<Inner>, call: &StoreCall) -> FetchResult {
+    let key = key_text(&call.command.key)?;
+    let is_stale = |fetched: &FetchResult| matches!(fetched, Ok(value) if value.version < call.min_version);
+    let mut fetched = fetch_shared(inner, key.clone()).await;
+    if is_stale(&fetched) {
+        inner.counters.refetched.increment();
+        fetched = fetch_shared(inner, key).await;
+    }
+    // A replica of the store that lags, and does not know it.
+    if is_stale(&fetched) { Err(StoreError::Behind) } else { fetched }
+}
+
+fn fill_missed_caches(inner: &Inner, call: StoreCall, value: &Value) {
+    if !value.cacheable || call.missed_caches.is_empty() {
+        return;
+    }
+    if let (Some(updater), Ok(key)) = (inner.cache_updater.get(), key_text(&call.command.key)) {
+        updater.fill(call.missed_caches, key, value.version, value.bytes.clone());
+    }
+}
+
+/// Waits for the value of a key together with all others that do.
+async fn fetch_shared(inner: &Arc<Inner>, key: String) -> FetchResult {
+    if !inner.coalesces_fetches {
+        // Nothing fences this fetch against edits: no cache may keep its value.
+        return query(inner, &key).await.map(|value| Value { cacheable: false, ..value });
+    }
+    let (sender, fetched) = oneshot::channel();
+    let waiter = join(inner, key, sender)?;
+    let fetched = fetched.await.unwrap_or(Err(StoreError::Closed));
+    drop(waiter);
+    fetched
+}
+
+/// Joins the fetch of a key, or begins it in a task of its own: whoever came first may leave.
+fn join(inner: &Arc<Inner>, key: String, sender: oneshot::Sender<FetchResult>) -> Result<Waiter, StoreError> {
+    let mut fetches = inner.fetches();
+    let joiner = fetches.next_joiner();
+    match fetches.flights.join(&key, joiner, NO_DEADLINE) {
+        Joined::NoRoom => return Err(StoreError::Busy),
+        Joined::Waits(_) => inner.counters.joined.increment(),
+        Joined::Begins(flight) => {
+            let task = tokio::spawn(run_fetch(inner.clone(), flight, key));
+            fetches.tasks.insert(flight, task.abort_handle());
+        }
+    }
+    fetches.waiting.insert(joiner, sender);
+    Ok(Waiter { inner: inner.clone(), joiner })
+}
+
+/// Queries the store and tells all who wait.
+async fn run_fetch(inner: Arc<Inner>, flight: FlightId, key: String) {
+    let fetched = query(&inner, &key).await;
+    let mut fetches = inner.fetches();
+    fetches.tasks.remove(&flight);
+    let Some(landed) = fetches.flights.landed(flight) else { return };
+    let fetched = fetched.map(|value| Value { cacheable: value.cacheable && landed.may_keep, ..value });
+    for joiner in landed.joiners {
+        if let Some(sender) = fetches.waiting.remove(&joiner) {
+            let _ = sender.send(fetched.clone());
+        }
+    }
+}
+
+async fn query(inner: &Arc<Inner>, key: &str) -> FetchResult {
+    let permit = Permit::acquire(inner)?;
+    inner.counters.queries.increment();
+    let call = timeout(inner.call_timeout, inner.store.get(key));
+    let fetched = call.await.unwrap_or(Err(StoreError::TimedOut));
+    permit.complete(&fetched);
+    // A key that the store does not have is an area with nothing in it: a value, and no failure.
+    Ok(match fetched? {
+        Some(zone) => Value { version: zone.version, cacheable: true, bytes: zone.value.into() },
+        None => Value { version: 0, cacheable: false, bytes: Bytes::new() },
+    })
+}
--- /dev/null
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -0,0 +1,211 @@
+//! The store of record in the origin's place: a fetch or an edit is a call to SQLite or PostgreSQL.
+
+mod circuit_breaker;
+mod counters;
+mod edits;
+mod fetches;
+mod own_edits;
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard, OnceLock, PoisonError};
+use std::time::Duration;
+
+use bytes::Bytes;
+use stonevane_config::operator;
+use stonevane_core::{Reply, StoreCall};
+use stonevane_policy::{AttemptStatus, Micros};
+use stonevane_store::{Change, Postgres, Sqlite, Store, StoreError, breaker, postgres, quick, sqlite};
+use tokio::sync::watch;
+
+use crate::cache_updates::CacheUpdater;
+use crate::clock::to_micros;
+use circuit_breaker::CircuitBreaker;
+use counters::Counters;
+use fetches::FetchTable;
+use own_edits::{ChangeOrigin, OwnEdits};
+
+/// Told for how long calls will fail, in microseconds; 0: the store answers again.
+pub type OnUnavailable = Box<dyn Fn(Micros) + Send + Sync>;
+
+/// The store, shared by all calls.
+pub struct OriginStore(Arc<Inner>);
+
+struct Inner {
+    store: Box<dyn Store>,
+    call_timeout: Duration,
+    fetches: Mutex<FetchTable>,
+    breaker: CircuitBreaker,
+    counters: Counters,
+    own_edits: Mutex<OwnEdits>,
+    on_unavailable: OnceLock<OnUnavailable>,
+    /// Whether fetches of one key share a query.
+    coalesces_fetches: bool,
+    /// Where caches take copies from nodes.
+    cache_updater: OnceLock<CacheUpdater>,
+    copies: Option<operator::Copies>,
+}
+
+impl OriginStore {
+    /// Opens the file that the operator names, or prepares to call the server.
+    ///
+    /// # Errors
+    /// The store cannot be used.
+    pub fn open(config: &operator::Store, seed: u64) -> Result<OriginStore, StoreError> {
+        let (shortest, longest) = config.probe;
+        let breaker = breaker::Limits {
+            failures: config.failures,
+            shortest: to_micros(shortest),
+            longest: to_micros(longest),
+            ..breaker::Limits::default()
+        };
+        Ok(OriginStore(Arc::new(Inner {
+            store: open_backend(config, seed)?,
+            call_timeout: config.stall,
+            fetches: Mutex::new(FetchTable::new()),
+            breaker: CircuitBreaker::new(breaker, seed),
+            counters: Counters::default(),
+            own_edits: Mutex::default(),
+            on_unavailable: OnceLock::new(),
+            coalesces_fetches: config.shares,
+            cache_updater: OnceLock::new(),
+            copies: config.copies,
+        })))
+    }
+
+    /// Whether caches are sent fills and invalidations.
+    pub fn updates_caches(&self) -> bool {
+        self.0.copies.is_some()
+    }
+
+    /// Whether fetches of one key that are in flight at once share a query.
+    pub fn coalesces_fetches(&self) -> bool {
+        self.0.coalesces_fetches
+    }
+
+    /// Starts to follow the store's changes, where it announces them, and to send caches fills and invalidations, where
+    /// that is configured: the addresses of the caches are then published through what is returned.
+    pub fn start(&self, on_unavailable: OnUnavailable) -> Option<watch::Sender<Vec<SocketAddr>>> {
+        let _ = self.0.on_unavailable.set(on_unavailable);
+        if let Some(mut changes) = self.0.store.follow() {
+            let inner = self.0.clone();
+            tokio::spawn(async move {
+                while let Some(change) = changes.recv().await {
+                    inner.changed(change).await;
+                }
+            });
+        }
+        let copies = self.0.copies?;
+        let (caches, addresses) = watch::channel(Vec::new());
+        self.0.cache_updater.set(CacheUpdater::start(addresses, copies.lifetime)).ok()?;
+        Some(caches)
+    }
+
+    /// Carries out a fetch or an edit. Dropped, it is given up.
+    pub async fn call(&self, call: StoreCall) -> Reply {
+        if call.command.write {
+            edits::edit(&self.0, call).await
+        } else {
+            fetches::fetch(&self.0, call).await
+        }
+    }
+
+    /// What it has done, as a line for the log.
+    pub fn summary(&self) -> String {
+        self.0.counters.to_string()
+    }
+}
+
+fn open_backend(config: &operator::Store, seed: u64) -> Result<Box<dyn Store>, StoreError> {
+    match &config.place {
+        operator::Place::Sqlite { file, readers, busy, here } => {
+            let inline = here.map(|slow| quick::Limits { slow: to_micros(slow), ..quick::Limits::default() });
+            let options = sqlite::Options {
+                readers: *readers,
+                queue: config.queue,
+                busy: *busy,
+                here: inline,
+                ..sqlite::Options::default()
+            };
+            Ok(Box::new(Sqlite::open(file, &options)?))
+        }
+        operator::Place::Postgres { url, connections } => {
+            let options = postgres::Options {
+                connections: *connections,
+                queue: config.queue,
+                stall: config.stall,
+                seed,
+                ..postgres::Options::default()
+            };
+            Ok(Box::new(Postgres::new(url, options)?))
+        }
+    }
+}
+
+impl Inner {
+    fn fetches(&self) -> MutexGuard<'_, FetchTable> {
+        self.fetches.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn own_edits(&self) -> MutexGuard<'_, OwnEdits> {
+        self.own_edits.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// The store announces a change, of this node or another.
+    async fn changed(&self, change: Change) {
+        self.counters.changes.increment();
+        let origin = self.own_edits().announce(&change);
+        if origin == ChangeOrigin::OwnReceipt {
+            return;
+        }
+        self.fetches().flights.changed(&change.key);
+        // An own edit without an answer was done after all, or another one came behind it: caches hold an older value.
+        if origin == ChangeOrigin::OwnUnanswered {
+            self.settle(change.key, change.version).await;
+        }
+    }
+
+    /// An edit that may have been done had no answer: older copies go when the store announces a change of the key, or at
+    /// once if it has.
+    async fn edit_unanswered(&self, key: &str) {
+        let announced = self.own_edits().lose(key);
+        if let Some(version) = announced {
+            self.settle(key.to_owned(), version).await;
+        }
+    }
+
+    async fn settle(&self, key: String, version: u64) {
+        self.counters.settled.increment();
+        if let Some(updater) = self.cache_updater.get() {
+            // Nobody waits for it.
+            drop(updater.invalidate(key, version).await);
+        }
+    }
+}
+
+/// The kinds of calls.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CallKind {
+    Fetch,
+    Edit,
+}
+
+fn reply(status: AttemptStatus, value: Option<Bytes>) -> Reply {
+    Reply { value, ..Reply::bare(status, true) }
+}
+
+fn served(value: Bytes) -> Reply {
+    reply(AttemptStatus::Served, Some(value))
+}
+
+/// The reply to a call that failed. It is rejected, and may be retried, where the call surely had no effect and another
+/// attempt could end differently.
+fn failed(error: &StoreError, kind: CallKind) -> Reply {
+    let permanent = matches!(error, StoreError::Bounds(_) | StoreError::Conflict);
+    let may_have_run = kind == CallKind::Edit && !error.proves_not_done();
+    let status = if permanent || may_have_run { AttemptStatus::Error } else { AttemptStatus::Rejected };
+    reply(status, None)
+}
+
+fn key_text(key: &Bytes) -> Result<String, StoreError> {
+    String::from_utf8(key.to_vec()).map_err(|_| StoreError::Bounds("the key"))
+}
--- a/crates/stonevane-scale/src/node.rs
+++ b/crates/stonevane-scale/src/node.rs
@@ -251,7 +251,7 @@
     /// Ends its calls to discovery, and takes it out of what is counted.
     pub fn leave(&self) {
         let mut state = lock(&self.state);
-        state.discovery.leave();
+        state.discovery.cancel_all();
         let was = std::mem::take(&mut state.standing);
         self.shared.moved(was, Standing::default());
     }
