--- a/crates/stonevane-node/tests/node/main.rs
+++ b/crates/stonevane-node/tests/node/main.rs
@@ -9,6 +9,7 @@
 mod stand_in;
 mod subset;
 mod time_left;
+mod upgrade;
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/stonevane-node/tests/node/stand_in.rs
+++ b/crates/stonevane-node/tests/node/stand_in.rs
@@ -406,6 +406,11 @@
         Node { child, address, mgmt, log, path, text: text.into(), discovery }
     }
 
+    /// Its process id.
+    pub fn id(&self) -> u32 {
+        self.child.id()
+    }
+
     /// A call on the second address: its status and body.
     pub fn call(&self, method: &str, path: &str) -> (u16, String) {
         self.call_with(format!("{method} {path} HTTP/1.1\r\nHost: n0\r\n\r\n").as_bytes())
