--- /dev/null
+++ b/crates/stonevane-audit/src/audit.rs
@@ -0,0 +1,73 @@
+//! Audits a history from its text.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::io::BufRead;
+
+use crate::auditor::Auditor;
+use crate::history::{self, HistoryError, HistoryRecord};
+use crate::report::Report;
+
+/// Records may stand this much out of order, microseconds.
+const REORDER_US: u64 = 500_000;
+
+/// A record on its way to the auditor; compared by its latest time, then by its line.
+struct Pending {
+    latest: u64,
+    line: usize,
+    record: Box<HistoryRecord>,
+}
+
+impl Pending {
+    fn key(&self) -> (u64, usize) {
+        (self.latest, self.line)
+    }
+}
+
+impl PartialEq for Pending {
+    fn eq(&self, other: &Self) -> bool {
+        self.key() == other.key()
+    }
+}
+
+impl Eq for Pending {}
+
+impl PartialOrd for Pending {
+    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
+        Some(self.cmp(other))
+    }
+}
+
+impl Ord for Pending {
+    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
+        self.key().cmp(&other.key())
+    }
+}
+
+/// Audits a history from its text. Memory grows with what is in flight, not with the history.
+///
+/// # Errors
+/// [`HistoryError`] where the text can't be read or is no history.
+pub fn audit(text: impl BufRead) -> Result<Report, HistoryError> {
+    let mut auditor: Option<Auditor> = None;
+    let mut pending: BinaryHeap<Reverse<Pending>> = BinaryHeap::new();
+    let mut newest = 0;
+    history::read(text, |line, mut record| {
+        let Some(auditor) = &mut auditor else {
+            auditor = Some(Auditor::new(*record.rules.take().unwrap_or_default()));
+            return;
+        };
+        let latest = record.time.latest;
+        newest = newest.max(latest);
+        pending.push(Reverse(Pending { latest, line, record: Box::new(record) }));
+        while pending.peek().is_some_and(|Reverse(first)| first.latest + REORDER_US < newest) {
+            let Some(Reverse(first)) = pending.pop() else { break };
+            auditor.handle_record(first.line, *first.record);
+        }
+    })?;
+    let mut auditor = auditor.ok_or(HistoryError::Empty)?;
+    while let Some(Reverse(first)) = pending.pop() {
+        auditor.handle_record(first.line, *first.record);
+    }
+    Ok(auditor.finish())
+}
--- a/crates/stonevane-audit/src/history.rs
+++ b/crates/stonevane-audit/src/history.rs
@@ -1,44 +1,18 @@
-//! The history: JSON lines, one event each, in the order in which they were written down.
+//! The history of a run: JSON lines, a record each, in the order in which they were written.
 //!
-//! A line's `t` is `[begun, ended]` in microseconds of one monotonic clock for all processes of a machine: the
+//! A line's `t` is `[earliest, latest]` in microseconds of one monotonic clock for all processes of a machine: the
 //! event happened at some moment between the two, both included. A last line that was cut off, as by a kill
 //! during its write, is left out; any other line that can't be read is an error with its number.
 
-use std::collections::BinaryHeap;
 use std::io::{BufRead, Read};
 
 use serde::{Deserialize, Serialize};
 
-use crate::auditor::Auditor;
-use crate::report::Report;
+use crate::interval::TimeInterval;
 use crate::rules::Rules;
 
 /// The longest line that is read, in bytes.
 pub const MAX_LINE: usize = 1 << 20;
-/// Lines may stand this much out of order, in microseconds.
-pub const REORDER_US: u64 = 500_000;
-
-/// The moments between which an event happened, both included.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Default)]
-#[serde(from = "(u64, u64)", into = "(u64, u64)")]
-pub struct TimeInterval {
-    /// It had not happened before this.
-    pub earliest: u64,
-    /// It had happened by this.
-    pub latest: u64,
-}
-
-impl From<(u64, u64)> for TimeInterval {
-    fn from((begun, ended): (u64, u64)) -> TimeInterval {
-        TimeInterval { earliest: begun.min(ended), latest: ended }
-    }
-}
-
-impl From<TimeInterval> for (u64, u64) {
-    fn from(span: TimeInterval) -> (u64, u64) {
-        (span.earliest, span.latest)
-    }
-}
 
 /// What happened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
@@ -50,51 +24,52 @@
     /// A client has written a request's last byte to a node.
     #[serde(rename = "ask")]
     Request,
-    /// A client has read a request's final answer, whole.
+    /// A client has read a request's complete final answer.
     Answer,
     /// A client has left before its answer.
     #[serde(rename = "gone")]
     ClientLeft,
-    /// A node ended a client's connection without a whole answer to this request.
+    /// A node closed a client's connection without a complete answer to this request.
     Closed,
-    /// A node sent what answers nothing; `request` is the last one that its connection had answered.
+    /// A node sent a response that answers no request; `request` is the last one answered on its connection.
     #[serde(rename = "stray")]
     UnsolicitedResponse,
-    /// The last byte of an attempt has come to a server.
+    /// A server has received the last byte of an attempt.
     Attempt,
     /// A server writes the answer to an attempt.
     Reply,
-    /// An attempt is out no longer though no whole answer was written: its connection has ended, or a fault spoilt
-    /// the answer.
+    /// An attempt is no longer in flight though no complete answer was written: its connection has ended, or a fault
+    /// spoilt the answer.
     #[serde(rename = "over")]
     AttemptEnded,
     /// A server has started, cold.
     Start,
-    /// A server was killed, or fell over.
+    /// A server was killed, or fell over under its load.
     Down,
     /// Discovery knows of a change.
     Change,
-    /// Discovery has told a node of a server.
+    /// Discovery has notified a node of a server.
     #[serde(rename = "told")]
     Notified,
-    /// A node has called discovery: `state` is `taken`, or `turned-away` where it has too much to do.
+    /// A node has called discovery: `state` is `taken`, or `turned-away` where discovery sheds the call.
     Call,
-    /// Something became of a node's process: `state` is `starting`, `ready`, `term`, `killed`, `exited`, or
+    /// The state of a node's process has changed: `state` is `starting`, `ready`, `term`, `killed`, `exited`, or
     /// `crashed` where it exited with another code than 0 after SIGTERM, `paused` and `resumed` where it was stopped,
     /// `slowed` and `steady` where it was given a small part of its time. From `killed` or `exited` on until it is
     /// `ready` again there is no process that could take a request.
     Node,
-    /// The store of record has committed a version of a key: `key`, `version`, `value` and, of a keyed edit, `token`.
+    /// The store of record has committed a version of a key: `key`, `version`, `value` and, of an edit with an
+    /// idempotency key, `token`.
     #[serde(rename = "stored")]
     Committed,
-    /// A fault was put in or taken away.
+    /// A fault was injected or removed.
     Fault,
-    /// What a node holds of all others was read: `state` has a letter for each, `a`live, `s`uspect, `d`ead, `l`eft, `?`.
+    /// A node's view of all others was read: `state` has a letter for each, `a`live, `s`uspect, `d`ead, `l`eft, `?`.
     View,
     /// Datagrams from `node` to `server`, another node, are all lost (`state` is `cut`) or pass again (`passes`).
     #[serde(rename = "cut")]
     Partition,
-    /// Datagrams between nodes begin to be lost, doubled or late, or no longer are: `state` is `mild` or `severe`, with
+    /// Datagrams between nodes begin to be lost, duplicated or late, or no longer are: `state` is `mild` or `severe`, with
     /// `-ends` behind it at the end.
     #[serde(rename = "weather")]
     NetworkConditions,
@@ -106,12 +81,12 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// With a value or receipt.
+    /// Answered with a value or receipt.
     Served,
-    /// Turned away: a retry does no harm.
+    /// Rejected: a retry does no harm.
     #[serde(rename = "refused")]
     Rejected,
-    /// No promise.
+    /// Failed: it may have run.
     Failed,
 }
 
@@ -119,14 +94,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It ran, or began to.
+    /// It ran, or began to run.
     Ran,
-    /// A repeat, dropped: the first receipt is given again.
+    /// A repeat, dropped by its idempotency key: the first receipt is given again.
     #[serde(rename = "dropped")]
     Deduplicated,
-    /// It lacks the key.
+    /// The server lacks the key.
     Miss,
-    /// Turned away unseen.
+    /// Rejected before it was read.
     Busy,
     /// The server was dead or silent when the bytes came.
     #[serde(rename = "void")]
@@ -137,248 +112,195 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct HistoryRecord {
-    /// When.
+    /// When it happened.
     #[serde(rename = "t")]
     pub time: TimeInterval,
-    /// Who wrote it.
+    /// Which process wrote it.
     #[serde(rename = "who")]
     pub recorder: String,
     /// What happened.
     pub event: Event,
     /// The request's id.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub request: String,
     /// The node concerned.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub node: String,
-    /// The server concerned; where empty, `who` is meant.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    /// The server concerned; where empty, the recorder.
+    #[serde(skip_serializing_if = "is_default")]
     pub server: String,
     /// The request's class.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub class: String,
     /// The request's tenant.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub tenant: String,
     /// The request's key.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub key: String,
     /// Its idempotency key.
-    #[serde(skip_serializing_if = "String::is_empty")]
-    #[serde(rename = "token")]
+    #[serde(rename = "token", skip_serializing_if = "is_default")]
     pub idempotency_key: String,
     /// A digest of the value that an edit carries.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub digest: String,
-    /// Until when its client waits.
-    #[serde(skip_serializing_if = "zero")]
-    #[serde(rename = "until")]
+    /// Until when its client waits for an answer.
+    #[serde(rename = "until", skip_serializing_if = "is_default")]
     pub deadline: u64,
     /// The final answer.
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(skip_serializing_if = "is_default")]
     pub outcome: Option<Outcome>,
-    /// When a refused client is to come back, milliseconds.
-    #[serde(skip_serializing_if = "zero")]
-    #[serde(rename = "advice_ms")]
+    /// When a rejected client is to retry, milliseconds.
+    #[serde(rename = "advice_ms", skip_serializing_if = "is_default")]
     pub retry_after_ms: u64,
-    /// What a server did.
-    #[serde(skip_serializing_if = "Option::is_none")]
+    /// What a server did with an attempt.
+    #[serde(skip_serializing_if = "is_default")]
     pub effect: Option<Effect>,
     /// The value, or its beginning: unique to the request that it was made for.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub value: String,
     /// The version of the key that a value shows or an edit made.
-    #[serde(skip_serializing_if = "zero")]
+    #[serde(skip_serializing_if = "is_default")]
     pub version: u64,
-    /// When an attempt's first byte came.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "first")]
+    /// When a server received an attempt's first byte.
+    #[serde(rename = "first", skip_serializing_if = "is_default")]
     pub first_byte: Option<TimeInterval>,
     /// An attempt's number at its server, to tell attempts of one request apart.
-    #[serde(skip_serializing_if = "zero")]
+    #[serde(skip_serializing_if = "is_default")]
     pub number: u64,
     /// The work of an attempt, microseconds.
-    #[serde(skip_serializing_if = "zero")]
+    #[serde(skip_serializing_if = "is_default")]
     pub work_us: u64,
     /// A server's capacity when warm: microseconds of work a second.
-    #[serde(skip_serializing_if = "zero_f64")]
+    #[serde(skip_serializing_if = "is_default")]
     pub capacity_us_per_s: f64,
-    /// The part of it that the server starts with.
-    #[serde(skip_serializing_if = "zero_f64")]
+    /// The share of it that the server starts with.
+    #[serde(skip_serializing_if = "is_default")]
     pub cold_share: f64,
-    /// How long it takes to warm.
-    #[serde(skip_serializing_if = "zero")]
+    /// How long it warms up, microseconds.
+    #[serde(skip_serializing_if = "is_default")]
     pub warm_us: u64,
     /// A server's zone.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub zone: String,
     /// A server's cell.
-    #[serde(skip_serializing_if = "zero")]
+    #[serde(skip_serializing_if = "is_default")]
     pub cell: u64,
     /// `active`, `leaving` or `left`.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    #[serde(skip_serializing_if = "is_default")]
     pub status: String,
     /// Which start of a server an entry of the list speaks of: the moment of that start, 0 for long ago.
-    #[serde(skip_serializing_if = "zero")]
-    #[serde(rename = "since")]
+    #[serde(rename = "since", skip_serializing_if = "is_default")]
     pub started_at: u64,
-    /// What became of a node, or which fault it is.
-    #[serde(skip_serializing_if = "String::is_empty")]
+    /// The state of a node's process, a view, or which fault it is.
+    #[serde(skip_serializing_if = "is_default")]
     pub state: String,
-    /// Whether a request is sent once more because a node's close crossed it.
-    #[serde(skip_serializing_if = "std::ops::Not::not")]
-    #[serde(rename = "again")]
+    /// Whether a request is sent once more because a node's close crossed it on the network.
+    #[serde(rename = "again", skip_serializing_if = "is_default")]
     pub resent: bool,
     /// Whether the connection had answered a request before, or the node was ending.
-    #[serde(skip_serializing_if = "std::ops::Not::not")]
-    #[serde(rename = "kept")]
+    #[serde(rename = "kept", skip_serializing_if = "is_default")]
     pub reused_connection: bool,
     /// Whether the server is the origin.
-    #[serde(skip_serializing_if = "std::ops::Not::not")]
+    #[serde(skip_serializing_if = "is_default")]
     pub origin: bool,
-    /// Whether a client's retry.
-    #[serde(skip_serializing_if = "std::ops::Not::not")]
+    /// Whether it is a client's retry.
+    #[serde(skip_serializing_if = "is_default")]
     pub retry: bool,
     /// The rules.
-    #[serde(skip_serializing_if = "Option::is_none")]
+    #[serde(skip_serializing_if = "is_default")]
     pub rules: Option<Box<Rules>>,
 }
 
-fn zero(figure: &u64) -> bool {
-    *figure == 0
-}
-
-fn zero_f64(figure: &f64) -> bool {
-    *figure == 0.0
+fn is_default<T: Default + PartialEq>(value: &T) -> bool {
+    *value == T::default()
 }
 
 impl HistoryRecord {
-    /// The line as it stands in a history, its end included.
+    /// The line as it stands in a history, with its newline.
     pub fn to_json_line(&self) -> String {
         let mut text = serde_json::to_string(self).unwrap_or_default();
         text.push('\n');
         text
     }
 
-    /// The server that it speaks of.
+    /// The server concerned.
     pub fn server_name(&self) -> &str {
         if self.server.is_empty() { &self.recorder } else { &self.server }
     }
 }
 
-/// Why a history can't be audited.
-#[derive(Debug)]
+/// Why a history can't be read.
+#[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// It can't be read.
-    Io(std::io::Error),
-    /// A line, counted from 1, is none of a history; other than a last one that was cut off.
-    Line(usize, String),
+    /// Its file can't be read.
+    #[error("cannot be read: {0}")]
+    Io(#[from] std::io::Error),
+    /// A line, counted from 1, is no record; other than a last one that was cut off.
+    #[error("line {line}: {reason}")]
+    Malformed {
+        /// Its number.
+        line: usize,
+        /// What is wrong with it.
+        reason: MalformedLine,
+    },
     /// It has no line at all.
+    #[error("line 1: an empty history")]
     Empty,
     /// It does not begin with the rules.
+    #[error("line 1: a history begins with the event `begin` and its rules")]
     NoRules,
 }
 
-impl std::fmt::Display for HistoryError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            HistoryError::Io(e) => write!(f, "cannot be read: {e}"),
-            HistoryError::Line(number, why) => write!(f, "line {number}: {why}"),
-            HistoryError::Empty => write!(f, "line 1: an empty history"),
-            HistoryError::NoRules => {
-                write!(f, "line 1: a history begins with the event `begin` and its rules")
-            }
-        }
-    }
+/// Why a line is no record.
+#[derive(Debug, thiserror::Error)]
+pub enum MalformedLine {
+    /// It is longer than [`MAX_LINE`].
+    #[error("longer than {MAX_LINE} bytes")]
+    TooLong,
+    /// It is no JSON, or lacks a field or has one too many.
+    #[error("column {}: {}", .0.column(), without_position(.0))]
+    Json(#[source] serde_json::Error),
 }
 
-impl std::error::Error for HistoryError {}
-
-/// A line on its way to the auditor, the earliest end first.
-struct Waiting(u64, usize, Box<HistoryRecord>);
-
-impl PartialEq for Waiting {
-    fn eq(&self, other: &Self) -> bool {
-        (self.0, self.1) == (other.0, other.1)
-    }
-}
-
-impl Eq for Waiting {}
-
-impl PartialOrd for Waiting {
-    fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
-        Some(self.cmp(other))
-    }
-}
-
-impl Ord for Waiting {
-    fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (other.0, other.1).cmp(&(self.0, self.1))
-    }
+/// The parser's message; its own line number counts from the record's start.
+fn without_position(error: &serde_json::Error) -> String {
+    let text = error.to_string();
+    text.split(" at line ").next().unwrap_or("").to_owned()
 }
 
 /// Reads a history line by line, each with its number from 1. A last line that was cut off, as by a kill during
-/// its write, is left out: what stands before it is whole.
+/// its write, is left out: what stands before it is complete.
 ///
 /// # Errors
 /// [`HistoryError`] where the text can't be read or is no history.
 pub fn read(mut text: impl BufRead, mut each: impl FnMut(usize, HistoryRecord)) -> Result<(), HistoryError> {
     let mut buffer = Vec::new();
-    let mut number = 0;
-    let mut begun = false;
+    let mut line = 0;
+    let mut has_rules = false;
     loop {
         buffer.clear();
-        let got = (&mut text).take(MAX_LINE as u64 + 1).read_until(b'\n', &mut buffer);
-        if got.map_err(HistoryError::Io)? == 0 {
-            return if begun { Ok(()) } else { Err(HistoryError::Empty) };
+        if (&mut text).take(MAX_LINE as u64 + 1).read_until(b'\n', &mut buffer)? == 0 {
+            return if has_rules { Ok(()) } else { Err(HistoryError::Empty) };
         }
-        number += 1;
+        line += 1;
         if buffer.len() > MAX_LINE {
-            return Err(HistoryError::Line(number, format!("longer than {MAX_LINE} bytes")));
+            return Err(HistoryError::Malformed { line, reason: MalformedLine::TooLong });
         }
         if buffer.trim_ascii().is_empty() {
             continue;
         }
-        let line: HistoryRecord = match serde_json::from_slice(&buffer) {
-            Ok(line) => line,
-            Err(_) if begun && buffer.last() != Some(&b'\n') => return Ok(()),
-            Err(e) => {
-                let text = e.to_string();
-                let why = text.split(" at line ").next().unwrap_or("");
-                return Err(HistoryError::Line(number, format!("column {}: {why}", e.column())));
+        let record: HistoryRecord = match serde_json::from_slice(&buffer) {
+            Ok(record) => record,
+            Err(_) if has_rules && buffer.last() != Some(&b'\n') => return Ok(()),
+            Err(error) => {
+                return Err(HistoryError::Malformed { line, reason: MalformedLine::Json(error) });
             }
         };
-        if !begun && (line.event != Event::Begin || line.rules.is_none()) {
+        if !has_rules && (record.event != Event::Begin || record.rules.is_none()) {
             return Err(HistoryError::NoRules);
         }
-        begun = true;
-        each(number, line);
-    }
-}
-
-/// Audits a history from its text. Memory grows with what is open, not with the history.
-///
-/// # Errors
-/// [`HistoryError`] where the text can't be read or is no history.
-pub fn audit(text: impl BufRead) -> Result<Report, HistoryError> {
-    let mut auditor: Option<Auditor> = None;
-    let mut waiting: BinaryHeap<Waiting> = BinaryHeap::new();
-    let mut latest = 0;
-    read(text, |number, mut line| {
-        let Some(auditor) = &mut auditor else {
-            auditor = Some(Auditor::new(*line.rules.take().unwrap_or_default()));
-            return;
-        };
-        latest = latest.max(line.time.latest);
-        waiting.push(Waiting(line.time.latest, number, Box::new(line)));
-        while waiting.peek().is_some_and(|w| w.0 + REORDER_US < latest) {
-            let Some(Waiting(_, number, line)) = waiting.pop() else { break };
-            auditor.line(number, *line);
-        }
-    })?;
-    let mut auditor = auditor.ok_or(HistoryError::Empty)?;
-    while let Some(Waiting(_, number, line)) = waiting.pop() {
-        auditor.line(number, *line);
+        has_rules = true;
+        each(line, record);
     }
-    Ok(auditor.finish())
 }
--- a/crates/stonevane-audit/src/lib.rs
+++ b/crates/stonevane-audit/src/lib.rs
@@ -1,9 +1,9 @@
-//! The auditor of the four rules.
+//! The auditor: checks a history of a run against the rules.
 //!
-//! Stand-ins and clients write down what they saw as a [`history`]; the [`Auditor`] reads it from its first
-//! line to its last and proves breaches of the rules from these lines alone. It knows nothing of a node and
-//! has no clock: each event carries the [`TimeInterval`] in which it must have happened, and a breach is a
-//! [`Finding`] only where it holds for every order of events that the spans allow.
+//! Emulators and clients write down what they saw as a [`history`]; the [`Auditor`] reads it once from its first record
+//! to its last and proves breaches from these records alone. It knows nothing of a node and has no clock: each record
+//! carries the [`TimeInterval`] in which its event happened, and a breach is a [`Finding`] only where it holds for every
+//! order of events that the intervals allow.
 //!
 //! ```
 //! use stonevane_audit::{audit, Rule};
@@ -18,14 +18,18 @@
 //! assert_eq!(report.findings[0].code, "late");
 //! ```
 
+mod audit;
 mod auditor;
 pub mod history;
+mod interval;
 pub mod membership;
 mod report;
 mod rules;
 
+pub use audit::audit;
 pub use auditor::Auditor;
-pub use history::{Effect, Event, HistoryError, HistoryRecord, Outcome, TimeInterval, audit};
-pub use membership::{Breach, Membership, MembershipFigures, MembershipRules};
-pub use report::{Evidence, Fault, Finding, Report, Rule};
-pub use rules::{ClassRule, DedupScope, Idempotency, OriginRule, Rules, work_capacity};
+pub use history::{Effect, Event, HistoryError, HistoryRecord, MalformedLine, Outcome};
+pub use interval::TimeInterval;
+pub use membership::{Breach, Membership, MembershipFigures};
+pub use report::{EmulatorFault, Evidence, Finding, Report, Rule};
+pub use rules::{ClassRule, DedupScope, Idempotency, MembershipRules, OriginRule, Rules, work_capacity};
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -1,4 +1,6 @@
-//! What an audit found.
+//! What an audit found: breaches of the rules with their proof, and counts.
+//!
+//! The texts are read by people and tools; their words are those of the operators' pages.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,29 +9,28 @@
 
 use crate::membership::MembershipFigures;
 
-/// One of the four rules.
+/// A rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request taken gets exactly one final answer in time, and no value but one made for it.
+    /// Each request gets exactly one final answer, in time, with a value that was made for it.
     #[serde(rename = "answered")]
     FinalAnswer,
-    /// Nothing that may have run goes out again unless its class allows it.
+    /// What may have run is sent again only where its class allows it.
     #[serde(rename = "once")]
     DuplicateEffects,
-    /// Nothing new to a server past its drain's grace.
+    /// Nothing new goes to a server that drains, past its grace period.
     #[serde(rename = "drained")]
     Draining,
-    /// No cold server, and no origin through cold servers' misses, pushed over.
+    /// No server that warms up is overloaded, nor the origin through misses at such servers.
     #[serde(rename = "cold")]
     SlowStart,
-    /// Each attempt is what was asked: of a request that a client asked of that node, with its key, class, token
-    /// and value.
+    /// Each attempt is what a client asked of that node, with its key, class, idempotency key and value.
     #[serde(rename = "tied")]
     AttemptIntegrity,
-    /// The deployment's limits: attempts for a request, second copies, the time to end after SIGTERM.
+    /// The deployment's limits: attempts for a request, hedged requests, the time to end after SIGTERM.
     Limits,
-    /// What nodes hold of one another.
+    /// Members' views of one another.
     #[serde(rename = "members")]
     Membership,
 }
@@ -79,13 +80,13 @@
             write!(f, ", request {}", self.request)?;
         }
         write!(f, ": {}", self.what)?;
-        lines(f, &self.evidence)
+        write_lines(f, &self.evidence)
     }
 }
 
-/// A fault of a server that served as a witness: the lab's stand-in, and not the node, did what it must not.
+/// A fault of an emulated server, which is a witness: it, and not a node, did what it must not.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Fault {
+pub struct EmulatorFault {
     /// The server.
     pub server: String,
     /// Which fault.
@@ -96,45 +97,45 @@
     pub evidence: Vec<Evidence>,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for EmulatorFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "the stand-in {} is at fault, {}: {}", self.server, self.code, self.what)?;
-        lines(f, &self.evidence)
+        write_lines(f, &self.evidence)
     }
 }
 
-fn lines(f: &mut fmt::Formatter<'_>, evidence: &[Evidence]) -> fmt::Result {
+fn write_lines(f: &mut fmt::Formatter<'_>, evidence: &[Evidence]) -> fmt::Result {
     evidence.iter().try_for_each(|line| write!(f, "\n    line {}: {}", line.line, line.text))
 }
 
-/// The whole verdict.
+/// The verdict on a history.
 #[derive(Debug, Clone, PartialEq, Serialize, Default)]
 pub struct Report {
     /// Rules broken, in the order in which they were proven; at most [`Report::MOST`] are kept.
     pub findings: Vec<Finding>,
     /// How many there were in all.
     pub broken: usize,
-    /// Faults of stand-ins, in the order in which they were proven; at most [`Report::MOST`] are kept.
-    pub faults: Vec<Fault>,
+    /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MOST`] are kept.
+    pub faults: Vec<EmulatorFault>,
     /// How many there were in all. A verdict on nodes is worth little where there are any.
     pub faulty: usize,
     /// Events read.
     pub events: usize,
-    /// Requests asked.
+    /// Requests that clients sent.
     pub requests: usize,
-    /// Attempts that came to servers.
+    /// Attempts that servers received.
     pub attempts: usize,
-    /// Requests that stood unanswered when the history ended, their time not over yet.
+    /// Requests without an answer when the history ended, their deadline not over yet.
     #[serde(rename = "unsettled")]
     pub pending: usize,
-    /// Requests that a client left or whose node was killed.
+    /// Requests that need no answer: their client left, or their node was killed, paused or not running.
     pub excused: usize,
-    /// Idempotency keys whose effect happened more than once, whoever sent the repeat.
+    /// Idempotency keys that ran more than once, whoever sent the repeat.
     #[serde(rename = "tokens_run_twice")]
     pub duplicate_effects: usize,
-    /// Times that the origin got more than its budget without its being held against the nodes.
+    /// Overloads of the origin that no node is to blame for.
     pub origin_overruns: usize,
-    /// The most requests and recent ones that were held at once.
+    /// The most requests that were tracked at once.
     #[serde(rename = "held_at_most")]
     pub peak_requests: usize,
     /// What was measured of membership.
--- a/crates/stonevane-audit/src/rules.rs
+++ b/crates/stonevane-audit/src/rules.rs
@@ -1,26 +1,26 @@
-//! The figures of the rules, as a history's first line states them.
+//! The rules' limits, as a history's first record states them.
+//!
+//! Stored keys keep their names; a field's name is the field's own term.
 
 use serde::{Deserialize, Serialize};
 
-use crate::membership::MembershipRules;
-
-/// What a repeat of a request does.
+/// What a repeat of a request does to a server's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// Nothing.
+    /// A repeat does nothing.
     #[default]
     #[serde(rename = "safe")]
     Idempotent,
-    /// Servers of a group drop a repeat for a while.
+    /// Servers within a [`DedupScope`] drop a repeat of its idempotency key for a while.
     #[serde(rename = "keyed")]
     WithKey,
-    /// It happens again.
+    /// A repeat runs again.
     #[serde(rename = "unsafe")]
     NonIdempotent,
 }
 
-/// Which servers drop a keyed repeat.
+/// Which servers know an idempotency key that one of them has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScope {
@@ -39,9 +39,9 @@
 pub struct ClassRule {
     /// Its name.
     pub name: String,
-    /// What a repeat does.
+    /// What a repeat of its requests does.
     pub kind: Idempotency,
-    /// Where repeats are dropped, for keyed classes.
+    /// Where repeats are dropped, for classes with an idempotency key.
     pub scope: DedupScope,
     /// For how long, microseconds from the first send that may have run.
     pub window_us: u64,
@@ -51,15 +51,15 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OriginRule {
-    /// Work that it does a second, in microseconds of work; 0 where the origin has no budget.
+    /// Its capacity in microseconds of work a second; 0: the origin has no budget.
     pub capacity_us_per_s: f64,
-    /// It stops when sent more than this multiple of that ...
+    /// It stops when sent more than this multiple of its capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// ... for this long.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
-    /// Part of that load from misses at cold servers from which it is held against the nodes.
+    /// Nodes are to blame where at least this share of the load comes from misses at cold servers.
     #[serde(rename = "cold_part")]
     pub cold_share: f64,
 }
@@ -75,51 +75,66 @@
     }
 }
 
-/// The figures of the four rules. Times in microseconds.
+/// The bounds on members' views.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
+#[serde(default, deny_unknown_fields)]
+pub struct MembershipRules {
+    /// How many members there are, named `n0` and so on.
+    pub members: usize,
+    /// A member whose process is gone this long is not alive in any healthy member's view.
+    pub detect_us: u64,
+    /// A healthy member is not dead in a healthy member's view for longer than this.
+    pub accuse_us: u64,
+    /// A healthy member is not suspected without a break for longer than this.
+    pub refute_us: u64,
+    /// Once all faults have ended for this long, every view is as the processes are.
+    pub converge_us: u64,
+}
+
+/// The limits of all rules.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// What real sockets are given on top of each time limit.
+    /// Tolerance for the delays of real sockets, on top of each time limit.
     pub answer_slack_us: u64,
-    /// Nothing new to a server later than this after the node was told of its drain or end.
+    /// Nothing new goes to a server later than this after the node was notified of its drain or end.
     pub drain_grace_us: u64,
-    /// What discovery has to tell counts as told after this at the latest; 0: only what it did tell counts.
+    /// Nodes count as notified of a change this long after discovery knows of it; 0: only real notifications count.
     #[serde(rename = "deemed_told_us")]
     pub assumed_notified_us: u64,
-    /// A cold server falls over when sent more than this multiple of its present capacity ...
+    /// A server that warms up falls over when sent more than this multiple of its present capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
     /// ... for this long.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
-    /// Work beyond a cold server's budget that chance may bring, as a part of that budget.
+    /// Tolerance for a load that exceeds the limit by chance, as a share of the limit.
     pub cold_slack: f64,
-    /// Part of an overload that must come from nodes that know of the start.
+    /// Nodes are to blame where at least this share of an overload comes from those that know of the start.
     #[serde(rename = "informed_part")]
     pub informed_share: f64,
-    /// A kill later than this after SIGTERM excuses nothing that it finds unanswered.
+    /// A kill later than this after SIGTERM doesn't excuse requests without an answer.
     #[serde(rename = "term_us")]
     pub kill_grace_us: u64,
-    /// A node has ended this long after SIGTERM; 0: whenever it likes.
+    /// A node has ended this long after SIGTERM; 0: no limit.
     #[serde(rename = "exit_us")]
     pub shutdown_limit_us: u64,
-    /// Attempts that a node may make for a request, at most; 0: as many as it likes. What came to a dead server
-    /// does not count.
+    /// Attempts of a node for a request, at most, those that a dead server never received left out; 0: no limit.
     pub max_attempts: u32,
-    /// Whether a second copy may be sent while the first is out.
+    /// Whether a hedged request may be sent while the first attempt is in flight.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// The classes; a class not named here counts as safe.
+    /// The classes; a class not named here counts as idempotent.
     pub classes: Vec<ClassRule>,
     /// The origin's budget.
     pub origin: OriginRule,
-    /// Whether a store of record is in the origin's place, whose commits stand in the history: what it holds may be
-    /// served to all who ask, and an edit's receipt is its version.
+    /// Whether the origin is a store of record whose commits stand in the history: what it holds may be served to
+    /// every client, and an edit's receipt is its version.
     pub store: bool,
-    /// An edit shows in every answer to what is asked later than this after its receipt.
+    /// An edit shows in every answer to a request sent later than this after its receipt.
     #[serde(rename = "visible_us")]
     pub write_visible_us: u64,
-    /// The bounds on what nodes hold of one another; none where they have no members.
+    /// The bounds on members' views; none where there are no members.
     pub membership: MembershipRules,
 }
 
@@ -155,31 +170,31 @@
 }
 
 impl ClassRule {
-    /// Whether a refusal of what has run would do harm: a repeat is not dropped everywhere.
+    /// Whether a rejection of what has run would do harm, as a retry may run again.
     pub fn refusal_harms(&self) -> bool {
         self.kind == Idempotency::NonIdempotent
             || self.kind == Idempotency::WithKey && self.scope != DedupScope::All
     }
 }
 
-/// Work that a server can do from a moment on for a time, while it warms evenly from its cold share on: the
-/// integral of share + (1 - share) * min(1, (t - started) / warm), in microseconds of work. `capacity` is that of
-/// a warm server, in microseconds of work a second; one that takes no time to warm is warm.
+/// Work that a server can do within a window, microseconds, while it warms up evenly from its cold share: the integral
+/// of `share + (1 - share) * min(1, (t - started_at) / warm_us)`. `capacity` is that of a warm server, in microseconds
+/// of work a second; one that takes no time to warm up is warm.
 pub fn work_capacity(
     capacity: f64,
     cold_share: f64,
-    started: u64,
+    started_at: u64,
     warm_us: u64,
     from: u64,
-    time: u64,
+    window_us: u64,
 ) -> f64 {
     if warm_us == 0 {
-        return capacity / 1e6 * time as f64;
+        return capacity / 1e6 * window_us as f64;
     }
-    let done = |at: u64| {
-        let (at, warm) = (at.saturating_sub(started) as f64, warm_us as f64);
-        let rising = at.min(warm);
-        cold_share * at + (1.0 - cold_share) * (rising * rising / (2.0 * warm) + at - rising)
+    let done_by = |time: u64| {
+        let (elapsed, warm) = (time.saturating_sub(started_at) as f64, warm_us as f64);
+        let rising = elapsed.min(warm);
+        cold_share * elapsed + (1.0 - cold_share) * (rising * rising / (2.0 * warm) + elapsed - rising)
     };
-    capacity / 1e6 * (done(from + time) - done(from))
+    capacity / 1e6 * (done_by(from + window_us) - done_by(from))
 }
--- a/crates/stonevane-audit/tests/model.rs
+++ b/crates/stonevane-audit/tests/model.rs
@@ -489,7 +489,7 @@
     let ran = runner.run(&draws(about), |draws| {
         let lines = history(draws);
         let mut auditor = Auditor::new(rules.clone());
-        lines.iter().enumerate().for_each(|(at, line)| auditor.line(at + 2, line.clone()));
+        lines.iter().enumerate().for_each(|(at, line)| auditor.handle_record(at + 2, line.clone()));
         let report = auditor.finish();
         let fast: Found = report.findings.iter().map(|f| (f.code.to_owned(), f.request.clone())).collect();
         let slow = Model { rules: &rules, lines: &lines }.found();
--- a/crates/stonevane-audit/tests/table.rs
+++ b/crates/stonevane-audit/tests/table.rs
@@ -26,7 +26,7 @@
     let mut auditor = None;
     let read = history::read(text.as_bytes(), |number, mut line| match &mut auditor {
         None => auditor = line.rules.take().map(|rules| Auditor::mutant(*rules, without)),
-        Some(auditor) => auditor.line(number, line),
+        Some(auditor) => auditor.handle_record(number, line),
     });
     read.unwrap();
     auditor.unwrap().finish()
--- a/crates/stonevane-sim/src/members/world.rs
+++ b/crates/stonevane-sim/src/members/world.rs
@@ -152,10 +152,10 @@
         process.inbox.clear();
         process.armed = u64::MAX;
         let t = self.span();
-        self.judge.process(t, member, "starting");
-        self.judge.process(t, member, "ready");
+        self.judge.process_state(t, member, "starting");
+        self.judge.process_state(t, member, "ready");
         if self.processes[member].stopped > 0 {
-            self.judge.process(t, member, "paused");
+            self.judge.process_state(t, member, "paused");
         }
         self.tell(member, None);
     }
@@ -163,7 +163,7 @@
     fn kill(&mut self, member: usize) {
         if let Some(machine) = self.processes[member].machine.take() {
             self.count(machine.status().counts);
-            self.judge.process(self.span(), member, "killed");
+            self.judge.process_state(self.span(), member, "killed");
         }
     }
 
@@ -258,7 +258,7 @@
                 if let Some(machine) = &mut self.processes[*member].machine {
                     machine.handle(self.now, Input::Leave, &mut self.outputs);
                     self.after(*member);
-                    self.judge.process(t, *member, "term");
+                    self.judge.process_state(t, *member, "term");
                     // It drains for a moment.
                     let life = self.processes[*member].life;
                     self.push(self.now + PERIOD / 2, Due::Wake { member: *member, life: life | 1 << 31 });
@@ -266,7 +266,7 @@
             }
             Wrong::Pause { member } => {
                 self.processes[*member].stopped += 1;
-                self.judge.process(t, *member, "paused");
+                self.judge.process_state(t, *member, "paused");
             }
             Wrong::Slow { member } => {
                 self.processes[*member].slowed += 1;
@@ -275,7 +275,7 @@
             Wrong::Cut { from, to } => self.cut(from, to, true),
             Wrong::Weather { loss, doubled, delay } => {
                 self.weather.push((fault, *loss, *doubled, *delay));
-                self.judge.weather(t, true, mild(*loss, *delay));
+                self.judge.network_conditions(t, true, mild(*loss, *delay));
             }
             Wrong::Flood { member, .. } => self.push(self.now, Due::Flood(*member)),
         }
@@ -289,7 +289,7 @@
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             let cuts = &mut self.cuts[from * self.plan.members + to];
             *cuts = if cut { *cuts + 1 } else { cuts.saturating_sub(1) };
-            self.judge.cut(t, from, to, cut);
+            self.judge.partition(t, from, to, cut);
         }
     }
 
@@ -302,7 +302,7 @@
             }
             Wrong::Pause { member } => {
                 self.processes[*member].stopped -= 1;
-                self.judge.process(t, *member, "resumed");
+                self.judge.process_state(t, *member, "resumed");
                 self.goes_on(*member);
             }
             Wrong::Slow { member } => {
@@ -312,7 +312,7 @@
             Wrong::Cut { from, to } => self.cut(from, to, false),
             Wrong::Weather { loss, delay, .. } => {
                 self.weather.retain(|(of, ..)| *of != fault);
-                self.judge.weather(t, false, mild(*loss, *delay));
+                self.judge.network_conditions(t, false, mild(*loss, *delay));
             }
             Wrong::Flood { .. } => {}
         }
--- a/crates/stonevane-sim/src/world.rs
+++ b/crates/stonevane-sim/src/world.rs
@@ -363,7 +363,7 @@
         if self.options.history {
             self.history.push_str(&line.to_json_line());
         }
-        self.auditor.line(self.lines, line);
+        self.auditor.handle_record(self.lines, line);
     }
 
     fn who(&self, who: &str, event: Event) -> HistoryRecord {
