--- a/crates/stonevane-audit/tests/model.rs
+++ b/crates/stonevane-audit/tests/model.rs
@@ -114,6 +114,10 @@
 
 type Found = BTreeSet<(String, String)>;
 
+fn has_run(attempt: &HistoryRecord) -> bool {
+    attempt.effect == Some(Effect::Ran)
+}
+
 /// The whole history, searched anew for each question.
 struct Model<'a> {
     rules: &'a Rules,
@@ -177,88 +181,18 @@
         let mut add = |code: &str, request: &str| {
             found.insert((code.into(), request.into()));
         };
-        for (i, l) in self.lines.iter().enumerate() {
-            let r = l.request.as_str();
-            let class = self.class(r, i + 1);
-            let harmful = class.kind == Idempotency::NonIdempotent
-                || class.kind == Idempotency::WithKey && class.scope != DedupScope::All;
-            let attempts = self.of(Event::Attempt, r, i);
-            let ran = |a: &&HistoryRecord| a.effect == Some(Effect::Ran);
-            match l.event {
-                Event::Request => {
-                    // Sent once more after a close that had read it.
-                    let closes = self.of(Event::Closed, r, i);
-                    let asks = self.of(Event::Request, r, i);
-                    let since = asks.last().map_or(0, |(at, _)| *at);
-                    let answered = |at: usize| !self.of(Event::Answer, r, at).is_empty();
-                    let closed = closes.iter().any(|(at, _)| *at > since && !answered(*at));
-                    let read = attempts.iter().any(|(_, a)| a.time.latest < l.time.earliest);
-                    if !asks.is_empty() && closed && read {
-                        add("lost", r);
-                    }
-                }
-                Event::Answer if self.all(Event::Answer, r)[0].0 != i => add("twice", r),
-                Event::Answer => {
-                    let ask = self.of(Event::Request, r, i);
-                    if ask.last().is_some_and(|(_, ask)| l.time.earliest > ask.deadline + SLACK) {
-                        add("late", r);
-                    }
-                    match (l.outcome, self.shown(i)) {
-                        (Some(Outcome::Rejected), _) if harmful && attempts.iter().any(|(_, a)| ran(a)) => {
-                            add("refused-after-run", r);
-                        }
-                        (Some(Outcome::Served), None) => add("value", r),
-                        (Some(Outcome::Served), Some(version))
-                            if class.kind == Idempotency::Idempotent && self.stale(i, version) =>
-                        {
-                            add("stale", r);
-                        }
-                        _ => {}
-                    }
-                }
-                Event::Attempt if l.effect != Some(Effect::NotReceived) => {
-                    let answers = self.of(Event::Answer, r, i);
-                    if let Some((_, answer)) = answers.first() {
-                        if answer.outcome == Some(Outcome::Rejected) && harmful && ran(&l) {
-                            add("refused-after-run", r);
-                        }
-                        if answer.time.latest + SLACK < l.time.earliest {
-                            add("sent-after-answer", r);
-                        }
-                    }
-                    for (_, earlier) in attempts.iter().filter(|(_, a)| ran(a)) {
-                        let after = l.time.earliest > earlier.time.latest;
-                        let (one, other) = (Model::zone(earlier), Model::zone(l));
-                        let apart = class.scope == DedupScope::Zone
-                            && one.is_some()
-                            && other.is_some()
-                            && one != other;
-                        if class.kind == Idempotency::NonIdempotent && (ran(&l) || after) {
-                            add("unsafe-again", r);
-                        }
-                        if class.kind == Idempotency::WithKey && (ran(&l) || after) && apart {
-                            add("group", r);
-                        } else if class.kind == Idempotency::WithKey
-                            && l.time.earliest > earlier.time.latest + class.window_us + SLACK
-                        {
-                            add("window", r);
-                        }
-                    }
-                    self.drain(i, &mut add);
-                }
-                Event::Reply if class.kind == Idempotency::NonIdempotent => {
-                    let own = attempts
-                        .iter()
-                        .find(|(_, a)| a.server_name() == l.server_name() && a.number == l.number);
-                    let blind = |a: &HistoryRecord, own: &HistoryRecord| {
-                        own.time.latest < a.time.earliest
-                            && a.time.latest < l.time.earliest
-                            && a.effect != Some(Effect::NotReceived)
-                    };
-                    if own.is_some_and(|(_, own)| attempts.iter().any(|(_, a)| blind(a, own))) {
-                        add("unsafe-again", r);
-                    }
+        for (at, record) in self.lines.iter().enumerate() {
+            let id = record.request.as_str();
+            match record.event {
+                Event::Request if self.resent_after_reading(at) => add("lost", id),
+                Event::Answer if self.all(Event::Answer, id)[0].0 != at => add("twice", id),
+                Event::Answer => self.answer(at, &mut add),
+                Event::Attempt if record.effect != Some(Effect::NotReceived) => {
+                    self.attempt_after_answer(at, &mut add);
+                    self.repeats(at, &mut add);
+                    self.drain(at, &mut add);
                 }
+                Event::Reply if self.shows_blind_repeat(at) => add("unsafe-again", id),
                 _ => {}
             }
         }
@@ -270,6 +204,108 @@
         found
     }
 
+    /// The attempts of a record's request that stand before it.
+    fn attempts_before(&self, at: usize) -> Vec<(usize, &'a HistoryRecord)> {
+        self.of(Event::Attempt, &self.lines[at].request, at)
+    }
+
+    /// The class of a record's request, and whether a rejection of it must not follow a run.
+    fn class_at(&self, at: usize) -> (ClassRule, bool) {
+        let class = self.class(&self.lines[at].request, at + 1);
+        let harmful = class.kind == Idempotency::NonIdempotent
+            || class.kind == Idempotency::WithKey && class.scope != DedupScope::All;
+        (class, harmful)
+    }
+
+    /// Whether a request is sent once more after a close that had read it.
+    fn resent_after_reading(&self, at: usize) -> bool {
+        let record = &self.lines[at];
+        let id = record.request.as_str();
+        let closes = self.of(Event::Closed, id, at);
+        let sends = self.of(Event::Request, id, at);
+        let since = sends.last().map_or(0, |(at, _)| *at);
+        let answered = |at: usize| !self.of(Event::Answer, id, at).is_empty();
+        let closed = closes.iter().any(|(at, _)| *at > since && !answered(*at));
+        let attempts = self.attempts_before(at);
+        let read = attempts.iter().any(|(_, attempt)| attempt.time.latest < record.time.earliest);
+        !sends.is_empty() && closed && read
+    }
+
+    /// A request's first answer.
+    fn answer(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
+        let record = &self.lines[at];
+        let id = record.request.as_str();
+        let (class, harmful) = self.class_at(at);
+        let sends = self.of(Event::Request, id, at);
+        if sends.last().is_some_and(|(_, sent)| record.time.earliest > sent.deadline + SLACK) {
+            add("late", id);
+        }
+        let has_run = || self.attempts_before(at).iter().any(|(_, attempt)| has_run(attempt));
+        match (record.outcome, self.shown(at)) {
+            (Some(Outcome::Rejected), _) if harmful && has_run() => add("refused-after-run", id),
+            (Some(Outcome::Served), None) => add("value", id),
+            (Some(Outcome::Served), Some(version))
+                if class.kind == Idempotency::Idempotent && self.stale(at, version) =>
+            {
+                add("stale", id);
+            }
+            _ => {}
+        }
+    }
+
+    fn attempt_after_answer(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
+        let record = &self.lines[at];
+        let id = record.request.as_str();
+        let (_, harmful) = self.class_at(at);
+        let answers = self.of(Event::Answer, id, at);
+        let Some((_, answer)) = answers.first() else { return };
+        if answer.outcome == Some(Outcome::Rejected) && harmful && has_run(record) {
+            add("refused-after-run", id);
+        }
+        if answer.time.latest + SLACK < record.time.earliest {
+            add("sent-after-answer", id);
+        }
+    }
+
+    /// An attempt behind earlier ones that ran.
+    fn repeats(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
+        let record = &self.lines[at];
+        let id = record.request.as_str();
+        let (class, _) = self.class_at(at);
+        for (_, earlier) in self.attempts_before(at).iter().filter(|(_, attempt)| has_run(attempt)) {
+            let is_repeat = has_run(record) || record.time.earliest > earlier.time.latest;
+            let (one, other) = (Model::zone(earlier), Model::zone(record));
+            let apart = class.scope == DedupScope::Zone && one.is_some() && other.is_some() && one != other;
+            if class.kind == Idempotency::NonIdempotent && is_repeat {
+                add("unsafe-again", id);
+            }
+            if class.kind == Idempotency::WithKey && is_repeat && apart {
+                add("group", id);
+            } else if class.kind == Idempotency::WithKey
+                && record.time.earliest > earlier.time.latest + class.window_us + SLACK
+            {
+                add("window", id);
+            }
+        }
+    }
+
+    /// Whether a reply shows that its request was sent again while nobody could know that this attempt had not run.
+    fn shows_blind_repeat(&self, at: usize) -> bool {
+        let record = &self.lines[at];
+        let attempts = self.attempts_before(at);
+        let is_own = |attempt: &HistoryRecord| {
+            attempt.server_name() == record.server_name() && attempt.number == record.number
+        };
+        let own = attempts.iter().find(|(_, attempt)| is_own(attempt));
+        let is_blind = |attempt: &HistoryRecord, own: &HistoryRecord| {
+            own.time.latest < attempt.time.earliest
+                && attempt.time.latest < record.time.earliest
+                && attempt.effect != Some(Effect::NotReceived)
+        };
+        self.class_at(at).0.kind == Idempotency::NonIdempotent
+            && own.is_some_and(|(_, own)| attempts.iter().any(|(_, attempt)| is_blind(attempt, own)))
+    }
+
     /// Whether what discovery wrote to a node came to a process that still lives at a later line.
     fn heard(&self, told: usize, until: usize) -> bool {
         let node = &self.lines[told].node;
--- /dev/null
+++ b/crates/stonevane-audit/tests/rules/builder.rs
@@ -0,0 +1,147 @@
+//! Builds histories and audits them.
+
+use std::cell::Cell;
+use std::collections::HashMap;
+
+use stonevane_audit::{Auditor, Report, audit, history};
+
+pub const MS: u64 = 1_000;
+
+/// The rules: three classes, 500 ms of grace, servers that fall over at three times their capacity.
+pub const BEGIN: &str = r#"{"t":[0,0],"who":"lab","event":"begin","rules":{"classes":[{"name":"read"},{"name":"edit","kind":"keyed","scope":"all","window_us":200000},{"name":"near","kind":"keyed","scope":"zone","window_us":200000},{"name":"once","kind":"unsafe"}],"origin":{"capacity_us_per_s":1000000}}}"#;
+
+/// Lines with their moments; the class of each request; the number of the last attempt of each at each server.
+#[derive(Default, Clone)]
+pub struct History(pub Vec<(u64, String)>, pub HashMap<String, String>, pub HashMap<String, usize>);
+
+thread_local! {
+    /// The judgement that is left out, and whether a test has missed it.
+    pub static MUTANT: Cell<(Option<&'static str>, bool)> = const { Cell::new((None, false)) };
+}
+
+/// The verdict on a text, by the auditor or by the mutant that is being tried.
+pub fn judged(text: &str) -> Report {
+    let Some(without) = MUTANT.get().0 else { return audit(text.as_bytes()).unwrap() };
+    let mut auditor = None;
+    let read = history::read(text.as_bytes(), |number, mut line| match &mut auditor {
+        None => auditor = line.rules.take().map(|rules| Auditor::mutant(*rules, without)),
+        Some(auditor) => auditor.handle_record(number, line),
+    });
+    read.unwrap();
+    auditor.unwrap().finish()
+}
+
+impl History {
+    pub fn new() -> Self {
+        History::default()
+    }
+
+    /// Adds an event at an exact moment.
+    pub fn at(mut self, t: u64, rest: &str) -> Self {
+        self.0.push((t, format!(r#"{{"t":[{t},{t}],"who":"x",{rest}}}"#)));
+        self
+    }
+
+    /// Adds an event that happened at some moment between two.
+    pub fn between(mut self, (b, e): (u64, u64), rest: &str) -> Self {
+        self.0.push((e, format!(r#"{{"t":[{b},{e}],"who":"x",{rest}}}"#)));
+        self
+    }
+
+    pub fn ask(mut self, t: u64, r: &str, class: &str) -> Self {
+        self.1.insert(r.into(), class.into());
+        let until = t + 1_000 * MS;
+        let rest = format!(
+            r#""event":"ask","request":"{r}","node":"n0","class":"{class}","key":"k","until":{until}"#
+        );
+        self.at(t, &rest)
+    }
+
+    pub fn attempt(self, t: u64, r: &str, server: &str, effect: &str) -> Self {
+        self.sent((t, t), r, "n0", server, &format!(r#""effect":"{effect}","work_us":10000"#))
+    }
+
+    /// An attempt from its first byte on, as it must be for what was asked; `rest` comes on top.
+    pub fn sent(mut self, t: (u64, u64), r: &str, node: &str, server: &str, rest: &str) -> Self {
+        let number = self.0.len() + 1;
+        self.2.insert(format!("{r} {server}"), number);
+        let class = self.1.get(r).cloned().unwrap_or_default();
+        let rest = format!(
+            r#""event":"attempt","server":"{server}","request":"{r}","node":"{node}","class":"{class}","key":"k","number":{number},"first":[{0},{0}],{rest}"#,
+            t.0
+        );
+        self.at(t.1, &rest)
+    }
+
+    /// What becomes of the last attempt of a request at a server.
+    pub fn then(self, t: u64, r: &str, server: &str, event: &str, rest: &str) -> Self {
+        let number = self.2.get(&format!("{r} {server}")).copied().unwrap_or(999);
+        let rest =
+            format!(r#""event":"{event}","server":"{server}","request":"{r}","number":{number}{rest}"#);
+        self.at(t, &rest)
+    }
+
+    pub fn reply(self, t: u64, r: &str, server: &str, value: &str, version: u64) -> Self {
+        self.then(t, r, server, "reply", &format!(r#","value":"{value}","version":{version}"#))
+    }
+
+    pub fn node(self, t: u64, state: &str) -> Self {
+        self.at(t, &format!(r#""event":"node","node":"n0","state":"{state}""#))
+    }
+
+    pub fn served(self, t: u64, r: &str, value: &str) -> Self {
+        self.at(t, &format!(r#""event":"answer","request":"{r}","outcome":"served","value":"{value}""#))
+    }
+
+    pub fn answered(self, t: u64, r: &str, outcome: &str) -> Self {
+        self.at(t, &format!(r#""event":"answer","request":"{r}","outcome":"{outcome}""#))
+    }
+
+    pub fn told(self, t: u64, status: &str, server: &str) -> Self {
+        self.at(t, &format!(r#""event":"told","node":"n0","server":"{server}","status":"{status}""#))
+    }
+
+    /// An honest read: asked, hit, served.
+    pub fn read(self, t: u64, r: &str) -> Self {
+        let value = format!("v-{r}");
+        self.ask(t, r, "read").attempt(t + 10, r, "s1", "ran").reply(t + 20, r, "s1", &value, 0).served(
+            t + 30,
+            r,
+            &value,
+        )
+    }
+
+    pub fn text(&self) -> String {
+        let mut lines = self.0.clone();
+        lines.sort_by_key(|(t, _)| *t);
+        let last = lines.last().map_or(0, |(t, _)| *t) + 20_000 * MS;
+        let lines: Vec<_> = lines.into_iter().map(|(_, line)| line).collect();
+        format!(
+            "{BEGIN}\n{}\n{{\"t\":[{last},{last}],\"who\":\"lab\",\"event\":\"end\"}}\n",
+            lines.join("\n")
+        )
+    }
+
+    pub fn report(&self) -> Report {
+        judged(&self.text())
+    }
+
+    #[track_caller]
+    pub fn is(self, codes: &[&str]) {
+        self.at_fault(codes, &[]);
+    }
+
+    /// The codes of all findings, and of all faults of stand-ins.
+    #[track_caller]
+    pub fn at_fault(self, codes: &[&str], faults: &[&str]) {
+        let report = self.report();
+        let found: Vec<_> = report.findings.iter().map(|f| f.code).collect();
+        let faulty: Vec<_> = report.faults.iter().map(|f| f.code).collect();
+        if let (Some(without), missed) = MUTANT.get() {
+            return MUTANT.set((Some(without), missed || found != codes));
+        }
+        assert_eq!((found, faulty), (codes.to_vec(), faults.to_vec()), "{report}");
+        assert!(report.findings.iter().all(|f| !f.evidence.is_empty()), "each is proven by lines: {report}");
+        assert!(report.faults.iter().all(|f| !f.evidence.is_empty()), "each is proven by lines: {report}");
+    }
+}
