--- a/crates/stonevane-emulators/src/server.rs
+++ b/crates/stonevane-emulators/src/server.rs
@@ -15,6 +15,9 @@
 
 use crate::record::Mono;
 
+/// The pause before a listener tries again to bind its address.
+pub(crate) const REBIND_PAUSE: Duration = Duration::from_millis(5);
+
 /// What is wrong with a server, as one node sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
@@ -42,19 +45,40 @@
 }
 
 impl Fault {
-    /// All of them, by the names that scenarios use.
-    pub const NAMES: [(&'static str, Fault); 9] = [
-        ("kill", Fault::Dead),
-        ("vanish", Fault::Silent),
-        ("refuse", Fault::Refuse),
-        ("reset", Fault::Reset),
-        ("stall", Fault::Stall),
-        ("slow", Fault::Slow),
-        ("truncate", Fault::Truncate),
-        ("noise", Fault::Noise),
-        ("tail", Fault::Tail),
+    /// All faults.
+    pub const ALL: [Fault; 9] = [
+        Fault::Dead,
+        Fault::Silent,
+        Fault::Refuse,
+        Fault::Reset,
+        Fault::Stall,
+        Fault::Slow,
+        Fault::Truncate,
+        Fault::Noise,
+        Fault::Tail,
     ];
 
+    /// The name that scenarios use.
+    pub fn name(self) -> &'static str {
+        match self {
+            Fault::None => "none",
+            Fault::Dead => "kill",
+            Fault::Silent => "vanish",
+            Fault::Refuse => "refuse",
+            Fault::Reset => "reset",
+            Fault::Stall => "stall",
+            Fault::Slow => "slow",
+            Fault::Truncate => "truncate",
+            Fault::Noise => "noise",
+            Fault::Tail => "tail",
+        }
+    }
+
+    /// The fault of a name that scenarios use.
+    pub fn from_name(name: &str) -> Option<Fault> {
+        Fault::ALL.into_iter().find(|fault| fault.name() == name)
+    }
+
     fn takes_connections(self) -> bool {
         !matches!(self, Fault::Dead | Fault::Silent | Fault::Refuse)
     }
@@ -195,7 +219,7 @@
             drop(listener.take());
             listener = TcpListener::bind(address).await.ok();
             if listener.is_none() {
-                tokio::time::sleep(Duration::from_millis(5)).await;
+                tokio::time::sleep(REBIND_PAUSE).await;
                 continue;
             }
         }
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -804,29 +804,25 @@
             },
             store if store.starts_with("store-") && self.store.is_some() => {
                 let name = store.trim_start_matches("store-");
-                let Some((_, fault)) = PgFault::NAMES.iter().find(|(known, _)| *known == name) else {
+                let Some(fault) = PgFault::from_name(name) else {
                     let known: Vec<_> =
-                        PgFault::NAMES.iter().map(|(name, _)| format!("store-{name}")).collect();
+                        PgFault::ALL.iter().map(|fault| format!("store-{}", fault.name())).collect();
                     let known: Vec<&str> = known.iter().map(String::as_str).collect();
                     let what = format!("`do` has no `{store}`{}", suggest(store, &known));
                     table.fault(table.place_of("do"), what);
                     return None;
                 };
                 match fault {
-                    PgFault::Slow(ms) => Act::Store(PgFault::Slow(table.integer("by_ms", *ms, 1..=60_000))),
-                    PgFault::Late(ms) => Act::Store(PgFault::Late(table.integer("by_ms", *ms, 1..=60_000))),
-                    fault => Act::Store(*fault),
+                    PgFault::Slow(ms) => Act::Store(PgFault::Slow(table.integer("by_ms", ms, 1..=60_000))),
+                    PgFault::Late(ms) => Act::Store(PgFault::Late(table.integer("by_ms", ms, 1..=60_000))),
+                    fault => Act::Store(fault),
                 }
             }
             other => {
-                if let Some((_, fault)) = Fault::NAMES.iter().find(|(name, _)| *name == other) {
-                    Act::Server {
-                        server: servers[need(&servers, "to")?].clone(),
-                        fault: *fault,
-                        node: node.clone(),
-                    }
+                if let Some(fault) = Fault::from_name(other) {
+                    Act::Server { server: servers[need(&servers, "to")?].clone(), fault, node: node.clone() }
                 } else {
-                    let faults = Fault::NAMES.iter().map(|(name, _)| *name);
+                    let faults = Fault::ALL.iter().map(|fault| fault.name());
                     let known: Vec<_> = faults.chain(DOS).collect();
                     table.fault(
                         table.place_of("do"),
