--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -1,606 +1,427 @@
-//! A cache server: it stores, misses, turns cold on restart, warms, queues, falls over when pushed, drops
-//! repeats of a key, drains, and limits connections.
+//! A cache server: it stores copies, misses, warms up after a restart, queues, becomes overloaded when pushed, drops
+//! repeats of an idempotency key, drains, and limits connections.
 
-use std::collections::{BTreeMap, HashMap, VecDeque};
+mod connection;
+mod copies;
+mod spec;
+
+use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::atomic::AtomicUsize;
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
 use stonevane_audit::{Effect, Event, Line, Span};
 use stonevane_codec::resp;
-use stonevane_server_model::value::{digest, padded};
+use stonevane_server_model::value::padded;
 use stonevane_server_model::work::{Cores, Window, able, drawn};
 
-use crate::record::{Mono, Recorder};
-use crate::server::{Due, Fault, Place, Ports, Speaker, lock};
-
-/// A cache server's figures. Times in microseconds.
-#[derive(Debug, Clone)]
-pub struct CacheSpec {
-    /// Its name, the same at every node.
-    pub name: String,
-    /// Its zone and its cell.
-    pub zone: String,
-    /// Its cell.
-    pub cell: u16,
-    /// Its machine kind.
-    pub kind: String,
-    /// Requests that it works on at once.
-    pub cores: usize,
-    /// Mean work of a read that it holds; a miss takes a tenth.
-    pub work_us: u64,
-    /// Its coefficient of variation.
-    pub work_cv: f64,
-    /// The round trip to each node that is not beside it.
-    pub far_us: BTreeMap<String, u64>,
-    /// The longest wait in its queue.
-    pub queue_us: u64,
-    /// Part of its capacity that it starts with, and how long it takes to warm.
-    pub cold_share: f64,
-    /// How long it takes to warm.
-    pub warm_us: u64,
-    /// It falls over when sent more than this multiple of what it can do for so long.
-    pub fall_multiple: f64,
-    /// For how long it must be pushed.
-    pub fall_us: u64,
-    /// Keys that it can hold.
-    pub objects: usize,
-    /// Connections that it takes, for all nodes together.
-    pub connections: usize,
-    /// It closes a connection that stands idle for so long.
-    pub idle_us: u64,
-    /// It drops a repeat of an idempotency key for so long.
-    pub dedup_us: u64,
-    /// Length of its values, in bytes.
-    pub value_len: usize,
+use self::connection::Connection;
+use self::copies::{Copies, Fill, Lifetime};
+use crate::record::{MonotonicClock, Recorder};
+use crate::request::{Attempt, IdempotencyKeys, PendingAnswers, Request, word};
+use crate::server::{Arrival, ConnectionPermit, Fault, Listeners, Reply, lock};
+
+pub use self::spec::CacheSpec;
+
+/// The part of a read's work that a miss takes is one over this.
+const MISS_DISCOUNT: u64 = 10;
+/// The least share of its capacity that a server which is warming up works with.
+const MIN_WARM_UP_SHARE: f64 = 0.01;
+/// Misses that are remembered until the origin fills them.
+const MAX_MISSES: usize = 4096;
+
+/// What the server has counted.
+#[derive(Debug, Clone, Copy, Default)]
+pub struct Counts {
+    /// Attempts that arrived.
+    pub attempts: u64,
+    /// Reads of keys that it held.
+    pub hits: u64,
+    /// Reads of keys that it lacked.
+    pub misses: u64,
+    /// Attempts rejected as busy.
+    pub busy: u64,
+    /// Times that it became overloaded.
+    pub falls: u64,
 }
 
-impl Default for CacheSpec {
-    fn default() -> Self {
-        CacheSpec {
-            name: "s-1".into(),
-            zone: "a".into(),
-            cell: 0,
-            kind: "std".into(),
-            cores: 8,
-            work_us: 4_000,
-            work_cv: 0.0,
-            far_us: BTreeMap::new(),
-            queue_us: 500_000,
-            cold_share: 0.35,
-            warm_us: 7_500_000,
-            fall_multiple: 3.0,
-            fall_us: 2_000_000,
-            objects: 10_000,
-            connections: 1_000,
-            idle_us: 15_000_000,
-            dedup_us: 200_000,
-            value_len: 64,
-        }
-    }
+/// A cache server.
+pub struct Cache {
+    /// Its figures.
+    pub spec: CacheSpec,
+    state: Mutex<State>,
+    counts: Mutex<Counts>,
+    open_connections: Arc<AtomicUsize>,
+    recorder: Recorder,
+    listeners: Mutex<Option<Listeners>>,
 }
 
-/// A copy: its version, when it was last used, and the value where a node filled it, until a time.
-struct Copy {
+/// The state of one process of the server: a restart begins with a new one.
+struct State {
+    copies: Copies,
+    cores: Cores,
+    recent_work: Window,
+    /// When the process started, for one that warms up.
+    started_us: Option<u64>,
+    draining: bool,
+    overloaded: bool,
+    /// The number of the newest attempt, and the version of the newest write.
+    number: u64,
+    misses: Misses,
+    idempotency: IdempotencyKeys,
+    answers: PendingAnswers<Answer>,
+}
+
+/// What is recorded once an answer is written.
+struct Answer {
+    request: String,
+    value: String,
     version: u64,
-    used: u64,
-    filled: Option<(Bytes, u64)>,
 }
 
-/// What it holds, oldest use first.
+/// The newest requests that missed, and may be filled.
 #[derive(Default)]
-struct Store {
-    held: HashMap<String, Copy>,
-    order: BTreeMap<u64, String>,
-    clock: u64,
-    /// Versions below which nothing is to be held, each until a time.
-    voided: HashMap<String, (u64, u64)>,
+struct Misses {
+    keys: HashMap<String, String>,
+    oldest_first: VecDeque<String>,
 }
 
-impl Store {
-    /// The version, and the value where a node filled it.
-    fn get(&mut self, key: &str, now: u64) -> Option<(u64, Option<Bytes>)> {
-        if self.held.get(key)?.filled.as_ref().is_some_and(|(_, until)| *until <= now) {
-            self.void(key);
-            return None;
+impl Misses {
+    fn insert(&mut self, request: &Request) {
+        if self.keys.insert(request.id.clone(), request.key.clone()).is_none() {
+            self.oldest_first.push_back(request.id.clone());
+        }
+        if self.oldest_first.len() > MAX_MISSES {
+            let oldest = self.oldest_first.pop_front().unwrap_or_default();
+            self.keys.remove(&oldest);
         }
-        let copy = self.held.get_mut(key)?;
-        self.clock += 1;
-        self.order.remove(&copy.used);
-        copy.used = self.clock;
-        self.order.insert(self.clock, key.into());
-        Some((copy.version, copy.filled.as_ref().map(|(value, _)| value.clone())))
     }
 
-    /// Holds what a node brings, unless something newer is held or was told of.
-    fn fill(&mut self, key: &str, version: u64, value: Bytes, (now, until): (u64, u64), most: usize) -> bool {
-        let voided = self.voided.get(key).is_some_and(|(mark, until)| version < *mark && now < *until);
-        let newer = self.held.get(key).is_some_and(|copy| copy.version > version);
-        if voided || newer {
-            return false;
-        }
-        self.put(key, version, most);
-        if let Some(copy) = self.held.get_mut(key) {
-            copy.filled = Some((value, until));
+    /// Forgets a request; whether it missed this key.
+    fn take(&mut self, request: &str, key: &str) -> bool {
+        self.keys.remove(request).is_some_and(|missed| missed == key)
+    }
+}
+
+/// What a request finds before it is worked on.
+struct Lookup {
+    /// The version to answer with; `None` for a miss.
+    version: Option<u64>,
+    /// The value, where a node has filled the copy.
+    filled: Option<Bytes>,
+    effect: Effect,
+}
+
+/// An attempt while it is worked on.
+struct Work<'a> {
+    request: &'a Request,
+    now: u64,
+    number: u64,
+}
+
+impl State {
+    fn new(spec: &CacheSpec, started_us: Option<u64>) -> State {
+        State {
+            copies: Copies::new(spec.objects),
+            cores: Cores::new(spec.cores),
+            recent_work: Window::default(),
+            started_us,
+            draining: false,
+            overloaded: false,
+            // Versions of this process stay above those of the one before.
+            number: started_us.unwrap_or(0),
+            misses: Misses::default(),
+            idempotency: IdempotencyKeys::default(),
+            answers: PendingAnswers::default(),
         }
-        true
     }
 
-    /// Nothing older than a version is held from now on.
-    fn void_below(&mut self, key: &str, version: u64, (now, until): (u64, u64)) {
-        if self.held.get(key).is_some_and(|copy| copy.version < version) {
-            self.void(key);
+    fn lookup(&mut self, request: &Request, number: u64, now: u64) -> Lookup {
+        if request.write {
+            return match self.idempotency.version(&request.token, now) {
+                Some(version) => Lookup { version: Some(version), filled: None, effect: Effect::Dropped },
+                None => Lookup { version: Some(number), filled: None, effect: Effect::Ran },
+            };
+        }
+        match self.copies.get(&request.key, now) {
+            Some((version, filled)) => Lookup { version: Some(version), filled, effect: Effect::Ran },
+            None => Lookup { version: None, filled: None, effect: Effect::Miss },
         }
-        let mark = self.voided.entry(key.into()).or_default();
-        *mark = (mark.0.max(version), mark.1.max(until));
-        if self.voided.len() > 65_536 {
-            self.voided.retain(|_, (_, until)| *until > now);
+    }
+
+    /// When the process started and how long it warms up; zeros for one that is warm.
+    fn warm_up(&self, spec: &CacheSpec) -> (u64, u64) {
+        self.started_us.map_or((0, 0), |started_us| (started_us, spec.warm_us))
+    }
+
+    /// Adds an attempt's work to the window; whether it pushes a process that warms up over its limit.
+    fn becomes_overloaded(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> bool {
+        let (started_us, warm_us) = self.warm_up(spec);
+        let window_us = self.recent_work.add(now, work_us, spec.fall_us);
+        let window_start = now.saturating_sub(spec.fall_us).max(started_us);
+        let capacity_us =
+            able(spec.capacity(), spec.cold_share, started_us, warm_us, window_start, spec.fall_us);
+        let warming_up = warm_us > 0 && now < started_us + warm_us;
+        warming_up && window_us as f64 > spec.fall_multiple * capacity_us && !self.overloaded
+    }
+
+    /// When the work of an attempt is done; `None` where it is rejected.
+    fn schedule(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> Option<u64> {
+        if self.draining || self.overloaded {
+            return None;
         }
+        let (started_us, warm_us) = self.warm_up(spec);
+        let share = able(1e6, spec.cold_share, started_us, warm_us, now, 1).max(MIN_WARM_UP_SHARE);
+        self.cores.take(now, (work_us as f64 / share) as u64, spec.queue_us)
     }
 
-    fn put(&mut self, key: &str, version: u64, most: usize) {
-        self.void(key);
-        self.clock += 1;
-        self.held.insert(key.into(), Copy { version, used: self.clock, filled: None });
-        self.order.insert(self.clock, key.into());
-        while self.held.len() > most {
-            let Some((_, oldest)) = self.order.pop_first() else { break };
-            self.held.remove(&oldest);
+    /// What an attempt leaves behind.
+    fn apply(&mut self, spec: &CacheSpec, work: &Work<'_>, effect: Effect, counts: &mut Counts) {
+        match effect {
+            Effect::Busy => counts.busy += 1,
+            Effect::Miss => {
+                counts.misses += 1;
+                self.misses.insert(work.request);
+            }
+            Effect::Ran if work.request.write => {
+                self.idempotency.remember(&work.request.token, work.number, work.now, spec.dedup_us);
+                self.copies.remove(&work.request.key);
+            }
+            Effect::Ran => counts.hits += 1,
+            Effect::Dropped | Effect::Void => {}
         }
     }
 
-    fn void(&mut self, key: &str) {
-        if let Some(copy) = self.held.remove(key) {
-            self.order.remove(&copy.used);
+    /// The bytes of an answer, which is remembered until it is written.
+    fn answer(&mut self, spec: &CacheSpec, work: &Work<'_>, lookup: &Lookup, effect: Effect) -> Bytes {
+        if effect == Effect::Busy {
+            return Bytes::from_static(b"-BUSY\r\n");
         }
+        let request = work.request.id.clone();
+        let Some(version) = lookup.version.filter(|_| matches!(effect, Effect::Ran | Effect::Dropped)) else {
+            let least_version = self.copies.least_version(&work.request.key, work.now);
+            self.answers.insert(work.number, Answer { request, value: String::new(), version: 0 });
+            return miss(least_version);
+        };
+        let value = match &lookup.filled {
+            Some(filled) => unique_part(filled),
+            None => work.request.value(version, &spec.name, work.number),
+        };
+        let bytes = hit(&padded(&value, spec.value_len));
+        self.answers.insert(work.number, Answer { request, value, version });
+        bytes
     }
 }
 
-struct State {
-    store: Store,
-    cores: Cores,
-    window: Window,
-    /// When its process started, cold; `None` for long ago.
-    started: Option<u64>,
-    draining: bool,
-    fallen: bool,
-    number: u64,
-    /// Requests that missed here, and may be filled: the newest few thousand.
-    missed: HashMap<String, String>,
-    missed_order: VecDeque<String>,
-    seen: HashMap<String, (u64, u64)>,
-    /// Answers on their way: request, value, version. Those that never arrive are forgotten in time.
-    values: BTreeMap<u64, (String, String, u64)>,
+/// What is unique of a value stands first, up to a space.
+fn unique_part(value: &[u8]) -> String {
+    String::from_utf8_lossy(value).split(' ').next().unwrap_or_default().to_owned()
 }
 
-/// What it has counted.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct Counts {
-    /// Attempts that came.
-    pub attempts: u64,
-    /// Reads that it held.
-    pub hits: u64,
-    /// Reads that it lacked.
-    pub misses: u64,
-    /// Turned away.
-    pub busy: u64,
-    /// Times that it fell over.
-    pub falls: u64,
+fn hit(value: &str) -> Bytes {
+    let mut out = BytesMut::from(&b"*3\r\n"[..]);
+    resp::put_bulk(&mut out, value.as_bytes());
+    out.extend_from_slice(b"$-1\r\n$-1\r\n");
+    out.freeze()
 }
 
-/// A cache server.
-pub struct Cache {
-    /// Its figures.
-    pub spec: CacheSpec,
-    state: Mutex<State>,
-    counts: Mutex<Counts>,
-    open: Arc<AtomicUsize>,
-    recorder: Recorder,
-    ports: Mutex<Option<Ports>>,
+/// The answer to a miss; a fetch for a key that a node has invalidated must bring the named version at the least.
+fn miss(least_version: Option<u64>) -> Bytes {
+    let mut out = BytesMut::from(&b"*3\r\n$-1\r\n"[..]);
+    match least_version {
+        Some(version) => resp::put_bulk(&mut out, format!("miss:{version}").as_bytes()),
+        None => out.extend_from_slice(b"$-1\r\n"),
+    }
+    out.extend_from_slice(b"$-1\r\n");
+    out.freeze()
 }
 
 impl Cache {
-    /// Starts one, warm, with a door for each node.
+    /// Starts a warm server with a listener for each node.
     ///
     /// # Errors
     /// Where no port is free.
     pub async fn start(
         spec: CacheSpec,
         nodes: &[(String, SocketAddr)],
-        mono: &Mono,
+        clock: &MonotonicClock,
         recorder: Recorder,
     ) -> std::io::Result<Arc<Cache>> {
         let cache = Arc::new(Cache {
             state: Mutex::new(State::new(&spec, None)),
             counts: Mutex::default(),
-            open: Arc::default(),
-            ports: Mutex::default(),
+            open_connections: Arc::default(),
+            listeners: Mutex::default(),
             recorder,
             spec,
         });
-        cache.tell_start(Mono::at(), 0);
-        let speaker = cache.clone();
-        let speak = move |node: &str| {
-            let open = speaker.open.fetch_add(1, Ordering::Relaxed);
-            let place = Place(speaker.open.clone());
-            let room = open < speaker.spec.connections;
-            room.then(|| Conn { cache: speaker.clone(), node: node.into(), _place: place })
+        cache.record_start(MonotonicClock::moment(), 0);
+        let server = cache.clone();
+        let connect = move |node: &str| {
+            let permit = ConnectionPermit::acquire(&server.open_connections, server.spec.connections)?;
+            Some(Connection { cache: server.clone(), node: node.into(), _permit: permit })
         };
-        let ports = Ports::open(nodes, mono, speak).await?;
-        *lock(&cache.ports) = Some(ports);
+        let listeners = Listeners::open(nodes, clock, connect).await?;
+        *lock(&cache.listeners) = Some(listeners);
         Ok(cache)
     }
 
-    fn tell_start(&self, t: Span, warm_us: u64) {
-        self.recorder.line(Line {
-            t,
-            who: self.spec.name.clone(),
-            event: Event::Start,
-            zone: self.spec.zone.clone(),
-            cell: self.spec.cell.into(),
-            capacity_us_per_s: self.capacity(),
-            cold_share: self.spec.cold_share,
-            warm_us,
-            since: if warm_us == 0 { 0 } else { t.begun },
-            ..Line::default()
-        });
-    }
-
-    fn capacity(&self) -> f64 {
-        self.spec.cores as f64 * 1e6
-    }
-
     /// The address that a node knows it by.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
-        lock(&self.ports).as_ref().and_then(|ports| ports.address(node))
+        lock(&self.listeners).as_ref().and_then(|listeners| listeners.address(node))
     }
 
-    /// What it has counted.
+    /// What it has counted so far.
     pub fn counts(&self) -> Counts {
         *lock(&self.counts)
     }
 
-    /// Changes what is wrong, for one node or for all.
-    pub fn fault(&self, node: Option<&str>, fault: Fault) {
+    /// Changes its fault, for one node or for all.
+    pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
         if fault == Fault::Dead && node.is_none() {
-            self.line(Event::Down);
+            let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
+            self.recorder.line(Line { t, who, event: Event::Down, ..Line::default() });
         }
-        if let Some(ports) = &*lock(&self.ports) {
-            ports.set(node, fault);
+        self.set_listener_faults(node, fault);
+    }
+
+    fn set_listener_faults(&self, node: Option<&str>, fault: Fault) {
+        if let Some(listeners) = &*lock(&self.listeners) {
+            listeners.set_fault(node, fault);
         }
     }
 
-    /// Its process starts again, cold; the moment in microseconds of the monotonic clock.
+    /// Restarts its process, empty and cold; returns the moment in microseconds of the monotonic clock.
     pub fn restart(&self) -> u64 {
-        let t = Mono::at();
-        *lock(&self.state) = State::new(&self.spec, Some(t.begun));
-        self.tell_start(t, self.spec.warm_us);
-        if let Some(ports) = &*lock(&self.ports) {
-            ports.set(None, Fault::None);
-        }
-        t.begun
+        let moment = MonotonicClock::moment();
+        *lock(&self.state) = State::new(&self.spec, Some(moment.begun));
+        self.record_start(moment, self.spec.warm_us);
+        self.set_listener_faults(None, Fault::None);
+        moment.begun
     }
 
-    /// What is wrong at a node's door.
-    pub fn wrong(&self, node: &str) -> Option<Fault> {
-        lock(&self.ports).as_ref().and_then(|ports| ports.wrong(node))
+    /// Begins or ends draining: new work is rejected, work in flight is finished.
+    pub fn set_draining(&self, draining: bool) {
+        lock(&self.state).draining = draining;
     }
 
-    /// It ends what it has and wants nothing new.
-    pub fn drain(&self, on: bool) {
-        lock(&self.state).draining = on;
+    /// Stores a copy, as if it had been there from the beginning.
+    pub fn preload(&self, key: &str, version: u64) {
+        lock(&self.state).copies.insert(key, version);
     }
 
-    /// The origin has answered a request: the value is stored if it missed here.
-    pub fn fill(&self, request: &str, key: &str, version: u64) -> bool {
+    /// The origin has answered a request: the copy is stored if the request missed here.
+    pub(crate) fn fill(&self, request: &str, key: &str, version: u64) -> bool {
         let mut state = lock(&self.state);
-        let missed = state.missed.remove(request).is_some_and(|missed| missed == key);
+        let missed = state.misses.take(request, key);
         if missed {
-            state.store.put(key, version, self.spec.objects);
+            state.copies.insert(key, version);
         }
         missed
     }
 
     /// The key has changed at the origin.
-    pub fn void(&self, key: &str) {
-        lock(&self.state).store.void(key);
+    pub(crate) fn invalidate(&self, key: &str) {
+        lock(&self.state).copies.remove(key);
     }
 
-    /// What an origin in another process tells of copies: `LAB.FILL KEY REQUEST VERSION`, `LAB.VOID KEY`; and what
-    /// nodes tell where a store of record is in the origin's place: `OBJ.FILL KEY VERSION MS VALUE`, `OBJ.VOID KEY
-    /// VERSION MS`.
-    fn copied(&self, words: &[Bytes], now: u64) -> Option<bool> {
-        let text = |at: usize| words.get(at).and_then(|w| std::str::from_utf8(w).ok());
-        let number = |at: usize| text(at).and_then(|w| w.parse::<u64>().ok());
-        match (text(0)?, text(1)) {
-            ("OBJ.VOID", Some(key)) => {
-                let told = number(2).zip(number(3));
-                if let Some((version, ms)) = told {
-                    lock(&self.state).store.void_below(key, version, (now, now.saturating_add(ms * 1_000)));
-                }
-                Some(told.is_some())
-            }
+    /// Carries out a command about copies; `None` for other commands, `Some(false)` for a malformed one.
+    ///
+    /// `LAB.FILL KEY REQUEST VERSION` and `LAB.VOID KEY` come from an origin in another process, `OBJ.FILL KEY VERSION
+    /// MS VALUE` and `OBJ.VOID KEY VERSION MS` from nodes that use a store of record.
+    fn copy_command(&self, words: &[Bytes], now: u64) -> Option<bool> {
+        let number = |index: usize| word(words, index).and_then(|word| word.parse::<u64>().ok());
+        let done = match (word(words, 0)?, word(words, 1)) {
+            ("OBJ.VOID", Some(key)) => number(2).zip(number(3)).map(|(version, ms)| {
+                let lifetime = Lifetime::from_ms(now, ms);
+                lock(&self.state).copies.invalidate_below(key, version, lifetime);
+            }),
             ("OBJ.FILL", Some(key)) => {
-                let told = number(2).zip(number(3)).zip(words.get(4));
-                if let Some(((version, ms), value)) = told {
-                    let until = (now, now.saturating_add(ms * 1_000));
-                    lock(&self.state).store.fill(key, version, value.clone(), until, self.spec.objects);
-                }
-                Some(told.is_some())
+                number(2).zip(number(3)).zip(words.get(4)).map(|((version, ms), value)| {
+                    let fill = Fill { version, value: value.clone(), lifetime: Lifetime::from_ms(now, ms) };
+                    lock(&self.state).copies.fill(key, fill);
+                })
             }
             ("LAB.VOID", Some(key)) => {
-                self.void(key);
-                Some(true)
-            }
-            ("LAB.FILL", Some(key)) => {
-                let filled = text(2).zip(text(3).and_then(|v| v.parse().ok()));
-                if let Some((request, version)) = filled {
-                    self.fill(request, key, version);
-                }
-                Some(filled.is_some())
+                self.invalidate(key);
+                Some(())
             }
-            ("LAB.FILL" | "LAB.VOID", None) => Some(false),
-            _ => None,
-        }
-    }
-
-    /// Holds a key from the beginning.
-    pub fn hold(&self, key: &str, version: u64) {
-        lock(&self.state).store.put(key, version, self.spec.objects);
-    }
-
-    fn line(&self, event: Event) {
-        let who = self.spec.name.clone();
-        self.recorder.line(Line { t: Mono::at(), who, event, ..Line::default() });
+            ("LAB.FILL", Some(key)) => word(words, 2).zip(number(3)).map(|(request, version)| {
+                self.fill(request, key, version);
+            }),
+            ("LAB.FILL" | "LAB.VOID", None) => None,
+            _ => return None,
+        };
+        Some(done.is_some())
     }
 
-    /// Does a request's work; what is said, and when.
-    fn work(&self, node: &str, asked: &Asked, first: Span, t: Span) -> Due {
-        let now = t.ended;
+    /// Works on an attempt; returns its reply.
+    fn serve(&self, node: &str, request: &Request, arrival: Arrival) -> Reply {
+        let now = arrival.last_byte.ended;
         let spec = &self.spec;
         let mut state = lock(&self.state);
         let mut counts = lock(&self.counts);
         state.number += 1;
         counts.attempts += 1;
         let number = state.number;
-        let (started, warm_us) = state.started.map_or((0, 0), |at| (at, spec.warm_us));
-        let share = able(1e6, spec.cold_share, started, warm_us, now, 1).max(0.01);
-        let repeat = state.seen.get(&asked.token).filter(|(until, _)| *until > now).map(|(_, v)| *v);
-        let held = if asked.write { None } else { state.store.get(&asked.key, now) };
-        let version = match (asked.write, repeat) {
-            (true, Some(version)) => Some(version),
-            (true, None) => Some(number),
-            (false, _) => held.as_ref().map(|(version, _)| *version),
-        };
-        let whole = drawn(spec.work_us, spec.work_cv, &asked.request);
-        let work_us = if version.is_some() { whole } else { whole / 10 };
-        let slow = (work_us as f64 / share) as u64;
-        let mut effect = match (asked.write, version, repeat) {
-            (true, _, Some(_)) => Effect::Dropped,
-            (_, Some(_), _) => Effect::Ran,
-            (_, None, _) => Effect::Miss,
-        };
-        // What would be done in the window, pushed over when it is too much for too long.
-        let window = state.window.add(now, work_us, spec.fall_us);
-        let most = able(
-            self.capacity(),
-            spec.cold_share,
-            started,
-            warm_us,
-            now.saturating_sub(spec.fall_us).max(started),
-            spec.fall_us,
-        );
-        let cold = warm_us > 0 && now < started + warm_us;
-        if cold && window as f64 > spec.fall_multiple * most && !state.fallen {
-            state.fallen = true;
+        let lookup = state.lookup(request, number, now);
+        let full_work_us = drawn(spec.work_us, spec.work_cv, &request.id);
+        let work_us = if lookup.version.is_some() { full_work_us } else { full_work_us / MISS_DISCOUNT };
+        if state.becomes_overloaded(spec, now, work_us) {
+            state.overloaded = true;
             counts.falls += 1;
-            tracing::warn!(server = spec.name, "fell over");
-            let (who, event, words) = (spec.name.clone(), Event::Fault, "fell over".to_owned());
-            self.recorder.line(Line { t, who, event, state: words, ..Line::default() });
-        }
-        let done = match state.draining || state.fallen {
-            true => None,
-            false => state.cores.take(now, slow, spec.queue_us),
-        };
-        if done.is_none() {
-            effect = Effect::Busy;
-        }
-        match effect {
-            Effect::Busy => counts.busy += 1,
-            Effect::Miss => {
-                counts.misses += 1;
-                if state.missed.insert(asked.request.clone(), asked.key.clone()).is_none() {
-                    state.missed_order.push_back(asked.request.clone());
-                }
-                if state.missed_order.len() > 4096 {
-                    let oldest = state.missed_order.pop_front().unwrap_or_default();
-                    state.missed.remove(&oldest);
-                }
-            }
-            Effect::Ran if asked.write => {
-                state.seen.insert(asked.token.clone(), (now + spec.dedup_us, number));
-                state.seen.retain(|_, (until, _)| *until > now);
-                state.store.void(&asked.key);
-            }
-            Effect::Ran => counts.hits += 1,
-            Effect::Dropped | Effect::Void => {}
+            self.record_overload(arrival.last_byte);
         }
+        let done_us = state.schedule(spec, now, work_us);
+        let effect = if done_us.is_some() { lookup.effect } else { Effect::Busy };
+        let work = Work { request, now, number };
+        state.apply(spec, &work, effect, &mut counts);
+        let attempt = Attempt { number, effect, work_us };
+        self.recorder.line(request.attempt_line(&spec.name, node, arrival, attempt));
+        let bytes = state.answer(spec, &work, &lookup, effect);
+        let far_us = spec.far_us.get(node).copied().unwrap_or(0);
+        Reply { due_us: done_us.unwrap_or(now) + far_us, bytes, number }
+    }
+
+    fn record_start(&self, t: Span, warm_us: u64) {
         self.recorder.line(Line {
             t,
-            who: spec.name.clone(),
-            event: Event::Attempt,
-            request: asked.request.clone(),
-            node: node.into(),
-            class: asked.class.clone(),
-            key: asked.key.clone(),
-            token: asked.token.clone(),
-            digest: asked.digest.clone(),
-            effect: Some(effect),
-            first: (first != t).then_some(first),
-            number,
-            work_us,
+            who: self.spec.name.clone(),
+            event: Event::Start,
+            zone: self.spec.zone.clone(),
+            cell: self.spec.cell.into(),
+            capacity_us_per_s: self.spec.capacity(),
+            cold_share: self.spec.cold_share,
+            warm_us,
+            since: if warm_us == 0 { 0 } else { t.begun },
             ..Line::default()
         });
-        let mark =
-            state.store.voided.get(&asked.key).filter(|(_, until)| now < *until).map(|(mark, _)| *mark);
-        let value = version.filter(|_| matches!(effect, Effect::Ran | Effect::Dropped)).map(|version| {
-            let filled = held.as_ref().and_then(|(_, value)| value.as_ref());
-            let value = match filled {
-                // What is unique of a value stands first, up to a space.
-                Some(value) => {
-                    String::from_utf8_lossy(value).split(' ').next().unwrap_or_default().to_owned()
-                }
-                None => format!("{}.{version}.{}.{}.{number}", asked.key, asked.request, spec.name),
-            };
-            state.values.insert(number, (asked.request.clone(), value.clone(), version));
-            value
-        });
-        let bytes = match (effect, value) {
-            (Effect::Busy, _) => Bytes::from_static(b"-BUSY\r\n"),
-            (_, None) => {
-                state.values.insert(number, (asked.request.clone(), String::new(), 0));
-                let mut out = BytesMut::from(&b"*3\r\n$-1\r\n"[..]);
-                match mark {
-                    // What it lacks was voided by a node: a fetch must bring this version at the least.
-                    Some(mark) => resp::put_bulk(&mut out, format!("miss:{mark}").as_bytes()),
-                    None => out.extend_from_slice(b"$-1\r\n"),
-                }
-                out.extend_from_slice(b"$-1\r\n");
-                out.freeze()
-            }
-            (_, Some(value)) => {
-                let value = padded(&value, spec.value_len);
-                let mut out = BytesMut::from(&b"*3\r\n"[..]);
-                resp::put_bulk(&mut out, value.as_bytes());
-                out.extend_from_slice(b"$-1\r\n$-1\r\n");
-                out.freeze()
-            }
-        };
-        while state.values.len() > 50_000 {
-            state.values.pop_first();
-        }
-        let far = spec.far_us.get(node).copied().unwrap_or(0);
-        Due { at: done.unwrap_or(now) + far, bytes, number, close: false }
-    }
-
-    /// What answers an attempt is written, or will never be.
-    fn says(&self, event: Event, number: u64) {
-        let Some((request, value, version)) = lock(&self.state).values.remove(&number) else { return };
-        let t = Mono::at();
-        let base = Line { t, who: self.spec.name.clone(), event, request, number, ..Line::default() };
-        let said = event == Event::Reply;
-        self.recorder.line(if said { Line { value, version, ..base } } else { base });
-    }
-}
-
-impl State {
-    fn new(spec: &CacheSpec, started: Option<u64>) -> State {
-        State {
-            store: Store::default(),
-            cores: Cores::new(spec.cores),
-            window: Window::default(),
-            started,
-            draining: false,
-            fallen: false,
-            // Numbers of another life stay apart.
-            number: started.unwrap_or(0),
-            missed: HashMap::new(),
-            missed_order: VecDeque::new(),
-            seen: HashMap::new(),
-            values: BTreeMap::new(),
-        }
     }
-}
-
-/// A request as nodes and clients write it.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Asked {
-    /// The key.
-    pub key: String,
-    /// The request's id.
-    pub request: String,
-    /// The class.
-    pub class: String,
-    /// The idempotency key, empty for none.
-    pub token: String,
-    /// Whether it writes.
-    pub write: bool,
-    /// How long the sender waits, in milliseconds.
-    pub wait_ms: u64,
-    /// A digest of what it writes.
-    pub digest: String,
-}
-
-/// Reads the words of a command; `None` where it is none of the protocol's.
-pub fn asked(words: &[Bytes]) -> Option<Asked> {
-    let text = |at: usize| words.get(at).and_then(|w| std::str::from_utf8(w).ok());
-    let write = match (text(0)?, words.len()) {
-        ("OBJ.GET", 4) => false,
-        ("OBJ.SET", 5) => true,
-        _ => return None,
-    };
-    let mut asked = Asked { key: text(1)?.into(), request: text(2)?.into(), write, ..Asked::default() };
-    facts(text(3)?, &mut asked);
-    asked.digest = words.get(4).map(|value| digest(value)).unwrap_or_default();
-    Some(asked)
-}
 
-/// Reads a list of names and values.
-pub fn facts(text: &str, asked: &mut Asked) {
-    for (name, value) in text.split(',').filter_map(|fact| fact.split_once('=')) {
-        match name {
-            "c" => asked.class = value.into(),
-            "k" => asked.token = value.into(),
-            "d" => asked.wait_ms = value.parse().unwrap_or(0),
-            _ => {}
-        }
+    fn record_overload(&self, t: Span) {
+        tracing::warn!(server = self.spec.name, "fell over");
+        let (who, state) = (self.spec.name.clone(), "fell over".to_owned());
+        self.recorder.line(Line { t, who, event: Event::Fault, state, ..Line::default() });
     }
-}
 
-struct Conn {
-    cache: Arc<Cache>,
-    node: String,
-    _place: Place,
-}
-
-impl Speaker for Conn {
-    fn take(&mut self, buffer: &mut BytesMut, first: Span, last: Span) -> Result<Option<Due>, ()> {
-        let Some(words) = resp::take_command(buffer).map_err(|_| ())? else { return Ok(None) };
-        if let Some(asked) = asked(&words) {
-            return Ok(Some(self.cache.work(&self.node, &asked, first, last)));
-        }
-        if let Some(done) = self.cache.copied(&words, last.ended) {
-            let bytes = Bytes::from_static(if done { b"+OK\r\n" } else { b"-ERR copy\r\n" });
-            return Ok(Some(Due { at: last.ended, bytes, number: 0, close: false }));
-        }
-        let word = words.first().map(|w| w.to_ascii_uppercase()).unwrap_or_default();
-        let bytes: &'static [u8] = match word.as_slice() {
-            b"PING" => b"+PONG\r\n",
-            b"CLIENT" | b"SELECT" => b"+OK\r\n",
-            b"INFO" => b"-NOPERM\r\n",
-            b"OBJ.GET" | b"OBJ.SET" => b"-SYNTAX\r\n",
-            _ => b"-ERR unknown command\r\n",
+    /// Records that an answer has been written.
+    fn record_reply(&self, number: u64) {
+        let Some(Answer { request, value, version }) = lock(&self.state).answers.remove(number) else {
+            return;
         };
-        Ok(Some(Due { at: last.ended, bytes: Bytes::from_static(bytes), number: 0, close: false }))
-    }
-
-    fn says(&mut self, due: &Due) -> Option<Bytes> {
-        self.cache.says(Event::Reply, due.number);
-        None
-    }
-
-    fn unsaid(&mut self, due: &Due) -> Option<Bytes> {
-        self.over(due);
-        None
+        let line = self.answer_line(Event::Reply, request, number);
+        self.recorder.line(Line { value, version, ..line });
     }
 
-    fn over(&mut self, due: &Due) {
-        self.cache.says(Event::Over, due.number);
+    /// Records that an answer will never arrive complete.
+    fn record_over(&self, number: u64) {
+        let Some(answer) = lock(&self.state).answers.remove(number) else { return };
+        self.recorder.line(self.answer_line(Event::Over, answer.request, number));
     }
 
-    fn idle(&self) -> Duration {
-        Duration::from_micros(self.cache.spec.idle_us)
+    fn answer_line(&self, event: Event, request: String, number: u64) -> Line {
+        let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
+        Line { t, who, event, request, number, ..Line::default() }
     }
 }
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -1,114 +1,73 @@
-//! The origin: one slow store of fixed capacity that queues, and stops when overrun.
+//! The origin: one slow store of fixed capacity that queues, and stops when overloaded.
 
-use std::collections::{BTreeMap, HashMap};
+mod connection;
+mod remote;
+mod spec;
+
+use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, Weak};
-use std::time::Duration;
 
-use bytes::{Buf, Bytes, BytesMut};
+use bytes::Bytes;
 use stonevane_audit::{Effect, Event, Line, Span};
-use stonevane_codec::{http, resp};
-use stonevane_server_model::value::{digest, padded};
+use stonevane_server_model::value::padded;
 use stonevane_server_model::work::{Cores, Window, drawn};
-use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::sync::mpsc;
 
-use crate::cache::{Asked, Cache, facts};
-use crate::record::{Mono, Recorder};
-use crate::server::{Due, Fault, Ports, Speaker, lock};
+use self::connection::Connection;
+use self::remote::RemoteCaches;
+use crate::cache::Cache;
+use crate::record::{MonotonicClock, Recorder};
+use crate::request::{Attempt, IdempotencyKeys, PendingAnswers, Request};
+use crate::server::{Arrival, Fault, Listeners, Reply, lock};
 
-/// The origin's figures. Times in microseconds.
-#[derive(Debug, Clone)]
-pub struct OriginSpec {
-    /// Its name.
-    pub name: String,
-    /// Its machine kind.
-    pub kind: String,
-    /// Requests that it works on at once, and the work of each.
-    pub slots: usize,
-    /// Work of a read.
-    pub read_us: u64,
-    /// Work of a write.
-    pub write_us: u64,
-    /// The coefficient of variation of both.
-    pub work_cv: f64,
-    /// The round trip to each node that is not beside it.
-    pub far_us: BTreeMap<String, u64>,
-    /// The longest wait in its queue.
-    pub queue_us: u64,
-    /// It stops when sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
-    /// ... for this long ...
-    pub fall_us: u64,
-    /// ... and for this long.
-    pub stop_us: u64,
-    /// It drops a repeat of an idempotency key for so long.
-    pub dedup_us: u64,
-    /// Length of its values, in bytes.
-    pub value_len: usize,
-}
+pub use self::spec::OriginSpec;
 
-impl Default for OriginSpec {
-    fn default() -> Self {
-        OriginSpec {
-            name: "origin".into(),
-            kind: "origin".into(),
-            slots: 8,
-            read_us: 60_000,
-            write_us: 15_000,
-            work_cv: 0.0,
-            far_us: BTreeMap::new(),
-            queue_us: 2_000_000,
-            fall_multiple: 2.5,
-            fall_us: 3_000_000,
-            stop_us: 3_000_000,
-            dedup_us: 200_000,
-            value_len: 64,
-        }
-    }
-}
+/// The part of a write's work that a dropped repeat takes is one over this.
+const REPEAT_DISCOUNT: u64 = 10;
+/// Caches that are filled by one fetch, of those that missed for its request.
+const FILLED_CACHES: usize = 2;
 
 struct State {
     cores: Cores,
-    window: Window,
+    recent_work: Window,
+    /// The version of each key that was written.
     versions: HashMap<String, u64>,
-    newest: u64,
-    seen: HashMap<String, (u64, u64)>,
+    newest_version: u64,
+    idempotency: IdempotencyKeys,
     number: u64,
-    /// Answers on their way; those that never arrive are forgotten in time.
-    answers: BTreeMap<u64, Answer>,
+    answers: PendingAnswers<Answer>,
     falls: u64,
     reads: u64,
     writes: u64,
-    /// It does nothing until then: it turns nothing away either.
-    stopped: u64,
-}
-
-impl State {
-    fn stop_until(&mut self, until: u64) {
-        self.stopped = self.stopped.max(until);
-        self.cores.stop_until(until);
-    }
+    /// Nothing is answered before then, not even with a rejection.
+    stopped_until: u64,
 }
 
-/// What is to be said and done when an answer is due.
+/// What is to be answered, and done, when an answer is due.
 struct Answer {
-    asked: Asked,
-    value: String,
+    request: Request,
     version: u64,
     effect: Effect,
 }
 
-/// What it has counted.
+/// Whether an answer reaches the node.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Delivery {
+    Complete,
+    /// A fault or the connection's end keeps it from arriving complete.
+    Failed,
+}
+
+/// What the origin has counted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     /// Fetches.
     pub reads: u64,
-    /// Writes, repeats that were dropped included.
+    /// Writes, dropped repeats included.
     pub writes: u64,
     /// Times that it stopped.
     pub falls: u64,
-    /// The most work in a window, as a multiple of what it can do in one.
+    /// The most work in a window, as a multiple of its capacity.
     pub peak: f64,
 }
 
@@ -118,228 +77,201 @@
     pub spec: OriginSpec,
     state: Mutex<State>,
     caches: Mutex<Vec<Weak<Cache>>>,
-    /// Caches in other processes.
-    remote: Mutex<Vec<mpsc::Sender<Bytes>>>,
+    remote_caches: Mutex<RemoteCaches>,
     recorder: Recorder,
-    ports: Mutex<Option<Ports>>,
+    listeners: Mutex<Option<Listeners>>,
+}
+
+impl State {
+    fn new(spec: &OriginSpec) -> State {
+        State {
+            cores: Cores::new(spec.slots),
+            recent_work: Window::default(),
+            versions: HashMap::new(),
+            newest_version: 0,
+            idempotency: IdempotencyKeys::default(),
+            number: 0,
+            answers: PendingAnswers::default(),
+            falls: 0,
+            reads: 0,
+            writes: 0,
+            stopped_until: 0,
+        }
+    }
+
+    fn stop_until(&mut self, until: u64) {
+        self.stopped_until = self.stopped_until.max(until);
+        self.cores.stop_until(until);
+    }
+
+    /// The version that an earlier write with the same idempotency key has made.
+    fn repeated_version(&self, request: &Request, now: u64) -> Option<u64> {
+        if !request.write || request.token.is_empty() {
+            return None;
+        }
+        self.idempotency.version(&request.token, now)
+    }
+
+    /// Adds work to the window; whether it is too much, which stops the origin.
+    fn overloads(&mut self, spec: &OriginSpec, now: u64, work_us: u64) -> bool {
+        let window_us = self.recent_work.add(now, work_us, spec.fall_us) as f64;
+        let overloaded = window_us > spec.fall_multiple * spec.capacity() / 1e6 * spec.fall_us as f64;
+        if overloaded {
+            self.stop_until(now + spec.stop_us);
+            self.recent_work.clear();
+            self.falls += 1;
+        }
+        overloaded
+    }
+
+    /// Carries out a write; returns its version.
+    fn write(&mut self, request: &Request, now: u64, dedup_us: u64) -> u64 {
+        self.newest_version += 1;
+        let version = self.newest_version;
+        self.versions.insert(request.key.clone(), version);
+        if !request.token.is_empty() {
+            self.idempotency.remember(&request.token, version, now, dedup_us);
+        }
+        version
+    }
 }
 
 impl Origin {
-    /// Starts one with a door for each node.
+    /// Starts it with a listener for each node.
     ///
     /// # Errors
     /// Where no port is free.
     pub async fn start(
         spec: OriginSpec,
         nodes: &[(String, SocketAddr)],
-        mono: &Mono,
+        clock: &MonotonicClock,
         recorder: Recorder,
     ) -> std::io::Result<Arc<Origin>> {
-        let state = State {
-            cores: Cores::new(spec.slots),
-            window: Window::default(),
-            versions: HashMap::new(),
-            newest: 0,
-            seen: HashMap::new(),
-            number: 0,
-            answers: BTreeMap::new(),
-            falls: 0,
-            reads: 0,
-            writes: 0,
-            stopped: 0,
-        };
-        let (state, ports) = (Mutex::new(state), Mutex::default());
-        let (caches, remote) = (Mutex::default(), Mutex::default());
-        let origin = Arc::new(Origin { spec, state, caches, remote, recorder, ports });
-        let speaker = origin.clone();
-        let speak = move |node: &str| Some(Conn { origin: speaker.clone(), node: node.into() });
-        let ports = Ports::open(nodes, mono, speak).await?;
-        *lock(&origin.ports) = Some(ports);
+        let origin = Arc::new(Origin {
+            state: Mutex::new(State::new(&spec)),
+            spec,
+            caches: Mutex::default(),
+            remote_caches: Mutex::default(),
+            recorder,
+            listeners: Mutex::default(),
+        });
+        let server = origin.clone();
+        let connect = move |node: &str| Some(Connection { origin: server.clone(), node: node.into() });
+        let listeners = Listeners::open(nodes, clock, connect).await?;
+        *lock(&origin.listeners) = Some(listeners);
         Ok(origin)
     }
 
-    /// The caches whose copies follow it: filled where they missed, voided by edits.
+    /// Attaches the caches whose copies follow it: filled where they missed, invalidated by writes.
     pub fn attach(&self, caches: &[Arc<Cache>]) {
         *lock(&self.caches) = caches.iter().map(Arc::downgrade).collect();
     }
 
-    /// Caches in other processes: they are told of fills and edits by commands of their own.
+    /// Attaches caches in other processes, which are notified of fills and writes by commands of their own.
     pub fn attach_remote(&self, caches: &[SocketAddr]) {
-        let told = caches.iter().map(|address| {
-            let (tell, mut take) = mpsc::channel::<Bytes>(1024);
-            let address = *address;
-            tokio::spawn(async move {
-                let mut stream = None;
-                while let Some(command) = take.recv().await {
-                    if stream.is_none() {
-                        stream = tokio::net::TcpStream::connect(address).await.ok();
-                    }
-                    // A cache that is away holds nothing when it is back.
-                    let written = match &mut stream {
-                        Some(stream) => tell_copy(stream, &command).await,
-                        None => continue,
-                    };
-                    if written.is_err() {
-                        stream = None;
-                    }
-                }
-            });
-            tell
-        });
-        *lock(&self.remote) = told.collect();
-    }
-
-    fn tell_remote(&self, words: &[&str]) {
-        let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
-        let command = resp::command(&words);
-        for cache in lock(&self.remote).iter() {
-            let _ = cache.try_send(command.clone());
-        }
+        *lock(&self.remote_caches) = RemoteCaches::connect(caches);
     }
 
     /// The address that a node knows it by.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
-        lock(&self.ports).as_ref().and_then(|ports| ports.address(node))
+        lock(&self.listeners).as_ref().and_then(|listeners| listeners.address(node))
     }
 
-    /// Work that it does a second, in microseconds of work.
-    pub fn capacity(&self) -> f64 {
-        self.spec.slots as f64 * 1e6
-    }
-
-    /// Changes what is wrong, for one node or for all.
-    pub fn fault(&self, node: Option<&str>, fault: Fault) {
-        if let Some(ports) = &*lock(&self.ports) {
-            ports.set(node, fault);
+    /// Changes its fault, for one node or for all.
+    pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
+        if let Some(listeners) = &*lock(&self.listeners) {
+            listeners.set_fault(node, fault);
         }
     }
 
-    /// What is wrong at a node's door.
-    pub fn wrong(&self, node: &str) -> Option<Fault> {
-        lock(&self.ports).as_ref().and_then(|ports| ports.wrong(node))
-    }
-
-    /// It does nothing for so long.
+    /// Stops all work for a time.
     pub fn stop(&self, for_us: u64) {
-        lock(&self.state).stop_until(Mono::now() + for_us);
+        lock(&self.state).stop_until(MonotonicClock::now() + for_us);
     }
 
-    /// What it has counted.
+    /// What it has counted so far.
     pub fn counts(&self) -> Counts {
         let state = lock(&self.state);
-        let able = self.capacity() / 1e6 * self.spec.fall_us as f64;
-        let peak = state.window.peak as f64 / able;
+        let window_capacity_us = self.spec.capacity() / 1e6 * self.spec.fall_us as f64;
+        let peak = state.recent_work.peak as f64 / window_capacity_us;
         Counts { reads: state.reads, writes: state.writes, falls: state.falls, peak }
     }
 
-    fn work(&self, node: &str, asked: Asked, first: Span, t: Span) -> Due {
-        let now = t.ended;
+    /// Works on an attempt; the bytes of the reply are made when it is due.
+    fn serve(&self, node: &str, request: Request, arrival: Arrival) -> Reply {
+        let now = arrival.last_byte.ended;
+        let spec = &self.spec;
         let mut state = lock(&self.state);
         state.number += 1;
         let number = state.number;
-        let repeat = state.seen.get(&asked.token).filter(|(until, _)| *until > now).map(|(_, v)| *v);
-        let repeat = repeat.filter(|_| asked.write && !asked.token.is_empty());
-        let work_us = match (asked.write, repeat) {
-            (false, _) => self.spec.read_us,
-            (true, None) => self.spec.write_us,
-            (true, Some(_)) => self.spec.write_us / 10,
+        let repeated = state.repeated_version(&request, now);
+        let mean_work_us = match (request.write, repeated) {
+            (false, _) => spec.read_us,
+            (true, None) => spec.write_us,
+            (true, Some(_)) => spec.write_us / REPEAT_DISCOUNT,
         };
-        let work_us = drawn(work_us, self.spec.work_cv, &asked.request);
-        let window = state.window.add(now, work_us, self.spec.fall_us) as f64;
-        if window > self.spec.fall_multiple * self.capacity() / 1e6 * self.spec.fall_us as f64 {
-            state.stop_until(now + self.spec.stop_us);
-            state.window.clear();
-            state.falls += 1;
-            tracing::warn!(server = self.spec.name, "stopped");
-            let (who, event, words) = (self.spec.name.clone(), Event::Fault, "stopped".to_owned());
-            self.recorder.line(Line { t, who, event, state: words, ..Line::default() });
+        let work_us = drawn(mean_work_us, spec.work_cv, &request.id);
+        if state.overloads(spec, now, work_us) {
+            self.record_stop(arrival.last_byte);
         }
-        let done = state.cores.take(now, work_us, self.spec.queue_us);
-        let effect = match (done, repeat) {
+        let done_us = state.cores.take(now, work_us, spec.queue_us);
+        let effect = match (done_us, repeated) {
             (None, _) => Effect::Busy,
             (_, Some(_)) => Effect::Dropped,
             _ => Effect::Ran,
         };
-        match asked.write {
+        match request.write {
             true => state.writes += 1,
             false => state.reads += 1,
         }
-        let mut version = 0;
-        if effect == Effect::Ran && asked.write {
+        let mut version = repeated.unwrap_or(0);
+        if effect == Effect::Ran && request.write {
             // It takes effect when it is taken up: copies that are made from now on are new.
-            state.newest += 1;
-            version = state.newest;
-            state.versions.insert(asked.key.clone(), version);
-            if !asked.token.is_empty() {
-                state.seen.insert(asked.token.clone(), (now + self.spec.dedup_us, version));
-                state.seen.retain(|_, (until, _)| *until > now);
-            }
-            for cache in lock(&self.caches).iter().filter_map(Weak::upgrade) {
-                cache.void(&asked.key);
-            }
-            self.tell_remote(&["LAB.VOID", &asked.key]);
-        } else if let Some(first) = repeat {
-            version = first;
+            version = state.write(&request, now, spec.dedup_us);
+            self.invalidate_copies(&request.key);
         }
-        self.recorder.line(Line {
-            t,
-            who: self.spec.name.clone(),
-            event: Event::Attempt,
-            request: asked.request.clone(),
-            node: node.into(),
-            class: asked.class.clone(),
-            key: asked.key.clone(),
-            token: asked.token.clone(),
-            digest: asked.digest.clone(),
-            effect: Some(effect),
-            first: (first != t).then_some(first),
-            number,
-            work_us,
-            origin: true,
-            ..Line::default()
-        });
-        let value = format!("{}.{version}.{}.{}.{number}", asked.key, asked.request, self.spec.name);
-        state.answers.insert(number, Answer { asked, value, version, effect });
-        while state.answers.len() > 50_000 {
-            state.answers.pop_first();
+        let attempt = Attempt { number, effect, work_us };
+        let line = request.attempt_line(&spec.name, node, arrival, attempt);
+        self.recorder.line(Line { origin: true, ..line });
+        state.answers.insert(number, Answer { request, version, effect });
+        let far_us = spec.far_us.get(node).copied().unwrap_or(0);
+        let due_us = done_us.unwrap_or(now.max(state.stopped_until)) + far_us;
+        Reply { due_us, bytes: Bytes::new(), number }
+    }
+
+    fn invalidate_copies(&self, key: &str) {
+        for cache in lock(&self.caches).iter().filter_map(Weak::upgrade) {
+            cache.invalidate(key);
         }
-        // The words are put together when they are due: a read shows the version of that moment.
-        let far = self.spec.far_us.get(node).copied().unwrap_or(0);
-        let at = done.unwrap_or(now.max(state.stopped)) + far;
-        Due { at, bytes: Bytes::new(), number, close: false }
+        lock(&self.remote_caches).invalidate(key);
+    }
+
+    fn fill_copies(&self, request: &Request, version: u64) {
+        let caches = lock(&self.caches);
+        let fills = |cache: &Arc<Cache>| cache.fill(&request.id, &request.key, version);
+        let _ = caches.iter().filter_map(Weak::upgrade).filter(fills).take(FILLED_CACHES).count();
+        drop(caches);
+        lock(&self.remote_caches).fill(&request.key, &request.id, version);
     }
 
-    /// The bytes of an answer, and what it brings about.
-    fn answer(&self, number: u64, told: bool) -> Bytes {
+    /// The bytes of an answer; its effects on copies take place.
+    fn finish(&self, number: u64, delivery: Delivery) -> Bytes {
         let mut state = lock(&self.state);
-        let Some(answer) = state.answers.remove(&number) else { return Bytes::new() };
-        let Answer { asked, mut value, mut version, effect } = answer;
-        if effect == Effect::Ran && !asked.write {
-            version = state.versions.get(&asked.key).copied().unwrap_or(0);
-            value = format!("{}.{version}.{}.{}.{number}", asked.key, asked.request, self.spec.name);
+        let Some(Answer { request, mut version, effect }) = state.answers.remove(number) else {
+            return Bytes::new();
+        };
+        if effect == Effect::Ran && !request.write {
+            // A read shows the version of this moment.
+            version = state.versions.get(&request.key).copied().unwrap_or(0);
         }
         drop(state);
         let busy = effect == Effect::Busy;
-        if told && !asked.write && !busy {
-            let caches = lock(&self.caches);
-            let mut filled = 0;
-            for cache in caches.iter().filter_map(Weak::upgrade) {
-                // At the first two that missed for this request.
-                if filled < 2 && cache.fill(&asked.request, &asked.key, version) {
-                    filled += 1;
-                }
-            }
-        }
-        if told && !asked.write && !busy {
-            self.tell_remote(&["LAB.FILL", &asked.key, &asked.request, &version.to_string()]);
+        if delivery == Delivery::Complete && !request.write && !busy {
+            self.fill_copies(&request, version);
         }
-        let (t, who, request) = (Mono::at(), self.spec.name.clone(), asked.request);
-        let base = Line { t, who, request, number, event: Event::Over, ..Line::default() };
-        let said = if busy { String::new() } else { value.clone() };
-        self.recorder.line(match told {
-            true => Line { event: Event::Reply, value: said, version, ..base },
-            false => base,
-        });
+        let value = request.value(version, &self.spec.name, number);
+        let recorded_value = if busy { String::new() } else { value.clone() };
+        self.record_answer(request.id, number, delivery, recorded_value, version);
         if busy {
             return Bytes::from_static(
                 b"HTTP/1.1 503 Service Unavailable\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n",
@@ -348,74 +280,19 @@
         let body = padded(&value, self.spec.value_len);
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into()
     }
-}
 
-async fn tell_copy(stream: &mut tokio::net::TcpStream, command: &[u8]) -> std::io::Result<()> {
-    stream.write_all(command).await?;
-    // One short line: it is read so that the next one's place in the stream is known.
-    let mut answer = [0; 1];
-    while stream.read_exact(&mut answer).await.is_ok() {
-        if answer[0] == b'\n' {
-            return Ok(());
-        }
-    }
-    Err(std::io::ErrorKind::UnexpectedEof.into())
-}
-
-struct Conn {
-    origin: Arc<Origin>,
-    node: String,
-}
-
-impl Speaker for Conn {
-    fn take(&mut self, buffer: &mut BytesMut, first: Span, last: Span) -> Result<Option<Due>, ()> {
-        let Some(head) = http::request_head(buffer).map_err(|_| ())? else { return Ok(None) };
-        let body = head.content_length.unwrap_or(0);
-        if body > 16 * 1024 * 1024 {
-            return Err(());
-        }
-        if buffer.len() < head.length + body {
-            return Ok(None);
-        }
-        buffer.advance(head.length);
-        let body = buffer.split_to(body);
-        let say = |text: &'static str| {
-            let bytes = Bytes::from_static(text.as_bytes());
-            Ok(Some(Due { at: last.ended, bytes, number: 0, close: false }))
-        };
-        let write = match head.method.as_str() {
-            "GET" if head.target == "/healthz" => return say("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"),
-            "GET" => false,
-            "PUT" => true,
-            _ => return say("HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n"),
-        };
-        let (Some(id), Some(list)) = (head.header("x-correlation-id"), head.header("x-facts")) else {
-            return say("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n");
-        };
-        let key = head.target.trim_start_matches('/').to_owned();
-        let mut asked = Asked { key, request: id.into(), write, ..Asked::default() };
-        facts(list, &mut asked);
-        if write {
-            asked.digest = digest(&body);
-        }
-        Ok(Some(self.origin.work(&self.node, asked, first, last)))
-    }
-
-    fn says(&mut self, due: &Due) -> Option<Bytes> {
-        (due.number > 0).then(|| self.origin.answer(due.number, true))
-    }
-
-    fn unsaid(&mut self, due: &Due) -> Option<Bytes> {
-        (due.number > 0).then(|| self.origin.answer(due.number, false))
+    fn record_stop(&self, t: Span) {
+        tracing::warn!(server = self.spec.name, "stopped");
+        let (who, state) = (self.spec.name.clone(), "stopped".to_owned());
+        self.recorder.line(Line { t, who, event: Event::Fault, state, ..Line::default() });
     }
 
-    fn over(&mut self, due: &Due) {
-        if due.number > 0 {
-            self.origin.answer(due.number, false);
-        }
-    }
-
-    fn idle(&self) -> Duration {
-        Duration::from_secs(15)
+    fn record_answer(&self, request: String, number: u64, delivery: Delivery, value: String, version: u64) {
+        let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
+        let line = Line { t, who, request, number, event: Event::Over, ..Line::default() };
+        self.recorder.line(match delivery {
+            Delivery::Complete => Line { event: Event::Reply, value, version, ..line },
+            Delivery::Failed => line,
+        });
     }
 }
--- /dev/null
+++ b/crates/stonevane-emulators/src/origin/remote.rs
@@ -0,0 +1,73 @@
+//! Caches in other processes, notified of fills and writes by commands.
+
+use std::io;
+use std::net::SocketAddr;
+
+use bytes::Bytes;
+use stonevane_codec::resp;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+
+/// Commands that wait for a slow cache before further ones are dropped.
+const QUEUE: usize = 1024;
+
+/// Queues of commands, one for each cache.
+#[derive(Default)]
+pub(super) struct RemoteCaches {
+    queues: Vec<mpsc::Sender<Bytes>>,
+}
+
+impl RemoteCaches {
+    pub(super) fn connect(caches: &[SocketAddr]) -> RemoteCaches {
+        let queue = |address: &SocketAddr| {
+            let (sender, receiver) = mpsc::channel(QUEUE);
+            tokio::spawn(forward(*address, receiver));
+            sender
+        };
+        RemoteCaches { queues: caches.iter().map(queue).collect() }
+    }
+
+    pub(super) fn invalidate(&self, key: &str) {
+        self.send(&["LAB.VOID", key]);
+    }
+
+    pub(super) fn fill(&self, key: &str, request: &str, version: u64) {
+        self.send(&["LAB.FILL", key, request, &version.to_string()]);
+    }
+
+    fn send(&self, words: &[&str]) {
+        let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
+        let command = resp::command(&words);
+        for queue in &self.queues {
+            let _ = queue.try_send(command.clone());
+        }
+    }
+}
+
+/// Sends commands to a cache; those of a time when it is away are dropped, as it is empty when it is back.
+async fn forward(address: SocketAddr, mut commands: mpsc::Receiver<Bytes>) {
+    let mut stream = None;
+    while let Some(command) = commands.recv().await {
+        if stream.is_none() {
+            stream = TcpStream::connect(address).await.ok();
+        }
+        if let Some(connection) = &mut stream
+            && call(connection, &command).await.is_err()
+        {
+            stream = None;
+        }
+    }
+}
+
+/// Sends a command and reads its answer, one short line.
+async fn call(stream: &mut TcpStream, command: &[u8]) -> io::Result<()> {
+    stream.write_all(command).await?;
+    let mut answer = [0; 1];
+    while stream.read_exact(&mut answer).await.is_ok() {
+        if answer[0] == b'\n' {
+            return Ok(());
+        }
+    }
+    Err(io::ErrorKind::UnexpectedEof.into())
+}
--- a/crates/stonevane-emulators/src/peers.rs
+++ b/crates/stonevane-emulators/src/peers.rs
@@ -1,256 +1,204 @@
-//! The datagram network between nodes: each sees the others under addresses of its own, and what it sends is
-//! lost, late, out of order or doubled as told. The same seed treats the n-th datagram of a pair alike.
+//! The datagram network between nodes: each sees the others under addresses of its own, and what it sends is lost,
+//! delayed, reordered or duplicated as the conditions say. The same seed treats the n-th datagram of a pair alike.
 
-use std::collections::{BTreeMap, HashMap};
+mod conditions;
+
+use std::collections::HashMap;
+use std::io;
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
-use std::time::Duration;
 
 use oorandom::Rand64;
 use tokio::net::UdpSocket;
 
+use self::conditions::ActiveConditions;
 use crate::server::lock;
 
-/// The longest datagram.
-pub const MAX_DATAGRAM: usize = 256;
-
-/// What is wrong between some nodes. Several may be in force: what one of them loses is lost, delays add up.
-#[derive(Debug, Clone, PartialEq, Default)]
-pub struct Weather {
-    /// From whom; empty: from all.
-    pub from: Vec<String>,
-    /// To whom; empty: to all.
-    pub to: Vec<String>,
-    /// Part that is lost; 1: the way is cut.
-    pub loss: f64,
-    /// Part that is doubled.
-    pub duplicate: f64,
-    /// The shortest and the longest delay; one that is longer lets later ones pass.
-    pub delay: (Duration, Duration),
-}
-
-impl Weather {
-    fn holds(&self, from: &str, to: &str) -> bool {
-        let among =
-            |names: &[String], name: &str| names.is_empty() || names.iter().any(|known| known == name);
-        among(&self.from, from) && among(&self.to, to)
-    }
-}
-
-/// The way of a datagram where nothing is wrong.
-const WAY: Duration = Duration::from_millis(1);
-
-/// What is in force for one ordered pair.
-#[derive(Debug, Clone, Copy, PartialEq)]
-struct Fate {
-    passes: f64,
-    duplicate: f64,
-    delay: (Duration, Duration),
-}
+pub use self::conditions::NetworkConditions;
 
-/// All that is wrong, by the numbers under which it was put in.
-#[derive(Debug, Default)]
-struct Weathers {
-    next: u64,
-    active: BTreeMap<u64, Weather>,
-}
-
-impl Weathers {
-    fn at(&self, from: &str, to: &str) -> Fate {
-        let mut fate = Fate { passes: 1.0, duplicate: 0.0, delay: (WAY, WAY) };
-        for weather in self.active.values().filter(|weather| weather.holds(from, to)) {
-            fate.passes *= 1.0 - weather.loss;
-            fate.duplicate = 1.0 - (1.0 - fate.duplicate) * (1.0 - weather.duplicate);
-            fate.delay.0 += weather.delay.0;
-            fate.delay.1 += weather.delay.1.max(weather.delay.0);
-        }
-        fate
-    }
-}
+/// The longest datagram that the network carries, in bytes.
+pub const MAX_DATAGRAM: usize = 256;
+/// Space for a datagram that may be too long, in bytes.
+const RECEIVE_BUFFER: usize = 2048;
+/// Up to this number of nodes each sees each other under an address of its own, as the platform may have it; in larger
+/// clusters a node has one address at which all others find it.
+const MAX_NODES_WITH_OWN_ADDRESSES: usize = 8;
 
 /// What became of datagrams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Lost, or cut off.
+    /// Datagrams lost.
     pub lost: u64,
-    /// Doubled.
+    /// Datagrams duplicated.
     pub doubled: u64,
-    /// Longer than the platform carries.
+    /// Datagrams longer than the network carries.
     pub too_long: u64,
 }
 
-/// Up to so many nodes each sees each other under an address of its own, as the platform may have it; in larger fleets
-/// a node has one address at which all others find it.
-const OWN_DOORS: usize = 8;
-
-struct Net {
+struct Network {
     names: Vec<String>,
+    /// Where each node listens.
     targets: Vec<SocketAddr>,
-    /// By the address that it sends from.
+    /// Nodes by the address that they send from.
     senders: HashMap<SocketAddr, usize>,
-    /// `doors[i][j]`, or `doors[0][j]`: where node `i` finds node `j`.
-    doors: Vec<Vec<Arc<UdpSocket>>>,
-    weathers: Mutex<Weathers>,
+    /// `sockets[i][j]`, or `sockets[0][j]`: where node `i` finds node `j`.
+    sockets: Vec<Vec<Arc<UdpSocket>>>,
+    conditions: Mutex<ActiveConditions>,
     counts: Mutex<Counts>,
     seed: u64,
-    /// One for each ordered pair that has sent.
-    chances: Mutex<HashMap<(usize, usize), Rand64>>,
+    /// One generator for each ordered pair that has sent.
+    generators: Mutex<HashMap<(usize, usize), Rand64>>,
 }
 
-impl Net {
-    fn door(&self, from: usize, to: usize) -> &Arc<UdpSocket> {
-        &self.doors[from.min(self.doors.len() - 1)][to]
+/// The random numbers of one datagram.
+struct Draws {
+    loss: f64,
+    duplicate: f64,
+    /// For the datagram and its duplicate.
+    delays: [f64; 2],
+}
+
+impl Network {
+    fn socket(&self, from: usize, to: usize) -> &Arc<UdpSocket> {
+        &self.sockets[from.min(self.sockets.len() - 1)][to]
+    }
+
+    /// Draws for a datagram whatever becomes of it, so that its fate does not change the next one's.
+    fn draw(&self, from: usize, to: usize) -> Draws {
+        let mut generators = lock(&self.generators);
+        let pair = (from * self.names.len() + to) as u128;
+        let generator =
+            generators.entry((from, to)).or_insert_with(|| Rand64::new(u128::from(self.seed) << 32 | pair));
+        let (loss, duplicate) = (generator.rand_float(), generator.rand_float());
+        Draws { loss, duplicate, delays: [generator.rand_float(), generator.rand_float()] }
     }
 
-    /// Takes a datagram on its way.
-    fn carry(self: &Arc<Self>, from: usize, to: usize, bytes: &[u8]) {
-        let fate = lock(&self.weathers).at(&self.names[from], &self.names[to]);
+    /// Forwards a datagram.
+    fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
+        let path = lock(&self.conditions).between(&self.names[from], &self.names[to]);
         let mut counts = lock(&self.counts);
         counts.sent += 1;
-        // Drawn for each, whatever becomes of it: one datagram's fate does not change the next one's.
-        let mut chances = lock(&self.chances);
-        let number = (from * self.names.len() + to) as u128;
-        let rng =
-            chances.entry((from, to)).or_insert_with(|| Rand64::new(u128::from(self.seed) << 32 | number));
-        let (passes, doubled) = (rng.rand_float(), rng.rand_float());
-        let delays = [rng.rand_float(), rng.rand_float()];
+        let draws = self.draw(from, to);
         if bytes.len() > MAX_DATAGRAM {
             counts.too_long += 1;
             return;
         }
-        if passes >= fate.passes {
+        if draws.loss >= path.delivery {
             counts.lost += 1;
             return;
         }
-        let copies = if doubled < fate.duplicate { 2 } else { 1 };
-        counts.doubled += copies - 1;
-        let (least, most) = fate.delay;
-        for delay in &delays[..copies as usize] {
-            let delay = least + most.saturating_sub(least).mul_f64(*delay);
-            // What it sees as the sender is where it finds that one.
-            let (door, target, bytes) = (self.door(to, from).clone(), self.targets[to], bytes.to_vec());
+        let duplicated = draws.duplicate < path.duplicate;
+        counts.doubled += u64::from(duplicated);
+        let copies = if duplicated { 2 } else { 1 };
+        for draw in &draws.delays[..copies] {
+            let delay = path.min_delay + path.max_delay.saturating_sub(path.min_delay).mul_f64(*draw);
+            // The receiver sees as the sender's address the one where it finds that node.
+            let (socket, target, bytes) = (self.socket(to, from).clone(), self.targets[to], bytes.to_vec());
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
-                let _ = door.send_to(&bytes, target).await;
+                let _ = socket.send_to(&bytes, target).await;
             });
         }
     }
 }
 
 /// The network.
-pub struct PeerNet {
-    net: Arc<Net>,
-    doors: Vec<Vec<SocketAddr>>,
-    all: SocketAddr,
+pub struct PeerNetwork {
+    network: Arc<Network>,
+    addresses: Vec<Vec<SocketAddr>>,
+    broadcast: SocketAddr,
 }
 
-impl PeerNet {
-    /// A network of nodes that listen at these addresses.
+impl PeerNetwork {
+    /// Starts a network of nodes that listen at these addresses.
     ///
     /// # Errors
     /// Where no port is free.
-    pub async fn start(nodes: &[(String, SocketAddr)], ip: IpAddr, seed: u64) -> std::io::Result<PeerNet> {
-        let rows = if nodes.len() <= OWN_DOORS { nodes.len() } else { 1 };
-        let mut doors = Vec::new();
-        for _ in 0..rows.max(1) {
-            let mut row = Vec::new();
-            for _ in nodes {
-                row.push(Arc::new(UdpSocket::bind((ip, 0)).await?));
-            }
-            doors.push(row);
-        }
-        let mut addresses = Vec::new();
-        for row in &doors {
-            addresses.push(row.iter().map(|s| s.local_addr()).collect::<std::io::Result<Vec<_>>>()?);
-        }
-        let all = UdpSocket::bind((ip, 0)).await?;
-        let net = Arc::new(Net {
+    pub async fn start(nodes: &[(String, SocketAddr)], ip: IpAddr, seed: u64) -> io::Result<PeerNetwork> {
+        let sockets = bind_all(nodes.len(), ip).await?;
+        let local_addresses =
+            |row: &Vec<Arc<UdpSocket>>| row.iter().map(|socket| socket.local_addr()).collect();
+        let addresses = sockets.iter().map(local_addresses).collect::<io::Result<Vec<Vec<_>>>>()?;
+        let broadcast_socket = UdpSocket::bind((ip, 0)).await?;
+        let network = Arc::new(Network {
             names: nodes.iter().map(|(name, _)| name.clone()).collect(),
             targets: nodes.iter().map(|(_, target)| *target).collect(),
             senders: nodes.iter().enumerate().map(|(number, (_, target))| (*target, number)).collect(),
-            doors,
-            weathers: Mutex::default(),
+            sockets,
+            conditions: Mutex::default(),
             counts: Mutex::default(),
             seed,
-            chances: Mutex::default(),
+            generators: Mutex::default(),
         });
-        for row in net.doors.clone() {
-            for (to, door) in row.into_iter().enumerate() {
-                let net = net.clone();
-                tokio::spawn(async move {
-                    let mut buffer = [0; 2048];
-                    while let Ok((length, from)) = door.recv_from(&mut buffer).await {
-                        // Whoever is none of the nodes has no way through here.
-                        if let Some(from) = net.senders.get(&from) {
-                            net.carry(*from, to, &buffer[..length]);
-                        }
-                    }
-                });
+        for row in network.sockets.clone() {
+            for (to, socket) in row.into_iter().enumerate() {
+                tokio::spawn(forward_to_one(network.clone(), socket, to));
             }
         }
-        let address = all.local_addr()?;
-        let own = net.clone();
-        tokio::spawn(async move {
-            let mut buffer = [0; 2048];
-            while let Ok((length, from)) = all.recv_from(&mut buffer).await {
-                let Some(from) = own.senders.get(&from).copied() else { continue };
-                (0..own.names.len())
-                    .filter(|to| *to != from)
-                    .for_each(|to| own.carry(from, to, &buffer[..length]));
-            }
-        });
-        Ok(PeerNet { net, doors: addresses, all: address })
+        let broadcast = broadcast_socket.local_addr()?;
+        tokio::spawn(forward_to_all(network.clone(), broadcast_socket));
+        Ok(PeerNetwork { network, addresses, broadcast })
     }
 
-    /// The peers of a node, in the order of their numbers, its own among them.
+    /// The peers of a node as it finds them, in the order of their numbers, its own among them.
     pub fn peers(&self, node: usize) -> &[SocketAddr] {
-        &self.doors[node.min(self.doors.len() - 1)]
+        &self.addresses[node.min(self.addresses.len() - 1)]
     }
 
     /// Where a node reaches all others.
-    pub fn peers_all(&self) -> SocketAddr {
-        self.all
+    pub fn broadcast(&self) -> SocketAddr {
+        self.broadcast
     }
 
-    /// Puts something wrong in; the number by which it is taken away.
-    pub fn begin(&self, weather: Weather) -> u64 {
-        let mut weathers = lock(&self.net.weathers);
-        weathers.next += 1;
-        let number = weathers.next;
-        weathers.active.insert(number, weather);
-        number
+    /// Puts conditions in force; returns the number by which they are lifted.
+    pub fn apply(&self, conditions: NetworkConditions) -> u64 {
+        lock(&self.network.conditions).apply(conditions)
     }
 
-    /// Takes something wrong away.
-    pub fn end(&self, number: u64) {
-        lock(&self.net.weathers).active.remove(&number);
+    /// Lifts conditions.
+    pub fn lift(&self, number: u64) {
+        lock(&self.network.conditions).lift(number);
     }
 
-    /// What became of datagrams.
+    /// What became of datagrams so far.
     pub fn counts(&self) -> Counts {
-        *lock(&self.net.counts)
+        *lock(&self.network.counts)
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// A row of sockets for each node, or one row that all share.
+async fn bind_all(nodes: usize, ip: IpAddr) -> io::Result<Vec<Vec<Arc<UdpSocket>>>> {
+    let rows = if nodes <= MAX_NODES_WITH_OWN_ADDRESSES { nodes.max(1) } else { 1 };
+    let mut sockets = Vec::new();
+    for _ in 0..rows {
+        let mut row = Vec::new();
+        for _ in 0..nodes {
+            row.push(Arc::new(UdpSocket::bind((ip, 0)).await?));
+        }
+        sockets.push(row);
+    }
+    Ok(sockets)
+}
 
-    #[test]
-    fn what_overlaps_adds_up_and_a_direction_is_one_direction() {
-        let mut weathers = Weathers::default();
-        let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
-        weathers.active.insert(1, Weather { loss: 0.5, duplicate: 0.5, ..Weather::default() });
-        let late = Duration::from_millis(10);
-        let one = Weather { from: names(&["n0"]), to: names(&["n1", "n2"]), ..Weather::default() };
-        weathers.active.insert(2, Weather { loss: 0.5, delay: (late, late), ..one.clone() });
-        let (there, back) = (weathers.at("n0", "n1"), weathers.at("n1", "n0"));
-        assert_eq!((there.passes, there.delay.0), (0.25, WAY + late));
-        assert_eq!((back.passes, back.duplicate, back.delay.1), (0.5, 0.5, WAY));
-        weathers.active.insert(3, Weather { loss: 1.0, ..one });
-        assert_eq!((weathers.at("n0", "n2").passes, weathers.at("n2", "n0").passes), (0.0, 0.5));
-        assert_eq!(weathers.at("n0", "n3").passes, 0.5);
+/// Forwards what arrives for one node; datagrams of unknown senders are dropped.
+async fn forward_to_one(network: Arc<Network>, socket: Arc<UdpSocket>, to: usize) {
+    let mut buffer = [0; RECEIVE_BUFFER];
+    while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
+        if let Some(from) = network.senders.get(&from) {
+            network.forward(*from, to, &buffer[..length]);
+        }
+    }
+}
+
+/// Forwards what arrives for all nodes to each but its sender.
+async fn forward_to_all(network: Arc<Network>, socket: UdpSocket) {
+    let mut buffer = [0; RECEIVE_BUFFER];
+    while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
+        let Some(from) = network.senders.get(&from).copied() else { continue };
+        for to in (0..network.names.len()).filter(|to| *to != from) {
+            network.forward(from, to, &buffer[..length]);
+        }
     }
 }
--- a/crates/stonevane-emulators/src/postgres.rs
+++ b/crates/stonevane-emulators/src/postgres.rs
@@ -28,7 +28,7 @@
 
 use self::database::Database;
 use self::message::BackendKey;
-use crate::record::{Mono, Recorder};
+use crate::record::{MonotonicClock, Recorder};
 use crate::server::lock;
 
 pub use self::fault::PgFault;
@@ -124,7 +124,7 @@
     }
 
     /// Injects a fault, or clears it with [`PgFault::None`].
-    pub fn fault(&self, fault: PgFault) {
+    pub fn set_fault(&self, fault: PgFault) {
         self.fault.send_replace(fault);
     }
 
@@ -168,7 +168,7 @@
     /// # Errors
     /// Where SQLite can't open the copy.
     pub fn fail_over(&self) -> rusqlite::Result<()> {
-        self.fault(PgFault::Refuse);
+        self.set_fault(PgFault::Refuse);
         *lock(&self.database) = Database::open(&self.folder.join("copy.db"), &self.pending_notifications)?;
         Ok(())
     }
@@ -177,7 +177,7 @@
     ///
     /// # Errors
     /// Where SQLite rejects the query.
-    pub fn look(&self, query: &str) -> rusqlite::Result<Vec<Value>> {
+    pub fn query_column(&self, query: &str) -> rusqlite::Result<Vec<Value>> {
         let database = lock(&self.database);
         let mut statement = database.reader.prepare(query)?;
         statement.query_map([], |row| row.get(0))?.collect()
@@ -198,7 +198,7 @@
         newest.fetch_max(version, Ordering::Relaxed);
         let value = String::from_utf8_lossy(&value).split(' ').next().unwrap_or_default().to_owned();
         Ok(Line {
-            t: Span { begun: commit_begun, ended: Mono::now() },
+            t: Span { begun: commit_begun, ended: MonotonicClock::now() },
             who: "store".into(),
             event: Event::Stored,
             key: row.get(0)?,
--- a/crates/stonevane-emulators/src/postgres/database.rs
+++ b/crates/stonevane-emulators/src/postgres/database.rs
@@ -26,7 +26,7 @@
 
 /// What a statement returned.
 pub(super) struct QueryResult {
-    /// The rows as DataRow messages carry them.
+    /// The rows as `DataRow` messages carry them.
     pub(super) rows: Vec<BytesMut>,
     /// Rows changed, or returned where the statement returns rows.
     pub(super) affected: usize,
--- a/crates/stonevane-emulators/src/postgres/error.rs
+++ b/crates/stonevane-emulators/src/postgres/error.rs
@@ -1,6 +1,6 @@
 //! Errors of a session.
 
-/// An error that the client receives as an ErrorResponse.
+/// An error that the client receives as an `ErrorResponse`.
 #[derive(Debug, thiserror::Error)]
 #[error("{sqlstate}: {message}")]
 pub(super) struct SqlError {
--- a/crates/stonevane-emulators/src/postgres/execute.rs
+++ b/crates/stonevane-emulators/src/postgres/execute.rs
@@ -12,7 +12,7 @@
 use super::message::{Format, backend};
 use super::session::{QueryProtocol, Session};
 use super::statement::Statement;
-use crate::record::Mono;
+use crate::record::MonotonicClock;
 use crate::server::lock;
 
 /// After this a session that a commit left silent ends by itself.
@@ -102,7 +102,7 @@
 
     fn commit_database(&self) -> rusqlite::Result<()> {
         let database = lock(&self.server.database);
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         database.writer.execute_batch("COMMIT")?;
         if let Some(observe) = self.server.commit_observer.get() {
             observe(&database.writer, begun);
--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -9,10 +9,10 @@
 use stonevane_codec::resp::{self, Value};
 use stonevane_emulators::cache::{Cache, CacheSpec};
 use stonevane_emulators::client::{Clients, Load, LoadClass, plan};
-use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry, Trouble};
+use stonevane_emulators::discovery::{Discovery, DiscoveryFault, DiscoverySpec, Entry};
 use stonevane_emulators::origin::{Origin, OriginSpec};
-use stonevane_emulators::peers::{PeerNet, Weather};
-use stonevane_emulators::{Fault, Mono, Recorder};
+use stonevane_emulators::peers::{NetworkConditions, PeerNetwork};
+use stonevane_emulators::{Fault, MonotonicClock, Recorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
@@ -23,11 +23,11 @@
 }
 
 async fn cache(spec: CacheSpec) -> Arc<Cache> {
-    Cache::start(spec, &doors(), &Mono::default(), Recorder::none()).await.unwrap()
+    Cache::start(spec, &doors(), &MonotonicClock::default(), Recorder::none()).await.unwrap()
 }
 
 async fn origin(spec: OriginSpec) -> Arc<Origin> {
-    Origin::start(spec, &doors(), &Mono::default(), Recorder::none()).await.unwrap()
+    Origin::start(spec, &doors(), &MonotonicClock::default(), Recorder::none()).await.unwrap()
 }
 
 struct Client {
@@ -139,7 +139,7 @@
 #[tokio::test]
 async fn a_cache_answers_in_order_and_knows_the_other_words_of_the_protocol() {
     let cache = cache(CacheSpec { work_us: 30_000, ..CacheSpec::default() }).await;
-    cache.hold("a", 0);
+    cache.preload("a", 0);
     let mut client = Client::to(cache.address("n0")).await;
     client.send(&["OBJ.GET", "a", "1", "c=read"]).await;
     client.send(&["OBJ.GET", "b", "2", "c=read"]).await;
@@ -161,7 +161,7 @@
 async fn a_cache_that_restarts_is_cold_and_empty_and_falls_over_when_pushed_and_drains() {
     let spec = CacheSpec { cores: 1, work_us: 1_000_000, queue_us: u64::MAX / 2, ..CacheSpec::default() };
     let cache = cache(spec).await;
-    cache.hold("a", 0);
+    cache.preload("a", 0);
     cache.restart();
     let mut client = Client::to(cache.address("n0")).await;
     // A miss is a tenth of its work: 100 ms each, and it may be sent about 2.6 s in 2 s.
@@ -175,10 +175,10 @@
     assert_eq!(counts.falls, 1);
     assert!((20..30).contains(&counts.misses) && counts.busy == 40 - counts.misses, "{counts:?}");
     cache.restart();
-    cache.drain(true);
+    cache.set_draining(true);
     let mut client = Client::to(cache.address("n0")).await;
     assert_eq!(client.get("a", "x").await, busy());
-    cache.drain(false);
+    cache.set_draining(false);
     assert_eq!(value(client.get("a", "y").await), None);
 }
 
@@ -187,7 +187,7 @@
     let cache =
         cache(CacheSpec { cores: 1, work_us: 200_000, queue_us: 0, connections: 2, ..CacheSpec::default() })
             .await;
-    cache.hold("a", 0);
+    cache.preload("a", 0);
     let (mut one, mut two) = (Client::to(cache.address("n0")).await, Client::to(cache.address("n1")).await);
     one.send(&["OBJ.GET", "a", "1", "c=read"]).await;
     while cache.counts().attempts < 1 {
@@ -202,27 +202,27 @@
 #[tokio::test]
 async fn each_fault_shows_as_it_should_and_only_to_the_node_that_is_meant() {
     let cache = cache(CacheSpec { work_us: 1_000, ..CacheSpec::default() }).await;
-    cache.hold("a", 0);
+    cache.preload("a", 0);
     let good = |said: Option<String>| said.is_some_and(|said| said.starts_with("a.0."));
     for (fault, whole) in
         [(Fault::Reset, false), (Fault::Truncate, false), (Fault::Noise, false), (Fault::Slow, true)]
     {
-        cache.fault(Some("n0"), fault);
+        cache.set_fault(Some("n0"), fault);
         let mut client = Client::to(cache.address("n0")).await;
         assert_eq!(good(value(client.get("a", "1").await)), whole, "{fault:?}");
         let mut other = Client::to(cache.address("n1")).await;
         assert!(good(value(other.get("a", "2").await)), "{fault:?} is n0's alone");
-        cache.fault(None, Fault::None);
+        cache.set_fault(None, Fault::None);
     }
-    cache.fault(Some("n0"), Fault::Tail);
+    cache.set_fault(Some("n0"), Fault::Tail);
     let mut client = Client::to(cache.address("n0")).await;
     assert!(good(value(client.get("a", "1").await)));
     assert_eq!(client.answer().await, Some(Value::Bulk(Some(Bytes::from_static(b"other")))));
-    cache.fault(Some("n0"), Fault::Stall);
+    cache.set_fault(Some("n0"), Fault::Stall);
     client.send(&["OBJ.GET", "a", "3", "c=read"]).await;
     let stalled = tokio::time::timeout(Duration::from_millis(100), client.answer()).await;
     assert!(stalled.is_err(), "half an answer and no end");
-    cache.fault(None, Fault::Dead);
+    cache.set_fault(None, Fault::Dead);
     assert!(TcpStream::connect(cache.address("n0").unwrap()).await.is_err());
     cache.restart();
     let mut back = Client::to(cache.address("n0")).await;
@@ -232,10 +232,10 @@
 #[tokio::test]
 async fn a_machine_that_vanished_says_nothing_and_takes_no_connection_until_it_is_back() {
     let cache = cache(CacheSpec::default()).await;
-    cache.hold("a", 0);
+    cache.preload("a", 0);
     let mut before = Client::to(cache.address("n0")).await;
     assert!(value(before.get("a", "1").await).is_some());
-    cache.fault(Some("n0"), Fault::Silent);
+    cache.set_fault(Some("n0"), Fault::Silent);
     before.send(&["OBJ.GET", "a", "2", "c=read"]).await;
     assert!(tokio::time::timeout(Duration::from_millis(100), before.answer()).await.is_err(), "silent");
     // Those that fill its queue have come up by now; from here on none does.
@@ -249,7 +249,7 @@
         }
     }
     assert!(refused >= 3, "new connections never come up");
-    cache.fault(Some("n0"), Fault::None);
+    cache.set_fault(Some("n0"), Fault::None);
     assert_eq!(before.answer().await, None, "reset when it is back");
     let mut after = Client::to(Some(address)).await;
     assert!(value(after.get("a", "3").await).is_some());
@@ -347,27 +347,27 @@
         "only what changed: {}",
         watch.1
     );
-    discovery.trouble(Trouble::Dropping);
+    discovery.set_fault(DiscoveryFault::Dropping);
     discovery.change("s-2", "left", None, Duration::ZERO);
     assert!(watch.until(r#""status":"left""#).await);
     assert!(!watch.until("nothing more").await, "the watch is lost");
     let whole = http(discovery.address("n1"), "GET /v1/servers HTTP/1.1\r\nHost: d\r\n\r\n").await;
     assert!(whole.contains("s-1") && !whole.contains("s-2"), "{whole}");
-    discovery.trouble(Trouble::Failing);
+    discovery.set_fault(DiscoveryFault::Failing);
     assert!(
         http(discovery.address("n0"), "GET /v1/servers HTTP/1.1\r\n\r\n").await.starts_with("HTTP/1.1 503")
     );
-    discovery.trouble(Trouble::None);
+    discovery.set_fault(DiscoveryFault::None);
     let mut open = Watch::open(discovery.address("n0"), "").await;
     assert!(open.until("snapshot").await);
-    discovery.trouble(Trouble::Down);
+    discovery.set_fault(DiscoveryFault::Down);
     assert!(!open.until("nothing more").await, "watches end");
     while TcpStream::connect(discovery.address("n0").unwrap()).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     // What changes meanwhile is learned when it is up again.
-    discovery.change("s-2", "active", Some(Mono::now()), Duration::ZERO);
-    discovery.trouble(Trouble::None);
+    discovery.change("s-2", "active", Some(MonotonicClock::now()), Duration::ZERO);
+    discovery.set_fault(DiscoveryFault::None);
     let mut back = loop {
         if TcpStream::connect(discovery.address("n0").unwrap()).await.is_ok() {
             break Watch::open(discovery.address("n0"), "&after=3").await;
@@ -378,19 +378,19 @@
         back.1.split(r#""since_ms":"#).nth(1).unwrap().split([',', '}']).next().unwrap().parse().unwrap();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
     assert!(since.abs_diff(now) < 60_000, "Unix time: {since}");
-    discovery.step(-3_600_000);
+    discovery.step_clock(-3_600_000);
     let stepped = http(discovery.address("n0"), "GET /v1/servers HTTP/1.1\r\n\r\n").await;
     assert!(!stepped.contains(&format!("{since}")), "the clock of its reports has stepped");
 }
 
-async fn net(seed: u64) -> (PeerNet, Vec<UdpSocket>) {
+async fn net(seed: u64) -> (PeerNetwork, Vec<UdpSocket>) {
     let mut sockets = Vec::new();
     for _ in 0..3 {
         sockets.push(UdpSocket::bind("127.0.0.1:0").await.unwrap());
     }
     let nodes: Vec<_> =
         sockets.iter().enumerate().map(|(i, s)| (format!("n{i}"), s.local_addr().unwrap())).collect();
-    (PeerNet::start(&nodes, "127.0.0.1".parse().unwrap(), seed).await.unwrap(), sockets)
+    (PeerNetwork::start(&nodes, "127.0.0.1".parse().unwrap(), seed).await.unwrap(), sockets)
 }
 
 /// What has come to a socket when nothing more comes.
@@ -409,8 +409,14 @@
     let mut runs = Vec::new();
     for seed in [5, 5, 6] {
         let (net, sockets) = net(seed).await;
-        let delay = (Duration::from_millis(1), Duration::from_millis(80));
-        net.begin(Weather { loss: 0.4, duplicate: 0.2, delay, ..Weather::default() });
+        let (min_delay, max_delay) = (Duration::from_millis(1), Duration::from_millis(80));
+        net.apply(NetworkConditions {
+            loss: 0.4,
+            duplicate: 0.2,
+            min_delay,
+            max_delay,
+            ..NetworkConditions::default()
+        });
         for number in 0..100u8 {
             sockets[0].send_to(&[number], net.peers(0)[1]).await.unwrap();
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -430,16 +436,21 @@
     assert_eq!(runs[0], runs[1]);
     assert_ne!(runs[0], runs[2]);
     let (net, sockets) = net(1).await;
-    let cut = Weather { from: vec!["n0".into()], to: vec!["n2".into()], loss: 1.0, ..Weather::default() };
-    let cut = net.begin(cut);
+    let cut = NetworkConditions {
+        from: vec!["n0".into()],
+        to: vec!["n2".into()],
+        loss: 1.0,
+        ..NetworkConditions::default()
+    };
+    let cut = net.apply(cut);
     sockets[2].send_to(&[6], net.peers(2)[0]).await.unwrap();
     assert_eq!(came(&sockets[0]).await.len(), 1, "the other direction passes");
-    sockets[0].send_to(&[7], net.peers_all()).await.unwrap();
+    sockets[0].send_to(&[7], net.broadcast()).await.unwrap();
     sockets[0].send_to(&[0; 300], net.peers(0)[1]).await.unwrap();
     assert_eq!(came(&sockets[1]).await.len(), 1, "uncut, and nothing longer than 256 bytes");
     assert!(came(&sockets[2]).await.is_empty(), "cut off");
-    net.end(cut);
-    sockets[0].send_to(&[8], net.peers_all()).await.unwrap();
+    net.lift(cut);
+    sockets[0].send_to(&[8], net.broadcast()).await.unwrap();
     assert_eq!(came(&sockets[2]).await.len(), 1, "healed");
     assert_eq!(net.counts().too_long, 1);
 }
@@ -459,19 +470,19 @@
         share: 1.0,
         deadline_ms: 500,
         write: true,
-        keyed: true,
-        repeats: true,
+        idempotent: true,
+        retries_failures: true,
         value_len,
     };
     let load = Load { per_s: 8.0, for_ms: 500, classes: vec![class], retries: 0, ..Load::default() };
     let path = std::env::temp_dir().join(format!("stonevane-reset-{}-{value_len}", std::process::id()));
     let (recorder, writer) = Recorder::to(std::fs::File::create(&path).unwrap());
-    let mono = Mono::default();
-    let beat = tokio::spawn(mono.clone().beat());
+    let mono = MonotonicClock::default();
+    let beat = tokio::spawn(mono.clone().run_heartbeat());
     let planned = plan(&load, 1, 3);
     assert!(!planned.is_empty());
     let clients = Clients::new(&targets, load, 3, &mono, recorder);
-    clients.play(planned, Mono::now()).await;
+    clients.play(planned, MonotonicClock::now()).await;
     beat.abort();
     drop(clients);
     tokio::task::spawn_blocking(move || writer.finish()).await.unwrap().unwrap();
--- a/crates/stonevane-lab/src/crooked.rs
+++ b/crates/stonevane-lab/src/crooked.rs
@@ -7,8 +7,8 @@
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::{http, resp};
-use stonevane_emulators::cache::{Asked, asked};
 use stonevane_emulators::lock;
+use stonevane_emulators::request::Request;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -136,11 +136,11 @@
         let mut input = BytesMut::new();
         loop {
             while let Ok(Some(words)) = resp::take_command(&mut input) {
-                let Some(request) = asked(&words) else {
+                let Some(request) = Request::from_command(&words) else {
                     client.write_all(b"+PONG\r\n").await?;
                     continue;
                 };
-                let wait = Duration::from_millis(request.wait_ms.saturating_sub(20));
+                let wait = Duration::from_millis(request.deadline_ms.saturating_sub(20));
                 let made = tokio::time::timeout(wait, self.fetch(&request, &words, crime, memory)).await;
                 let mut value = made.ok().flatten();
                 if let Some(made) = value.clone() {
@@ -156,7 +156,7 @@
                     memory.last = Some(made);
                 }
                 if crime == Crime::AnswersLate {
-                    tokio::time::sleep(Duration::from_millis(request.wait_ms + 120)).await;
+                    tokio::time::sleep(Duration::from_millis(request.deadline_ms + 120)).await;
                 }
                 let mut answer = BytesMut::new();
                 match value {
@@ -174,7 +174,13 @@
         }
     }
 
-    async fn fetch(&self, request: &Asked, words: &[Bytes], crime: Crime, memory: &Memory) -> Option<Bytes> {
+    async fn fetch(
+        &self,
+        request: &Request,
+        words: &[Bytes],
+        crime: Crime,
+        memory: &Memory,
+    ) -> Option<Bytes> {
         let mut facts = String::from_utf8_lossy(&words[3]).into_owned();
         let mut words = words.to_vec();
         if request.write {
@@ -207,7 +213,7 @@
             }
             Crime::Invents => {
                 let mut made_up = words.clone();
-                made_up[2] = Bytes::from(format!("{}-again", request.request));
+                made_up[2] = Bytes::from(format!("{}-again", request.id));
                 ask_cache(*server, &made_up).await;
             }
             Crime::AsksTooOften => {
@@ -232,14 +238,14 @@
         }
     }
 
-    async fn ask_origin(&self, request: &Asked, facts: &str, body: Option<&Bytes>) -> Option<Bytes> {
+    async fn ask_origin(&self, request: &Request, facts: &str, body: Option<&Bytes>) -> Option<Bytes> {
         let mut stream = TcpStream::connect(self.origin).await.ok()?;
         let body: &[u8] = body.map_or(b"", |body| body);
         let method = if request.write { "PUT" } else { "GET" };
         let head = format!(
             "{method} /{} HTTP/1.1\r\nHost: origin\r\nX-Correlation-Id: {}\r\nX-Facts: {facts}\r\nContent-Length: {}\r\n\r\n",
             request.key,
-            request.request,
+            request.id,
             body.len()
         );
         stream.write_all(head.as_bytes()).await.ok()?;
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -14,11 +14,11 @@
 };
 use stonevane_emulators::cache::{Cache, CacheSpec};
 use stonevane_emulators::client::{Clients, key};
-use stonevane_emulators::discovery::{Discovery, Entry, Trouble};
+use stonevane_emulators::discovery::{Discovery, DiscoveryFault, Entry};
 use stonevane_emulators::origin::{Origin, OriginSpec};
-use stonevane_emulators::peers::{PeerNet, Weather};
+use stonevane_emulators::peers::{NetworkConditions, PeerNetwork};
 use stonevane_emulators::postgres::{PgFault, Postgres};
-use stonevane_emulators::{Fault, Mono, Recorder, lock};
+use stonevane_emulators::{Fault, MonotonicClock, Recorder, lock};
 use stonevane_membership::Setup;
 use stonevane_server_model::value::padded;
 use stonevane_store::{Edit, Sqlite, Store, postgres, sqlite};
@@ -115,7 +115,7 @@
     /// Discovery.
     pub discovery: Arc<Discovery>,
     /// The datagram network between nodes.
-    pub peers: PeerNet,
+    pub peers: PeerNetwork,
     /// The nodes, and the state of each: both are changed together.
     pub nodes: Mutex<Nodes>,
     /// What each is told at its start.
@@ -223,7 +223,7 @@
     let aim = |deadline_us: u64| deadline_us / 2;
     let classes = scenario.load.classes.iter().map(|class| {
         let deadline = class.deadline_ms * 1_000;
-        let effect = match (class.write, class.keyed) {
+        let effect = match (class.write, class.idempotent) {
             (false, _) => "pure",
             (true, true) => "token",
             (true, false) => "side_effect",
@@ -232,9 +232,9 @@
             "lateValue": 0.5, "effect": effect, "dedupScope": "all", "dedupWindowUs": KEYED_US})
     });
     let classes: Vec<_> = classes.collect();
-    let tenants = scenario.load.tenants.iter().zip(&scenario.shares).map(|((name, _), share)| {
+    let tenants = scenario.load.tenants.iter().zip(&scenario.shares).map(|(tenant, share)| {
         let quota = (scenario.quota * share * scenario.load.per_s).max(20.0);
-        serde_json::json!({"name": name, "quotaPerS": quota, "fraction": share})
+        serde_json::json!({"name": tenant.name, "quotaPerS": quota, "fraction": share})
     });
     let tenants: Vec<_> = tenants.collect();
     let attempts = if scenario.max_attempts == 0 { 100 } else { scenario.max_attempts };
@@ -261,7 +261,7 @@
         scenario: &Scenario,
         kind: &Kind,
         seed: u64,
-        mono: &Mono,
+        mono: &MonotonicClock,
         recorder: &Recorder,
     ) -> io::Result<Arc<Fleet>> {
         let ip = lab_ip();
@@ -311,7 +311,7 @@
                 continue;
             }
             for rank in 0..(scenario.load.keys as f64 * scenario.warm_keys) as usize {
-                cache.hold(&format!("{:016x}", key(rank)), 0);
+                cache.preload(&format!("{:016x}", key(rank)), 0);
             }
             caches.push(cache);
         }
@@ -346,7 +346,7 @@
             peer_listens.push((node_name(scenario.nodes + number), socket.local_addr()?));
             held_for_peers.push(socket);
         }
-        let peers = PeerNet::start(&peer_listens, ip, seed).await?;
+        let peers = PeerNetwork::start(&peer_listens, ip, seed).await?;
         let mut kind = kind.clone();
         // An operator file that the caller gives says itself whether nodes know of one another.
         let given = matches!(&kind, Kind::Process(Program { operator: Some(_), .. }));
@@ -385,7 +385,7 @@
                 "limits": {"cores": 1.0, "memory_mb": scenario.memory_mb, "sockets": scenario.sockets},
                 "peer_listen": peer_listens[number].1.to_string(),
                 "peers": peers.peers(number).iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
-                "peers_all": peers.peers_all().to_string(),
+                "peers_all": peers.broadcast().to_string(),
                 "mgmt": views.get(number).map_or(String::new(), SocketAddr::to_string),
                 "known": known, "settings": settings(scenario, number),
             });
@@ -466,9 +466,9 @@
     /// Waits until a life of a node is ready, for ten seconds at the most; whether it is, and has not ended
     /// meanwhile.
     async fn ready(&self, node: usize, life: Life) -> bool {
-        let (listen, end) = (self.targets[node].1, Mono::now() + 10_000_000);
-        while Mono::now() < end {
-            let begun = Mono::now();
+        let (listen, end) = (self.targets[node].1, MonotonicClock::now() + 10_000_000);
+        while MonotonicClock::now() < end {
+            let begun = MonotonicClock::now();
             let answers = ping(listen).await.unwrap_or(false);
             if let Some(ready) = self.settle(node, life, answers.then_some(begun)) {
                 return ready;
@@ -489,7 +489,7 @@
         let begun = answered?;
         nodes.table.ready(node, life);
         nodes.served[node] = life;
-        nodes.all[node].is_ready(Span { begun, ended: Mono::now() });
+        nodes.all[node].is_ready(Span { begun, ended: MonotonicClock::now() });
         Some(true)
     }
 
@@ -506,7 +506,7 @@
     /// Writes down that something was done.
     pub fn note(&self, words: &str) {
         tracing::info!(words, "lab");
-        let (t, who, event, state) = (Mono::at(), "lab".into(), Event::Fault, words.to_owned());
+        let (t, who, event, state) = (MonotonicClock::moment(), "lab".into(), Event::Fault, words.to_owned());
         self.recorder.line(Line { t, who, event, state, ..Line::default() });
     }
 
@@ -544,7 +544,7 @@
                 tokio::time::sleep(lasts).await;
             }
             Act::Store(fault) => {
-                let set = |fault| self.store.iter().for_each(|store| store.fault(fault));
+                let set = |fault| self.store.iter().for_each(|store| store.set_fault(fault));
                 set(*fault);
                 tokio::time::sleep(lasts).await;
                 set(PgFault::None);
@@ -576,9 +576,9 @@
                 }
             }
             Act::Discovery(trouble) => {
-                self.discovery.trouble(*trouble);
+                self.discovery.set_fault(*trouble);
                 tokio::time::sleep(lasts).await;
-                self.discovery.trouble(Trouble::None);
+                self.discovery.set_fault(DiscoveryFault::None);
             }
             Act::Late(late) => {
                 let before = std::mem::replace(&mut *lock(&self.late), *late);
@@ -586,9 +586,9 @@
                 *lock(&self.late) = before;
             }
             Act::Clock(by) => {
-                self.discovery.step(*by);
+                self.discovery.step_clock(*by);
                 tokio::time::sleep(lasts).await;
-                self.discovery.step(0);
+                self.discovery.step_clock(0);
             }
             Act::Peers { from, to, loss, duplicate, delay_ms } => {
                 let delay = (Duration::from_millis(delay_ms.0), Duration::from_millis(delay_ms.1));
@@ -596,11 +596,17 @@
                 let (from, to) = (names(from), names(to));
                 let period = self.membership.as_ref().map_or(delay.1, |spec| spec.period);
                 let mild = *loss <= 0.1 && delay.1 <= period / 20;
-                let number =
-                    self.peers.begin(Weather { from, to, loss: *loss, duplicate: *duplicate, delay });
+                let number = self.peers.apply(NetworkConditions {
+                    from,
+                    to,
+                    loss: *loss,
+                    duplicate: *duplicate,
+                    min_delay: delay.0,
+                    max_delay: delay.1,
+                });
                 self.weather(if mild { "mild" } else { "severe" });
                 tokio::time::sleep(lasts).await;
-                self.peers.end(number);
+                self.peers.lift(number);
                 self.weather(if mild { "mild-ends" } else { "severe-ends" });
             }
             Act::Partition(groups) => {
@@ -645,11 +651,11 @@
                 self.release(node, &self.configs[node]).await;
             }
             ToNode::Term => {
-                clients.ending(node, true);
+                clients.set_terminating(node, true);
                 self.term(node).await;
                 tokio::time::sleep(step).await;
                 self.release(node, &self.configs[node]).await;
-                clients.ending(node, false);
+                clients.set_terminating(node, false);
             }
             ToNode::Pause => {
                 let Some(life) = self.stop(node, true) else { return };
@@ -662,8 +668,8 @@
                     nodes.all[node].slowed(true);
                     nodes.table.get(node).1
                 };
-                let end = Mono::now() + lasts.as_micros() as u64;
-                while Mono::now() < end && lock(&self.nodes).table.get(node).1 == life {
+                let end = MonotonicClock::now() + lasts.as_micros() as u64;
+                while MonotonicClock::now() < end && lock(&self.nodes).table.get(node).1 == life {
                     if self.stop(node, false) != Some(life) {
                         break;
                     }
@@ -721,7 +727,12 @@
         let (from, to) = (members(from), members(to));
         let names = |numbers: &[usize]| numbers.iter().map(|number| node_name(*number)).collect::<Vec<_>>();
         let weather = (!from.is_empty() && !to.is_empty()).then(|| {
-            self.peers.begin(Weather { from: names(&from), to: names(&to), loss: 1.0, ..Weather::default() })
+            self.peers.apply(NetworkConditions {
+                from: names(&from),
+                to: names(&to),
+                loss: 1.0,
+                ..NetworkConditions::default()
+            })
         });
         self.tell_cut(&from, &to, "cut");
         // What a node asks does not come to discovery, or what that answers does not come back: it hears nothing.
@@ -730,21 +741,21 @@
             false => Vec::new(),
         };
         let silent = [apart(&from, to_names), apart(&to, from_names)].concat();
-        silent.iter().for_each(|node| self.discovery.cut(node, true));
+        silent.iter().for_each(|node| self.discovery.set_cut(node, true));
         Cuts { faults, weather, from, to, silent }
     }
 
     fn uncut(&self, cuts: Cuts) {
         cuts.faults.iter().for_each(|(server, number)| self.end_fault(server, *number));
-        cuts.weather.iter().for_each(|number| self.peers.end(*number));
-        cuts.silent.iter().for_each(|node| self.discovery.cut(node, false));
+        cuts.weather.iter().for_each(|number| self.peers.lift(*number));
+        cuts.silent.iter().for_each(|node| self.discovery.set_cut(node, false));
         self.tell_cut(&cuts.from, &cuts.to, "passes");
     }
 
     fn tell_cut(&self, from: &[usize], to: &[usize], state: &str) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
-                let (t, who, event) = (Mono::at(), "lab".into(), Event::Cut);
+                let (t, who, event) = (MonotonicClock::moment(), "lab".into(), Event::Cut);
                 let (node, server, state) = (node_name(from), node_name(to), state.to_owned());
                 self.recorder.line(Line { t, who, event, node, server, state, ..Line::default() });
             }
@@ -752,7 +763,8 @@
     }
 
     fn weather(&self, state: &str) {
-        let (t, who, event, state) = (Mono::at(), "lab".into(), Event::Weather, state.to_owned());
+        let (t, who, event, state) =
+            (MonotonicClock::moment(), "lab".into(), Event::Weather, state.to_owned());
         self.recorder.line(Line { t, who, event, state, ..Line::default() });
     }
 
@@ -792,12 +804,12 @@
                 loop {
                     ticks.tick().await;
                     let (state, life) = lock(&own.nodes).table.get(number);
-                    let begun = Mono::now();
+                    let begun = MonotonicClock::now();
                     let view = tokio::time::timeout(Duration::from_millis(500), read_view(address)).await;
                     // A view of the same life, read while it ran all the time.
                     let same = lock(&own.nodes).table.is(number, life, state) && state == State::Ready;
                     if let (Ok(Ok(state)), true) = (view, same) {
-                        let t = Span { begun, ended: Mono::now() };
+                        let t = Span { begun, ended: MonotonicClock::now() };
                         let (who, event, node) = ("lab".into(), Event::View, node_name(number));
                         own.recorder.line(Line { t, who, event, node, state, ..Line::default() });
                     }
@@ -814,8 +826,8 @@
         let number = faults.begin(server, node, fault);
         if lived && faults.dead(server) {
             match self.cache(server) {
-                Some(cache) => cache.fault(None, Fault::Dead),
-                None => self.origin.fault(None, Fault::Dead),
+                Some(cache) => cache.set_fault(None, Fault::Dead),
+                None => self.origin.set_fault(None, Fault::Dead),
             }
             self.discovery.change(server, "left", None, self.late());
         }
@@ -839,8 +851,8 @@
     fn show(&self, server: &str, faults: &Faults) {
         for (node, _) in &self.targets {
             match self.cache(server) {
-                Some(cache) => cache.fault(Some(node), faults.at(server, node)),
-                None => self.origin.fault(Some(node), faults.at(server, node)),
+                Some(cache) => cache.set_fault(Some(node), faults.at(server, node)),
+                None => self.origin.set_fault(Some(node), faults.at(server, node)),
             }
         }
     }
@@ -851,7 +863,7 @@
         let graced = self.late() + Duration::from_millis(700);
         tokio::time::sleep(graced.min(lasts)).await;
         if let Some(cache) = self.cache(name) {
-            cache.drain(true);
+            cache.set_draining(true);
         }
         tokio::time::sleep(lasts.saturating_sub(graced)).await;
     }
@@ -871,7 +883,7 @@
 
     /// Asks a node to end, and waits until it has; one that has not by then is killed.
     async fn term(&self, node: usize) {
-        let end = Mono::now() + EXIT_US + 50_000;
+        let end = MonotonicClock::now() + EXIT_US + 50_000;
         let life = {
             let mut nodes = lock(&self.nodes);
             nodes.look(node);
@@ -890,7 +902,7 @@
                 if !nodes.table.is(node, life, State::Ending) {
                     return;
                 }
-                if Mono::now() >= end {
+                if MonotonicClock::now() >= end {
                     nodes.table.ended(node, life);
                     return nodes.all[node].kill();
                 }
--- a/crates/stonevane-lab/src/member.rs
+++ b/crates/stonevane-lab/src/member.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use oorandom::Rand64;
-use stonevane_emulators::Mono;
+use stonevane_emulators::MonotonicClock;
 use stonevane_membership::wire::{Kind, Message};
 use stonevane_membership::{Input, Instance, Machine, Mutant, Outputs, Record, Setup, State};
 use tokio::net::UdpSocket;
@@ -28,10 +28,10 @@
     /// Takes part until it is ended.
     pub async fn run(self, mut ended: watch::Receiver<bool>) {
         let Ok(socket) = UdpSocket::bind(self.listen).await else { return };
-        let mut machine = Machine::with(Mono::now(), self.setup, Some(self.mutant));
+        let mut machine = Machine::with(MonotonicClock::now(), self.setup, Some(self.mutant));
         let (mut outputs, mut buffer) = (Outputs::default(), [0; 512]);
         loop {
-            let wait = Duration::from_micros(machine.next().saturating_sub(Mono::now()));
+            let wait = Duration::from_micros(machine.next().saturating_sub(MonotonicClock::now()));
             let heard = tokio::select! {
                 heard = socket.recv_from(&mut buffer) => heard.ok(),
                 () = tokio::time::sleep(wait) => None,
@@ -44,7 +44,7 @@
                 Some((length, from)) => Input::Datagram(from, &buffer[..length]),
                 None => Input::Wake,
             };
-            machine.handle(Mono::now(), input, &mut outputs);
+            machine.handle(MonotonicClock::now(), input, &mut outputs);
             outputs.news.clear();
             while let Some((to, bytes)) = outputs.sends.pop_front() {
                 let _ = socket.send_to(&bytes, self.peers[usize::from(to)]).await;
--- a/crates/stonevane-lab/src/nodes.rs
+++ b/crates/stonevane-lab/src/nodes.rs
@@ -8,7 +8,7 @@
 
 use rustix::process::{Pid, Signal, kill_process};
 use stonevane_audit::{Event, Line, Span};
-use stonevane_emulators::{Mono, Recorder};
+use stonevane_emulators::{MonotonicClock, Recorder};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -99,7 +99,7 @@
     /// # Errors
     /// What kept it from starting.
     pub fn start(&mut self, config: &str) -> io::Result<()> {
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         match &self.kind {
             Kind::Process(Program { path, operator }) => {
                 let config_path = self.configure(config)?;
@@ -136,7 +136,7 @@
             }
         }
         self.seen = begun;
-        self.line(Span { begun, ended: Mono::now() }, "starting");
+        self.line(Span { begun, ended: MonotonicClock::now() }, "starting");
         Ok(())
     }
 
@@ -168,13 +168,13 @@
 
     /// Kills it.
     pub fn kill(&mut self) {
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         if let Some(Life::Process(child)) = &mut self.life {
             let _ = child.kill();
             let _ = child.wait();
         }
         self.life = None;
-        self.line(Span { begun, ended: Mono::now() }, "killed");
+        self.line(Span { begun, ended: MonotonicClock::now() }, "killed");
     }
 
     fn signal(&self, signal: Signal) {
@@ -186,22 +186,25 @@
 
     /// Stops its process, or lets it go on. `told`: whether that is written down, or only one of many short stops.
     pub fn stop(&mut self, stopped: bool, told: bool) {
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         self.signal(if stopped { Signal::STOP } else { Signal::CONT });
         if told {
-            self.line(Span { begun, ended: Mono::now() }, if stopped { "paused" } else { "resumed" });
+            self.line(
+                Span { begun, ended: MonotonicClock::now() },
+                if stopped { "paused" } else { "resumed" },
+            );
         }
     }
 
     /// Notes that one of several steps that have it stopped lets it go on.
     pub fn resumed(&self) {
-        let now = Mono::now();
+        let now = MonotonicClock::now();
         self.line(Span { begun: now, ended: now }, "resumed");
     }
 
     /// Notes that it is slowed, or no longer is.
     pub fn slowed(&self, slowed: bool) {
-        let now = Mono::now();
+        let now = MonotonicClock::now();
         self.line(Span { begun: now, ended: now }, if slowed { "slowed" } else { "steady" });
     }
 
@@ -219,26 +222,26 @@
     pub fn reload(&self, config: &str) -> io::Result<()> {
         self.configure(config)?;
         self.signal(Signal::HUP);
-        let now = Mono::now();
+        let now = MonotonicClock::now();
         self.line(Span { begun: now, ended: now }, "reloaded");
         Ok(())
     }
 
     /// Asks it to end.
     pub fn term(&mut self) {
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         match &self.life {
             Some(Life::Process(_)) => self.signal(Signal::TERM),
             Some(Life::Little(end)) => drop(end.send(true)),
             None => return,
         }
-        self.line(Span { begun, ended: Mono::now() }, "term");
+        self.line(Span { begun, ended: MonotonicClock::now() }, "term");
     }
 
     /// Whether it has ended since it was looked at last: between which moments, and how. A little node ends at
     /// once.
     pub fn ended(&mut self) -> Option<(Span, Option<ExitStatus>)> {
-        let now = Mono::now();
+        let now = MonotonicClock::now();
         let ended = match &mut self.life {
             Some(Life::Process(child)) => child.try_wait().ok().flatten().map(Some),
             Some(Life::Little(end)) => (*end.borrow()).then_some(None),
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use stonevane_audit::{Event, HistoryError, Line, Report, Rules, audit};
 use stonevane_emulators::client::{Clients, plan};
-use stonevane_emulators::{Mono, Recorder};
+use stonevane_emulators::{MonotonicClock, Recorder};
 use stonevane_server_model::value::digest;
 
 use crate::fleet::{Fleet, rules};
@@ -118,7 +118,7 @@
 
 /// The first line of a history.
 pub fn begin(rules: Rules) -> Line {
-    let (t, who, event) = (Mono::at(), "lab".into(), Event::Begin);
+    let (t, who, event) = (MonotonicClock::moment(), "lab".into(), Event::Begin);
     Line { t, who, event, rules: Some(Box::new(rules)), ..Line::default() }
 }
 
@@ -208,18 +208,18 @@
     planned: Vec<stonevane_emulators::client::Planned>,
     recorder: &Recorder,
 ) -> Result<Option<u64>, RunError> {
-    let mono = Mono::default();
-    let beat = tokio::spawn(mono.clone().beat());
+    let mono = MonotonicClock::default();
+    let beat = tokio::spawn(mono.clone().run_heartbeat());
     let fleet = Fleet::start(scenario, &options.kind, seed, &mono, recorder).await?;
     let clients = Clients::new(&fleet.targets, scenario.load.clone(), seed, &mono, recorder.clone());
-    let start = Mono::now() + 20_000;
+    let start = MonotonicClock::now() + 20_000;
     fleet.note("load");
     let mut steps = tokio::task::JoinSet::new();
     for step in scenario.steps.clone() {
         let (fleet, clients) = (fleet.clone(), clients.clone());
         steps.spawn(async move {
             let at = start + step.at.as_micros() as u64;
-            tokio::time::sleep(Duration::from_micros(at.saturating_sub(Mono::now()))).await;
+            tokio::time::sleep(Duration::from_micros(at.saturating_sub(MonotonicClock::now()))).await;
             fleet.step(&step, &clients).await;
         });
     }
@@ -231,7 +231,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             watched.look();
             if progress && turn % 50 == 0 {
-                let now = Mono::now().saturating_sub(start) / 1_000;
+                let now = MonotonicClock::now().saturating_sub(start) / 1_000;
                 let _ = writeln!(
                     io::stderr(),
                     "  {:.0} of {:.0} s, {} asked",
@@ -252,7 +252,7 @@
     steps.shutdown().await;
     watch.abort();
     views.abort();
-    let t = Mono::at();
+    let t = MonotonicClock::moment();
     recorder.line(Line { t, who: "lab".into(), event: Event::End, ..Line::default() });
     let queries = fleet.store.as_ref().map(|store| store.counts().reads);
     fleet.end().await;
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -6,8 +6,8 @@
 use stonevane_config::{Document, Fault as Wrong, Table, suggest};
 use stonevane_emulators::Fault;
 use stonevane_emulators::cache::CacheSpec;
-use stonevane_emulators::client::{Load, LoadClass};
-use stonevane_emulators::discovery::{DiscoverySpec, Trouble};
+use stonevane_emulators::client::{Crowd, Load, LoadClass, Tenant};
+use stonevane_emulators::discovery::{DiscoveryFault, DiscoverySpec};
 use stonevane_emulators::origin::OriginSpec;
 use stonevane_emulators::postgres::PgFault;
 use stonevane_membership::Mutant;
@@ -239,7 +239,7 @@
         moved: Who,
     },
     /// Discovery is in trouble.
-    Discovery(Trouble),
+    Discovery(DiscoveryFault),
     /// Discovery learns of changes this late.
     Late(Duration),
     /// The clock of discovery's reports steps.
@@ -488,7 +488,8 @@
         scenario.read_tenants(&mut root.tables("tenant").into_iter());
         for table in root.tables("crowd") {
             let ms = |key| table.integer(key, 1_000, 0..=MAX_FOR_MS);
-            scenario.load.crowds.push((ms("at_ms"), ms("for_ms"), table.number("times", 1.5, 1.0..=20.0)));
+            let (at_ms, for_ms) = (ms("at_ms"), ms("for_ms"));
+            scenario.load.crowds.push(Crowd { at_ms, for_ms, times: table.number("times", 1.5, 1.0..=20.0) });
             table.finish();
         }
         if let Some(table) = table {
@@ -521,7 +522,9 @@
         let cut_ms = |ms: u64| (ms as f64 * self.short) as u64;
         let mut short = self.clone();
         short.load.for_ms = cut_ms(self.load.for_ms);
-        short.load.crowds.iter_mut().for_each(|c| (c.0, c.1) = (cut_ms(c.0), cut_ms(c.1)));
+        for crowd in &mut short.load.crowds {
+            (crowd.at_ms, crowd.for_ms) = (cut_ms(crowd.at_ms), cut_ms(crowd.for_ms));
+        }
         short.steps.iter_mut().for_each(|step| (step.at, step.lasts) = (cut(step.at), cut(step.lasts)));
         short.expects.clone_from(&self.short_expects);
         short
@@ -631,8 +634,8 @@
             share,
             deadline_ms,
             write,
-            keyed,
-            repeats: !write || keyed,
+            idempotent: keyed,
+            retries_failures: !write || keyed,
             value_len: 24,
         };
         let read = class(
@@ -645,7 +648,7 @@
         let edit = class("zone-edit", edits, integer("edit_deadline_ms", 300, 50..=60_000), true, true);
         // A class whose effect happens again: no part of the platform's, and all the harder for it.
         let unsafe_ = class("zone-move", moves, integer("edit_deadline_ms", 300, 50..=60_000), true, false);
-        let tenant = |name: &str, share| (name.to_owned(), share);
+        let tenant = |name: &str, share| Tenant { name: name.to_owned(), share };
         self.load = Load {
             per_s: number("per_s", base.per_s, 0.0..=50_000.0),
             for_ms: integer("for_ms", base.for_ms, 100..=MAX_FOR_MS),
@@ -656,7 +659,7 @@
             classes: vec![read, edit, unsafe_],
             tenants: vec![tenant("coastline", 0.43), tenant("dishdash", 0.30), tenant("reef-eats", 0.27)],
             retries: integer("retries", 1, 0..=10) as u32,
-            honour: number("honour", base.honour, 0.0..=1.0),
+            obeys_retry_after: number("honour", base.obeys_retry_after, 0.0..=1.0),
             backoff_ms: integer("backoff_ms", base.backoff_ms, 1..=10_000),
             impatient: number("impatient", base.impatient, 0.0..=1.0),
         };
@@ -664,12 +667,12 @@
 
     /// Tenants with their shares, and how much of theirs they send.
     fn read_tenants(&mut self, tables: &mut dyn Iterator<Item = Table<'_, '_>>) {
-        self.shares = self.load.tenants.iter().map(|(_, share)| *share).collect();
+        self.shares = self.load.tenants.iter().map(|tenant| tenant.share).collect();
         let (mut tenants, mut shares) = (Vec::new(), Vec::new());
         for table in tables {
             let name = table.required("name");
             let share = table.number("share", 0.1, 0.0..=1.0);
-            tenants.push((name, share * table.number("sends", 1.0, 0.0..=100.0)));
+            tenants.push(Tenant { name, share: share * table.number("sends", 1.0, 0.0..=100.0) });
             shares.push(share);
             table.finish();
         }
@@ -767,10 +770,10 @@
                 misses: table.integer("misses", 0, 0..=self.nodes as u64 / 2) as usize,
                 moved: Who(if table.has("moved") { named("moved")? } else { Vec::new() }),
             },
-            "discovery-down" => Act::Discovery(Trouble::Down),
-            "discovery-failing" => Act::Discovery(Trouble::Failing),
-            "discovery-silent" => Act::Discovery(Trouble::Silent),
-            "discovery-dropping" => Act::Discovery(Trouble::Dropping),
+            "discovery-down" => Act::Discovery(DiscoveryFault::Down),
+            "discovery-failing" => Act::Discovery(DiscoveryFault::Failing),
+            "discovery-silent" => Act::Discovery(DiscoveryFault::Silent),
+            "discovery-dropping" => Act::Discovery(DiscoveryFault::Dropping),
             "late" => Act::Late(Duration::from_millis(table.integer("by_ms", 1_000, 0..=60_000))),
             "clock" => {
                 let back = table.flag("back", false);
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -133,7 +133,7 @@
     assert_eq!(node.client().ask(&get("bb", "first")).unwrap(), "");
     // So many at once are let through by a fleet that is known to be quiet.
     std::thread::sleep(Duration::from_millis(3_500));
-    server.fault(PgFault::Slow(1_500));
+    server.set_fault(PgFault::Slow(1_500));
     let reads = server.counts().reads;
     let mut clients: Vec<_> = (0..200).map(|_| node.client()).collect();
     for (id, client) in clients.iter_mut().enumerate() {
@@ -154,7 +154,7 @@
     let (server, folder) = (server(&[("aa", "area")]), Folder::new());
     let mut node = before(&server, &folder, "");
     assert_eq!(node.client().ask(&get("aa", "0")).unwrap(), "area");
-    server.fault(PgFault::Stall);
+    server.set_fault(PgFault::Stall);
     let begun = Instant::now();
     // Calls that were made before the breaker opens cost their time limit; it opens on the third.
     until(&node, "stalls", |id| get("aa", id), |answer| answer.starts_with("-BUSY "));
@@ -178,11 +178,11 @@
     assert!(advised * 2 > turn, "{advised} of {turn} misses were told when to come back");
     // A probe now and then takes its time limit, for a read and for an edit.
     assert!(slowest < Duration::from_millis(1_500), "{slowest:?}");
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     let read = until(&node, "back", |id| get("aa", id), |answer| answer == "area");
     let edit = until(&node, "edit", |id| put("bb", id, "area"), |answer| !answer.starts_with('-'));
     assert!(read + edit < Duration::from_secs(2), "whole {read:?} and {edit:?} after its return");
-    assert_eq!(server.look("SELECT COUNT(*) FROM edits").unwrap(), [1.into()], "one key, run once");
+    assert_eq!(server.query_column("SELECT COUNT(*) FROM edits").unwrap(), [1.into()], "one key, run once");
     let line = ended(&mut node);
     assert!(!line.contains("stopped 0 times"), "{line}");
 }
@@ -202,7 +202,7 @@
     let operator = format!("set -- --operator {};", path.display());
     let node = Node::start_with(discovery, &list(cache(lacks).address), 256, &operator);
     assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
-    server.fault(PgFault::Late(600));
+    server.set_fault(PgFault::Late(600));
     let (mut early, mut late) = (node.client(), node.client());
     let reads = server.counts().reads;
     early.send(&get("aa", "early"));
@@ -212,9 +212,11 @@
     // Its answer is on its way, with the old value; the edit of another node is committed now.
     std::thread::sleep(Duration::from_millis(50));
     server
-        .look("UPDATE zones SET value = CAST('new' AS BLOB), version = 2 WHERE key = 'aa' RETURNING version")
+        .query_column(
+            "UPDATE zones SET value = CAST('new' AS BLOB), version = 2 WHERE key = 'aa' RETURNING version",
+        )
         .unwrap();
-    server.look("UPDATE counter SET version = 2 WHERE id = 1 RETURNING version").unwrap();
+    server.query_column("UPDATE counter SET version = 2 WHERE id = 1 RETURNING version").unwrap();
     late.send(&get("aa", "late"));
     assert_eq!(early.answer().unwrap(), "old", "it was asked before");
     assert_eq!(late.answer().unwrap(), "new");
@@ -227,7 +229,7 @@
     let node = before(&server, &folder, "");
     assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "area");
     // A read takes 60 ms of its 200, an edit seven times as long.
-    server.fault(PgFault::Slow(60));
+    server.set_fault(PgFault::Slow(60));
     let mut edits: Vec<_> = (0..4).map(|_| node.client()).collect();
     for (id, client) in edits.iter_mut().enumerate() {
         client.send(&put(&format!("b{id}"), &format!("e{id}"), "area"));
@@ -249,16 +251,20 @@
     let (server, folder) = (server(&[]), Folder::new());
     let node = before(&server, &folder, "");
     let first = node.client().ask(&put("aa", "1", "one")).unwrap();
-    server.fault(PgFault::CommitLost);
+    server.set_fault(PgFault::CommitLost);
     let text = put("aa", "2", "two");
     let text = String::from_utf8(text).unwrap().replace("k=77", "k=78");
     let lost = node.client().ask(text.as_bytes()).unwrap();
     assert!(!lost.starts_with("-BUSY"), "it has run: {lost}");
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     let again = text.replace("\r\n2\r\n", "\r\n3\r\n");
     let ask = |_: &str| again.clone().into_bytes();
     until(&node, "again", ask, |answer| !answer.starts_with('-'));
-    assert_eq!(server.look("SELECT version FROM counter").unwrap(), [2.into()], "after receipt {first}");
+    assert_eq!(
+        server.query_column("SELECT version FROM counter").unwrap(),
+        [2.into()],
+        "after receipt {first}"
+    );
 }
 
 /// The line that a node logs of its store when it ends.
@@ -356,10 +362,10 @@
     let operator = format!("set -- --operator {};", path.display());
     let mut node = Node::start_with(discovery, &list(cache.address), 256, &operator);
     assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
-    server.fault(PgFault::CommitLost);
+    server.set_fault(PgFault::CommitLost);
     let lost = node.client().ask(&put("aa", "2", "new")).unwrap();
     assert!(lost.starts_with("-ERR"), "{lost}");
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     let void = voids.recv_timeout(Duration::from_secs(10)).expect("its copies are voided");
     assert_eq!(void, ("aa".to_owned(), "2".to_owned()));
     let line = ended(&mut node);
@@ -380,13 +386,13 @@
     assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
     edit("old");
     let reads = server.counts().reads;
-    server.fault(PgFault::Late(170));
+    server.set_fault(PgFault::Late(170));
     let (mut early, mut late) = (node.client(), node.client());
     early.send(&get("aa", "early"));
     while server.counts().reads == reads {
         std::thread::sleep(Duration::from_millis(1));
     }
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     edit("new");
     std::thread::sleep(Duration::from_millis(40));
     late.send(&get("aa", "late"));
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::{self, Receiver, RecvTimeoutError};
 use std::time::{Duration, Instant};
 
-use stonevane_emulators::Mono;
+use stonevane_emulators::MonotonicClock;
 
 use crate::Micros;
 use crate::convergence::{Convergence, Reached};
@@ -192,7 +192,7 @@
         tell: &mut dyn FnMut(String),
     ) -> Result<(), RunError> {
         let peers = self.bind()?;
-        let begun = Mono::now();
+        let begun = MonotonicClock::now();
         self.processes.tell_all(&Order::Start { peers, discovery: registry.address() })?;
 
         figures.converged_s = self.until_all(|progress| progress.complete)?.map(|at| seconds(begun, at));
--- a/crates/stonevane-scale/src/node.rs
+++ b/crates/stonevane-scale/src/node.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use stonevane_core::Input as CoreInput;
-use stonevane_emulators::Mono;
+use stonevane_emulators::MonotonicClock;
 use stonevane_node::discovery::{Discovery, Traffic};
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -35,7 +35,7 @@
 impl Clock {
     /// A clock of this process.
     pub fn start() -> Clock {
-        Clock { start: Instant::now(), begun: Mono::now() }
+        Clock { start: Instant::now(), begun: MonotonicClock::now() }
     }
 
     /// The time.
--- a/crates/stonevane-store/tests/postgres.rs
+++ b/crates/stonevane-store/tests/postgres.rs
@@ -78,11 +78,11 @@
     // Its connection ends, or says nothing more.
     for (fault, version) in [(PgFault::CommitLost, 2), (PgFault::CommitSilent, 3)] {
         let token = format!("t{version}");
-        server.fault(fault);
+        server.set_fault(fault);
         let lost = timeout(Duration::from_secs(10), one.edit(edit("a", "one", Some(&token)))).await;
         let lost = lost.expect("in time").unwrap_err();
         assert!(!lost.proves_not_done(), "it was done: {lost}");
-        server.fault(PgFault::None);
+        server.set_fault(PgFault::None);
         let receipt = other.edit(edit("a", "one", Some(&token))).await;
         assert_eq!(receipt, Ok(Receipt { version, repeat: true }));
         assert_eq!(value(&one, "a").await, Ok(Some((b"one".to_vec(), version))));
@@ -100,11 +100,11 @@
         (PgFault::Shutdown, StoreError::Unreachable),
         (PgFault::Refuse, StoreError::Unreachable),
     ] {
-        server.fault(fault);
+        server.set_fault(fault);
         let failed = timeout(Duration::from_secs(5), node.edit(edit("a", "two", Some("t")))).await;
         let failed = failed.expect("in time").unwrap_err();
         assert_eq!((&failed, failed.proves_not_done()), (&wanted, true), "{fault:?}");
-        server.fault(PgFault::None);
+        server.set_fault(PgFault::None);
         let again = async {
             while value(&node, "a").await.is_err() {}
             value(&node, "a").await
@@ -112,10 +112,10 @@
         let found = timeout(Duration::from_secs(5), again).await.expect("it comes back");
         assert_eq!(found, Ok(Some((b"one".to_vec(), 1))), "{fault:?}");
     }
-    server.fault(PgFault::MidRow);
+    server.set_fault(PgFault::MidRow);
     let torn = value(&node, "a").await.unwrap_err();
     assert!(torn.is_silence(), "{torn}");
-    server.fault(PgFault::TooMany);
+    server.set_fault(PgFault::TooMany);
     assert_eq!(value(&node, "a").await, Err(StoreError::Unreachable), "it has no place for a new connection");
 }
 
@@ -155,7 +155,7 @@
     node.edit(edit("a", "new", None)).await.unwrap();
     assert_eq!(value(&node, "a").await, Ok(Some((b"new".to_vec(), 2))));
     server.fail_over().unwrap();
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     let end = Instant::now() + Duration::from_secs(5);
     loop {
         let found = value(&node, "a").await;
@@ -180,7 +180,7 @@
     while let Some(asked) = asks.join_next().await {
         asked.unwrap().unwrap();
     }
-    server.fault(PgFault::Shutdown);
+    server.set_fault(PgFault::Shutdown);
     let before = server.counts().connections;
     let end = Instant::now() + Duration::from_millis(600);
     for _ in 0..16 {
@@ -195,7 +195,7 @@
     while asks.join_next().await.is_some() {}
     let tries = server.counts().connections - before;
     assert!((1..=12).contains(&tries), "{tries} tries in 600 ms from 16 callers");
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     let found = timeout(Duration::from_secs(2), async { while value(&node, "a").await.is_err() {} }).await;
     assert!(found.is_ok(), "back within two seconds");
 }
@@ -206,14 +206,14 @@
     let node = node(&server);
     node.edit(edit("a", "one", None)).await.unwrap();
     let before = server.counts();
-    server.fault(PgFault::Slow(10_000));
+    server.set_fault(PgFault::Slow(10_000));
     assert!(timeout(Duration::from_millis(50), node.get("a")).await.is_err());
     let end = Instant::now() + Duration::from_secs(5);
     while server.counts().cancels == before.cancels {
         assert!(Instant::now() < end, "no cancel request came");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     assert_eq!(value(&node, "a").await, Ok(Some((b"one".to_vec(), 1))));
     assert!(server.counts().connections > before.connections + 1, "the cancel's, and a new one");
 }
@@ -245,17 +245,20 @@
     };
     assert_eq!(heard, change("with a space", version + 1));
     // Its connection is lost, and others change keys meanwhile, one of them twice.
-    server.fault(PgFault::Refuse);
+    server.set_fault(PgFault::Refuse);
     let by_hand = |key: &str| {
-        let next =
-            server.look("UPDATE counter SET version = version + 1 WHERE id = 1 RETURNING version").unwrap();
+        let next = server
+            .query_column("UPDATE counter SET version = version + 1 WHERE id = 1 RETURNING version")
+            .unwrap();
         let rusqlite::types::Value::Integer(next) = next[0] else { panic!("{next:?}") };
         let row = format!("VALUES ('{key}', CAST('x' AS BLOB), {next}, 0)");
         let put = "ON CONFLICT (key) DO UPDATE SET version = excluded.version RETURNING version";
-        server.look(&format!("INSERT INTO zones (key, value, version, edited_at) {row} {put}")).unwrap();
+        server
+            .query_column(&format!("INSERT INTO zones (key, value, version, edited_at) {row} {put}"))
+            .unwrap();
     };
     ["b", "c", "b"].iter().for_each(|key| by_hand(key));
-    server.fault(PgFault::None);
+    server.set_fault(PgFault::None);
     assert_eq!((told().await, told().await), (change("c", version + 3), change("b", version + 4)));
     // A change of which no notice came at all.
     by_hand("d");
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -12,7 +12,7 @@
 use clap::Subcommand;
 use stonevane_audit::{Effect, Event, Line, Outcome, Rules, Span, audit};
 use stonevane_emulators::client::{Clients, plan};
-use stonevane_emulators::{Mono, Recorder};
+use stonevane_emulators::{MonotonicClock, Recorder};
 use stonevane_lab::{Fleet, Kind, Scenario, summarise};
 
 use crate::{NOT_RUN, node};
@@ -198,7 +198,13 @@
     let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
     let (recorder, writer) = Recorder::to(File::create(&path).map_err(text)?);
     let rules = Some(Box::new(Rules::default()));
-    recorder.line(Line { t: Mono::at(), who: "bench".into(), event: Event::Begin, rules, ..Line::default() });
+    recorder.line(Line {
+        t: MonotonicClock::moment(),
+        who: "bench".into(),
+        event: Event::Begin,
+        rules,
+        ..Line::default()
+    });
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(text)?;
     let own = std::process::id();
     // Behind a relay the node stands idle.
@@ -207,8 +213,8 @@
         None => std::env::current_exe().map_err(text)?.with_file_name("stonevane-node"),
     };
     let (cpu, own_cpu) = runtime.block_on(async {
-        let mono = Mono::default();
-        let _beat = tokio::spawn(mono.clone().beat());
+        let mono = MonotonicClock::default();
+        let _beat = tokio::spawn(mono.clone().run_heartbeat());
         let kind = Kind::Process(node.into());
         let fleet = Fleet::start(scenario, &kind, 1, &mono, &recorder).await.map_err(text)?;
         let (targets, pid, _relay) = if program.is_some() {
@@ -221,10 +227,10 @@
         let clients = Clients::new(&targets, scenario.load.clone(), 1, &mono, recorder.clone());
         let planned = plan(&scenario.load, 1, 1);
         // Warm: connections are up and the pages are there.
-        clients.hammer(&planned, connections, Mono::now() + 300_000).await;
+        clients.hammer(&planned, connections, MonotonicClock::now() + 300_000).await;
         let asked = clients.asked();
         let begun = (cpu_us(pid).unwrap_or(0), cpu_us(own).unwrap_or(0));
-        clients.hammer(&planned, connections, Mono::now() + for_s * 1_000_000).await;
+        clients.hammer(&planned, connections, MonotonicClock::now() + for_s * 1_000_000).await;
         let count = (clients.asked() - asked).max(1) as f64;
         let ended = (cpu_us(pid).unwrap_or(0), cpu_us(own).unwrap_or(0));
         fleet.end().await;
--- a/crates/stonevane/src/bench/store.rs
+++ b/crates/stonevane/src/bench/store.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use stonevane_emulators::Mono;
+use stonevane_emulators::MonotonicClock;
 use stonevane_emulators::postgres::Postgres as Server;
 use stonevane_lab::{Kind, Options as RunOptions, Scenario};
 use stonevane_store::postgres::tokio_postgres::{self, NoTls};
@@ -49,7 +49,7 @@
 }
 
 fn edit(at: u64) -> Edit {
-    let token = Some(format!("{:x}-{at}", Mono::now()));
+    let token = Some(format!("{:x}-{at}", MonotonicClock::now()));
     Edit { key: key(at), value: vec![b'w'; 64], token, remember_ms: 200 }
 }
 
@@ -123,7 +123,7 @@
         })?);
         all[5].push(rate(|at| {
             // The same rows as an edit of the store, in one transaction.
-            let token = format!("{:x}-bare-{at}", Mono::now());
+            let token = format!("{:x}-bare-{at}", MonotonicClock::now());
             bare.execute_batch("BEGIN IMMEDIATE").map_err(words)?;
             let version = "UPDATE counter SET version = version + 1 RETURNING version";
             let mut version = bare.prepare_cached(version).map_err(words)?;
@@ -202,7 +202,7 @@
 
     async fn edit(&self, at: u64) -> Result<(), tokio_postgres::Error> {
         let [_, _, next, put, note] = &self.statements;
-        let (key, token, value) = (key(at), format!("{:x}-bare-{at}", Mono::now()), vec![b'x'; 64]);
+        let (key, token, value) = (key(at), format!("{:x}-bare-{at}", MonotonicClock::now()), vec![b'x'; 64]);
         let (begun, version) =
             tokio::join!(self.client.batch_execute("BEGIN"), self.client.query_one(next, &[]));
         begun?;
--- a/crates/stonevane/src/demo.rs
+++ b/crates/stonevane/src/demo.rs
@@ -6,7 +6,7 @@
 
 use clap::Args;
 use stonevane_emulators::client::key;
-use stonevane_emulators::{Mono, Recorder};
+use stonevane_emulators::{MonotonicClock, Recorder};
 use stonevane_lab::scenario::StoreSpec;
 use stonevane_lab::{Fleet, Kind, Scenario, interrupted};
 
@@ -58,8 +58,8 @@
         scenario.store = Some(base);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         runtime.map_err(|e| e.to_string())?.block_on(async {
-            let mono = Mono::default();
-            let _beat = tokio::spawn(mono.clone().beat());
+            let mono = MonotonicClock::default();
+            let _beat = tokio::spawn(mono.clone().run_heartbeat());
             warn!(
                 "starting {} nodes, {} caches, a store in a file and discovery ...",
                 scenario.nodes, scenario.caches
--- a/crates/stonevane/src/standin.rs
+++ b/crates/stonevane/src/standin.rs
@@ -16,7 +16,7 @@
 use stonevane_emulators::discovery::{Discovery, DiscoverySpec, Entry};
 use stonevane_emulators::origin::{Origin, OriginSpec};
 use stonevane_emulators::record::Writer;
-use stonevane_emulators::{Mono, Recorder, relay};
+use stonevane_emulators::{MonotonicClock, Recorder, relay};
 use stonevane_lab::{Scenario, interrupted};
 use tokio::net::TcpListener;
 
@@ -120,7 +120,7 @@
 fn recorder(history: Option<&Path>) -> io::Result<(Recorder, Option<Writer>)> {
     let Some(path) = history else { return Ok((Recorder::none(), None)) };
     let (recorder, writer) = Recorder::to(File::create(path)?);
-    let (t, who, rules) = (Mono::at(), "stand-in".into(), Some(Box::new(Rules::default())));
+    let (t, who, rules) = (MonotonicClock::moment(), "stand-in".into(), Some(Box::new(Rules::default())));
     recorder.line(Line { t, who, event: Event::Begin, rules, ..Line::default() });
     Ok((recorder, Some(writer)))
 }
@@ -152,8 +152,8 @@
     }
 
     async fn serve(self) -> io::Result<Option<Writer>> {
-        let mono = Mono::default();
-        let _beat = tokio::spawn(mono.clone().beat());
+        let mono = MonotonicClock::default();
+        let _beat = tokio::spawn(mono.clone().run_heartbeat());
         let any = |listen: SocketAddr| vec![("any".to_owned(), listen)];
         let at = |address: Option<SocketAddr>| {
             say!("listening on {}", address.map_or("?".into(), |a| a.to_string()));
@@ -233,7 +233,7 @@
     });
     while let Some(line) = take.recv().await {
         let words: Vec<_> = line.split_whitespace().collect();
-        let since = Some(Mono::now());
+        let since = Some(MonotonicClock::now());
         match words[..] {
             [name, "active"] => discovery.change(name, "active", since, Duration::ZERO),
             [name, "leaving"] => discovery.change(name, "leaving", None, Duration::ZERO),
@@ -268,14 +268,14 @@
     let played = || -> io::Result<()> {
         let (recorder, writer) = recorder(Some(&path))?;
         runtime.block_on(async {
-            let mono = Mono::default();
-            let _beat = tokio::spawn(mono.clone().beat());
+            let mono = MonotonicClock::default();
+            let _beat = tokio::spawn(mono.clone().run_heartbeat());
             let targets = nodes.iter().enumerate().map(|(at, address)| (format!("n{at}"), *address));
             let targets: Vec<_> = targets.collect();
             let clients = Clients::new(&targets, scenario.load.clone(), seed, &mono, recorder);
             let planned = plan(&scenario.load, targets.len(), seed);
             warn!("{} requests in {for_s} s ...", planned.len());
-            clients.play(planned, Mono::now()).await;
+            clients.play(planned, MonotonicClock::now()).await;
         });
         finish(writer)
     };
