--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -11,10 +11,10 @@
 use std::sync::{Arc, Mutex};
 
 use bytes::{Bytes, BytesMut};
-use stonevane_audit::{Effect, Event, Line, Span};
+use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_codec::resp;
 use stonevane_server_model::value::padded;
-use stonevane_server_model::work::{Cores, Window, able, drawn};
+use stonevane_server_model::work::{Cores, Window, drawn, work_capacity};
 
 use self::connection::Connection;
 use self::copies::{Copies, Fill, Lifetime};
@@ -140,7 +140,9 @@
     fn lookup(&mut self, request: &Request, number: u64, now: u64) -> Lookup {
         if request.write {
             return match self.idempotency.version(&request.token, now) {
-                Some(version) => Lookup { version: Some(version), filled: None, effect: Effect::Dropped },
+                Some(version) => {
+                    Lookup { version: Some(version), filled: None, effect: Effect::Deduplicated }
+                }
                 None => Lookup { version: Some(number), filled: None, effect: Effect::Ran },
             };
         }
@@ -161,7 +163,7 @@
         let window_us = self.recent_work.add(now, work_us, spec.fall_us);
         let window_start = now.saturating_sub(spec.fall_us).max(started_us);
         let capacity_us =
-            able(spec.capacity(), spec.cold_share, started_us, warm_us, window_start, spec.fall_us);
+            work_capacity(spec.capacity(), spec.cold_share, started_us, warm_us, window_start, spec.fall_us);
         let warming_up = warm_us > 0 && now < started_us + warm_us;
         warming_up && window_us as f64 > spec.fall_multiple * capacity_us && !self.overloaded
     }
@@ -172,7 +174,7 @@
             return None;
         }
         let (started_us, warm_us) = self.warm_up(spec);
-        let share = able(1e6, spec.cold_share, started_us, warm_us, now, 1).max(MIN_WARM_UP_SHARE);
+        let share = work_capacity(1e6, spec.cold_share, started_us, warm_us, now, 1).max(MIN_WARM_UP_SHARE);
         self.cores.take(now, (work_us as f64 / share) as u64, spec.queue_us)
     }
 
@@ -189,7 +191,7 @@
                 self.copies.remove(&work.request.key);
             }
             Effect::Ran => counts.hits += 1,
-            Effect::Dropped | Effect::Void => {}
+            Effect::Deduplicated | Effect::NotReceived => {}
         }
     }
 
@@ -199,7 +201,8 @@
             return Bytes::from_static(b"-BUSY\r\n");
         }
         let request = work.request.id.clone();
-        let Some(version) = lookup.version.filter(|_| matches!(effect, Effect::Ran | Effect::Dropped)) else {
+        let Some(version) = lookup.version.filter(|_| matches!(effect, Effect::Ran | Effect::Deduplicated))
+        else {
             let least_version = self.copies.least_version(&work.request.key, work.now);
             self.answers.insert(work.number, Answer { request, value: String::new(), version: 0 });
             return miss(least_version);
@@ -281,7 +284,12 @@
     pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
         if fault == Fault::Dead && node.is_none() {
             let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
-            self.recorder.line(Line { t, who, event: Event::Down, ..Line::default() });
+            self.recorder.line(HistoryRecord {
+                time: t,
+                recorder: who,
+                event: Event::Down,
+                ..HistoryRecord::default()
+            });
         }
         self.set_listener_faults(node, fault);
     }
@@ -295,10 +303,10 @@
     /// Restarts its process, empty and cold; returns the moment in microseconds of the monotonic clock.
     pub fn restart(&self) -> u64 {
         let moment = MonotonicClock::moment();
-        *lock(&self.state) = State::new(&self.spec, Some(moment.begun));
+        *lock(&self.state) = State::new(&self.spec, Some(moment.earliest));
         self.record_start(moment, self.spec.warm_us);
         self.set_listener_faults(None, Fault::None);
-        moment.begun
+        moment.earliest
     }
 
     /// Begins or ends draining: new work is rejected, work in flight is finished.
@@ -358,7 +366,7 @@
 
     /// Works on an attempt; returns its reply.
     fn serve(&self, node: &str, request: &Request, arrival: Arrival) -> Reply {
-        let now = arrival.last_byte.ended;
+        let now = arrival.last_byte.latest;
         let spec = &self.spec;
         let mut state = lock(&self.state);
         let mut counts = lock(&self.counts);
@@ -384,25 +392,31 @@
         Reply { due_us: done_us.unwrap_or(now) + far_us, bytes, number }
     }
 
-    fn record_start(&self, t: Span, warm_us: u64) {
-        self.recorder.line(Line {
-            t,
-            who: self.spec.name.clone(),
+    fn record_start(&self, t: TimeInterval, warm_us: u64) {
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: self.spec.name.clone(),
             event: Event::Start,
             zone: self.spec.zone.clone(),
             cell: self.spec.cell.into(),
             capacity_us_per_s: self.spec.capacity(),
             cold_share: self.spec.cold_share,
             warm_us,
-            since: if warm_us == 0 { 0 } else { t.begun },
-            ..Line::default()
+            started_at: if warm_us == 0 { 0 } else { t.earliest },
+            ..HistoryRecord::default()
         });
     }
 
-    fn record_overload(&self, t: Span) {
+    fn record_overload(&self, t: TimeInterval) {
         tracing::warn!(server = self.spec.name, "fell over");
         let (who, state) = (self.spec.name.clone(), "fell over".to_owned());
-        self.recorder.line(Line { t, who, event: Event::Fault, state, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event: Event::Fault,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     /// Records that an answer has been written.
@@ -411,17 +425,17 @@
             return;
         };
         let line = self.answer_line(Event::Reply, request, number);
-        self.recorder.line(Line { value, version, ..line });
+        self.recorder.line(HistoryRecord { value, version, ..line });
     }
 
     /// Records that an answer will never arrive complete.
     fn record_over(&self, number: u64) {
         let Some(answer) = lock(&self.state).answers.remove(number) else { return };
-        self.recorder.line(self.answer_line(Event::Over, answer.request, number));
+        self.recorder.line(self.answer_line(Event::AttemptEnded, answer.request, number));
     }
 
-    fn answer_line(&self, event: Event, request: String, number: u64) -> Line {
+    fn answer_line(&self, event: Event, request: String, number: u64) -> HistoryRecord {
         let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
-        Line { t, who, event, request, number, ..Line::default() }
+        HistoryRecord { time: t, recorder: who, event, request, number, ..HistoryRecord::default() }
     }
 }
--- a/crates/stonevane-emulators/src/cache/connection.rs
+++ b/crates/stonevane-emulators/src/cache/connection.rs
@@ -23,7 +23,7 @@
         if let Some(request) = Request::from_command(&words) {
             return Ok(Some(self.cache.serve(&self.node, &request, arrival)));
         }
-        let now = arrival.last_byte.ended;
+        let now = arrival.last_byte.latest;
         let answer: &'static [u8] = match self.cache.copy_command(&words, now) {
             Some(true) => b"+OK\r\n",
             Some(false) => b"-ERR copy\r\n",
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use stonevane_audit::{Event, Line, Outcome, Span};
+use stonevane_audit::{Event, HistoryRecord, Outcome, TimeInterval};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::task::JoinSet;
@@ -184,10 +184,10 @@
     fn retry_delay_ms(&self, outcome: &AttemptOutcome, planned: &Planned, class: &LoadClass) -> Option<u64> {
         let retryable = match outcome {
             AttemptOutcome::Answered(answer) => match answer.outcome {
-                Outcome::Refused if answer.retry_after_ms > 0 && planned.honours => {
+                Outcome::Rejected if answer.retry_after_ms > 0 && planned.honours => {
                     return Some(answer.retry_after_ms);
                 }
-                Outcome::Refused => true,
+                Outcome::Rejected => true,
                 Outcome::Failed => class.retries_failures,
                 Outcome::Served => false,
             },
@@ -291,14 +291,18 @@
             self.asked.fetch_add(1, Ordering::Relaxed);
         }
         let reused = connection.is_reused();
-        self.recorder.line(message.ask_line(&target.name, Span { begun, ended }, reused));
+        self.recorder.line(message.ask_line(
+            &target.name,
+            TimeInterval { earliest: begun, latest: ended },
+            reused,
+        ));
         let timeout_us = match message.planned.impatient {
             true => left_ms * 1_000 / 2,
             false => (message.until_us + LATE_US).saturating_sub(ended),
         };
         let read = tokio::time::timeout(Duration::from_micros(timeout_us), connection.read_value()).await;
         let arrival = self.clock.arrival();
-        let t = Span { begun: arrival.begun.max(begun), ended: arrival.ended };
+        let t = TimeInterval { earliest: arrival.earliest.max(begun), latest: arrival.latest };
         let line = message.line(&target.name, t);
         match read {
             Ok(Some(value)) => {
@@ -308,11 +312,15 @@
                 AttemptOutcome::Answered(answer)
             }
             Ok(None) => {
-                self.recorder.line(Line { event: Event::Closed, kept: reused, ..line });
+                self.recorder.line(HistoryRecord { event: Event::Closed, reused_connection: reused, ..line });
                 AttemptOutcome::Lost
             }
             Err(_) if message.planned.impatient => {
-                self.recorder.line(Line { t: MonotonicClock::moment(), event: Event::Gone, ..line });
+                self.recorder.line(HistoryRecord {
+                    time: MonotonicClock::moment(),
+                    event: Event::ClientLeft,
+                    ..line
+                });
                 AttemptOutcome::Abandoned
             }
             Err(_) => AttemptOutcome::TimedOut,
@@ -331,8 +339,15 @@
     }
 
     fn record_stray(&self, target: &Target, connection: &Connection) {
-        let (t, who, event) = (self.clock.arrival(), "client".to_owned(), Event::Stray);
+        let (t, who, event) = (self.clock.arrival(), "client".to_owned(), Event::UnsolicitedResponse);
         let (node, request) = (target.name.clone(), connection.last_request.clone());
-        self.recorder.line(Line { t, who, event, node, request, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event,
+            node,
+            request,
+            ..HistoryRecord::default()
+        });
     }
 }
--- a/crates/stonevane-emulators/src/client/connection.rs
+++ b/crates/stonevane-emulators/src/client/connection.rs
@@ -1,7 +1,7 @@
 //! A connection of a client, and what an answer on it means.
 
 use bytes::{Bytes, BytesMut};
-use stonevane_audit::{Event, Line, Outcome};
+use stonevane_audit::{Event, HistoryRecord, Outcome};
 use stonevane_codec::resp::{self, Value};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
@@ -61,12 +61,12 @@
 
 impl Answer {
     /// The history line of this answer.
-    pub(super) fn line(&self, line: Line) -> Line {
-        Line {
+    pub(super) fn line(&self, line: HistoryRecord) -> HistoryRecord {
+        HistoryRecord {
             event: Event::Answer,
             outcome: Some(self.outcome),
             value: self.value.clone(),
-            advice_ms: self.retry_after_ms,
+            retry_after_ms: self.retry_after_ms,
             ..line
         }
     }
@@ -91,7 +91,7 @@
             Value::Error(line) if line.starts_with(BUSY) => {
                 let retry_after = unique_part(line.get(BUSY.len() + 1..).unwrap_or(b""));
                 Answer {
-                    outcome: Outcome::Refused,
+                    outcome: Outcome::Rejected,
                     value: String::new(),
                     retry_after_ms: retry_after.parse().unwrap_or(0),
                 }
--- a/crates/stonevane-emulators/src/client/message.rs
+++ b/crates/stonevane-emulators/src/client/message.rs
@@ -1,7 +1,7 @@
 //! The message of one attempt.
 
 use bytes::Bytes;
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 use stonevane_codec::resp;
 use stonevane_server_model::value::{digest, padded};
 
@@ -85,22 +85,28 @@
     }
 
     /// A history line of this request at a node.
-    pub(super) fn line(&self, node: &str, t: Span) -> Line {
-        Line { t, who: "client".into(), request: self.id.into(), node: node.into(), ..Line::default() }
+    pub(super) fn line(&self, node: &str, t: TimeInterval) -> HistoryRecord {
+        HistoryRecord {
+            time: t,
+            recorder: "client".into(),
+            request: self.id.into(),
+            node: node.into(),
+            ..HistoryRecord::default()
+        }
     }
 
     /// The history line of its sending.
-    pub(super) fn ask_line(&self, node: &str, t: Span, reused: bool) -> Line {
-        Line {
-            event: Event::Ask,
+    pub(super) fn ask_line(&self, node: &str, t: TimeInterval, reused: bool) -> HistoryRecord {
+        HistoryRecord {
+            event: Event::Request,
             class: self.class.name.clone(),
             tenant: self.tenant.into(),
             key: self.key.clone(),
-            token: self.token.clone(),
+            idempotency_key: self.token.clone(),
             digest: if self.class.write { digest(&self.value) } else { String::new() },
-            until: self.until_us,
-            again: self.resent,
-            kept: reused,
+            deadline: self.until_us,
+            resent: self.resent,
+            reused_connection: reused,
             retry: self.retry,
             ..self.line(node, t)
         }
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 use stonevane_server_model::service::Turns;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
@@ -167,7 +167,15 @@
             tracing::debug!(server = name, status, index, "change");
             let (t, who, server) = (MonotonicClock::moment(), "discovery".to_owned(), name.to_owned());
             let event = Event::Change;
-            self.recorder.line(Line { t, who, event, server, status, since, ..Line::default() });
+            self.recorder.line(HistoryRecord {
+                time: t,
+                recorder: who,
+                event,
+                server,
+                status,
+                started_at: since,
+                ..HistoryRecord::default()
+            });
         }
         drop(endpoints);
         self.index.send_replace(index);
@@ -224,20 +232,27 @@
     fn record_call(&self, node: &str, accepted: bool) {
         let (t, who, node) = (MonotonicClock::moment(), "discovery".into(), node.to_owned());
         let state = if accepted { "taken" } else { "turned-away" }.into();
-        self.recorder.line(Line { t, who, event: Event::Call, node, state, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event: Event::Call,
+            node,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     /// Records what a node was sent.
-    fn record_update(&self, node: &str, t: Span, update: Update) {
-        let line = |server: String, status: String, since| Line {
-            t,
-            who: "discovery".into(),
-            event: Event::Told,
+    fn record_update(&self, node: &str, t: TimeInterval, update: Update) {
+        let line = |server: String, status: String, since| HistoryRecord {
+            time: t,
+            recorder: "discovery".into(),
+            event: Event::Notified,
             node: node.into(),
             server,
             status,
-            since,
-            ..Line::default()
+            started_at: since,
+            ..HistoryRecord::default()
         };
         if update.is_snapshot {
             // A server that a snapshot lacks has left.
--- a/crates/stonevane-emulators/src/discovery/connection.rs
+++ b/crates/stonevane-emulators/src/discovery/connection.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use stonevane_audit::Span;
+use stonevane_audit::TimeInterval;
 use stonevane_codec::http::{self, RequestHead};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -74,7 +74,7 @@
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         let begun = MonotonicClock::now();
         stream.write_all(text.as_bytes()).await?;
-        self.record_update(node, Span { begun, ended: MonotonicClock::now() }, update);
+        self.record_update(node, TimeInterval { earliest: begun, latest: MonotonicClock::now() }, update);
         Ok(())
     }
 
@@ -100,7 +100,11 @@
             if update.is_snapshot || !update.entries.is_empty() {
                 let begun = MonotonicClock::now();
                 stream.write_all(chunk(&format!("{}\n", update.text)).as_bytes()).await?;
-                self.record_update(node, Span { begun, ended: MonotonicClock::now() }, update);
+                self.record_update(
+                    node,
+                    TimeInterval { earliest: begun, latest: MonotonicClock::now() },
+                    update,
+                );
                 if now == DiscoveryFault::Dropping {
                     return Ok(());
                 }
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex, Weak};
 
 use bytes::Bytes;
-use stonevane_audit::{Effect, Event, Line, Span};
+use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_server_model::value::padded;
 use stonevane_server_model::work::{Cores, Window, drawn};
 
@@ -199,7 +199,7 @@
 
     /// Works on an attempt; the bytes of the reply are made when it is due.
     fn serve(&self, node: &str, request: Request, arrival: Arrival) -> Reply {
-        let now = arrival.last_byte.ended;
+        let now = arrival.last_byte.latest;
         let spec = &self.spec;
         let mut state = lock(&self.state);
         state.number += 1;
@@ -217,7 +217,7 @@
         let done_us = state.cores.take(now, work_us, spec.queue_us);
         let effect = match (done_us, repeated) {
             (None, _) => Effect::Busy,
-            (_, Some(_)) => Effect::Dropped,
+            (_, Some(_)) => Effect::Deduplicated,
             _ => Effect::Ran,
         };
         match request.write {
@@ -232,7 +232,7 @@
         }
         let attempt = Attempt { number, effect, work_us };
         let line = request.attempt_line(&spec.name, node, arrival, attempt);
-        self.recorder.line(Line { origin: true, ..line });
+        self.recorder.line(HistoryRecord { origin: true, ..line });
         state.answers.insert(number, Answer { request, version, effect });
         let far_us = spec.far_us.get(node).copied().unwrap_or(0);
         let due_us = done_us.unwrap_or(now.max(state.stopped_until)) + far_us;
@@ -281,17 +281,30 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into()
     }
 
-    fn record_stop(&self, t: Span) {
+    fn record_stop(&self, t: TimeInterval) {
         tracing::warn!(server = self.spec.name, "stopped");
         let (who, state) = (self.spec.name.clone(), "stopped".to_owned());
-        self.recorder.line(Line { t, who, event: Event::Fault, state, ..Line::default() });
+        self.recorder.line(HistoryRecord {
+            time: t,
+            recorder: who,
+            event: Event::Fault,
+            state,
+            ..HistoryRecord::default()
+        });
     }
 
     fn record_answer(&self, request: String, number: u64, delivery: Delivery, value: String, version: u64) {
         let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
-        let line = Line { t, who, request, number, event: Event::Over, ..Line::default() };
+        let line = HistoryRecord {
+            time: t,
+            recorder: who,
+            request,
+            number,
+            event: Event::AttemptEnded,
+            ..HistoryRecord::default()
+        };
         self.recorder.line(match delivery {
-            Delivery::Complete => Line { event: Event::Reply, value, version, ..line },
+            Delivery::Complete => HistoryRecord { event: Event::Reply, value, version, ..line },
             Delivery::Failed => line,
         });
     }
--- a/crates/stonevane-emulators/src/origin/connection.rs
+++ b/crates/stonevane-emulators/src/origin/connection.rs
@@ -42,7 +42,7 @@
             Ok(request) => self.origin.serve(&self.node, request, arrival),
             Err(answer) => {
                 let bytes = Bytes::from_static(answer.as_bytes());
-                Reply { due_us: arrival.last_byte.ended, bytes, number: 0 }
+                Reply { due_us: arrival.last_byte.latest, bytes, number: 0 }
             }
         };
         Ok(Some(reply))
--- a/crates/stonevane-emulators/src/postgres.rs
+++ b/crates/stonevane-emulators/src/postgres.rs
@@ -24,7 +24,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Mutex as AsyncMutex, Notify, broadcast, watch};
 
-use stonevane_audit::{Event, Line, Span};
+use stonevane_audit::{Event, HistoryRecord, TimeInterval};
 
 use self::database::Database;
 use self::message::BackendKey;
@@ -189,23 +189,23 @@
     connection: &Connection,
     newest: &AtomicI64,
     commit_begun: u64,
-) -> rusqlite::Result<Vec<Line>> {
+) -> rusqlite::Result<Vec<HistoryRecord>> {
     let query = "SELECT z.key, z.value, z.version, COALESCE(e.token, '') FROM zones z \
                  LEFT JOIN edits e ON e.version = z.version WHERE z.version > ?1 ORDER BY z.version";
     let mut statement = connection.prepare_cached(query)?;
-    let line = |row: &rusqlite::Row<'_>| -> rusqlite::Result<Line> {
+    let line = |row: &rusqlite::Row<'_>| -> rusqlite::Result<HistoryRecord> {
         let (value, version): (Vec<u8>, i64) = (row.get(1)?, row.get(2)?);
         newest.fetch_max(version, Ordering::Relaxed);
         let value = String::from_utf8_lossy(&value).split(' ').next().unwrap_or_default().to_owned();
-        Ok(Line {
-            t: Span { begun: commit_begun, ended: MonotonicClock::now() },
-            who: "store".into(),
-            event: Event::Stored,
+        Ok(HistoryRecord {
+            time: TimeInterval { earliest: commit_begun, latest: MonotonicClock::now() },
+            recorder: "store".into(),
+            event: Event::Committed,
             key: row.get(0)?,
-            token: row.get(3)?,
+            idempotency_key: row.get(3)?,
             value,
             version: version.max(0) as u64,
-            ..Line::default()
+            ..HistoryRecord::default()
         })
     };
     let lines = statement.query_map([newest.load(Ordering::Relaxed)], line)?;
--- a/crates/stonevane-emulators/src/record.rs
+++ b/crates/stonevane-emulators/src/record.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
-use stonevane_audit::{Line, Span};
+use stonevane_audit::{HistoryRecord, TimeInterval};
 
 /// The period of the heartbeat: what an emulator reads has arrived within the last two periods.
 const HEARTBEAT: Duration = Duration::from_millis(2);
@@ -47,14 +47,17 @@
     }
 
     /// The present moment, for an event that this process causes itself.
-    pub fn moment() -> Span {
+    pub fn moment() -> TimeInterval {
         let now = MonotonicClock::now();
-        Span { begun: now, ended: now }
+        TimeInterval { earliest: now, latest: now }
     }
 
     /// The span within which what has just been read must have arrived.
-    pub fn arrival(&self) -> Span {
-        Span { begun: self.heartbeats.previous.load(Ordering::Relaxed), ended: MonotonicClock::now() }
+    pub fn arrival(&self) -> TimeInterval {
+        TimeInterval {
+            earliest: self.heartbeats.previous.load(Ordering::Relaxed),
+            latest: MonotonicClock::now(),
+        }
     }
 
     /// Runs the heartbeat until it is dropped; to be spawned on the loop that reads the sockets.
@@ -73,7 +76,7 @@
 /// Where events are recorded. A clone writes to the same history.
 #[derive(Clone)]
 pub struct Recorder {
-    lines: Option<Sender<Line>>,
+    lines: Option<Sender<HistoryRecord>>,
 }
 
 /// The thread that writes a history.
@@ -104,21 +107,21 @@
     }
 
     /// Records an event.
-    pub fn line(&self, line: Line) {
+    pub fn line(&self, line: HistoryRecord) {
         if let Some(lines) = &self.lines {
             let _ = lines.send(line);
         }
     }
 }
 
-fn write_lines(mut out: impl Write, queue: &Receiver<Line>) -> std::io::Result<u64> {
+fn write_lines(mut out: impl Write, queue: &Receiver<HistoryRecord>) -> std::io::Result<u64> {
     let (mut text, mut count) = (String::new(), 0);
     while let Ok(line) = queue.recv() {
         text.clear();
-        text.push_str(&line.text());
+        text.push_str(&line.to_json_line());
         count += 1;
         while let Ok(line) = queue.try_recv() {
-            text.push_str(&line.text());
+            text.push_str(&line.to_json_line());
             count += 1;
             if text.len() > WRITE_BATCH {
                 break;
--- a/crates/stonevane-emulators/src/request.rs
+++ b/crates/stonevane-emulators/src/request.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use bytes::Bytes;
-use stonevane_audit::{Effect, Event, Line};
+use stonevane_audit::{Effect, Event, HistoryRecord};
 use stonevane_server_model::value::digest;
 
 use crate::server::Arrival;
@@ -58,22 +58,28 @@
     }
 
     /// The history line of an attempt of this request at a server.
-    pub(crate) fn attempt_line(&self, server: &str, node: &str, arrival: Arrival, attempt: Attempt) -> Line {
-        Line {
-            t: arrival.last_byte,
-            who: server.to_owned(),
+    pub(crate) fn attempt_line(
+        &self,
+        server: &str,
+        node: &str,
+        arrival: Arrival,
+        attempt: Attempt,
+    ) -> HistoryRecord {
+        HistoryRecord {
+            time: arrival.last_byte,
+            recorder: server.to_owned(),
             event: Event::Attempt,
             request: self.id.clone(),
             node: node.to_owned(),
             class: self.class.clone(),
             key: self.key.clone(),
-            token: self.token.clone(),
+            idempotency_key: self.token.clone(),
             digest: self.digest.clone(),
             effect: Some(attempt.effect),
-            first: (arrival.first_byte != arrival.last_byte).then_some(arrival.first_byte),
+            first_byte: (arrival.first_byte != arrival.last_byte).then_some(arrival.first_byte),
             number: attempt.number,
             work_us: attempt.work_us,
-            ..Line::default()
+            ..HistoryRecord::default()
         }
     }
 
--- a/crates/stonevane-emulators/src/server/connection.rs
+++ b/crates/stonevane-emulators/src/server/connection.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_audit::Span;
+use stonevane_audit::TimeInterval;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::watch;
@@ -34,8 +34,8 @@
 /// When the first and the last byte of a request arrived.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival {
-    pub(crate) first_byte: Span,
-    pub(crate) last_byte: Span,
+    pub(crate) first_byte: TimeInterval,
+    pub(crate) last_byte: TimeInterval,
 }
 
 /// A reply and the moment at which it is due.
@@ -111,7 +111,7 @@
     /// Replies that are not written yet, in the order of their requests.
     pending: VecDeque<Reply>,
     /// When the first byte of what stands in `input` arrived.
-    first_byte: Option<Span>,
+    first_byte: Option<TimeInterval>,
     /// Since when nothing was read, where a write held this task up.
     unread_since: Option<u64>,
     idle_since: u64,
@@ -184,7 +184,7 @@
 
     fn take_requests(&mut self, fault: Fault) -> ControlFlow<Ending> {
         let mut last_byte = self.peer.clock.arrival();
-        last_byte.begun = last_byte.begun.min(self.unread_since.take().unwrap_or(u64::MAX));
+        last_byte.earliest = last_byte.earliest.min(self.unread_since.take().unwrap_or(u64::MAX));
         let mut first_byte = *self.first_byte.get_or_insert(last_byte);
         loop {
             match self.protocol.take_request(&mut self.input, Arrival { first_byte, last_byte }) {
