--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -2,8 +2,8 @@
 
 use stonevane_config::operator::Operator;
 use stonevane_config::{Document, Fault, Table, suggest};
-use stonevane_lab::scenario::Expect;
-use stonevane_lab::{SCENARIOS, Scenario};
+use stonevane_lab::scenario::Expectation;
+use stonevane_lab::{BuiltInScenario, Scenario};
 use stonevane_server_model::value::digest;
 
 /// Runs of one experiment, at most.
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
     /// What must hold, besides the rules; empty: what the scenario expects.
-    pub expects: Vec<Expect>,
+    pub expects: Vec<Expectation>,
     /// The least and the most load, as multiples of the scenario's rate.
     pub least: f64,
     /// The most.
@@ -111,7 +111,7 @@
             match scenario(&name, find) {
                 Ok((scenario, text)) => {
                     texts.push_str(&text);
-                    if !SCENARIOS.iter().any(|(known, _)| *known == name) {
+                    if BuiltInScenario::find(&name).is_none() {
                         files.push((name.clone(), text));
                     }
                     scenarios.push((name, scenario));
@@ -196,12 +196,11 @@
 }
 
 fn scenario(name: &str, find: &dyn Fn(&str) -> Result<String, String>) -> Result<(Scenario, String), String> {
-    let known = SCENARIOS.iter().find(|(known, _)| *known == name);
+    let known = BuiltInScenario::find(name);
     let text = match known {
-        Some((_, text)) => (*text).to_owned(),
+        Some(scenario) => scenario.text.to_owned(),
         None => find(name).map_err(|why| {
-            let names: Vec<_> = SCENARIOS.iter().map(|(name, _)| *name).collect();
-            format!("there is no scenario `{name}` ({why}){}", suggest(name, &names))
+            format!("there is no scenario `{name}` ({why}){}", suggest(name, &BuiltInScenario::names()))
         })?,
     };
     match Scenario::parse(&text) {
@@ -230,9 +229,9 @@
 fn search(table: Table<'_, '_>) -> Search {
     let mut expects = Vec::new();
     for (line, place) in table.texts("expect") {
-        match Expect::parse(&line) {
+        match Expectation::parse(&line) {
             Ok(expect) => expects.push(expect),
-            Err(what) => table.fault(place, what),
+            Err(error) => table.fault(place, error.to_string()),
         }
     }
     let least = table.number("least", 0.25, 0.01..=100.0);
--- a/crates/stonevane-experiment/src/report.rs
+++ b/crates/stonevane-experiment/src/report.rs
@@ -4,9 +4,9 @@
 use std::fmt::Write as _;
 
 use serde::Serialize;
-use stonevane_lab::chart::{curve, lasting};
+use stonevane_lab::chart::{curve, fault_spans, panel_over_time};
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
-use stonevane_lab::summary::{STEP_US, Step};
+use stonevane_lab::summary::{INTERVAL_US, Interval};
 
 use crate::matrix::{Cell, Experiment, NO_OPERATOR, Setting};
 use crate::results::{Build, Found};
@@ -335,14 +335,14 @@
 }
 
 /// The median of a figure of each step over all runs; where no run has it, nothing.
-fn over_time(name: &str, colour: usize, runs: &[&Found], of: &dyn Fn(&Step) -> f64) -> Curve {
+fn over_time(name: &str, colour: usize, runs: &[&Found], of: &dyn Fn(&Interval) -> f64) -> Curve {
     let longest = runs.iter().map(|f| f.steps.len()).max().unwrap_or(0);
     let at = |step: usize| {
         let figures: Vec<f64> = runs.iter().filter_map(|f| f.steps.get(step).map(of)).collect();
         crate::stats::median(&figures).unwrap_or(f64::NAN)
     };
     let middles: Vec<f64> = (0..longest).map(at).collect();
-    let mut curve = curve(name, colour, &vec![Step::default(); longest], &|_| 0.0);
+    let mut curve = curve(name, colour, &vec![Interval::default(); longest], &|_| 0.0);
     curve.points.iter_mut().zip(middles).for_each(|(point, middle)| point.1 = middle);
     curve
 }
@@ -352,21 +352,25 @@
     let of: Vec<(Build, Vec<&Found>)> =
         builds.into_iter().take(section.runs.len()).map(|b| (b, runs(folder, &section.setting, b))).collect();
     let seconds = of.iter().flat_map(|(_, runs)| runs).map(|f| f.steps.len()).max().unwrap_or(1) as f64
-        * STEP_US as f64
+        * INTERVAL_US as f64
         / 1e6;
-    let curves = |of_step: &dyn Fn(&Step) -> f64| {
+    let curves = |of_step: &dyn Fn(&Interval) -> f64| {
         let each = of.iter().enumerate();
         each.map(|(at, (build, runs))| over_time(&build.to_string(), at, runs, of_step)).collect::<Vec<_>>()
     };
-    let share = |s: &Step| if s.asked > 0 { s.served as f64 / s.asked as f64 } else { f64::NAN };
-    let panel = |title: &str, y, curves, bound| Panel { title: title.into(), axes: ("s", y), curves, bound };
+    let share = |s: &Interval| if s.asked > 0 { s.served as f64 / s.asked as f64 } else { f64::NAN };
     let panels = [
-        panel("served, median over seeds", "part of what was asked", curves(&share), Some(1.0)),
-        panel("origin, median over seeds", "sent / capacity", curves(&|s| s.origin), Some(1.0)),
-        panel("coldest server, median over seeds", "sent / limit", curves(&|s| s.coldest), Some(1.0)),
+        panel_over_time("served, median over seeds", "part of what was asked", curves(&share), Some(1.0)),
+        panel_over_time("origin, median over seeds", "sent / capacity", curves(&|s| s.origin), Some(1.0)),
+        panel_over_time(
+            "coldest server, median over seeds",
+            "sent / limit",
+            curves(&|s| s.coldest),
+            Some(1.0),
+        ),
     ];
     let first = of.first().and_then(|(_, runs)| runs.first());
-    let spans = first.map(|f| lasting(&f.faults, seconds)).unwrap_or_default();
+    let spans = first.map(|f| fault_spans(&f.faults, seconds)).unwrap_or_default();
     let mut out = picture("over time", &panels, &spans, seconds);
     // Times by their rank: each mark's median over the seeds.
     let mut latencies = Vec::new();
@@ -391,7 +395,12 @@
         }
     }
     let title = "time of served requests by rank, median over seeds".to_owned();
-    let axes = ("part of the requests, %", "ms");
-    out.push_str(&picture("latency", &[Panel { title, axes, curves: latencies, bound: None }], &[], 1.0));
+    let (x_label, y_label) = ("part of the requests, %", "ms");
+    out.push_str(&picture(
+        "latency",
+        &[Panel { title, x_label, y_label, curves: latencies, bound: None }],
+        &[],
+        1.0,
+    ));
     out
 }
--- a/crates/stonevane-experiment/src/results.rs
+++ b/crates/stonevane-experiment/src/results.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 use stonevane_lab::scenario::FIGURES;
-use stonevane_lab::summary::Step;
+use stonevane_lab::summary::Interval;
 use stonevane_lab::{Outcome, RunError};
 
 use crate::matrix::Cell;
@@ -46,7 +46,7 @@
     /// The ways in which rules were broken, each once.
     pub codes: Vec<String>,
     /// Steps of a quarter of a second.
-    pub steps: Vec<Step>,
+    pub steps: Vec<Interval>,
     /// Each class's times in fiftieths, milliseconds.
     pub marks_ms: BTreeMap<String, Vec<f64>>,
     /// What went wrong, in seconds from the start.
--- a/crates/stonevane-experiment/src/runner.rs
+++ b/crates/stonevane-experiment/src/runner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use serde::{Deserialize, Serialize};
-use stonevane_lab::{Kind, Options, Program, RunError, Scenario, run};
+use stonevane_lab::{NodeKind, Options, Program, RunError, Scenario, run};
 use stonevane_server_model::value::digest;
 
 use crate::matrix::{Cell, Experiment, Search, Setting, per_mille};
@@ -263,7 +263,7 @@
         let operator = self.experiment.operators.iter().find(|(name, _)| *name == cell.setting.operator);
         let operator = operator.filter(|(_, text)| !text.is_empty());
         let operator = operator.map(|(name, _)| operator_path(&self.folder.path, name));
-        let kind = Kind::Process(Program { path: program.into(), operator });
+        let kind = NodeKind::Process(Program { path: program.into(), operator });
         let options = Options {
             seed: Some(cell.seed),
             nodes: cell.setting.nodes,
@@ -340,7 +340,8 @@
     if search.expects.is_empty() {
         return found.holds;
     }
-    let met = |e: &stonevane_lab::scenario::Expect| found.figures.get(&e.figure).is_some_and(|f| e.holds(*f));
+    let met =
+        |e: &stonevane_lab::scenario::Expectation| found.figures.get(&e.figure).is_some_and(|f| e.holds(*f));
     found.error.is_none() && found.broken + found.faulty == 0 && search.expects.iter().all(met)
 }
 
--- a/crates/stonevane-lab/src/chart.rs
+++ b/crates/stonevane-lab/src/chart.rs
@@ -1,79 +1,69 @@
-//! The picture of a run: goodput, refusals, the origin and the coldest server over time, and what went wrong.
+//! The picture of a run: goodput, rejections, the origin and the coldest server over time, and the faults.
 
-use crate::plot::{COLOURS, Curve, Lasting, Panel, picture};
+use crate::plot::{COLOURS, Curve, Panel, Span, picture};
 use crate::run::Outcome;
-use crate::summary::{STEP_US, Step};
+use crate::summary::{INTERVAL_US, Interval};
 
 /// An SVG of a run.
 pub fn svg(outcome: &Outcome) -> String {
-    let steps = &outcome.summary.steps;
-    let seconds = steps.len().max(1) as f64 * STEP_US as f64 / 1e6;
+    let intervals = &outcome.summary.steps;
+    let seconds = intervals.len().max(1) as f64 * INTERVAL_US as f64 / 1e6;
     let verdict = if outcome.report.holds() { "all four rules hold" } else { "rules are broken" };
     let title = format!("{}, seed {}: {verdict}", outcome.scenario, outcome.seed);
-    picture(&title, &panels(steps), &lasting(&outcome.summary.faults, seconds), seconds)
+    picture(&title, &panels(intervals), &fault_spans(&outcome.summary.faults, seconds), seconds)
 }
 
-/// A curve of the steps of a run.
-pub fn curve(name: &str, colour: usize, steps: &[Step], of: &dyn Fn(&Step) -> f64) -> Curve {
-    let middle = |step: usize| (step as f64 + 0.5) * STEP_US as f64 / 1e6;
-    let points = steps.iter().enumerate().map(|(at, step)| (middle(at), of(step))).collect();
+/// A curve over the intervals of a run.
+pub fn curve(name: &str, colour: usize, intervals: &[Interval], figure: &dyn Fn(&Interval) -> f64) -> Curve {
+    let middle = |index: usize| (index as f64 + 0.5) * INTERVAL_US as f64 / 1e6;
+    let points =
+        intervals.iter().enumerate().map(|(index, interval)| (middle(index), figure(interval))).collect();
     Curve { name: name.into(), colour: COLOURS[colour % COLOURS.len()], points }
 }
 
-fn panels(steps: &[Step]) -> Vec<Panel> {
-    let rate = |count: u64| count as f64 * 1e6 / STEP_US as f64;
+/// A panel of curves over time.
+pub fn panel_over_time(title: &str, y_label: &'static str, curves: Vec<Curve>, bound: Option<f64>) -> Panel {
+    Panel { title: title.into(), x_label: "s", y_label, curves, bound }
+}
+
+fn panels(intervals: &[Interval]) -> Vec<Panel> {
+    let rate = |count: u64| count as f64 * 1e6 / INTERVAL_US as f64;
     let requests = vec![
-        curve("asked", 5, steps, &|s| rate(s.asked)),
-        curve("served", 2, steps, &|s| rate(s.served)),
-        curve("refused", 1, steps, &|s| rate(s.refused)),
-        curve("failed", 4, steps, &|s| rate(s.failed)),
+        curve("asked", 5, intervals, &|interval| rate(interval.asked)),
+        curve("served", 2, intervals, &|interval| rate(interval.served)),
+        curve("refused", 1, intervals, &|interval| rate(interval.refused)),
+        curve("failed", 4, intervals, &|interval| rate(interval.failed)),
     ];
-    let panel = |title: &str, y, curves, bound| Panel { title: title.into(), axes: ("s", y), curves, bound };
+    let origin = vec![curve("sent", 0, intervals, &|interval| interval.origin)];
+    let coldest = vec![curve("sent", 3, intervals, &|interval| interval.coldest)];
     vec![
-        panel("requests", "a second", requests, None),
-        panel("origin", "sent / capacity", vec![curve("sent", 0, steps, &|s| s.origin)], Some(1.0)),
-        panel("coldest server", "sent / limit", vec![curve("sent", 3, steps, &|s| s.coldest)], Some(1.0)),
+        panel_over_time("requests", "a second", requests, None),
+        panel_over_time("origin", "sent / capacity", origin, Some(1.0)),
+        panel_over_time("coldest server", "sent / limit", coldest, Some(1.0)),
     ]
 }
 
-/// What went wrong, each with its beginning and its end.
-pub fn lasting(faults: &[(f64, String)], seconds: f64) -> Vec<Lasting> {
-    let mut spans: Vec<Lasting> = Vec::new();
-    for (at, words) in faults.iter().filter(|(_, words)| !words.starts_with("load")) {
-        match words.strip_prefix("end of ") {
-            Some(begun) => {
-                let open = spans.iter_mut().find(|s| s.2 == begun && s.1 == f64::INFINITY);
-                if let Some(open) = open {
-                    open.1 = *at;
-                }
+/// The faults of a run, each with its beginning and its end.
+pub fn fault_spans(faults: &[(f64, String)], seconds: f64) -> Vec<Span> {
+    let mut spans: Vec<Span> = Vec::new();
+    for (at, label) in faults.iter().filter(|(_, label)| !label.starts_with("load")) {
+        if let Some(begun) = label.strip_prefix("end of ") {
+            let open = spans.iter_mut().find(|span| span.label == begun && span.until_s == f64::INFINITY);
+            if let Some(open) = open {
+                open.until_s = *at;
             }
-            // What a server does of itself has no end that is told.
-            None if words.ends_with("fell over") || words.ends_with("stopped") => {
-                spans.push((*at, *at, words.clone()));
-            }
-            None => spans.push((*at, f64::INFINITY, words.clone())),
+            continue;
         }
+        // No end is recorded of what a server does by itself.
+        let momentary = label.ends_with("fell over") || label.ends_with("stopped");
+        let until_s = if momentary { *at } else { f64::INFINITY };
+        spans.push(Span { from_s: *at, until_s, label: label.clone() });
+    }
+    for span in &mut spans {
+        span.until_s = span.until_s.min(seconds);
     }
-    spans.iter_mut().for_each(|s| s.1 = s.1.min(seconds));
     spans
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_fault_lasts_from_its_beginning_to_its_own_end() {
-        let told = [
-            (1.0, "kill a"),
-            (2.0, "kill a"),
-            (3.0, "end of kill a"),
-            (4.0, "origin stopped"),
-            (5.0, "stop"),
-        ];
-        let told: Vec<_> = told.into_iter().map(|(at, words)| (at, words.to_owned())).collect();
-        let spans = lasting(&told, 9.0);
-        let ends: Vec<_> = spans.iter().map(|s| (s.0, s.1)).collect();
-        assert_eq!(ends, [(1.0, 3.0), (2.0, 9.0), (4.0, 4.0), (5.0, 9.0)]);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/stonevane-lab/src/fleet/servers.rs
@@ -0,0 +1,79 @@
+//! Faults of servers, and servers that drain.
+
+use std::time::Duration;
+
+use stonevane_emulators::{Fault, lock};
+
+use super::Fleet;
+use crate::active_faults::ActiveFaults;
+
+/// What nodes send within their grace after a drain is announced is still served, for this long.
+const DRAIN_GRACE: Duration = Duration::from_millis(700);
+
+impl Fleet {
+    /// Injects a fault of a server; discovery learns late of a process that is gone.
+    pub(super) fn begin_fault(&self, server: &str, node: Option<&str>, fault: Fault) -> u64 {
+        let mut faults = lock(&self.faults);
+        let was_alive = !faults.is_dead(server);
+        let number = faults.begin(server, node, fault);
+        if was_alive && faults.is_dead(server) {
+            self.set_server_fault(server, None, Fault::Dead);
+            self.discovery.change(server, "left", None, self.discovery_delay());
+        }
+        self.apply_faults(server, &faults);
+        number
+    }
+
+    /// Removes a fault of a server; a process that comes back is cold.
+    pub(super) fn end_fault(&self, server: &str, number: u64) {
+        let mut faults = lock(&self.faults);
+        let was_dead = faults.is_dead(server);
+        faults.end(number);
+        if was_dead && !faults.is_dead(server) {
+            let started_at = self.cache(server).map(|cache| cache.restart());
+            self.discovery.change(server, "active", started_at, self.discovery_delay());
+        }
+        self.apply_faults(server, &faults);
+    }
+
+    /// Keeps a successor down until it takes its place.
+    pub(super) fn put_on_standby(&self, name: &str) {
+        let mut faults = lock(&self.faults);
+        let number = faults.begin(name, None, Fault::Dead);
+        self.apply_faults(name, &faults);
+        lock(&self.standby).insert(name.to_owned(), number);
+    }
+
+    /// Starts a successor; `false` where it has started before.
+    pub(super) fn start_successor(&self, name: &str) -> bool {
+        let Some(number) = lock(&self.standby).remove(name) else { return false };
+        self.end_fault(name, number);
+        true
+    }
+
+    /// Sets a server's listeners to the faults in force.
+    fn apply_faults(&self, server: &str, faults: &ActiveFaults) {
+        for (node, _) in &self.targets {
+            self.set_server_fault(server, Some(node), faults.seen_by(server, node));
+        }
+    }
+
+    fn set_server_fault(&self, server: &str, node: Option<&str>, fault: Fault) {
+        match self.cache(server) {
+            Some(cache) => cache.set_fault(node, fault),
+            None => self.origin.set_fault(node, fault),
+        }
+    }
+
+    /// Drains a cache server, which is gone at the end.
+    pub(super) async fn drain(&self, name: &str, duration: Duration) {
+        self.discovery.change(name, "leaving", None, self.discovery_delay());
+        let grace = (self.discovery_delay() + DRAIN_GRACE).min(duration);
+        tokio::time::sleep(grace).await;
+        if let Some(cache) = self.cache(name) {
+            cache.set_draining(true);
+        }
+        tokio::time::sleep(duration.saturating_sub(grace)).await;
+        self.begin_fault(name, None, Fault::Dead);
+    }
+}
--- /dev/null
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -0,0 +1,381 @@
+//! Starts a fleet: the emulators first, then the nodes.
+
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{IpAddr, SocketAddr};
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+
+use stonevane_emulators::cache::{Cache, CacheSpec};
+use stonevane_emulators::client::key;
+use stonevane_emulators::discovery::{Discovery, Entry};
+use stonevane_emulators::origin::{Origin, OriginSpec};
+use stonevane_emulators::peers::PeerNetwork;
+use stonevane_emulators::{MonotonicClock, Recorder, lock};
+use stonevane_membership::Setup;
+use tokio::net::{TcpListener, UdpSocket};
+
+use super::config::{KEY_BYTE, KEY_LEN, membership_section, settings};
+use super::node_set::NodeSet;
+use super::store::StoreOfRecord;
+use super::{Fleet, Folder, lab_ip};
+use crate::faulty_member::FaultyMember;
+use crate::node::{Node, NodeKind, Program};
+use crate::scenario::{MembershipSpec, Scenario, cache_name, node_name};
+use crate::stub::{KnownCache, StubNode};
+
+/// Nodes that are started at once.
+const START_BATCH: usize = 32;
+/// Caches of one cell.
+const CELL_SIZE: usize = 4;
+/// The cell of the origin, which is in none.
+const NO_CELL: u16 = u16::MAX;
+
+/// What a fleet is started with.
+struct Launch<'a> {
+    scenario: &'a Scenario,
+    seed: u64,
+    ip: IpAddr,
+    folder: &'a Path,
+    clock: &'a MonotonicClock,
+    recorder: &'a Recorder,
+    /// The names of the nodes.
+    names: Vec<String>,
+}
+
+/// The servers around the nodes.
+struct Servers {
+    caches: Vec<Arc<Cache>>,
+    origin: Arc<Origin>,
+    discovery: Arc<Discovery>,
+}
+
+/// Addresses for the nodes, bound until they start, so that no two of the lab's sockets get the same. The lab's IP
+/// address is its own: nobody else takes them then.
+struct ReservedAddresses {
+    /// Where clients connect, by node.
+    clients: Vec<(String, SocketAddr)>,
+    /// Where each member listens for others.
+    peers: Vec<(String, SocketAddr)>,
+    /// Where nodes serve their views.
+    views: Vec<SocketAddr>,
+    listeners: Vec<TcpListener>,
+    sockets: Vec<UdpSocket>,
+}
+
+/// The builds that nodes run as, with their operator files.
+struct NodeKinds {
+    current: NodeKind,
+    /// Sends membership messages of version 1 only.
+    version_1: NodeKind,
+    version_1_nodes: Vec<usize>,
+}
+
+fn no_address() -> io::Error {
+    io::Error::other("a stand-in has no door for a node")
+}
+
+impl Fleet {
+    /// Starts the emulators and the nodes, and waits until all are ready.
+    ///
+    /// # Errors
+    /// Where a port, a file or a process can't be had, or a node does not become ready.
+    pub async fn start(
+        scenario: &Scenario,
+        kind: &NodeKind,
+        seed: u64,
+        clock: &MonotonicClock,
+        recorder: &Recorder,
+    ) -> io::Result<Arc<Fleet>> {
+        let ip = lab_ip();
+        let folder = Folder::create(ip)?;
+        let names = (0..scenario.nodes).map(node_name).collect();
+        let launch = Launch { scenario, seed, ip, folder: &folder.0, clock, recorder, names };
+        let servers = launch.start_servers().await?;
+        let addresses = launch.reserve_addresses().await?;
+        let peers = PeerNetwork::start(&addresses.peers, ip, seed).await?;
+        let (store, kinds) = launch.start_store(kind).await?;
+        let configs = launch.node_configs(&servers, &addresses, &peers)?;
+        let nodes = launch.nodes(&servers, &addresses, &peers, &kinds)?;
+        let ReservedAddresses { clients, peers: peer_listens, views, listeners, sockets } = addresses;
+        let fleet = Fleet {
+            caches: servers.caches,
+            origin: servers.origin,
+            store,
+            discovery: servers.discovery,
+            peers,
+            nodes: Mutex::new(NodeSet::new(nodes)),
+            configs,
+            targets: clients,
+            faults: Mutex::default(),
+            standby: Mutex::default(),
+            discovery_delay: Mutex::new(scenario.discovery_delay),
+            recorder: recorder.clone(),
+            folder,
+            peer_listens: peer_listens.into_iter().map(|(_, listen)| listen).collect(),
+            views,
+            membership: scenario.membership.clone(),
+        };
+        for successor in scenario.successors() {
+            fleet.put_on_standby(&successor.name);
+        }
+        drop((listeners, sockets));
+        fleet.start_nodes().await?;
+        Ok(Arc::new(fleet))
+    }
+
+    /// Starts the nodes in batches, and waits until all are ready.
+    async fn start_nodes(&self) -> io::Result<()> {
+        let count = self.configs.len();
+        for first in (0..count).step_by(START_BATCH) {
+            let batch = first..count.min(first + START_BATCH);
+            let mut incarnations = Vec::new();
+            for node in batch.clone() {
+                incarnations.push(lock(&self.nodes).start(node, &self.configs[node])?);
+            }
+            for (node, incarnation) in batch.clone().zip(incarnations) {
+                if !self.wait_until_ready(node, incarnation.unwrap_or(0)).await {
+                    return Err(io::Error::other(lock(&self.nodes).not_ready(node)));
+                }
+            }
+            tracing::info!(ready = batch.end, of = count, "nodes");
+        }
+        Ok(())
+    }
+}
+
+impl Launch<'_> {
+    async fn start_servers(&self) -> io::Result<Servers> {
+        let scenario = self.scenario;
+        let listens: Vec<(String, SocketAddr)> =
+            self.names.iter().map(|name| (name.clone(), (self.ip, 0).into())).collect();
+        let mut caches = Vec::new();
+        let mut entries = Vec::new();
+        for number in 0..scenario.caches {
+            let cache = self.start_cache(number, cache_name(number), &listens).await?;
+            self.preload(&cache);
+            entries.push(self.cache_entry(&cache, "active"));
+            caches.push(cache);
+        }
+        // The machines of successors are there, but no node knows of them, and nothing answers there.
+        for successor in scenario.successors() {
+            let cache = self.start_cache(successor.replaces, successor.name, &listens).await?;
+            entries.push(self.cache_entry(&cache, "left"));
+            caches.push(cache);
+        }
+        let zone = scenario.zone(0);
+        let far_us = scenario.round_trips(&zone, &self.names);
+        let spec = OriginSpec { far_us, ..scenario.origin.clone() };
+        let origin = Origin::start(spec, &listens, self.clock, self.recorder.clone()).await?;
+        origin.attach(&caches);
+        let addresses = self.addresses(|node| origin.address(node));
+        entries.push(entry(&origin.spec.name, zone, &origin.spec.kind, NO_CELL, addresses, "active"));
+        let discovery =
+            Discovery::start(&listens, self.recorder.clone(), entries, scenario.discovery).await?;
+        Ok(Servers { caches, origin, discovery })
+    }
+
+    async fn start_cache(
+        &self,
+        number: usize,
+        name: String,
+        listens: &[(String, SocketAddr)],
+    ) -> io::Result<Arc<Cache>> {
+        let zone = self.scenario.zone(number);
+        let far_us = self.scenario.round_trips(&zone, &self.names);
+        let cell = (number / CELL_SIZE) as u16;
+        let spec = CacheSpec { name, zone, far_us, cell, ..self.scenario.cache.clone() };
+        Cache::start(spec, listens, self.clock, self.recorder.clone()).await
+    }
+
+    /// Stores the most popular keys in a cache.
+    fn preload(&self, cache: &Cache) {
+        for rank in 0..(self.scenario.load.keys as f64 * self.scenario.warm_keys) as usize {
+            cache.preload(&format!("{:016x}", key(rank)), 0);
+        }
+    }
+
+    fn cache_entry(&self, cache: &Cache, status: &str) -> Entry {
+        let spec = &cache.spec;
+        let addresses = self.addresses(|node| cache.address(node));
+        entry(&spec.name, spec.zone.clone(), &spec.kind, spec.cell, addresses, status)
+    }
+
+    /// A server's address at each node.
+    fn addresses(&self, address: impl Fn(&str) -> Option<SocketAddr>) -> BTreeMap<String, SocketAddr> {
+        self.names.iter().filter_map(|node| Some((node.clone(), address(node)?))).collect()
+    }
+
+    async fn reserve_addresses(&self) -> io::Result<ReservedAddresses> {
+        let (mut listeners, mut sockets) = (Vec::new(), Vec::new());
+        let (mut clients, mut peers, mut views) = (Vec::new(), Vec::new(), Vec::new());
+        for name in &self.names {
+            let listener = TcpListener::bind((self.ip, 0)).await?;
+            clients.push((name.clone(), listener.local_addr()?));
+            listeners.push(listener);
+            if self.scenario.membership.is_some() {
+                let listener = TcpListener::bind((self.ip, 0)).await?;
+                views.push(listener.local_addr()?);
+                listeners.push(listener);
+            }
+        }
+        let absent = self.scenario.membership.as_ref().map_or(0, |spec| spec.absent_members);
+        for number in 0..self.scenario.nodes + absent {
+            let socket = UdpSocket::bind((self.ip, 0)).await?;
+            peers.push((node_name(number), socket.local_addr()?));
+            sockets.push(socket);
+        }
+        Ok(ReservedAddresses { clients, peers, views, listeners, sockets })
+    }
+
+    /// Starts the store of record, where there is one, and writes the operator files.
+    async fn start_store(
+        &self,
+        kind: &NodeKind,
+    ) -> io::Result<(Option<Arc<stonevane_emulators::postgres::Postgres>>, NodeKinds)> {
+        // An operator file that the caller gives says itself whether nodes know of one another.
+        let given = matches!(kind, NodeKind::Process(Program { operator: Some(_), .. }));
+        let members = self.scenario.membership.as_ref().filter(|_| !given);
+        let mut kind = kind.clone();
+        let mut server = None;
+        if let Some(spec) = &self.scenario.store {
+            let store =
+                StoreOfRecord::start(spec, self.scenario, self.folder, self.recorder, self.ip).await?;
+            server = store.server;
+            match &mut kind {
+                NodeKind::Process(Program { operator: operator @ None, .. }) => {
+                    *operator = Some(store.operator);
+                }
+                _ => return Err(io::Error::other("a scenario with a store brings its own operator file")),
+            }
+        }
+        let version_1_nodes =
+            members.map_or(Vec::new(), |spec| spec.version_1_nodes.numbers(self.scenario.nodes));
+        let kinds = NodeKinds {
+            current: self.with_operator_sections(kind.clone(), members, 2)?,
+            version_1: self.with_operator_sections(kind, members, 1)?,
+            version_1_nodes,
+        };
+        Ok((server, kinds))
+    }
+
+    /// Adds the lab's sections to the operator file of a build, behind what it has.
+    fn with_operator_sections(
+        &self,
+        mut kind: NodeKind,
+        members: Option<&MembershipSpec>,
+        version: u8,
+    ) -> io::Result<NodeKind> {
+        let mut sections = members.map_or(String::new(), |spec| membership_section(spec, version));
+        if !self.scenario.startup_limit {
+            sections += "[start]\nramp = false\n";
+        }
+        if let (false, NodeKind::Process(Program { operator, .. })) = (sections.is_empty(), &mut kind) {
+            let text = operator.as_ref().map(std::fs::read_to_string).transpose()?.unwrap_or_default();
+            let path: PathBuf = self.folder.join(format!("operator-of-form-{version}.toml"));
+            std::fs::write(&path, format!("{text}\n{sections}"))?;
+            *operator = Some(path);
+        }
+        Ok(kind)
+    }
+
+    /// The configuration of each node.
+    fn node_configs(
+        &self,
+        servers: &Servers,
+        addresses: &ReservedAddresses,
+        peers: &PeerNetwork,
+    ) -> io::Result<Vec<String>> {
+        let scenario = self.scenario;
+        let config = |(number, (name, listen)): (usize, &(String, SocketAddr))| {
+            let known: Box<serde_json::value::RawValue> =
+                serde_json::from_str(&servers.discovery.known(name))?;
+            let discovery = servers.discovery.address(name).ok_or_else(no_address)?;
+            let config = serde_json::json!({
+                "name": name, "listen": listen.to_string(), "discovery": discovery.to_string(),
+                "seed": format!("{:016x}", self.seed.wrapping_mul(31).wrapping_add(number as u64)),
+                "limits": {"cores": 1.0, "memory_mb": scenario.memory_mb, "sockets": scenario.sockets},
+                "peer_listen": addresses.peers[number].1.to_string(),
+                "peers": peers.peers(number).iter().map(SocketAddr::to_string).collect::<Vec<_>>(),
+                "peers_all": peers.broadcast().to_string(),
+                "mgmt": addresses.views.get(number).map_or(String::new(), SocketAddr::to_string),
+                "known": known, "settings": settings(scenario, number),
+            });
+            Ok(config.to_string())
+        };
+        addresses.clients.iter().enumerate().map(config).collect()
+    }
+
+    fn nodes(
+        &self,
+        servers: &Servers,
+        addresses: &ReservedAddresses,
+        peers: &PeerNetwork,
+        kinds: &NodeKinds,
+    ) -> io::Result<Vec<Node>> {
+        let node = |(number, (name, listen)): (usize, &(String, SocketAddr))| {
+            let known_cache = |cache: &Arc<Cache>| {
+                Some(KnownCache { name: cache.spec.name.clone(), address: cache.address(name)? })
+            };
+            let stub = StubNode {
+                name: name.clone(),
+                listen: *listen,
+                caches: servers.caches.iter().filter_map(known_cache).collect(),
+                origin: servers.origin.address(name).ok_or_else(no_address)?,
+                discovery: servers.discovery.address(name).ok_or_else(no_address)?,
+            };
+            let kind = match self.faulty_member(number, addresses, peers) {
+                Some(member) => NodeKind::FaultyMember(member),
+                None if kinds.version_1_nodes.contains(&number) => kinds.version_1.clone(),
+                None => kinds.current.clone(),
+            };
+            Ok(Node::new(kind, stub, self.folder, self.recorder.clone()))
+        };
+        addresses.clients.iter().enumerate().map(node).collect()
+    }
+
+    /// The faulty member in a node's place, where there is one.
+    fn faulty_member(
+        &self,
+        number: usize,
+        addresses: &ReservedAddresses,
+        peers: &PeerNetwork,
+    ) -> Option<FaultyMember> {
+        let spec = self.scenario.membership.as_ref()?;
+        let faulty = spec.faulty_member.filter(|faulty| faulty.node == number)?;
+        let period_us = spec.period.as_micros() as u64;
+        let setup = Setup {
+            me: number as u16,
+            members: addresses.peers.len() as u16,
+            period: period_us,
+            answer: period_us / 2,
+            key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN]),
+            seed: self.seed,
+            draw: 1 + number as u32,
+            ..Setup::default()
+        };
+        let listen = addresses.peers[number].1;
+        Some(FaultyMember { setup, listen, peers: peers.peers(number).to_vec(), mutant: faulty.mutant })
+    }
+}
+
+fn entry(
+    name: &str,
+    zone: String,
+    kind: &str,
+    group: u16,
+    addresses: BTreeMap<String, SocketAddr>,
+    status: &str,
+) -> Entry {
+    Entry {
+        name: name.into(),
+        addresses,
+        zone,
+        kind: kind.into(),
+        group,
+        status: status.into(),
+        weight: 1.0,
+        since: 0,
+        index: 1,
+    }
+}
--- a/crates/stonevane-lab/src/plot.rs
+++ b/crates/stonevane-lab/src/plot.rs
@@ -13,7 +13,7 @@
     pub points: Vec<(f64, f64)>,
 }
 
-/// Colours that are told apart in print too.
+/// Colours that differ in print too.
 pub const COLOURS: [RGBColor; 6] = [
     RGBColor(26, 86, 168),
     RGBColor(199, 119, 0),
@@ -22,83 +22,111 @@
     RGBColor(179, 38, 30),
     RGBColor(110, 110, 110),
 ];
-const BOUND: RGBColor = RGBColor(179, 38, 30);
-const PANEL: u32 = 170;
-const ROW: u32 = 15;
-/// The width of a panel's labels at its left, and its margin.
-const AXIS: u32 = 60;
+const BOUND_COLOUR: RGBColor = RGBColor(179, 38, 30);
+const GRID_COLOUR: RGBColor = RGBColor(230, 230, 230);
+const FONT: &str = "sans-serif";
+const LABEL_SIZE: u32 = 10;
+// Sizes in pixels.
+const WIDTH: u32 = 900;
+const TITLE_HEIGHT: u32 = 34;
+const PANEL_HEIGHT: u32 = 170;
+const SPANS_MARGIN: u32 = 30;
+const ROW_HEIGHT: u32 = 15;
+/// The width of a panel's labels at its left, its margin included.
+const AXIS_WIDTH: u32 = 60;
 const MARGIN: u32 = 6;
+/// The width of a character of a span's label, about.
+const CHARACTER_WIDTH: i32 = 6;
+/// Characters of a span's label, at most.
+const MAX_LABEL: usize = 60;
+/// Free space above the highest point, as a factor.
+const HEADROOM: f64 = 1.08;
+/// The least range of an axis.
+const MIN_RANGE: f64 = 1e-6;
 
 /// A panel of curves.
 pub struct Panel {
     /// What it shows.
     pub title: String,
-    /// What its axes are.
-    pub axes: (&'static str, &'static str),
+    /// The label of its horizontal axis.
+    pub x_label: &'static str,
+    /// The label of its vertical axis.
+    pub y_label: &'static str,
     /// Its curves.
     pub curves: Vec<Curve>,
     /// A bound that is drawn across.
     pub bound: Option<f64>,
 }
 
-/// Something that lasts: from, until, its name.
-pub type Lasting = (f64, f64, String);
+/// Something that lasts, in seconds.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Span {
+    /// Its beginning.
+    pub from_s: f64,
+    /// Its end.
+    pub until_s: f64,
+    /// Its name.
+    pub label: String,
+}
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// A picture of panels below one another, and of what lasted below them, each in a row of its own so that no
-/// names overlap. Empty where nothing can be drawn.
-pub fn picture(title: &str, panels: &[Panel], spans: &[Lasting], seconds: f64) -> String {
-    let rows = if spans.is_empty() { 0 } else { 30 + ROW * spans.len() as u32 };
-    let size = (900, 34 + PANEL * panels.len() as u32 + rows);
+/// A picture of panels below one another, and of spans below them, each in a row of its own so that no labels overlap.
+/// Empty where nothing can be drawn.
+pub fn picture(title: &str, panels: &[Panel], spans: &[Span], seconds: f64) -> String {
+    let rows = if spans.is_empty() { 0 } else { SPANS_MARGIN + ROW_HEIGHT * spans.len() as u32 };
+    let size = (WIDTH, TITLE_HEIGHT + PANEL_HEIGHT * panels.len() as u32 + rows);
     let mut text = String::new();
-    let drawn =
-        draw(SVGBackend::with_string(&mut text, size).into_drawing_area(), title, panels, spans, seconds);
+    let root = SVGBackend::with_string(&mut text, size).into_drawing_area();
+    let drawn = draw(&root, title, panels, spans, seconds);
+    drop(root);
     if drawn.is_ok() { text } else { String::new() }
 }
 
-fn draw(root: Area, title: &str, panels: &[Panel], spans: &[Lasting], seconds: f64) -> Drawn {
+fn draw(root: &Area<'_>, title: &str, panels: &[Panel], spans: &[Span], seconds: f64) -> DrawResult {
     root.fill(&WHITE)?;
-    let (head, mut rest) = root.split_vertically(34);
-    head.draw_text(title, &("sans-serif", 16).into_font().color(&BLACK), (12, 8))?;
+    let (head, mut rest) = root.split_vertically(TITLE_HEIGHT);
+    head.draw_text(title, &(FONT, 16).into_font().color(&BLACK), (12, 8))?;
     for panel in panels {
-        let (area, below) = rest.split_vertically(PANEL);
-        curves(&area, panel)?;
+        let (area, below) = rest.split_vertically(PANEL_HEIGHT);
+        draw_panel(&area, panel)?;
         rest = below;
     }
     if !spans.is_empty() {
-        lasting(&rest, spans, seconds)?;
+        draw_spans(&rest, spans, seconds)?;
     }
     root.present()?;
     Ok(())
 }
 
-fn curves(area: &Area, panel: &Panel) -> Drawn {
-    let points =
-        || panel.curves.iter().flat_map(|c| &c.points).filter(|p| p.0.is_finite() && p.1.is_finite());
-    let most = points().map(|p| p.1).chain(panel.bound).fold(0.0, f64::max).max(1e-6) * 1.08;
-    let end = points().map(|p| p.0).fold(0.0, f64::max).max(1e-6);
+fn draw_panel(area: &Area<'_>, panel: &Panel) -> DrawResult {
+    let points = || {
+        let all = panel.curves.iter().flat_map(|curve| &curve.points);
+        all.filter(|(x, y)| x.is_finite() && y.is_finite())
+    };
+    let top = points().map(|point| point.1).chain(panel.bound).fold(0.0, f64::max).max(MIN_RANGE) * HEADROOM;
+    let end = points().map(|point| point.0).fold(0.0, f64::max).max(MIN_RANGE);
     let mut chart = ChartBuilder::on(area)
-        .caption(&panel.title, ("sans-serif", 13))
+        .caption(&panel.title, (FONT, 13))
         .margin(MARGIN)
         .x_label_area_size(28)
-        .y_label_area_size(AXIS - MARGIN)
-        .build_cartesian_2d(0.0..end, 0.0..most)?;
+        .y_label_area_size(AXIS_WIDTH - MARGIN)
+        .build_cartesian_2d(0.0..end, 0.0..top)?;
     let mut mesh = chart.configure_mesh();
-    mesh.light_line_style(WHITE).bold_line_style(RGBColor(230, 230, 230)).y_labels(5);
-    mesh.x_desc(panel.axes.0).y_desc(panel.axes.1).label_style(("sans-serif", 10)).draw()?;
+    mesh.light_line_style(WHITE).bold_line_style(GRID_COLOUR).y_labels(5);
+    mesh.x_desc(panel.x_label).y_desc(panel.y_label).label_style((FONT, LABEL_SIZE)).draw()?;
     if let Some(bound) = panel.bound {
-        let line = DashedLineSeries::new([(0.0, bound), (end, bound)], 5, 3, BOUND.stroke_width(1));
+        let line = DashedLineSeries::new([(0.0, bound), (end, bound)], 5, 3, BOUND_COLOUR.stroke_width(1));
         chart.draw_series(line)?;
     }
     for curve in &panel.curves {
         let colour = curve.colour;
-        // A gap is a gap: each stretch is a line of its own.
-        let stretches = curve.points.split(|p| !p.1.is_finite());
+        // Gaps stay empty: each stretch between them is a line of its own.
+        let stretches = curve.points.split(|point| !point.1.is_finite());
         for (number, stretch) in stretches.enumerate() {
-            let drawn =
-                chart.draw_series(LineSeries::new(stretch.iter().copied(), colour.stroke_width(1)))?;
+            let line = LineSeries::new(stretch.iter().copied(), colour.stroke_width(1));
+            let drawn = chart.draw_series(line)?;
             if number == 0 {
                 let legend =
                     move |(x, y)| PathElement::new(vec![(x, y), (x + 14, y)], colour.stroke_width(2));
@@ -107,27 +135,29 @@
         }
     }
     let mut labels = chart.configure_series_labels();
-    labels.position(SeriesLabelPosition::UpperRight).label_font(("sans-serif", 10));
+    labels.position(SeriesLabelPosition::UpperRight).label_font((FONT, LABEL_SIZE));
     labels.background_style(WHITE.mix(0.6)).draw()?;
     Ok(())
 }
 
-fn lasting(area: &Area, spans: &[Lasting], seconds: f64) -> Drawn {
+fn draw_spans(area: &Area<'_>, spans: &[Span], seconds: f64) -> DrawResult {
     let (width, _) = area.dim_in_pixel();
     // In line with the panels' own axis.
-    let room = f64::from(width.saturating_sub(AXIS + MARGIN));
-    let x = |at: f64| AXIS as i32 + (at.clamp(0.0, seconds) / seconds.max(1e-6) * room) as i32;
-    let font = ("sans-serif", 10).into_font().color(&BLACK);
-    for (row, (from, until, name)) in spans.iter().enumerate() {
-        let y = 14 + (row as u32 * ROW) as i32;
-        let corners = [(x(*from), y), (x(*until).max(x(*from) + 2), y + ROW as i32 - 4)];
-        area.draw(&Rectangle::new(corners, BOUND.mix(0.45).filled()))?;
-        let words: String = format!("{name}, {from:.1} s").chars().take(60).collect();
-        // Behind its bar, or before it where that leaves no room.
-        let length = 6 * words.len() as i32;
-        let behind = corners[1].0 + 4;
-        let place = if behind + length > width as i32 { corners[0].0 - length } else { behind };
-        area.draw_text(&words, &font, (place.max(2), y))?;
+    let axis_length = f64::from(width.saturating_sub(AXIS_WIDTH + MARGIN));
+    let x =
+        |at: f64| AXIS_WIDTH as i32 + (at.clamp(0.0, seconds) / seconds.max(MIN_RANGE) * axis_length) as i32;
+    let font = (FONT, LABEL_SIZE).into_font().color(&BLACK);
+    for (row, span) in spans.iter().enumerate() {
+        let y = 14 + (row as u32 * ROW_HEIGHT) as i32;
+        let (left, right) = (x(span.from_s), x(span.until_s).max(x(span.from_s) + 2));
+        let corners = [(left, y), (right, y + ROW_HEIGHT as i32 - 4)];
+        area.draw(&Rectangle::new(corners, BOUND_COLOUR.mix(0.45).filled()))?;
+        let label: String = format!("{}, {:.1} s", span.label, span.from_s).chars().take(MAX_LABEL).collect();
+        // Behind its bar, or before it where there is no space behind.
+        let label_width = CHARACTER_WIDTH * label.len() as i32;
+        let behind = right + 4;
+        let label_x = if behind + label_width > width as i32 { left - label_width } else { behind };
+        area.draw_text(&label, &font, (label_x.max(2), y))?;
     }
     Ok(())
 }
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -1,22 +1,36 @@
 //! One run of a scenario, from its first process to its verdict.
 
-use std::fmt;
 use std::fs::File;
 use std::io::{self, BufReader, Write};
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
 use std::time::Duration;
 
 use serde::Serialize;
 use stonevane_audit::{Event, HistoryError, HistoryRecord, Report, Rules, audit};
-use stonevane_emulators::client::{Clients, plan};
+use stonevane_emulators::client::{Clients, Planned, plan};
 use stonevane_emulators::{MonotonicClock, Recorder};
 use stonevane_server_model::value::digest;
+use tokio::task::JoinSet;
 
 use crate::fleet::{Fleet, rules};
-use crate::nodes::Kind;
-use crate::scenario::{Expect, Scenario};
+use crate::node::NodeKind;
+use crate::scenario::{Expectation, Scenario};
 use crate::summary::{Summary, summarise};
 
+/// Protocol periods at the end of a run in which views are still read.
+const MEMBERSHIP_TAIL_PERIODS: u64 = 8;
+/// The start of the load lies this far ahead, in microseconds.
+const START_MARGIN_US: u64 = 20_000;
+/// How often it is looked whether nodes have ended.
+const WATCH_PERIOD: Duration = Duration::from_millis(20);
+/// Progress is shown at each of these turns of the watch.
+const PROGRESS_TURNS: u64 = 50;
+/// How long tasks may take to end.
+const RUNTIME_SHUTDOWN: Duration = Duration::from_secs(2);
+/// The buffer for reading a history, in bytes.
+const READ_BUFFER: usize = 1 << 20;
+
 /// How to run a scenario.
 #[derive(Debug, Clone)]
 pub struct Options {
@@ -28,13 +42,13 @@
     pub load: Option<f64>,
     /// Whether its short form is played.
     pub short: bool,
-    /// What stands in the nodes' places.
-    pub kind: Kind,
+    /// What serves in the nodes' places.
+    pub kind: NodeKind,
     /// Whether nodes know nothing of one another, whatever the scenario says: the control.
     pub without_fleet: bool,
-    /// Whether nodes that start together don't hold back: the control.
+    /// Whether nodes that start together don't limit their first attempts: the control.
     pub without_ramp: bool,
-    /// Where the history is kept; else it goes when the verdict is there.
+    /// Where the history is written; else it is deleted once the verdict is there.
     pub history: Option<PathBuf>,
     /// Whether progress goes to standard error.
     pub progress: bool,
@@ -42,7 +56,7 @@
 
 impl Options {
     /// A run of a scenario as it stands.
-    pub fn of(kind: Kind) -> Options {
+    pub fn of(kind: NodeKind) -> Options {
         Options {
             seed: None,
             nodes: None,
@@ -55,6 +69,28 @@
             progress: false,
         }
     }
+
+    /// The scenario that is played.
+    fn apply(&self, scenario: &Scenario) -> Scenario {
+        let mut scenario = if self.short { scenario.shortened() } else { scenario.clone() };
+        if let Some(nodes) = self.nodes {
+            scenario.nodes = nodes;
+        }
+        scenario.load.per_s *= self.load.unwrap_or(1.0);
+        scenario.startup_limit &= !self.without_ramp;
+        if self.without_fleet {
+            scenario.membership = None;
+        }
+        if let Some(spec) = &scenario.membership {
+            // Views have their time to converge once all steps have ended, and are read for a while then.
+            let end = scenario.steps.iter().map(|step| step.at + step.duration).max().unwrap_or_default();
+            let bounds = spec.bounds_for(scenario.nodes + spec.absent_members);
+            let periods = bounds.convergence + MEMBERSHIP_TAIL_PERIODS;
+            let needed = end + spec.period * periods as u32;
+            scenario.load.for_ms = scenario.load.for_ms.max(needed.as_millis() as u64);
+        }
+        scenario
+    }
 }
 
 /// What a run showed.
@@ -71,14 +107,14 @@
     /// The auditor's verdict.
     pub report: Report,
     /// What was expected, each with the figure that was found and whether it holds.
-    pub expects: Vec<Expected>,
+    pub expects: Vec<Checked>,
     /// Whether the rules and all expectations hold.
     pub holds: bool,
 }
 
 /// An expectation and what was found.
 #[derive(Debug, Clone, Serialize)]
-pub struct Expected {
+pub struct Checked {
     /// Its line.
     pub line: String,
     /// The figure that was found; `None` where there was nothing to measure.
@@ -87,39 +123,37 @@
     pub holds: bool,
 }
 
+impl Checked {
+    fn new(expectation: &Expectation, summary: &Summary, report: &Report) -> Checked {
+        let found = summary.figure(&expectation.figure, report);
+        let holds = found.is_some_and(|found| expectation.holds(found));
+        Checked { line: expectation.to_string(), found, holds }
+    }
+}
+
 /// Why a run has no outcome.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A process, a port or a file can't be had.
-    Io(io::Error),
+    #[error("{0}")]
+    Io(#[from] io::Error),
     /// The history can't be read.
+    #[error("the history {0}")]
     History(HistoryError),
     /// It was interrupted.
+    #[error("interrupted")]
     Interrupted,
 }
 
-impl fmt::Display for RunError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RunError::Io(e) => write!(f, "{e}"),
-            RunError::History(e) => write!(f, "the history {e}"),
-            RunError::Interrupted => write!(f, "interrupted"),
-        }
-    }
-}
-
-impl std::error::Error for RunError {}
-
-impl From<io::Error> for RunError {
-    fn from(e: io::Error) -> Self {
-        RunError::Io(e)
-    }
-}
-
 /// The first line of a history.
-pub fn begin(rules: Rules) -> HistoryRecord {
-    let (t, who, event) = (MonotonicClock::moment(), "lab".into(), Event::Begin);
-    HistoryRecord { time: t, recorder: who, event, rules: Some(Box::new(rules)), ..HistoryRecord::default() }
+fn first_record(rules: Rules) -> HistoryRecord {
+    HistoryRecord {
+        time: MonotonicClock::moment(),
+        recorder: "lab".into(),
+        event: Event::Begin,
+        rules: Some(Box::new(rules)),
+        ..HistoryRecord::default()
+    }
 }
 
 /// Runs a scenario once, on processes of its own.
@@ -127,140 +161,136 @@
 /// # Errors
 /// [`RunError`] where it can't be run to its end.
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, RunError> {
-    let mut scenario = if options.short { scenario.shortened() } else { scenario.clone() };
-    if let Some(nodes) = options.nodes {
-        scenario.nodes = nodes;
-    }
-    scenario.load.per_s *= options.load.unwrap_or(1.0);
-    scenario.ramp &= !options.without_ramp;
-    if options.without_fleet {
-        scenario.membership = None;
-    }
-    if let Some(spec) = &scenario.membership {
-        // Views have their time to be right once all has ended, and are looked at for a while then.
-        let last = scenario.steps.iter().map(|step| step.at + step.lasts).max().unwrap_or_default();
-        let periods = spec.bounds(scenario.nodes + spec.strangers)[3] + 8;
-        let needed = last + spec.period * periods as u32;
-        scenario.load.for_ms = scenario.load.for_ms.max(needed.as_millis() as u64);
-    }
+    let scenario = options.apply(scenario);
     let seed = options.seed.unwrap_or(scenario.seed);
-    let kept = options.history.clone();
-    let path = kept.clone().unwrap_or_else(|| {
-        let name = crate::lab_ip().to_string().replace('.', "-");
-        std::env::temp_dir().join(format!("stonevane-history-{}-{name}.jsonl", std::process::id()))
-    });
+    let path = options.history.clone().unwrap_or_else(temporary_history);
     tracing::info!(scenario = scenario.name, seed, nodes = scenario.nodes, history = %path.display(), "run");
-    let out = File::create(&path)?;
-    let (recorder, writer) = Recorder::to(out);
-    recorder.line(begin(rules(&scenario)));
     let planned = plan(&scenario.load, scenario.nodes, seed);
     let load = digest(format!("{planned:?}").as_bytes());
+    let judged = play_into(&path, &scenario, options, seed, planned).and_then(|store_queries| {
+        let (report, summary) = judge(&path)?;
+        Ok((report, Summary { store_queries, ..summary }))
+    });
+    if options.history.is_none() {
+        let _ = std::fs::remove_file(&path);
+    }
+    let (report, summary) = judged?;
+    tracing::info!(scenario = scenario.name, seed, broken = report.broken, events = report.events, "judged");
+    let check = |expectation| Checked::new(expectation, &summary, &report);
+    let expects: Vec<_> = scenario.expects.iter().map(check).collect();
+    let holds = report.holds() && report.faulty == 0 && expects.iter().all(|checked| checked.holds);
+    Ok(Outcome { scenario: scenario.name, seed, load, summary, report, expects, holds })
+}
+
+fn temporary_history() -> PathBuf {
+    let name = crate::lab_ip().to_string().replace('.', "-");
+    std::env::temp_dir().join(format!("stonevane-history-{}-{name}.jsonl", std::process::id()))
+}
+
+/// Plays a scenario and writes its history; returns the queries of the store of record, where there is one.
+fn play_into(
+    path: &Path,
+    scenario: &Scenario,
+    options: &Options,
+    seed: u64,
+    planned: Vec<Planned>,
+) -> Result<Option<u64>, RunError> {
+    let (recorder, writer) = Recorder::to(File::create(path)?);
+    recorder.line(first_record(rules(scenario)));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let played = runtime.block_on(async {
         tokio::select! {
-            played = play(&scenario, options, seed, planned, &recorder) => played,
+            played = play(scenario, options, seed, planned, &recorder) => played,
             () = interrupted() => Err(RunError::Interrupted),
         }
     });
     // All processes are ended and all sockets closed before anything is read.
-    runtime.shutdown_timeout(Duration::from_secs(2));
+    runtime.shutdown_timeout(RUNTIME_SHUTDOWN);
     drop(recorder);
     let written = writer.finish();
-    let read = || -> Result<(Report, Summary), RunError> {
-        let open = || File::open(&path).map(|file| BufReader::with_capacity(1 << 20, file));
-        let report = audit(open()?).map_err(RunError::History)?;
-        Ok((report, summarise(open()?).map_err(RunError::History)?))
-    };
-    let done = played.and_then(|queries| {
-        written.map_err(RunError::Io)?;
-        let (report, summary) = read()?;
-        Ok((report, Summary { store_queries: queries, ..summary }))
-    });
-    if kept.is_none() {
-        let _ = std::fs::remove_file(&path);
-    }
-    let (report, summary) = done?;
-    tracing::info!(scenario = scenario.name, seed, broken = report.broken, events = report.events, "judged");
-    let expects: Vec<_> = scenario.expects.iter().map(|expect| expected(expect, &summary, &report)).collect();
-    let holds = report.holds() && report.faulty == 0 && expects.iter().all(|expect| expect.holds);
-    Ok(Outcome { scenario: scenario.name, seed, load, summary, report, expects, holds })
+    let store_queries = played?;
+    written?;
+    Ok(store_queries)
 }
 
-fn expected(expect: &Expect, summary: &Summary, report: &Report) -> Expected {
-    let found = summary.figure(&expect.figure, report);
-    Expected { line: expect.to_string(), found, holds: found.is_some_and(|found| expect.holds(found)) }
+fn judge(path: &Path) -> Result<(Report, Summary), RunError> {
+    let open = || File::open(path).map(|file| BufReader::with_capacity(READ_BUFFER, file));
+    let report = audit(open()?).map_err(RunError::History)?;
+    Ok((report, summarise(open()?).map_err(RunError::History)?))
 }
 
 /// Waits for an interrupt or SIGTERM.
 pub async fn interrupted() {
     use tokio::signal::unix::{SignalKind, signal};
-    let (Ok(mut int), Ok(mut term)) = (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
+    let (Ok(mut interrupt), Ok(mut terminate)) =
+        (signal(SignalKind::interrupt()), signal(SignalKind::terminate()))
     else {
         return std::future::pending().await;
     };
-    tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
+    tokio::select! { _ = interrupt.recv() => {}, _ = terminate.recv() => {} }
 }
 
 async fn play(
     scenario: &Scenario,
     options: &Options,
     seed: u64,
-    planned: Vec<stonevane_emulators::client::Planned>,
+    planned: Vec<Planned>,
     recorder: &Recorder,
 ) -> Result<Option<u64>, RunError> {
-    let mono = MonotonicClock::default();
-    let beat = tokio::spawn(mono.clone().run_heartbeat());
-    let fleet = Fleet::start(scenario, &options.kind, seed, &mono, recorder).await?;
-    let clients = Clients::new(&fleet.targets, scenario.load.clone(), seed, &mono, recorder.clone());
-    let start = MonotonicClock::now() + 20_000;
+    let clock = MonotonicClock::default();
+    let heartbeat = tokio::spawn(clock.clone().run_heartbeat());
+    let fleet = Fleet::start(scenario, &options.kind, seed, &clock, recorder).await?;
+    let clients = Clients::new(&fleet.targets, scenario.load.clone(), seed, &clock, recorder.clone());
+    let start = MonotonicClock::now() + START_MARGIN_US;
     fleet.note("load");
-    let mut steps = tokio::task::JoinSet::new();
-    for step in scenario.steps.clone() {
-        let (fleet, clients) = (fleet.clone(), clients.clone());
-        steps.spawn(async move {
-            let at = start + step.at.as_micros() as u64;
-            tokio::time::sleep(Duration::from_micros(at.saturating_sub(MonotonicClock::now()))).await;
-            fleet.step(&step, &clients).await;
-        });
-    }
+    let mut steps = spawn_steps(scenario, &fleet, &clients, start);
     let views = tokio::spawn(fleet.clone().watch_views());
-    let (watched, asked, progress) = (fleet.clone(), clients.clone(), options.progress);
-    let whole = scenario.load.for_ms;
-    let watch = tokio::spawn(async move {
-        for turn in 1.. {
-            tokio::time::sleep(Duration::from_millis(20)).await;
-            watched.look();
-            if progress && turn % 50 == 0 {
-                let now = MonotonicClock::now().saturating_sub(start) / 1_000;
-                let _ = writeln!(
-                    io::stderr(),
-                    "  {:.0} of {:.0} s, {} asked",
-                    now as f64 / 1e3,
-                    whole as f64 / 1e3,
-                    asked.asked()
-                );
-            }
-        }
-    });
+    let progress = options.progress.then_some(scenario.load.for_ms);
+    let watch = tokio::spawn(watch_nodes(fleet.clone(), clients.clone(), start, progress));
     clients.play(planned, start).await;
     fleet.note("load ended");
-    // Steps that go on to the end go on no longer.
-    let endless = scenario.steps.iter().any(|step| step.lasts.is_zero());
+    // Steps without an end are cut off.
+    let endless = scenario.steps.iter().any(|step| step.duration.is_zero());
     if !endless {
         while steps.join_next().await.is_some() {}
     }
     steps.shutdown().await;
     watch.abort();
     views.abort();
-    let t = MonotonicClock::moment();
     recorder.line(HistoryRecord {
-        time: t,
+        time: MonotonicClock::moment(),
         recorder: "lab".into(),
         event: Event::End,
         ..HistoryRecord::default()
     });
-    let queries = fleet.store.as_ref().map(|store| store.counts().reads);
+    let store_queries = fleet.store.as_ref().map(|store| store.counts().reads);
     fleet.end().await;
-    beat.abort();
-    Ok(queries)
+    heartbeat.abort();
+    Ok(store_queries)
+}
+
+/// Spawns each step at its time.
+fn spawn_steps(scenario: &Scenario, fleet: &Arc<Fleet>, clients: &Arc<Clients>, start: u64) -> JoinSet<()> {
+    let mut steps = JoinSet::new();
+    for step in scenario.steps.clone() {
+        let (fleet, clients) = (fleet.clone(), clients.clone());
+        steps.spawn(async move {
+            let at = start + step.at.as_micros() as u64;
+            tokio::time::sleep(Duration::from_micros(at.saturating_sub(MonotonicClock::now()))).await;
+            fleet.play_step(&step, &clients).await;
+        });
+    }
+    steps
+}
+
+/// Records nodes that end by themselves, and shows progress through a load of so many milliseconds.
+async fn watch_nodes(fleet: Arc<Fleet>, clients: Arc<Clients>, start: u64, progress: Option<u64>) {
+    for turn in 1.. {
+        tokio::time::sleep(WATCH_PERIOD).await;
+        fleet.check_nodes();
+        let Some(load_ms) = progress.filter(|_| turn % PROGRESS_TURNS == 0) else { continue };
+        let now_s = (MonotonicClock::now().saturating_sub(start) / 1_000) as f64 / 1e3;
+        let load_s = load_ms as f64 / 1e3;
+        let _ = writeln!(io::stderr(), "  {now_s:.0} of {load_s:.0} s, {} asked", clients.asked());
+    }
 }
--- a/crates/stonevane-lab/tests/crooked.rs
+++ b/crates/stonevane-lab/tests/faulty_nodes.rs
@@ -1,9 +1,9 @@
-//! Little nodes over real sockets: each crooked one is caught at what it does and at nothing else, the honest
-//! one is not accused through the same faults.
+//! Stub nodes over real sockets: each faulty one is caught at what it does and at nothing else, the correct one is not
+//! accused through the same faults.
 #![allow(missing_docs)]
 
 use stonevane_audit::Rule;
-use stonevane_lab::{Crime, Kind, Options, Outcome, Scenario, run};
+use stonevane_lab::{NodeFault, NodeKind, Options, Outcome, Scenario, run};
 
 const CALM: &str = "name = \"calm\"\n[load]\nper_s = 80\nfor_ms = 1200\nimpatient = 0.05\nmoves = 0.1\nedits = 0.2\n\
     [fleet]\nwarm_keys = 1\n";
@@ -18,95 +18,95 @@
     [fleet.origin]\nslots = 200\n\
     [[fault]]\ndo = \"kill\"\nto = \"cache-0\"\nat_ms = 200\nfor_ms = 200\n";
 
-fn play(text: &str, crime: Crime, nodes: Option<usize>) -> Outcome {
+fn play(text: &str, fault: NodeFault, nodes: Option<usize>) -> Outcome {
     let scenario = Scenario::parse(text).unwrap();
-    let options = Options { nodes, ..Options::of(Kind::Little(crime)) };
+    let options = Options { nodes, ..Options::of(NodeKind::Stub(fault)) };
     run(&scenario, &options).unwrap()
 }
 
 #[track_caller]
-fn caught(text: &str, crime: Crime, nodes: Option<usize>, rule: Rule, code: &str) {
-    let report = play(text, crime, nodes).report;
-    assert!(!report.findings.is_empty(), "{crime:?} was not caught: {report}");
+fn caught(text: &str, fault: NodeFault, nodes: Option<usize>, rule: Rule, code: &str) {
+    let report = play(text, fault, nodes).report;
+    assert!(!report.findings.is_empty(), "{fault:?} was not caught: {report}");
     for finding in &report.findings {
-        assert_eq!((finding.rule, finding.code), (rule, code), "{crime:?}: {finding}");
+        assert_eq!((finding.rule, finding.code), (rule, code), "{fault:?}: {finding}");
         assert!(!finding.evidence.is_empty(), "{finding}");
     }
 }
 
 #[track_caller]
-fn honest(text: &str, crime: Crime, nodes: Option<usize>) {
-    let outcome = play(text, crime, nodes);
+fn correct(text: &str, fault: NodeFault, nodes: Option<usize>) {
+    let outcome = play(text, fault, nodes);
     assert!(outcome.report.holds(), "{}: {}", outcome.scenario, outcome.report);
     assert!(outcome.report.requests > 20);
 }
 
 #[test]
-fn an_honest_little_node_is_not_accused_through_the_same_faults() {
-    honest(CALM, Crime::Honest, None);
-    honest(DRAIN, Crime::Honest, None);
-    honest(TERM, Crime::Honest, None);
-    honest(COLD, Crime::Honest, None);
+fn a_correct_stub_node_is_not_accused_through_the_same_faults() {
+    correct(CALM, NodeFault::None, None);
+    correct(DRAIN, NodeFault::None, None);
+    correct(TERM, NodeFault::None, None);
+    correct(COLD, NodeFault::None, None);
 }
 
 #[test]
 fn one_that_answers_twice_is_caught() {
-    caught(CALM, Crime::AnswersTwice, None, Rule::FinalAnswer, "twice");
+    caught(CALM, NodeFault::AnswersTwice, None, Rule::FinalAnswer, "twice");
 }
 
 #[test]
 fn one_that_answers_late_is_caught() {
     let text = CALM.replace("impatient = 0.05", "impatient = 0\ndeadline_ms = 400");
-    caught(&text, Crime::AnswersLate, None, Rule::FinalAnswer, "late");
+    caught(&text, NodeFault::AnswersLate, None, Rule::FinalAnswer, "late");
 }
 
 #[test]
 fn one_that_gives_the_value_of_another_request_is_caught() {
-    caught(CALM, Crime::OtherValue, None, Rule::FinalAnswer, "value");
+    caught(CALM, NodeFault::OtherValue, None, Rule::FinalAnswer, "value");
 }
 
 #[test]
 fn one_that_keeps_values_and_gives_old_ones_is_caught() {
-    caught(CALM, Crime::StaleValue, None, Rule::FinalAnswer, "value");
+    caught(CALM, NodeFault::StaleValue, None, Rule::FinalAnswer, "value");
 }
 
 #[test]
 fn one_that_drops_what_it_holds_at_sigterm_is_caught() {
-    caught(TERM, Crime::LosesAtTerm, None, Rule::FinalAnswer, "lost");
+    caught(TERM, NodeFault::LosesAtTerm, None, Rule::FinalAnswer, "lost");
 }
 
 #[test]
 fn one_that_sends_an_unsafe_write_again_is_caught() {
-    caught(CALM, Crime::ResendsUnsafe, None, Rule::DuplicateEffects, "unsafe-again");
+    caught(CALM, NodeFault::ResendsUnsafe, None, Rule::DuplicateEffects, "unsafe-again");
 }
 
 #[test]
 fn one_that_sends_to_a_server_past_its_drain_is_caught() {
-    caught(DRAIN, Crime::IgnoresDrains, None, Rule::Draining, "drained");
+    caught(DRAIN, NodeFault::IgnoresDrains, None, Rule::Draining, "drained");
 }
 
 #[test]
 fn one_that_floods_a_cold_cache_alone_is_caught() {
-    caught(COLD, Crime::Floods, Some(1), Rule::SlowStart, "cold-server");
+    caught(COLD, NodeFault::Floods, Some(1), Rule::SlowStart, "cold-server");
 }
 
 #[test]
 fn two_that_flood_a_cold_cache_only_together_are_caught_and_one_of_them_is_not() {
     let half = COLD.replace("per_s = 20", "per_s = 10");
-    honest(&half, Crime::FloodsTogether, Some(1));
-    caught(COLD, Crime::FloodsTogether, Some(2), Rule::SlowStart, "cold-server");
+    correct(&half, NodeFault::FloodsTogether, Some(1));
+    caught(COLD, NodeFault::FloodsTogether, Some(2), Rule::SlowStart, "cold-server");
 }
 
 #[test]
 fn one_that_sends_something_else_than_it_was_asked_is_caught() {
     let reads = CALM.replace("edits = 0.2", "edits = 0").replace("moves = 0.1", "moves = 0");
-    caught(&reads, Crime::MixesKeys, Some(1), Rule::AttemptIntegrity, "wrong-key");
-    caught(CALM, Crime::Invents, None, Rule::AttemptIntegrity, "unasked");
-    caught(CALM, Crime::OtherClass, None, Rule::AttemptIntegrity, "wrong-class");
-    caught(CALM, Crime::OtherBody, None, Rule::AttemptIntegrity, "wrong-body");
+    caught(&reads, NodeFault::MixesKeys, Some(1), Rule::AttemptIntegrity, "wrong-key");
+    caught(CALM, NodeFault::Invents, None, Rule::AttemptIntegrity, "unasked");
+    caught(CALM, NodeFault::OtherClass, None, Rule::AttemptIntegrity, "wrong-class");
+    caught(CALM, NodeFault::OtherBody, None, Rule::AttemptIntegrity, "wrong-body");
 }
 
 #[test]
 fn one_that_asks_too_often_is_caught() {
-    caught(CALM, Crime::AsksTooOften, None, Rule::Limits, "too-many");
+    caught(CALM, NodeFault::AsksTooOften, None, Rule::Limits, "too-many");
 }
--- a/crates/stonevane-lab/tests/overlap.rs
+++ b/crates/stonevane-lab/tests/overlap.rs
@@ -1,4 +1,4 @@
-//! Steps that overlap, on the same node and on others: each node does what its own steps say, and honest ones are
+//! Steps that overlap, on the same node and on others: each node does what its own steps say, and correct ones are
 //! accused of nothing.
 #![allow(missing_docs)]
 
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 
 use stonevane_audit::{Event, HistoryRecord, history};
-use stonevane_lab::{Crime, Kind, Options, Outcome, Scenario, run};
+use stonevane_lab::{NodeFault, NodeKind, Options, Outcome, Scenario, run};
 
 const HEAD: &str = "name = \"overlap\"\n[load]\nper_s = 150\nfor_ms = 2500\nedits = 0.1\n[fleet]\nnodes = 4\nwarm_keys = 1\n";
 
@@ -23,7 +23,7 @@
 }
 
 /// Plays steps on a fleet of four; the outcome, and its history.
-fn play(name: &str, steps: &[String], kind: Kind) -> (Outcome, Vec<HistoryRecord>) {
+fn play(name: &str, steps: &[String], kind: NodeKind) -> (Outcome, Vec<HistoryRecord>) {
     let path = std::env::temp_dir().join(format!("stonevane-overlap-{}-{name}.jsonl", std::process::id()));
     let kept = Kept(path);
     let scenario = Scenario::parse(&format!("{HEAD}{}", steps.concat())).unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[track_caller]
-fn honest(outcome: &Outcome) {
+fn correct(outcome: &Outcome) {
     assert!(outcome.report.holds() && outcome.report.faulty == 0, "{}", outcome.report);
     assert!(outcome.report.requests > 300, "{}", outcome.report);
 }
@@ -55,8 +55,8 @@
         step("node-kill", "n2", 500, 400),
         step("node-kill", "n2", 950, 300),
     ];
-    let (outcome, lines) = play("two", &steps, Kind::Little(Crime::Honest));
-    honest(&outcome);
+    let (outcome, lines) = play("two", &steps, NodeKind::Stub(NodeFault::None));
+    correct(&outcome);
     let life = |kills: usize| {
         let mut states = vec!["starting", "ready"];
         states.extend(["killed", "starting", "ready"].repeat(kills));
@@ -76,8 +76,8 @@
         step("node-kill", "n1", 505, 700),
         step("node-kill", "n3", 600, 100),
     ];
-    let (outcome, lines) = play("cross", &steps, Kind::Little(Crime::Honest));
-    honest(&outcome);
+    let (outcome, lines) = play("cross", &steps, NodeKind::Stub(NodeFault::None));
+    correct(&outcome);
     let own = states(&lines, "n1");
     assert_eq!(own.iter().filter(|s| *s == "starting").count(), 2, "{own:?}");
     assert_eq!(own[own.len() - 3..], ["ready", "term", "exited"], "{own:?}");
@@ -87,7 +87,7 @@
 fn a_cache_killed_within_a_partition_that_heals_while_it_is_dead_comes_back_at_its_own_time() {
     let parted = "[[fault]]\ndo = \"partition\"\none = [\"n0\", \"n1\"]\nother = [\"cache-1\"]\nat_ms = 300\nfor_ms = 500\n";
     let steps = [parted.to_owned(), step("kill", "cache-1", 500, 1_000), step("kill", "cache-1", 600, 300)];
-    let (outcome, lines) = play("healed", &steps, Kind::Little(Crime::Honest));
+    let (outcome, lines) = play("healed", &steps, NodeKind::Stub(NodeFault::None));
     assert!(outcome.report.holds(), "{}", outcome.report);
     let of = |event| {
         lines.iter().filter(move |l| l.event == event && l.recorder == "cache-1").map(|l| l.time.earliest)
@@ -108,7 +108,7 @@
 fn a_program_that_crashes_at_its_start_is_a_failure_with_its_log_and_soon() {
     let begun = std::time::Instant::now();
     let scenario = Scenario::parse(HEAD).unwrap();
-    let kind = Kind::Process(PathBuf::from("/bin/false").into());
+    let kind = NodeKind::Process(PathBuf::from("/bin/false").into());
     let options = Options::of(kind);
     let error = run(&scenario, &options).unwrap_err().to_string();
     assert!(error.contains("n0 did not become ready"), "{error}");
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -13,7 +13,7 @@
 use stonevane_audit::{Effect, Event, HistoryRecord, Outcome, Rules, TimeInterval, audit};
 use stonevane_emulators::client::{Clients, plan};
 use stonevane_emulators::{MonotonicClock, Recorder};
-use stonevane_lab::{Fleet, Kind, Scenario, summarise};
+use stonevane_lab::{Fleet, NodeKind, Scenario, summarise};
 
 use crate::{NOT_RUN, node};
 
@@ -215,7 +215,7 @@
     let (cpu, own_cpu) = runtime.block_on(async {
         let mono = MonotonicClock::default();
         let _beat = tokio::spawn(mono.clone().run_heartbeat());
-        let kind = Kind::Process(node.into());
+        let kind = NodeKind::Process(node.into());
         let fleet = Fleet::start(scenario, &kind, 1, &mono, &recorder).await.map_err(text)?;
         let (targets, pid, _relay) = if program.is_some() {
             (fleet.targets.clone(), fleet.pids()[0], None)
--- a/crates/stonevane/src/bench/store.rs
+++ b/crates/stonevane/src/bench/store.rs
@@ -6,7 +6,7 @@
 
 use stonevane_emulators::MonotonicClock;
 use stonevane_emulators::postgres::Postgres as Server;
-use stonevane_lab::{Kind, Options as RunOptions, Scenario};
+use stonevane_lab::{NodeKind, Options as RunOptions, Scenario};
 use stonevane_store::postgres::tokio_postgres::{self, NoTls};
 use stonevane_store::sqlite::{Options, rusqlite};
 use stonevane_store::{Edit, Postgres, Sqlite, Store, postgres, quick};
@@ -259,7 +259,7 @@
         for shares in [true, false] {
             let text = STAMPEDE.replace("SHARES", if shares { "true" } else { "false" });
             let scenario = Scenario::parse(&text).map_err(|e| format!("{e:?}"))?;
-            let kind = Kind::Process(std::path::PathBuf::from(program).into());
+            let kind = NodeKind::Process(std::path::PathBuf::from(program).into());
             let options = RunOptions { seed: Some(seed), ..RunOptions::of(kind) };
             let outcome = stonevane_lab::run(&scenario, &options).map_err(words)?;
             if outcome.report.broken > 0 {
--- a/crates/stonevane/src/demo.rs
+++ b/crates/stonevane/src/demo.rs
@@ -8,7 +8,7 @@
 use stonevane_emulators::client::key;
 use stonevane_emulators::{MonotonicClock, Recorder};
 use stonevane_lab::scenario::StoreSpec;
-use stonevane_lab::{Fleet, Kind, Scenario, interrupted};
+use stonevane_lab::{Fleet, NodeKind, Scenario, interrupted};
 
 use crate::{NOT_RUN, node};
 
@@ -48,12 +48,12 @@
         // The main job on one machine: a real store in a file, caches that nodes fill and void.
         let base = StoreSpec {
             sqlite: true,
-            stall_ms: 500,
-            copy_ms: 60_000,
-            placement: true,
-            holds: 200,
-            fills: true,
-            shares: true,
+            call_timeout_ms: 500,
+            copy_lifetime_ms: 60_000,
+            waits_for_placement: true,
+            preloaded_keys: 200,
+            fills_caches: true,
+            shares_fetches: true,
         };
         scenario.store = Some(base);
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
@@ -65,7 +65,8 @@
                 scenario.nodes, scenario.caches
             );
             let fleet =
-                Fleet::start(&scenario, &Kind::Process(program.into()), 1, &mono, &Recorder::none()).await;
+                Fleet::start(&scenario, &NodeKind::Process(program.into()), 1, &mono, &Recorder::none())
+                    .await;
             let fleet = fleet.map_err(|e| e.to_string())?;
             say!("A fleet serves on this machine:");
             for (name, address) in &fleet.targets {
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -126,7 +126,8 @@
     };
     let panel = |title: &str, unit, figure: &dyn Fn(&Measured) -> f64| Panel {
         title: title.into(),
-        axes: ("datagrams lost, %", unit),
+        x_label: "datagrams lost, %",
+        y_label: unit,
         curves: curves(figure),
         bound: None,
     };
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -8,7 +8,12 @@
 use clap::{Args, Subcommand};
 use stonevane_audit::{HistoryError, Report, audit};
 use stonevane_experiment::{matrix, report, runner};
-use stonevane_lab::{Crime, Kind, Options, Outcome, Program, RunError, SCENARIOS, Scenario, chart, run};
+use stonevane_lab::{
+    BuiltInScenario, NodeFault, NodeKind, Options, Outcome, Program, RunError, SCENARIOS, Scenario, chart,
+    run,
+};
+
+use stonevane_lab::scenario::FaultyMemberSpec;
 
 use crate::{BROKEN, NOT_RUN, UNUSABLE, faults, node, read};
 
@@ -80,8 +85,8 @@
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
     /// Little nodes that break a rule in the nodes' place, to see them caught.
-    #[arg(long, value_name = "CRIME", value_parser = crime)]
-    crooked: Option<Crime>,
+    #[arg(long, value_name = "CRIME", value_parser = node_fault)]
+    crooked: Option<NodeFault>,
     /// Nodes know nothing of one another, whatever the scenario says: the control.
     #[arg(long)]
     without_fleet: bool,
@@ -94,10 +99,11 @@
     crooked_member: Option<stonevane_membership::Mutant>,
 }
 
-fn crime(name: &str) -> Result<Crime, String> {
-    let names: Vec<_> = Crime::NAMES.iter().map(|(known, _)| *known).collect();
-    let found = Crime::NAMES.iter().find(|(known, _)| *known == name);
-    found.map(|(_, crime)| *crime).ok_or_else(|| format!("one of {}", names.join(", ")))
+fn node_fault(name: &str) -> Result<NodeFault, String> {
+    NodeFault::from_name(name).ok_or_else(|| {
+        let names: Vec<_> = NodeFault::ALL.iter().map(|fault| fault.name()).collect();
+        format!("one of {}", names.join(", "))
+    })
 }
 
 impl Lab {
@@ -105,8 +111,8 @@
     pub fn run(self) -> ExitCode {
         match self {
             Lab::List => {
-                for (name, text) in SCENARIOS {
-                    let about = Scenario::parse(text).map(|s| s.about).unwrap_or_default();
+                for BuiltInScenario { name, text } in SCENARIOS {
+                    let about = Scenario::parse(text).map(|scenario| scenario.about).unwrap_or_default();
                     say!("{name:<14} {about}");
                 }
                 ExitCode::SUCCESS
@@ -246,12 +252,11 @@
 
 impl Run {
     fn run(self) -> ExitCode {
-        let named = SCENARIOS.iter().find(|(name, _)| *name == self.scenario);
+        let named = BuiltInScenario::find(&self.scenario);
         let text = match named {
-            Some((_, text)) => (*text).to_owned(),
+            Some(scenario) => scenario.text.to_owned(),
             None if !Path::new(&self.scenario).exists() => {
-                let names: Vec<_> = SCENARIOS.iter().map(|(name, _)| *name).collect();
-                let hint = stonevane_config::suggest(&self.scenario, &names);
+                let hint = stonevane_config::suggest(&self.scenario, &BuiltInScenario::names());
                 warn!("stonevane: there is no scenario or file `{}`{hint}", self.scenario);
                 return ExitCode::from(UNUSABLE);
             }
@@ -269,12 +274,12 @@
                 warn!("stonevane: `{}` has no [membership] for a crooked member", self.scenario);
                 return ExitCode::from(UNUSABLE);
             };
-            spec.crooked = Some((1, mutant));
+            spec.faulty_member = Some(FaultyMemberSpec { node: 1, mutant });
         }
         let kind = match self.crooked {
-            Some(crime) => Kind::Little(crime),
+            Some(fault) => NodeKind::Stub(fault),
             None => match node::program(self.node_program.as_deref()) {
-                Ok(path) => Kind::Process(Program { path, operator: self.operator.clone() }),
+                Ok(path) => NodeKind::Process(Program { path, operator: self.operator.clone() }),
                 Err(e) => {
                     warn!("stonevane: {e}");
                     return ExitCode::from(NOT_RUN);
--- a/crates/stonevane/src/scale/measure.rs
+++ b/crates/stonevane/src/scale/measure.rs
@@ -192,7 +192,8 @@
     let curve = Curve { name: figure.metric.to_string(), colour: COLOURS[0], points };
     Panel {
         title: format!("{}, {}", figure.metric, figure.unit),
-        axes: (role.size_unit(), ""),
+        x_label: role.size_unit(),
+        y_label: "",
         curves: vec![curve],
         bound: None,
     }
