--- /dev/null
+++ b/crates/stonevane-config/src/document.rs
@@ -0,0 +1,80 @@
+//! A parsed document and the errors in it.
+
+use std::cell::RefCell;
+use std::ops::Range;
+use std::rc::Rc;
+
+use toml::Spanned;
+use toml::de::DeTable;
+
+use crate::{ConfigError, Problem, Table};
+
+/// The longest file that is read, in bytes.
+pub const MAX_FILE: usize = 1 << 20;
+
+/// Where something stands in a document, in bytes.
+pub type Place = Range<usize>;
+
+/// The errors of a document, shared by its tables.
+#[derive(Clone, Default)]
+pub(crate) struct Errors(Rc<RefCell<Vec<(Place, Problem)>>>);
+
+impl Errors {
+    pub(crate) fn push(&self, place: Place, problem: Problem) {
+        self.0.borrow_mut().push((place, problem));
+    }
+
+    /// All errors in the order of the text, each once.
+    fn sorted(&self) -> Vec<(Place, Problem)> {
+        let mut errors = self.0.borrow().clone();
+        errors.sort_by_key(|(place, _)| place.start);
+        errors.dedup();
+        errors
+    }
+}
+
+/// A document and the errors found in it so far.
+pub struct Document<'t> {
+    text: &'t str,
+    root: Spanned<DeTable<'t>>,
+    errors: Errors,
+}
+
+impl<'t> Document<'t> {
+    /// Parses a text; what can't be parsed is an error like any other.
+    pub fn parse(text: &'t str) -> Self {
+        let too_long = text.len() > MAX_FILE;
+        let (root, syntax_errors) = DeTable::parse_recoverable(if too_long { "" } else { text });
+        let errors = Errors::default();
+        for error in &syntax_errors {
+            errors.push(error.span().unwrap_or(0..0), Problem::Syntax(one_line(error.message())));
+        }
+        if too_long {
+            errors.push(0..0, Problem::TooLong { limit: MAX_FILE });
+        }
+        Document { text, root, errors }
+    }
+
+    /// The table that holds all.
+    pub fn root(&self) -> Table<'_, 't> {
+        Table::new(String::new(), self.root.get_ref(), 0..0, self.errors.clone())
+    }
+
+    /// All errors, in the order of the text.
+    pub fn errors(&self) -> Vec<ConfigError> {
+        self.errors.sorted().into_iter().map(|(place, problem)| self.locate(&place, problem)).collect()
+    }
+
+    fn locate(&self, place: &Place, problem: Problem) -> ConfigError {
+        let mut starts = (0..=place.start.min(self.text.len())).rev();
+        let start = starts.find(|start| self.text.is_char_boundary(*start)).unwrap_or(0);
+        let before = &self.text[..start];
+        let line = before.matches('\n').count() + 1;
+        let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
+        ConfigError { line, column, problem }
+    }
+}
+
+fn one_line(text: &str) -> String {
+    text.lines().map(str::trim).collect::<Vec<_>>().join(", ")
+}
--- /dev/null
+++ b/crates/stonevane-config/src/operator/membership.rs
@@ -0,0 +1,63 @@
+//! Membership among the nodes, the section `[fleet]`.
+
+use std::time::Duration;
+
+use crate::Table;
+
+/// The length of the shared key, in bytes.
+const KEY_LEN: usize = 32;
+
+/// Membership among the nodes.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Fleet {
+    /// The protocol period: a node probes one member in each.
+    pub period: Duration,
+    /// The timeout of a probe.
+    pub answer: Duration,
+    /// Members that probe on this node's behalf one that does not answer.
+    pub indirect: usize,
+    /// Periods for which a suspicion may be refuted at the least, for each power of ten of the members.
+    pub suspicion: f64,
+    /// Whether a node that finds itself slow suspects later.
+    pub heeds_health: bool,
+    /// The key that all nodes share.
+    pub key: Option<[u8; KEY_LEN]>,
+    /// The highest version of messages that is sent, 1 or 2.
+    pub speaks: u8,
+}
+
+impl Fleet {
+    pub(super) fn read(table: &Table<'_, '_>) -> Fleet {
+        let period_ms = table.integer("period_ms", 1_000, 50..=60_000);
+        let answer_ms = table.integer("answer_ms", period_ms / 2, 10..=60_000);
+        if 2 * answer_ms > period_ms {
+            let rule = format!("`answer_ms` is to be at most half of `period_ms`, {}", period_ms / 2);
+            table.error(table.place_of("answer_ms"), rule);
+        }
+        let text = table.text("key");
+        let key = text.as_deref().and_then(parse_key);
+        if text.is_some() && key.is_none() {
+            table.error(table.place_of("key"), "`key` is to be 32 bytes, as 64 hexadecimal digits");
+        }
+        Fleet {
+            period: Duration::from_millis(period_ms),
+            answer: Duration::from_millis(answer_ms),
+            indirect: table.integer("indirect", 3, 0..=16) as usize,
+            suspicion: table.number("suspicion", 3.0, 1.0..=20.0),
+            heeds_health: table.flag("heeds_health", true),
+            key,
+            speaks: table.integer("speaks", 2, 1..=2) as u8,
+        }
+    }
+}
+
+/// Reads a key of hexadecimal digits.
+fn parse_key(text: &str) -> Option<[u8; KEY_LEN]> {
+    let digit = |character: char| character.to_digit(16).map(|digit| digit as u8);
+    let digits: Vec<u8> = text.chars().map(digit).collect::<Option<_>>()?;
+    if digits.len() != 2 * KEY_LEN {
+        return None;
+    }
+    let bytes: Vec<u8> = digits.chunks_exact(2).map(|pair| pair[0] << 4 | pair[1]).collect();
+    bytes.try_into().ok()
+}
--- a/crates/stonevane-config/tests/faults.rs
+++ b/crates/stonevane-config/tests/faults.rs
@@ -118,7 +118,7 @@
 fn what_can_not_be_parsed_is_told_with_its_place_and_the_rest_is_still_read() {
     let faults = Operator::parse("[clients]\nidle_ms = = 3\n[servers]\nrest = 3\n").unwrap_err();
     assert!(faults.iter().any(|f| f.line == 2), "{faults:?}");
-    assert!(faults.iter().any(|f| f.line == 4 && f.what.contains("rest_ms")), "{faults:?}");
+    assert!(faults.iter().any(|f| f.line == 4 && f.problem.to_string().contains("rest_ms")), "{faults:?}");
     let crossed = Operator::parse("[clients]\nspare_ms = 9000\nidle_ms = 50\n").unwrap_err();
     assert_eq!(crossed[0].to_string(), "line 2, column 12: `spare_ms` is to be at most `idle_ms`, 50");
     assert!(Operator::parse(&"#".repeat(2 << 20)).is_err());
@@ -147,7 +147,7 @@
     fn nothing_that_is_written_panics(text in "([\\[\\]=\"a-z_0-9.\\n é#{},-]|clients|idle_ms|rest_ms){0,60}") {
         if let Err(faults) = Operator::parse(&text) {
             let lines = text.matches('\n').count() + 1;
-            prop_assert!(faults.iter().all(|f| f.line <= lines && f.column >= 1 && !f.what.contains('\n')));
+            prop_assert!(faults.iter().all(|f| f.line <= lines && f.column >= 1 && !f.problem.to_string().contains('\n')));
         }
     }
 }
--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -1,7 +1,7 @@
 //! The experiment file: which runs there are. Pure: it reads no file but through the caller.
 
 use stonevane_config::operator::Operator;
-use stonevane_config::{Document, Fault, Table, suggest};
+use stonevane_config::{ConfigError, Document, Table, suggest};
 use stonevane_lab::scenario::Expectation;
 use stonevane_lab::{BuiltInScenario, Scenario};
 use stonevane_server_model::value::digest;
@@ -98,14 +98,14 @@
     pub fn parse(
         text: &str,
         find: &dyn Fn(&str) -> Result<String, String>,
-    ) -> Result<Experiment, Vec<Fault>> {
-        let mut document = Document::parse(text);
+    ) -> Result<Experiment, Vec<ConfigError>> {
+        let document = Document::parse(text);
         let root = document.root();
         let name = root.required("name");
         let (mut scenarios, mut files, mut texts) = (Vec::new(), Vec::new(), String::new());
         let given = root.texts("scenarios");
         if given.is_empty() {
-            root.fault(root.place_of("scenarios"), "an empty matrix: `scenarios` names none");
+            root.error(root.place_of("scenarios"), "an empty matrix: `scenarios` names none");
         }
         for (name, place) in given {
             match scenario(&name, find) {
@@ -116,7 +116,7 @@
                     }
                     scenarios.push((name, scenario));
                 }
-                Err(what) => root.fault(place, what),
+                Err(what) => root.error(place, what),
             }
         }
         let count = root.integer("seeds", 5, 1..=10_000);
@@ -125,16 +125,16 @@
         let nodes: Vec<_> = nodes.collect();
         let loads = root.numbers("loads", 0.01..=100.0);
         if root.has("nodes") && nodes.is_empty() {
-            root.fault(root.place_of("nodes"), "an empty matrix: `nodes` has none");
+            root.error(root.place_of("nodes"), "an empty matrix: `nodes` has none");
         }
         if root.has("loads") && loads.is_empty() {
-            root.fault(root.place_of("loads"), "an empty matrix: `loads` has none");
+            root.error(root.place_of("loads"), "an empty matrix: `loads` has none");
         }
         let short = root.flag("short", false);
         let operators: Vec<_> = root.tables("operator").into_iter().map(operator).collect();
         let search = root.table("search").map(search);
         if search.is_some() && root.has("loads") {
-            root.fault(root.place_of("loads"), "a search finds the loads itself");
+            root.error(root.place_of("loads"), "a search finds the loads itself");
         }
         let experiment = Experiment {
             name,
@@ -153,10 +153,10 @@
             search,
         };
         if experiment.runs() > MOST_RUNS {
-            root.fault(root.place(), format!("{} runs; {MOST_RUNS} at the most", experiment.runs()));
+            root.error(root.place(), format!("{} runs; {MOST_RUNS} at the most", experiment.runs()));
         }
         root.finish();
-        let faults = document.faults();
+        let faults = document.errors();
         if faults.is_empty() { Ok(experiment) } else { Err(faults) }
     }
 
@@ -219,7 +219,7 @@
         && let Err(faults) = Operator::parse(&text)
     {
         for fault in faults {
-            table.fault(table.place_of("text"), format!("the operator file `{name}`: {fault}"));
+            table.error(table.place_of("text"), format!("the operator file `{name}`: {fault}"));
         }
     }
     table.finish();
@@ -231,14 +231,14 @@
     for (line, place) in table.texts("expect") {
         match Expectation::parse(&line) {
             Ok(expect) => expects.push(expect),
-            Err(error) => table.fault(place, error.to_string()),
+            Err(error) => table.error(place, error.to_string()),
         }
     }
     let least = table.number("least", 0.25, 0.01..=100.0);
     let most = table.number("most", 4.0, 0.01..=100.0);
     let within = table.number("within", 0.1, 0.001..=10.0);
     if least >= most {
-        table.fault(table.place_of("least"), "`least` is to be less than `most`");
+        table.error(table.place_of("least"), "`least` is to be less than `most`");
     }
     table.finish();
     Search { expects, least, most, within }
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use stonevane_config::Fault as ConfigFault;
+use stonevane_config::ConfigError;
 use stonevane_emulators::cache::CacheSpec;
 use stonevane_emulators::client::Load;
 use stonevane_emulators::discovery::DiscoverySpec;
@@ -119,7 +119,7 @@
     ///
     /// # Errors
     /// All that is wrong with it, in the order of the text.
-    pub fn parse(text: &str) -> Result<Scenario, Vec<ConfigFault>> {
+    pub fn parse(text: &str) -> Result<Scenario, Vec<ConfigError>> {
         read::scenario(text)
     }
 
--- a/crates/stonevane-lab/src/scenario/read.rs
+++ b/crates/stonevane-lab/src/scenario/read.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stonevane_config::{Document, Fault as ConfigFault, Table, suggest};
+use stonevane_config::{ConfigError, Document, Table};
 use stonevane_emulators::cache::CacheSpec;
 use stonevane_emulators::client::{Crowd, Load, LoadClass, Tenant};
 use stonevane_emulators::discovery::DiscoverySpec;
@@ -23,8 +23,8 @@
 /// The length of what a class writes, in bytes.
 const VALUE_LEN: usize = 24;
 
-pub(super) fn scenario(text: &str) -> Result<Scenario, Vec<ConfigFault>> {
-    let mut document = Document::parse(text);
+pub(super) fn scenario(text: &str) -> Result<Scenario, Vec<ConfigError>> {
+    let document = Document::parse(text);
     let root = document.root();
     let mut scenario = defaults(&root);
     read_section(&root, "fleet", |table| read_fleet(&mut scenario, table));
@@ -48,8 +48,8 @@
     scenario.expects = read_expectations(&root, "expect");
     scenario.short_expects = read_expectations(&root, "short_expect");
     root.finish();
-    let faults = document.faults();
-    if faults.is_empty() { Ok(scenario) } else { Err(faults) }
+    let errors = document.errors();
+    if errors.is_empty() { Ok(scenario) } else { Err(errors) }
 }
 
 /// Reads a section, where it is there.
@@ -187,7 +187,7 @@
     let words = table.texts_or_text("speak_first");
     for (word, place) in &words {
         if !NodeSelector::is_word(word) {
-            table.fault(place.clone(), format!("`{word}` is not like `nodes` or `every-3`"));
+            table.error(place.clone(), format!("`{word}` is not like `nodes` or `every-3`"));
         }
     }
     NodeSelector(words.into_iter().map(|(word, _)| word).collect())
@@ -198,8 +198,7 @@
     let mutant = Mutant::named(&name);
     if mutant.is_none() {
         let names: Vec<&str> = Mutant::ALL.iter().map(|(_, name, _)| *name).collect();
-        let what = format!("`crooked` has no `{name}`{}", suggest(&name, &names));
-        table.fault(table.place_of("crooked"), what);
+        table.unknown_word("crooked", &name, &names);
     }
     mutant
 }
@@ -279,7 +278,7 @@
     for (line, place) in root.texts(key) {
         match Expectation::parse(&line) {
             Ok(expectation) => expectations.push(expectation),
-            Err(error) => root.fault(place, error.to_string()),
+            Err(error) => root.error(place, error.to_string()),
         }
     }
     expectations
--- a/crates/stonevane-lab/src/scenario/read_step.rs
+++ b/crates/stonevane-lab/src/scenario/read_step.rs
@@ -39,7 +39,7 @@
 /// The longest delay of one message or call, in milliseconds.
 const MAX_DELAY_MS: u64 = 60_000;
 
-/// Reads one step; faults are reported to the table.
+/// Reads one step; errors are reported to the table.
 pub(super) struct StepReader<'s, 'r, 't> {
     table: &'s Table<'r, 't>,
     nodes: Vec<String>,
@@ -162,7 +162,7 @@
             let mut group = Vec::new();
             for (name, place) in self.table.texts(key) {
                 if !known.contains(&name.as_str()) {
-                    self.table.fault(place, format!("there is no `{name}`{}", suggest(&name, &known)));
+                    self.table.error(place, format!("there is no `{name}`{}", suggest(&name, &known)));
                 }
                 group.push(name);
             }
@@ -200,8 +200,7 @@
     }
 
     fn unknown_word(&self, word: &str, known: &[&str]) {
-        let what = format!("`do` has no `{word}`{}", suggest(word, known));
-        self.table.fault(self.table.place_of("do"), what);
+        self.table.unknown_word("do", word, known);
     }
 
     /// The index of a key's name among some names, where both are there.
@@ -211,7 +210,7 @@
         let found = names.iter().position(|known| *known == name);
         if found.is_none() {
             let what = format!("there is no `{name}`{}", suggest(&name, &names));
-            self.table.fault(self.table.place_of(key), what);
+            self.table.error(self.table.place_of(key), what);
         }
         found
     }
@@ -219,16 +218,11 @@
     /// The same for a key that must be there.
     fn required(&self, key: &str, names: &[String]) -> Option<usize> {
         if !self.table.has(key) {
-            self.missing(key);
+            self.table.missing(key);
         }
         self.known(key, names)
     }
 
-    fn missing(&self, key: &str) {
-        let what = format!("`{key}` is missing in [{}]", self.table.name());
-        self.table.fault(self.table.place(), what);
-    }
-
     fn cache(&self) -> Option<String> {
         Some(self.caches[self.required("to", &self.caches)?].clone())
     }
@@ -251,7 +245,7 @@
     /// Names in a list or alone: of nodes, of servers, or words for some nodes.
     fn names(&self, key: &str) -> Option<Vec<String>> {
         if !self.table.has(key) {
-            self.missing(key);
+            self.table.missing(key);
             return None;
         }
         let known = self.nodes.iter().chain(&self.servers).map(String::as_str).chain([DISCOVERY]);
@@ -260,7 +254,7 @@
         let listed = self.table.texts_or_text(key);
         for (name, place) in &listed {
             if !NodeSelector::is_word(name) && !known.contains(&name.as_str()) {
-                self.table.fault(place.clone(), format!("there is no `{name}`{}", suggest(name, &known)));
+                self.table.error(place.clone(), format!("there is no `{name}`{}", suggest(name, &known)));
                 all_known = false;
             }
         }
--- a/crates/stonevane/src/main.rs
+++ b/crates/stonevane/src/main.rs
@@ -132,7 +132,7 @@
 }
 
 /// Says what is wrong with a file, a line for each fault.
-fn faults(file: &str, faults: &[stonevane_config::Fault]) -> ExitCode {
+fn faults(file: &str, faults: &[stonevane_config::ConfigError]) -> ExitCode {
     faults.iter().for_each(|fault| warn!("stonevane: {file}: {fault}"));
     ExitCode::from(UNUSABLE)
 }
