--- a/crates/stonevane-node/src/cli.rs
+++ b/crates/stonevane-node/src/cli.rs
@@ -7,7 +7,6 @@
 use std::sync::Arc;
 
 use clap::Parser;
-use stonevane_config::Fault;
 use stonevane_config::operator::{self, Operator};
 use stonevane_store::StoreError;
 
@@ -48,7 +47,7 @@
     #[error("{}: {source}", path.display())]
     OperatorUnreadable { path: PathBuf, source: Error },
     #[error("{}: {} faults", path.display(), faults.len())]
-    OperatorInvalid { path: PathBuf, faults: Vec<Fault> },
+    OperatorInvalid { path: PathBuf, faults: Vec<stonevane_config::ConfigError> },
     #[error(transparent)]
     Config(#[from] ConfigError),
     #[error("{} faults in [regions]", .0.len())]
