--- a/crates/stonevane-codec/src/http.rs
+++ b/crates/stonevane-codec/src/http.rs
@@ -1,52 +1,55 @@
-//! HTTP/1.1: heads of requests and answers, and chunked bodies (RFC 9112).
+//! HTTP/1.1: heads of requests and responses, and chunked bodies (RFC 9112).
 
 use bytes::{Buf, BytesMut};
 
-/// An answer that can't be understood.
+/// Invalid input.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct Malformed;
 
-/// The longest head, and the longest line that states a chunk's size.
+/// The longest head, and the longest line that states a chunk's size, in bytes.
 const MAX_HEAD: usize = 16 * 1024;
+/// The most headers in a head.
 const MAX_HEADERS: usize = 48;
+/// The end of a line.
+const LINE_END: &[u8] = b"\r\n";
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
-    /// Its bytes.
+    /// Its length, in bytes.
     pub length: usize,
     /// Its status code.
     pub status: u16,
-    /// The stated length of the body.
+    /// The stated length of the body, in bytes.
     pub content_length: Option<usize>,
-    /// Whether the body comes in chunks.
+    /// Whether the body is chunked.
     pub chunked: bool,
-    /// Whether the connection ends after this answer.
+    /// Whether the connection ends after this response.
     pub close: bool,
-    /// Whether the server says that it did not run the request (`X-Unprocessed: 1`).
+    /// Whether the server states that it did not run the request (`X-Unprocessed: 1`).
     pub unprocessed: bool,
     /// The load report (`X-Backend-Load`).
     pub load: Option<String>,
-    /// How a read went (`X-Lookup`).
+    /// The result of a read's lookup (`X-Lookup`).
     pub lookup: Option<String>,
 }
 
-/// Reads a head at the front of a buffer; `None` while it is not all there.
+/// Parses the head of a response at the front of a buffer; `None` while it is incomplete.
+///
+/// # Errors
+/// [`Malformed`] for what is no head, is too long, or states its body's length in two ways (RFC 9112, 6.3).
 pub fn head(buffer: &[u8]) -> Result<Option<Head>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
-    let length = match response.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
-        _ => return Err(Malformed),
-    };
+    let Some(length) = head_length(response.parse(buffer), buffer)? else { return Ok(None) };
     let status = response.code.unwrap_or(0);
-    let mut head = Head { length, status, close: response.version == Some(0), ..Head::default() };
-    for header in response.headers.iter() {
+    let is_http_1_0 = response.version == Some(0);
+    let mut head = Head { length, status, close: is_http_1_0, ..Head::default() };
+    for header in &*response.headers {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
             "content-length" => {
-                head.content_length = Some(stated(value, head.content_length)?);
+                head.content_length = Some(parse_content_length(value, head.content_length)?);
             }
             "transfer-encoding" if value.eq_ignore_ascii_case("chunked") && !head.chunked => {
                 head.chunked = true;
@@ -65,18 +68,30 @@
     Ok(Some(head))
 }
 
-/// A stated length, and no other than one stated before. Against lengths that two readers would read
-/// differently: signs, and two that differ (RFC 9112, 6.3).
-fn stated(value: &str, before: Option<usize>) -> Result<usize, Malformed> {
-    let digits = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
-    let length = value.parse().ok().filter(|_| digits).ok_or(Malformed)?;
-    if before.is_some_and(|before| before != length) { Err(Malformed) } else { Ok(length) }
+/// The length of a head by the parser's result; `None` while it is incomplete.
+fn head_length(
+    parsed: Result<httparse::Status<usize>, httparse::Error>,
+    buffer: &[u8],
+) -> Result<Option<usize>, Malformed> {
+    match parsed {
+        Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => Ok(None),
+        _ => Err(Malformed),
+    }
+}
+
+/// Parses a stated length of digits alone that agrees with an earlier one: readers that took signs or differing lengths
+/// in different ways would disagree on where the message ends (RFC 9112, 6.3).
+fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, Malformed> {
+    let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
+    let length = value.parse().ok().filter(|_| is_number).ok_or(Malformed)?;
+    if earlier.is_some_and(|earlier| earlier != length) { Err(Malformed) } else { Ok(length) }
 }
 
 /// The head of a request.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// Its bytes.
+    /// Its length, in bytes.
     pub length: usize,
     /// The method, as it was written.
     pub method: String,
@@ -84,7 +99,7 @@
     pub target: String,
     /// Names in lower case, and values.
     pub headers: Vec<(String, String)>,
-    /// The stated length of the body.
+    /// The stated length of the body, in bytes.
     pub content_length: Option<usize>,
 }
 
@@ -95,27 +110,24 @@
     }
 }
 
-/// Reads a request's head at the front of a buffer; `None` while it is not all there.
+/// Parses the head of a request at the front of a buffer; `None` while it is incomplete.
 ///
 /// # Errors
 /// [`Malformed`] for what is no head, is too long, or states its body's length in two ways (RFC 9112, 6.3).
-/// Bodies in chunks are not read here.
+/// Chunked bodies are not supported.
 pub fn request_head(buffer: &[u8]) -> Result<Option<RequestHead>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
-    let length = match request.parse(buffer) {
-        Ok(httparse::Status::Complete(length)) => length,
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => return Ok(None),
-        _ => return Err(Malformed),
-    };
-    let (method, target) = (request.method.unwrap_or("").into(), request.path.unwrap_or("").into());
+    let Some(length) = head_length(request.parse(buffer), buffer)? else { return Ok(None) };
+    let method = request.method.unwrap_or("").into();
+    let target = request.path.unwrap_or("").into();
     let mut head = RequestHead { length, method, target, ..RequestHead::default() };
-    for header in request.headers.iter() {
+    for header in &*request.headers {
         let value = std::str::from_utf8(header.value).map_err(|_| Malformed)?.trim();
         let name = header.name.to_ascii_lowercase();
         match name.as_str() {
             "content-length" => {
-                head.content_length = Some(stated(value, head.content_length)?);
+                head.content_length = Some(parse_content_length(value, head.content_length)?);
             }
             "transfer-encoding" => return Err(Malformed),
             _ => {}
@@ -125,52 +137,73 @@
     Ok(Some(head))
 }
 
-/// Takes chunks apart as they come.
+/// Decodes a chunked body as it arrives.
 #[derive(Default)]
 pub struct Chunks {
-    left: usize,
-    /// The line end after a chunk's content is still to come.
-    line_end: bool,
+    /// Bytes of the current chunk that have not arrived.
+    remaining: usize,
+    /// Whether the line end after a chunk's content has not arrived.
+    awaits_line_end: bool,
     ended: bool,
 }
 
 impl Chunks {
-    /// Moves what is there of the body's content from one buffer to the other; `true` at the body's end.
+    /// Moves what has arrived of the body's content from one buffer to the other; `true` at the body's end.
+    ///
+    /// # Errors
+    /// [`Malformed`] for what is no chunked body.
     pub fn take(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, Malformed> {
         while !self.ended {
-            if self.left > 0 {
-                let part = self.left.min(from.len());
-                to.extend_from_slice(&from[..part]);
-                from.advance(part);
-                self.left -= part;
-                self.line_end = self.left == 0;
-                if self.left > 0 {
-                    return Ok(false);
-                }
-            }
-            if self.line_end {
-                if from.len() < 2 {
-                    return Ok(false);
-                }
-                if !from.starts_with(b"\r\n") {
-                    return Err(Malformed);
-                }
-                from.advance(2);
-                self.line_end = false;
-            }
-            match httparse::parse_chunk_size(from) {
-                Ok(httparse::Status::Complete((length, size))) => {
-                    from.advance(length);
-                    self.left = usize::try_from(size).map_err(|_| Malformed)?;
-                    // Trailers are not read: what follows the last chunk ends the use of the connection.
-                    self.ended = size == 0;
-                }
-                Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => return Ok(false),
-                _ => return Err(Malformed),
+            if !self.take_content(from, to) || !self.take_line_end(from)? || !self.take_size(from)? {
+                return Ok(false);
             }
         }
         Ok(true)
     }
+
+    /// Moves what has arrived of the current chunk; returns whether that is all of it.
+    fn take_content(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> bool {
+        if self.remaining == 0 {
+            return true;
+        }
+        let length = self.remaining.min(from.len());
+        to.extend_from_slice(&from[..length]);
+        from.advance(length);
+        self.remaining -= length;
+        self.awaits_line_end = self.remaining == 0;
+        self.awaits_line_end
+    }
+
+    /// Takes the line end after a chunk's content; `false` while it is incomplete.
+    fn take_line_end(&mut self, from: &mut BytesMut) -> Result<bool, Malformed> {
+        if !self.awaits_line_end {
+            return Ok(true);
+        }
+        if from.len() < LINE_END.len() {
+            return Ok(false);
+        }
+        if !from.starts_with(LINE_END) {
+            return Err(Malformed);
+        }
+        from.advance(LINE_END.len());
+        self.awaits_line_end = false;
+        Ok(true)
+    }
+
+    /// Takes the line that states the size of the next chunk; `false` while it is incomplete.
+    fn take_size(&mut self, from: &mut BytesMut) -> Result<bool, Malformed> {
+        match httparse::parse_chunk_size(from) {
+            Ok(httparse::Status::Complete((length, size))) => {
+                from.advance(length);
+                self.remaining = usize::try_from(size).map_err(|_| Malformed)?;
+                // Trailers are not read: the connection can't be used after the last chunk.
+                self.ended = size == 0;
+                Ok(true)
+            }
+            Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => Ok(false),
+            _ => Err(Malformed),
+        }
+    }
 }
 
 #[cfg(test)]
--- a/crates/stonevane-codec/src/lib.rs
+++ b/crates/stonevane-codec/src/lib.rs
@@ -1,7 +1,7 @@
-//! Codecs of the protocols that stonevane speaks, with no knowledge of a node and no I/O.
+//! Codecs of the protocols that stonevane speaks, without I/O.
 //!
-//! Each decoder takes whole messages off the front of a buffer, says `None` while one is not all there, and
-//! bounds what a peer can make it hold: lengths, counts, depth and lines.
+//! Each decoder takes complete messages off the front of a buffer, returns `None` while one is incomplete, and bounds
+//! what a peer can make it buffer: lengths, counts, depth and lines.
 
 pub mod http;
 pub mod lines;
--- a/crates/stonevane-codec/src/lines.rs
+++ b/crates/stonevane-codec/src/lines.rs
@@ -1,24 +1,23 @@
-//! JSON objects that arrive piece by piece: one a line, or each indented over several lines.
+//! JSON objects that arrive in pieces: one a line, or each indented over several lines.
 
 use bytes::BytesMut;
 
-/// Takes objects off the front of a buffer that grows. Each byte is examined once, however small the pieces are in which
-/// it arrives.
+/// Takes objects off the front of a growing buffer. Each byte is examined once, however small the pieces are.
 ///
-/// An indented object begins with a line of `{` alone and ends with one of `}` alone, as far in. An empty line between the
-/// two, or another beginning, says that it was cut off: what there is of it is returned then, and is no object.
+/// An indented object begins with a line of `{` alone and ends with one of `}` alone, at the same indent. An empty line
+/// between the two, or another beginning, shows that it was truncated: the fragment is returned then.
 #[derive(Debug, Default)]
 pub struct ObjectReader {
-    /// Where the line begins that is not complete yet.
+    /// Where the incomplete line begins.
     line_start: usize,
-    /// The bytes before it hold no line end that has not been examined.
+    /// Up to where line ends have been searched.
     searched: usize,
-    /// How far in the object begins that is being read, if it is an indented one.
+    /// Indent of the current object, if it is an indented one.
     indent: Option<Vec<u8>>,
 }
 
 impl ObjectReader {
-    /// The next object, or an empty line; `None` while its end has not come. Between calls the buffer may only grow.
+    /// The next object, or an empty line; `None` while it is incomplete. Between calls the buffer may only grow.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Option<BytesMut> {
         loop {
             let line_end = self.line_end(buffer)?;
@@ -31,7 +30,7 @@
         }
     }
 
-    /// Where the line that begins at `line_start` ends, behind its end mark.
+    /// Where the line that begins at `line_start` ends, its line end included.
     fn line_end(&mut self, buffer: &[u8]) -> Option<usize> {
         let found = buffer[self.searched..].iter().position(|byte| *byte == b'\n');
         let Some(offset) = found else {
@@ -41,7 +40,7 @@
         Some(self.searched + offset + 1)
     }
 
-    /// Where the object ends, if this line, which ends at `line_end`, shows it.
+    /// Where the object ends, if this line, which ends at `line_end`, is its last one.
     fn object_end(&mut self, line: &[u8], line_end: usize) -> Option<usize> {
         let line = line.trim_ascii_end();
         let Some(indent) = &self.indent else {
@@ -54,8 +53,8 @@
         if begins_with(b"}") {
             return Some(line_end);
         }
-        let cut_off = line.is_empty() || begins_with(b"{");
-        cut_off.then_some(self.line_start)
+        let truncated = line.is_empty() || begins_with(b"{");
+        truncated.then_some(self.line_start)
     }
 }
 
