--- a/crates/stonevane-subset/src/lib.rs
+++ b/crates/stonevane-subset/src/lib.rs
@@ -1,7 +1,7 @@
-//! Which cache servers a node uses: those of its own region, and those of further regions while too few are usable.
+//! The endpoint subset of a node: the cache servers of its own region, and of other regions while too few are usable.
 //!
-//! A [`RegionSelector`] is told of every cache server that is listed and answers whether one in a given zone is in the
-//! node's subset. It has no I/O and no clock, and its answer depends on the servers alone, not on their order.
+//! A [`RegionSelector`] takes every listed cache server, and answers whether a server in a given zone is in the node's
+//! subset. It has no I/O and no clock, and its answer depends on the servers alone, not on their order.
 //!
 //! ```
 //! use stonevane_subset::{Membership, Region, RegionSelector, Server};
@@ -19,7 +19,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A fallback ends when there are more usable servers than the least by one and by this part of the least.
+/// A fallback ends when the usable servers exceed the least by one and by this part of the least.
 const RETURN_MARGIN_DIVISOR: usize = 4;
 
 /// A region and its zones.
@@ -36,18 +36,18 @@
 pub struct Server<'a> {
     /// Name of its zone.
     pub zone: &'a str,
-    /// Whether new requests may be sent to it: it is ready and not taken out by hand.
+    /// Whether new requests may be sent to it: it is ready, and no operator has excluded it.
     pub usable: bool,
-    /// Whether its start is so long ago that it can do all that it ever can.
+    /// Whether its slow start is over.
     pub warm: bool,
 }
 
-/// How a cache server stands to the subset.
+/// Whether a cache server is in the subset, and why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Membership {
     /// In the subset: it is in the node's own region.
     Home,
-    /// In the subset: it is in a region that is used as well for now.
+    /// In the subset: it is in a region that is in use for a fallback.
     Fallback,
     /// In the subset: it is in no region, and no region has a usable server.
     LastResort,
@@ -67,7 +67,7 @@
 /// Selects the regions whose cache servers a node uses.
 #[derive(Debug, Clone)]
 pub struct RegionSelector {
-    /// Names of the regions in the order in which this node uses them, its own first.
+    /// Names of the regions in this node's order, its own first.
     order: Vec<String>,
     /// Position in the order of the region of each zone.
     region_of_zone: HashMap<String, usize>,
@@ -78,18 +78,18 @@
     usable: Vec<usize>,
     /// Of these, warm ones.
     warm: Vec<usize>,
-    /// The most usable servers that each region had at once together with those before it.
+    /// The most usable servers that each region and those before it had together at once.
     peaks: Vec<usize>,
     /// Whether servers in no region are used, for want of any other.
     last_resort: bool,
 }
 
 impl RegionSelector {
-    /// The selector of a node. The order of the others is its own (rendezvous hashing of the node's number and the
-    /// region's name): the nodes of a region that is lost spread over all others.
+    /// The selector of a node. Each node has an order of the other regions of its own (rendezvous hashing of its number
+    /// and the region's name): the nodes of a region that is lost spread over all others.
     pub fn new(home: Region, mut others: Vec<Region>, least: usize, node: u32) -> RegionSelector {
         let score = |region: &Region| xxh3_64_with_seed(region.name.as_bytes(), u64::from(node));
-        others.sort_by(|a, b| score(b).cmp(&score(a)).then_with(|| a.name.cmp(&b.name)));
+        others.sort_by_key(|region| (std::cmp::Reverse(score(region)), region.name.clone()));
         others.insert(0, home);
         let mut region_of_zone = HashMap::new();
         for (position, region) in others.iter().enumerate() {
@@ -109,20 +109,24 @@
         }
     }
 
-    /// Takes all cache servers that are listed now. Whether the regions in use have changed.
+    /// Takes all listed cache servers; returns whether the regions in use have changed.
     pub fn update<'a>(&mut self, servers: impl IntoIterator<Item = Server<'a>>) -> bool {
-        let before = (self.in_use, self.last_resort);
+        let in_use_before = self.in_use;
+        let last_resort_before = self.last_resort;
         let unplaced = self.count(servers);
-        let (together, warm) = (cumulative(&self.usable), cumulative(&self.warm));
+        let together = cumulative(&self.usable);
+        let warm = cumulative(&self.warm);
         let total = together.last().copied().unwrap_or(0);
         self.last_resort = total == 0 && unplaced > 0;
         if total > 0 {
-            self.peaks.iter_mut().zip(&together).for_each(|(peak, now)| *peak = (*peak).max(*now));
+            for (peak, current) in self.peaks.iter_mut().zip(&together) {
+                *peak = (*peak).max(*current);
+            }
             let needed = self.regions_until(|position| together[position] >= self.least);
             let settled = self.regions_until(|position| self.may_return(position, &together, &warm));
             self.in_use = self.in_use.min(settled).max(needed);
         }
-        before != (self.in_use, self.last_resort)
+        self.in_use != in_use_before || self.last_resort != last_resort_before
     }
 
     /// Counts the usable servers of each region, and returns how many are in none.
@@ -147,21 +151,20 @@
         (0..self.order.len()).find(|position| enough(*position)).map_or(self.order.len(), |last| last + 1)
     }
 
-    /// Whether the regions up to a position may be used alone again. Against a return to servers that have all just been
-    /// started and can do a part of it only: enough of them are warm, and so are half of all.
+    /// Whether the regions up to a position may be used alone again: enough servers are warm, and at least half of all.
+    /// Servers that have just been started could not take the load of a return.
     fn may_return(&self, position: usize, usable: &[usize], warm: &[usize]) -> bool {
         warm[position] >= self.enough_to_return(position) && 2 * warm[position] >= usable[position]
     }
 
-    /// Warm servers with which the regions up to a position are used alone again. Against a server that comes and goes
-    /// while the others are just the least: each time the whole node would go to and fro. Regions that never had as many
-    /// are enough with the most that they had.
+    /// How many warm servers allow the regions up to a position to be used alone again. The margin keeps a single flapping
+    /// server from moving the whole node each time; regions that never had as many need the most that they had.
     fn enough_to_return(&self, position: usize) -> usize {
         let margin = 1 + self.least / RETURN_MARGIN_DIVISOR;
         (self.least + margin).min(self.peaks[position]).max(self.least)
     }
 
-    /// How a cache server in a zone stands to the subset.
+    /// Whether a cache server in a zone is in the subset, and why.
     pub fn membership(&self, zone: &str) -> Membership {
         match self.region_of_zone.get(zone) {
             Some(0) => Membership::Home,
@@ -177,7 +180,7 @@
         regions.map(|(name, usable)| RegionInUse { name, usable: *usable })
     }
 
-    /// All regions in the order in which this node uses them, its own first.
+    /// All regions in this node's order, its own first.
     pub fn order(&self) -> impl Iterator<Item = &str> {
         self.order.iter().map(String::as_str)
     }
--- a/crates/stonevane-subset/tests/selector.rs
+++ b/crates/stonevane-subset/tests/selector.rs
@@ -211,9 +211,9 @@
         node in 0..1000u32,
     ) {
         let mut fewer = selector(5, least, node);
-        before.iter().for_each(|usable| {
+        for usable in &before {
             update(&mut fewer, usable);
-        });
+        }
         // Both have seen as much: what a region had at the most is part of the state.
         update(&mut fewer, &[6; 5]);
         let mut more = fewer.clone();
