--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -4,6 +4,7 @@
 use stonevane_codec::resp;
 use stonevane_policy::settings::Deployment;
 use stonevane_policy::{Idempotency, Micros};
+use thiserror::Error;
 
 use crate::request::{Command, FinalAnswer};
 
@@ -20,6 +21,41 @@
 /// Space for the framing of a bulk string, in bytes.
 const BULK_FRAMING: usize = 16;
 
+/// Why a command is invalid, in words for its client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum CommandError {
+    #[error("unknown command")]
+    UnknownCommand,
+    #[error("wrong number of arguments")]
+    ArgumentCount,
+    #[error("invalid key, id or facts")]
+    InvalidArgument,
+    #[error("invalid facts")]
+    InvalidParameters,
+    #[error("a fact without a name or given twice")]
+    DuplicateParameter,
+    #[error("unknown class")]
+    UnknownClass,
+    #[error("unknown tenant")]
+    UnknownTenant,
+    #[error("invalid d")]
+    InvalidWait,
+    #[error("invalid r")]
+    InvalidRetryFlag,
+    #[error("invalid h")]
+    InvalidCost,
+    #[error("invalid size")]
+    InvalidSize,
+    #[error("no class")]
+    NoClass,
+    #[error("no tenant")]
+    NoTenant,
+    #[error("no d")]
+    NoWait,
+    #[error("no k for a keyed write")]
+    NoIdempotencyKey,
+}
+
 /// A decoded command of a client.
 #[expect(clippy::large_enum_variant, reason = "a box would cost each request an allocation")]
 pub enum ClientCommand {
@@ -32,8 +68,8 @@
 /// Decodes a complete command.
 ///
 /// # Errors
-/// What is wrong with it, in words for its client.
-pub fn decode(arguments: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, &'static str> {
+/// What is wrong with it.
+pub fn decode(arguments: &[Bytes], deployment: &Deployment) -> Result<ClientCommand, CommandError> {
     let is = |name: &[u8]| arguments.first().is_some_and(|word| word.eq_ignore_ascii_case(name));
     if is(b"OBJ.GET") {
         decode_request(arguments, false, deployment).map(ClientCommand::Request)
@@ -42,7 +78,7 @@
     } else if is(b"PING") {
         Ok(ClientCommand::Ping)
     } else {
-        Err("unknown command")
+        Err(CommandError::UnknownCommand)
     }
 }
 
@@ -70,32 +106,32 @@
     arguments: &[Bytes],
     write: bool,
     deployment: &Deployment,
-) -> Result<Command, &'static str> {
+) -> Result<Command, CommandError> {
     if arguments.len() != if write { WRITE_ARGUMENTS } else { READ_ARGUMENTS } {
-        return Err("wrong number of arguments");
+        return Err(CommandError::ArgumentCount);
     }
     if !arguments[1..READ_ARGUMENTS].iter().all(is_plain) {
-        return Err("invalid key, id or facts");
+        return Err(CommandError::InvalidArgument);
     }
     let facts = String::from_utf8_lossy(&arguments[3]).into_owned();
     let key = arguments[1].clone();
     let id = arguments[2].clone();
     let mut command = Command { write, key, id, ..Command::default() };
     let parameters = Parameters::parse(&facts, deployment, &mut command)?;
-    command.class = parameters.class.ok_or("no class")?;
+    command.class = parameters.class.ok_or(CommandError::NoClass)?;
     if parameters.tenant.is_none() && !deployment.tenants.is_empty() {
-        return Err("no tenant");
+        return Err(CommandError::NoTenant);
     }
     command.tenant = parameters.tenant.unwrap_or(0);
     let class = &deployment.settings.classes[command.class];
     command.rules = *class;
     command.max_attempts = deployment.settings.max_attempts;
     if write && matches!(class.idempotency, Idempotency::WithKey { .. }) && !parameters.has_idempotency_key {
-        return Err("no k for a keyed write");
+        return Err(CommandError::NoIdempotencyKey);
     }
-    let wait_ms = parameters.wait_ms.ok_or("no d")?;
+    let wait_ms = parameters.wait_ms.ok_or(CommandError::NoWait)?;
     if wait_ms > MAX_WAIT_MS.max(class.deadline as f64 / 1e3) {
-        return Err("invalid d");
+        return Err(CommandError::InvalidWait);
     }
     // The class bounds the wait, whatever the client states.
     command.time_left = ((wait_ms * 1e3) as Micros).min(class.deadline);
@@ -120,26 +156,30 @@
         facts: &str,
         deployment: &Deployment,
         command: &mut Command,
-    ) -> Result<Parameters, &'static str> {
+    ) -> Result<Parameters, CommandError> {
         let mut parameters = Parameters::default();
         let mut seen: Vec<&str> = Vec::new();
         for fact in facts.split(',') {
-            let (name, value) = fact.split_once('=').ok_or("invalid facts")?;
+            let (name, value) = fact.split_once('=').ok_or(CommandError::InvalidParameters)?;
             if name.is_empty() || seen.contains(&name) {
-                return Err("a fact without a name or given twice");
+                return Err(CommandError::DuplicateParameter);
             }
             seen.push(name);
             let position = |names: &[String]| names.iter().position(|known| known == value);
             match name {
-                "c" => parameters.class = Some(position(&deployment.classes).ok_or("unknown class")?),
+                "c" => {
+                    let class = position(&deployment.classes).ok_or(CommandError::UnknownClass)?;
+                    parameters.class = Some(class);
+                }
                 "t" if !deployment.tenants.is_empty() => {
-                    parameters.tenant = Some(position(&deployment.tenants).ok_or("unknown tenant")?);
+                    let tenant = position(&deployment.tenants).ok_or(CommandError::UnknownTenant)?;
+                    parameters.tenant = Some(tenant);
                 }
-                "d" => parameters.wait_ms = Some(number(value).ok_or("invalid d")?),
+                "d" => parameters.wait_ms = Some(number(value).ok_or(CommandError::InvalidWait)?),
                 "k" => parameters.has_idempotency_key = !value.is_empty(),
-                "r" => command.is_retry = flag(value).ok_or("invalid r")?,
-                "h" => command.cost = Some(number(value).ok_or("invalid h")? as Micros),
-                "size" => command.size = number(value).ok_or("invalid size")? as f32,
+                "r" => command.is_retry = flag(value).ok_or(CommandError::InvalidRetryFlag)?,
+                "h" => command.cost = Some(number(value).ok_or(CommandError::InvalidCost)? as Micros),
+                "size" => command.size = number(value).ok_or(CommandError::InvalidSize)? as f32,
                 _ => {}
             }
         }
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -126,7 +126,7 @@
             }),
             Ok(ClientCommand::Request(command)) => self.on_request(client, command),
             // The decision module can't be asked about a request of no known class.
-            Err(reason) => session.push_answer(format!("-ERR {reason}\r\n")),
+            Err(error) => session.push_answer(format!("-ERR {error}\r\n")),
         }
     }
 
