--- a/crates/stonevane-core/src/handover.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -1,63 +1,81 @@
-//! Two processes of one node side by side, while one replaces the other: who may hold how much of what both together
-//! may hold. No files, no clock: what each has said of itself goes in, what this one may take comes out.
+//! Handover between two processes of one node: how they divide the capacity that they may use together.
 //!
-//! One that has a newer one beside it never takes more than it said; the newest takes what the others leave. So the sum
-//! holds however late each hears of the other, as long as one that takes more says so first, and one that takes less
-//! says so afterwards.
+//! There are no files and no clock here: statuses of the processes go in, this process's grant comes out. A process with
+//! a newer one beside it never takes more than it has announced, and the newest takes what the others leave. So the sum
+//! stays within the node's capacity however late each hears of the other, as long as a process announces an increase
+//! before it uses it, and a decrease afterwards.
 
 use stonevane_policy::Micros;
 
-/// Of the whole, a part as large as one by this is left for a process that is just starting.
-const SPARE: usize = 16;
+/// This part of the node's capacity is left to a process that is just starting.
+const SPARE_DIVISOR: usize = 16;
+/// A process that a newer one stands beside keeps at least this part of the node's capacity until it drains.
+const SERVING_DIVISOR: usize = 2;
 
-/// How far a process has come.
+/// The stage of a process's life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessStage {
-    /// It takes no clients yet.
+    /// It accepts no clients yet.
     Starting,
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// It ends.
+    /// It is shutting down.
     Draining,
 }
 
-/// Places for connections, and memory in bytes.
+/// Connections and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Capacity {
-    /// Places for connections.
+    /// How many connections.
     pub connections: usize,
     /// Memory, in bytes.
     pub memory: usize,
 }
 
 impl Capacity {
-    fn each(self, other: Capacity, of: impl Fn(usize, usize) -> usize) -> Capacity {
+    fn zip_with(self, other: Capacity, combine: impl Fn(usize, usize) -> usize) -> Capacity {
         Capacity {
-            connections: of(self.connections, other.connections),
-            memory: of(self.memory, other.memory),
+            connections: combine(self.connections, other.connections),
+            memory: combine(self.memory, other.memory),
         }
     }
 
-    fn part(self, by: usize) -> Capacity {
-        Capacity { connections: self.connections / by, memory: self.memory / by }
+    fn divided_by(self, divisor: usize) -> Capacity {
+        Capacity { connections: self.connections / divisor, memory: self.memory / divisor }
+    }
+
+    fn plus(self, other: Capacity) -> Capacity {
+        self.zip_with(other, usize::saturating_add)
+    }
+
+    fn minus(self, other: Capacity) -> Capacity {
+        self.zip_with(other, usize::saturating_sub)
+    }
+
+    fn at_least(self, other: Capacity) -> Capacity {
+        self.zip_with(other, usize::max)
+    }
+
+    fn at_most(self, other: Capacity) -> Capacity {
+        self.zip_with(other, usize::min)
     }
 }
 
-/// What a process says of itself.
+/// What a process announces of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// When it started, and its number: the newest is the last in this order.
+    /// When it started, and its process number: the newest process is the last in this order.
     pub started: (Micros, u32),
-    /// How far it has come.
+    /// Its stage.
     pub stage: ProcessStage,
-    /// What it may take.
+    /// What it may use.
     pub capacity: Capacity,
-    /// Requests that it has open: the gate and cold servers' budgets are divided by them.
+    /// Its requests in flight: limits of the origin and of cold servers are divided in proportion to them.
     pub in_flight: usize,
 }
 
 impl ProcessStatus {
-    /// The line that tells it.
+    /// Encodes it as a line; processes of different versions share this form.
     pub fn line(&self) -> String {
         let stage = match self.stage {
             ProcessStage::Starting => "starting",
@@ -67,67 +85,79 @@
         format!("1 {stage} {} {} {}\n", self.capacity.connections, self.capacity.memory, self.in_flight)
     }
 
-    /// Reads such a line; `None` for any other.
-    pub fn read(since: (Micros, u32), line: &str) -> Option<ProcessStatus> {
+    /// Decodes such a line; `None` for any other.
+    pub fn read(started: (Micros, u32), line: &str) -> Option<ProcessStatus> {
         let words: Vec<_> = line.strip_suffix('\n')?.split(' ').collect();
-        let ["1", stage, places, memory, open] = words[..] else { return None };
+        let ["1", stage, connections, memory, in_flight] = words[..] else { return None };
         let stage = match stage {
             "starting" => ProcessStage::Starting,
             "serving" => ProcessStage::Serving,
             "draining" => ProcessStage::Draining,
             _ => return None,
         };
-        let room = Capacity { connections: places.parse().ok()?, memory: memory.parse().ok()? };
-        Some(ProcessStatus { started: since, stage, capacity: room, in_flight: open.parse().ok()? })
+        let capacity = Capacity { connections: connections.parse().ok()?, memory: memory.parse().ok()? };
+        Some(ProcessStatus { started, stage, capacity, in_flight: in_flight.parse().ok()? })
+    }
+
+    /// Its weight in the division of limits; one without requests has some too.
+    fn weight(&self) -> f64 {
+        self.in_flight as f64 + 1.0
     }
 }
 
-/// What this process may do.
+/// What this process may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityGrant {
-    /// What it may take.
+    /// Its capacity.
     pub capacity: Capacity,
-    /// Its part of the node's share of the origin and of cold servers.
+    /// Its share of the node's quota of the origin and of cold servers.
     pub share: f64,
-    /// A newer process takes clients.
+    /// A newer process accepts clients.
     pub replaced: bool,
-    /// Another process takes clients from the same queue.
+    /// Another process accepts clients from the same listener.
     pub listener_shared: bool,
 }
 
-/// Divides the whole. `own`: this process, with what it said last; `held`: what it holds now.
+/// Divides the node's capacity. `own`: this process, as it announced itself last; `used`: what it uses now.
 pub fn divide(
-    whole: Capacity,
+    node_capacity: Capacity,
     own: &ProcessStatus,
-    held: Capacity,
+    used: Capacity,
     others: &[ProcessStatus],
 ) -> CapacityGrant {
-    let weight = |of: &ProcessStatus| of.in_flight as f64 + 1.0;
-    let all: f64 = others.iter().map(weight).sum();
-    let newer = || others.iter().filter(|other| other.started > own.started);
-    let spare = whole.part(SPARE);
-    let room = if newer().next().is_some() {
-        let least = match own.stage {
-            ProcessStage::Draining => held.each(spare, usize::saturating_add),
-            _ => held.each(whole.part(2), usize::max),
-        };
-        least.each(own.capacity, usize::min)
+    let others_weight: f64 = others.iter().map(ProcessStatus::weight).sum();
+    let is_newer = |other: &ProcessStatus| other.started > own.started;
+    let is_serving = |other: &ProcessStatus| other.stage == ProcessStage::Serving;
+    let capacity = if others.iter().any(is_newer) {
+        capacity_beside_newer(node_capacity, own, used)
     } else {
-        let said = others
-            .iter()
-            .fold(Capacity::default(), |sum, other| sum.each(other.capacity, usize::saturating_add));
-        let left = whole.each(said, usize::saturating_sub);
-        // Alone, it leaves what one that starts beside it can begin with.
-        let most = whole.each(spare, usize::saturating_sub);
-        left.each(spare, usize::max).each(most, usize::min)
+        capacity_of_newest(node_capacity, others)
     };
     CapacityGrant {
-        capacity: room,
-        share: weight(own) / (weight(own) + all),
-        replaced: newer().any(|other| other.stage == ProcessStage::Serving),
-        listener_shared: others.iter().any(|other| other.stage == ProcessStage::Serving),
+        capacity,
+        share: own.weight() / (own.weight() + others_weight),
+        replaced: others.iter().any(|other| is_newer(other) && is_serving(other)),
+        listener_shared: others.iter().any(is_serving),
     }
 }
 
+fn capacity_beside_newer(node_capacity: Capacity, own: &ProcessStatus, used: Capacity) -> Capacity {
+    let needed = match own.stage {
+        ProcessStage::Draining => used.plus(node_capacity.divided_by(SPARE_DIVISOR)),
+        ProcessStage::Starting | ProcessStage::Serving => {
+            used.at_least(node_capacity.divided_by(SERVING_DIVISOR))
+        }
+    };
+    needed.at_most(own.capacity)
+}
+
+/// What the others leave; alone, all but what a starting process can begin with.
+fn capacity_of_newest(node_capacity: Capacity, others: &[ProcessStatus]) -> Capacity {
+    let spare = node_capacity.divided_by(SPARE_DIVISOR);
+    let announced = others.iter().fold(Capacity::default(), |sum, other| sum.plus(other.capacity));
+    let left = node_capacity.minus(announced);
+    left.at_least(spare).at_most(node_capacity.minus(spare))
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/stonevane-core/src/handover/tests.rs
+++ b/crates/stonevane-core/src/handover/tests.rs
@@ -51,9 +51,8 @@
                     said.capacity = may;
                     live.push(Process { said, may, held: Capacity::default() });
                 }
-                Step::Start => {}
                 Step::End(who) if who < live.len() => drop(live.remove(who)),
-                Step::End(_) => {}
+                Step::Start | Step::End(_) => {}
                 Step::Drain(who) => {
                     if let Some(process) = live.get_mut(who % count) {
                         process.said.stage = ProcessStage::Draining;
@@ -80,7 +79,7 @@
                     }
                 }
             }
-            let held = live.iter().fold(Capacity::default(), |sum, p| sum.each(p.held, |a, b| a + b));
+            let held = live.iter().fold(Capacity::default(), |sum, p| sum.zip_with(p.held, |a, b| a + b));
             prop_assert!(held.connections <= WHOLE.connections && held.memory <= WHOLE.memory, "{held:?}");
         }
     }
--- a/crates/stonevane-core/src/management.rs
+++ b/crates/stonevane-core/src/management.rs
@@ -1,34 +1,33 @@
-//! The second address: what the bytes of a call ask for, and what is answered. No connection, no clock; one call to a
-//! connection.
+//! The management address: decodes calls and encodes answers, one call a connection. There is no I/O here.
 
 use std::fmt::Write;
 
 use stonevane_codec::http::{self, Malformed};
 
-/// A head that is longer than this is turned away, and so is a target of half of it.
+/// The longest head, in bytes; a target may have half of that.
 pub const MAX_HEAD: usize = 4096;
-/// A body says nothing here; a longer one is turned away before it is read.
+/// The longest body, in bytes. Bodies have no meaning here; a longer one is rejected before it is read.
 const MAX_BODY: usize = 1024;
-/// The longest name of a cache server in a call.
+/// The longest name of a cache server, in bytes.
 const MAX_NAME: usize = 120;
 
-/// What a person, or the platform, asks for.
+/// A call of an operator or of the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process takes clients.
+    /// Whether this process serves clients.
     Ready,
-    /// The figures.
+    /// The metrics.
     Metrics,
-    /// What this node knows of the others, whole or as a letter for each.
+    /// What this node knows of the other nodes.
     Fleet {
-        /// Whether only the letters are wanted.
+        /// Whether in brief: a letter for each node.
         brief: bool,
     },
-    /// A cache server is to be left out, or to be used again.
+    /// Exclude a cache server, or put it back.
     Exclude {
         /// Its name.
         name: String,
-        /// Whether it is out from now on.
+        /// Whether it is excluded from now on.
         out: bool,
     },
 }
@@ -43,12 +42,12 @@
 }
 
 impl Answer {
-    /// One with a line of plain text.
+    /// An answer with a line of plain text.
     pub fn line(status: u16, body: impl Into<String>) -> Answer {
         Answer { status, allow: None, json: false, body: body.into() + "\n" }
     }
 
-    /// One that brings an object.
+    /// An answer with a JSON object.
     pub fn object(body: String) -> Answer {
         Answer { status: 200, allow: None, json: true, body }
     }
@@ -58,7 +57,7 @@
         self.status
     }
 
-    /// Its bytes, after which the connection ends.
+    /// Encodes it; the connection ends after it.
     pub fn bytes(&self) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -87,11 +86,10 @@
     }
 }
 
-/// Reads the call at the front of what a connection has brought; `None` while it is not whole. What stands behind it is
-/// not looked at: there is one call to a connection.
+/// Decodes the call at the front of a connection's input; `None` while it is incomplete. What follows it is ignored.
 ///
 /// # Errors
-/// The answer to what is no call that is known here.
+/// The answer to an invalid or unknown call.
 pub fn read(bytes: &[u8]) -> Result<Option<Call>, Answer> {
     let line = bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len());
     let head = match http::request_head(&bytes[..bytes.len().min(MAX_HEAD)]) {
@@ -124,19 +122,7 @@
         "/metrics" => (Call::Metrics, "GET"),
         "/fleet" => (Call::Fleet { brief: false }, "GET"),
         "/fleet/view" => (Call::Fleet { brief: true }, "GET"),
-        _ => {
-            let rest = path.strip_prefix("/cache-servers/").and_then(|rest| rest.split_once('/'));
-            let (out, name) = match rest {
-                Some(("disable", name)) => (true, name),
-                Some(("enable", name)) => (false, name),
-                _ => return Err(Answer::line(404, "there is no such call")),
-            };
-            let name = decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
-            if name.is_empty() || name.len() > MAX_NAME || name.contains('/') {
-                return Err(Answer::line(404, "there is no cache server of that name"));
-            }
-            (Call::Exclude { name, out }, "PUT")
-        }
+        _ => (exclusion(path)?, "PUT"),
     };
     if method != allow {
         let answer = Answer::line(405, format!("{path} is called by {allow}"));
@@ -145,17 +131,41 @@
     Ok(call)
 }
 
-/// Takes percent-encoding off (RFC 3986, 2.1).
+/// Decodes the path of a call that excludes a cache server or puts it back.
+fn exclusion(path: &str) -> Result<Call, Answer> {
+    let rest = path.strip_prefix("/cache-servers/").and_then(|rest| rest.split_once('/'));
+    let (out, name) = match rest {
+        Some(("disable", name)) => (true, name),
+        Some(("enable", name)) => (false, name),
+        _ => return Err(Answer::line(404, "there is no such call")),
+    };
+    let name = decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
+    if name.is_empty() || name.len() > MAX_NAME || name.contains('/') {
+        return Err(Answer::line(404, "there is no cache server of that name"));
+    }
+    Ok(Call::Exclude { name, out })
+}
+
+/// Decodes percent-encoding (RFC 3986, 2.1).
 fn decode(text: &str) -> Option<String> {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
     while let Some(byte) = bytes.next() {
-        let hex = |byte: Option<u8>| char::from(byte?).to_digit(16).map(|digit| digit as u8);
-        out.push(if byte == b'%' { hex(bytes.next())? * 16 + hex(bytes.next())? } else { byte });
+        if byte == b'%' {
+            let high = hex_digit(bytes.next()?)?;
+            let low = hex_digit(bytes.next()?)?;
+            out.push(high * 16 + low);
+        } else {
+            out.push(byte);
+        }
     }
     let name = String::from_utf8(out).ok()?;
     (!name.chars().any(char::is_control)).then_some(name)
 }
 
+fn hex_digit(byte: u8) -> Option<u8> {
+    char::from(byte).to_digit(16).map(|digit| digit as u8)
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/stonevane-core/src/start_times.rs
+++ b/crates/stonevane-core/src/start_times.rs
@@ -36,7 +36,7 @@
     }
 
     /// When a process of this list started; nothing starts in the future.
-    pub fn start(&self, now: Micros, start: Micros) -> Micros {
+    pub fn start(self, now: Micros, start: Micros) -> Micros {
         start.saturating_add(self.clock_error).min(now)
     }
 }
--- a/crates/stonevane-core/tests/crowd.rs
+++ b/crates/stonevane-core/tests/crowd.rs
@@ -245,7 +245,9 @@
 fn one_that_is_owed_an_answer_keeps_its_place_whoever_comes() {
     let mut it = World::new(128);
     let owed: Vec<_> = (0..5).map(|_| it.connect()).collect();
-    owed.iter().for_each(|id| it.ask(*id));
+    for id in &owed {
+        it.ask(*id);
+    }
     let answers = std::mem::take(&mut it.inputs);
     for _ in 0..500 {
         it.connect();
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -131,7 +131,9 @@
     it.ask(10);
     // A second copy of the answer, at every connection that may have been chosen.
     let all: Vec<_> = it.answered.keys().copied().collect();
-    all.into_iter().for_each(|id| it.feed(Input::Bytes(id, HIT)));
+    for id in all {
+        it.feed(Input::Bytes(id, HIT));
+    }
     assert_eq!((it.served, it.written.len()), (served, 10));
     assert!(it.opened >= opened + 10);
     it.answer();
