--- a/crates/stonevane-sim/src/simulation/queue.rs
+++ b/crates/stonevane-sim/src/event_queue.rs
@@ -20,10 +20,10 @@
         self.now
     }
 
-    /// Schedules an event, now at the earliest.
+    /// Schedules an event. One for a moment that has passed comes next, and sets the clock back.
     pub fn schedule(&mut self, at: u64, event: E) {
         self.scheduled += 1;
-        self.events.insert((at.max(self.now), self.scheduled), event);
+        self.events.insert((at, self.scheduled), event);
     }
 
     /// Moves the clock to the next event, where there is one up to a moment.
--- a/crates/stonevane-sim/src/lib.rs
+++ b/crates/stonevane-sim/src/lib.rs
@@ -6,6 +6,7 @@
 
 mod client;
 mod discovery;
+mod event_queue;
 pub mod members;
 mod plan;
 mod server;
--- /dev/null
+++ b/crates/stonevane-sim/src/members/network.rs
@@ -0,0 +1,86 @@
+//! The network between members: datagrams are lost, duplicated, late or cut.
+
+use stonevane_membership::wire::MAX_DATAGRAM;
+use xxhash_rust::xxh3::xxh3_64;
+
+use super::plan::MemberFaultKind;
+use super::process::Datagram;
+use super::simulation::{Event, PERIOD_US, Simulation};
+
+/// The shortest time that a datagram takes, microseconds.
+const MIN_DELAY_US: u64 = 200;
+/// The longest datagram of a flood, bytes.
+const MAX_FLOOD_BYTES: u64 = 300;
+
+/// A degradation of the network in force.
+pub struct Degradation {
+    /// The fault that brought it.
+    pub fault: usize,
+    pub loss: f64,
+    pub duplicated: f64,
+    pub delay_us: u64,
+}
+
+impl Simulation<'_> {
+    pub(super) fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
+        self.digest_datagram(from, to, bytes);
+        let (mut delivery, mut copies, mut longest_us) = (1.0 - self.plan.loss, 1, 0);
+        for degradation in &self.degradations {
+            delivery *= 1.0 - degradation.loss;
+            longest_us = longest_us.max(degradation.delay_us);
+            if self.rng.rand_float() < degradation.duplicated {
+                copies += 1;
+            }
+        }
+        if bytes.len() > MAX_DATAGRAM || self.partitions[from * self.plan.members + to] > 0 {
+            return;
+        }
+        for _ in 0..copies {
+            if self.rng.rand_float() >= delivery {
+                continue;
+            }
+            let late_us = if longest_us > 0 { self.rng.rand_range(0..longest_us) } else { 0 };
+            let travel_us = self.rng.rand_range(0..self.plan.delay_us.max(1));
+            let at = self.now() + MIN_DELAY_US + travel_us + late_us;
+            let datagram = Datagram { from, bytes: bytes.to_vec() };
+            self.schedule(at, Event::Deliver { to, datagram });
+        }
+    }
+
+    /// Digests of earlier versions stay comparable only while this keeps its form.
+    fn digest_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
+        let now = self.now();
+        let ends = (from as u64) << 32 ^ (to as u64) << 48;
+        let hash = (xxh3_64(bytes) ^ now ^ ends).rotate_left(now as u32 % 63);
+        self.verdict.digest = self.verdict.digest.wrapping_mul(31).wrapping_add(hash);
+    }
+
+    pub(super) fn partition(&mut self, from: &[usize], to: &[usize], begins: bool) {
+        let time = self.time();
+        for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
+            let partitions = &mut self.partitions[from * self.plan.members + to];
+            *partitions = if begins { *partitions + 1 } else { partitions.saturating_sub(1) };
+            self.membership.partition(time, from, to, begins);
+        }
+    }
+
+    /// Random bytes come to a member under another's address, while a flood lasts.
+    pub(super) fn flood(&mut self, member: usize) {
+        let now = self.now();
+        let is_on = |fault: &super::MemberFault| {
+            fault.start_us <= now && now < fault.start_us.saturating_add(fault.duration_us)
+        };
+        let rate = self.plan.faults.iter().find_map(|fault| match fault.kind {
+            MemberFaultKind::Flood { member: flooded, per_s } if flooded == member && is_on(fault) => {
+                Some(per_s)
+            }
+            _ => None,
+        });
+        let Some(per_s) = rate else { return };
+        let from = (member + 1) % self.plan.members;
+        let length = self.rng.rand_range(0..MAX_FLOOD_BYTES) as usize;
+        let bytes: Vec<u8> = (0..length).map(|_| self.rng.rand_u64() as u8).collect();
+        self.deliver(member, Datagram { from, bytes });
+        self.schedule(now + PERIOD_US / per_s.max(1), Event::Flood(member));
+    }
+}
--- /dev/null
+++ b/crates/stonevane-sim/src/members/process.rs
@@ -0,0 +1,222 @@
+//! Members' processes: started, killed, paused, slowed and woken.
+
+use std::collections::VecDeque;
+
+use stonevane_membership::{Counts, Input, Machine, Mutant, Setup};
+
+use super::simulation::{Event, PERIOD_US, Simulation};
+
+/// Datagrams that wait for a process that does not run, at most: what a socket's buffer holds.
+const MAX_INBOX: usize = 250;
+/// A slow process runs for the first of these times in each of the second, microseconds.
+const TIME_SLICE_US: u64 = 10_000;
+const TIME_SLICE_PERIOD_US: u64 = 100_000;
+/// A process that was told to end drains for this long, microseconds.
+const DRAIN_US: u64 = PERIOD_US / 2;
+
+/// A datagram that waits to be read.
+pub struct Datagram {
+    pub from: usize,
+    pub bytes: Vec<u8>,
+}
+
+/// A member's process.
+pub struct Process {
+    /// `None` while there is no process.
+    pub machine: Option<Machine<Option<Mutant>>>,
+    pub incarnation: u32,
+    /// Faults in force that keep it down, pause it and slow it.
+    pub kills: u32,
+    pub pauses: u32,
+    pub slowdowns: u32,
+    /// Whether a slow one runs now.
+    has_time_slice: bool,
+    inbox: VecDeque<Datagram>,
+    /// When it is woken next, as scheduled.
+    wake_at: u64,
+}
+
+impl Process {
+    /// One that has not started.
+    pub fn new() -> Process {
+        Process {
+            machine: None,
+            incarnation: 0,
+            kills: 0,
+            pauses: 0,
+            slowdowns: 0,
+            has_time_slice: false,
+            inbox: VecDeque::new(),
+            wake_at: u64::MAX,
+        }
+    }
+
+    fn is_running(&self) -> bool {
+        self.machine.is_some() && self.pauses == 0 && (self.slowdowns == 0 || self.has_time_slice)
+    }
+}
+
+/// Whether a mutant is one faulty member's, the others being correct.
+fn is_single_member_fault(mutant: Mutant) -> bool {
+    matches!(
+        mutant,
+        Mutant::AccusesAll
+            | Mutant::NeverRefutes
+            | Mutant::LiesOfIncarnations
+            | Mutant::Replays
+            | Mutant::ClaimsAnother
+    )
+}
+
+impl Simulation<'_> {
+    /// Starts a member's process, unless it runs or a fault keeps it down.
+    pub(super) fn start(&mut self, member: usize) {
+        if self.processes[member].machine.is_some() || self.processes[member].kills > 0 {
+            return;
+        }
+        let draw = self.rng.rand_u64() as u32;
+        let seed = self.rng.rand_u64();
+        let setup = Setup {
+            me: member as u16,
+            members: self.plan.members as u16,
+            period: PERIOD_US,
+            answer: PERIOD_US / 2,
+            heeds_health: self.plan.heeds_health,
+            key: self.plan.has_key.then_some([9; 32]),
+            speaks: if member < self.plan.first_version_members { 1 } else { 2 },
+            seed,
+            draw,
+            ..Setup::default()
+        };
+        let is_faulty = |mutant: &Mutant| !is_single_member_fault(*mutant) || member == 0;
+        let mutant = self.options.mutant.filter(is_faulty);
+        let now = self.now();
+        let process = &mut self.processes[member];
+        process.incarnation += 1;
+        process.machine = Some(Machine::with(now, setup, mutant));
+        process.inbox.clear();
+        process.wake_at = u64::MAX;
+        let is_paused = process.pauses > 0;
+        self.note_state(member, "starting");
+        self.note_state(member, "ready");
+        if is_paused {
+            self.note_state(member, "paused");
+        }
+        self.wake_machine(member);
+    }
+
+    /// A member's process ends without a word.
+    pub(super) fn kill(&mut self, member: usize) {
+        if let Some(machine) = self.processes[member].machine.take() {
+            self.count_sent(machine.status().counts);
+            self.note_state(member, "killed");
+        }
+    }
+
+    pub(super) fn count_sent(&mut self, counts: Counts) {
+        self.verdict.datagrams += counts.sent;
+        self.verdict.bytes += counts.sent_bytes;
+    }
+
+    /// A member is told to end: it says so, drains for a moment and is gone.
+    pub(super) fn terminate(&mut self, member: usize) {
+        let now = self.now();
+        let process = &mut self.processes[member];
+        let incarnation = process.incarnation;
+        let Some(machine) = &mut process.machine else { return };
+        machine.handle(now, Input::Leave, &mut self.outputs);
+        self.perform(member);
+        self.note_state(member, "term");
+        self.schedule(now + DRAIN_US, Event::Drained { member, incarnation });
+    }
+
+    /// A member that was told to end has drained.
+    pub(super) fn drained(&mut self, member: usize, incarnation: u32) {
+        let process = &self.processes[member];
+        if process.incarnation == incarnation && process.kills > 0 {
+            self.kill(member);
+        }
+    }
+
+    /// A member's timer is due.
+    pub(super) fn wake(&mut self, member: usize, incarnation: u32) {
+        let now = self.now();
+        let process = &mut self.processes[member];
+        if process.incarnation != incarnation || process.wake_at != now {
+            return;
+        }
+        process.wake_at = u64::MAX;
+        if process.is_running() {
+            self.wake_machine(member);
+        }
+    }
+
+    /// A slow process gets its time slice, or loses it.
+    pub(super) fn switch_time_slice(&mut self, member: usize) {
+        let process = &mut self.processes[member];
+        if process.slowdowns == 0 {
+            return;
+        }
+        process.has_time_slice = !process.has_time_slice;
+        let has_time_slice = process.has_time_slice;
+        let lasts_us = if has_time_slice { TIME_SLICE_US } else { TIME_SLICE_PERIOD_US - TIME_SLICE_US };
+        self.schedule(self.now() + lasts_us, Event::TimeSlice(member));
+        if has_time_slice {
+            self.resume(member);
+        }
+    }
+
+    /// A datagram arrives: it is read, or waits for a process that does not run.
+    pub(super) fn deliver(&mut self, to: usize, datagram: Datagram) {
+        let process = &mut self.processes[to];
+        if process.is_running() {
+            self.give_datagram(to, &datagram);
+        } else if process.machine.is_some() && process.inbox.len() < MAX_INBOX {
+            process.inbox.push_back(datagram);
+        }
+    }
+
+    /// A process goes on: what came meanwhile is read, and its timers are due.
+    pub(super) fn resume(&mut self, member: usize) {
+        while self.processes[member].is_running()
+            && let Some(datagram) = self.processes[member].inbox.pop_front()
+        {
+            self.give_datagram(member, &datagram);
+        }
+        if self.processes[member].is_running() {
+            self.wake_machine(member);
+        }
+    }
+
+    fn give_datagram(&mut self, member: usize, datagram: &Datagram) {
+        self.handle(member, Input::Datagram(datagram.from as u16, &datagram.bytes));
+    }
+
+    /// Gives a member the time.
+    fn wake_machine(&mut self, member: usize) {
+        self.handle(member, Input::Wake);
+    }
+
+    fn handle(&mut self, member: usize, input: Input<'_>) {
+        let now = self.now();
+        if let Some(machine) = &mut self.processes[member].machine {
+            machine.handle(now, input, &mut self.outputs);
+            self.perform(member);
+        }
+    }
+
+    /// Does what a member says, and schedules its next wake.
+    fn perform(&mut self, member: usize) {
+        self.outputs.news.clear();
+        while let Some((to, bytes)) = self.outputs.sends.pop_front() {
+            self.send(member, usize::from(to), &bytes);
+        }
+        let process = &mut self.processes[member];
+        let incarnation = process.incarnation;
+        let next = process.machine.as_ref().map_or(u64::MAX, Machine::next);
+        if next < process.wake_at {
+            process.wake_at = next;
+            self.schedule(next, Event::Wake { member, incarnation });
+        }
+    }
+}
--- a/crates/stonevane-sim/src/server/mod.rs
+++ b/crates/stonevane-sim/src/server/mod.rs
@@ -40,7 +40,8 @@
     pub version: u64,
     /// The attempt's number at this server.
     pub number: u64,
-    pub work_us: u64,
+    /// Of a warm server's time, microseconds.
+    pub cost_us: u64,
     pub answered_at: u64,
 }
 
@@ -137,7 +138,7 @@
     /// A request has come on a connection without a slot.
     pub fn reject(&mut self, now: u64) -> Work {
         self.attempts += 1;
-        Work { effect: Effect::Busy, version: 0, number: self.attempts, work_us: 0, answered_at: now }
+        Work { effect: Effect::Busy, version: 0, number: self.attempts, cost_us: 0, answered_at: now }
     }
 
     /// A complete request has come.
@@ -146,8 +147,8 @@
         let number = self.attempts;
         let (mut effect, version) = self.effect_of(now, request, number);
         let full_work_us = drawn(self.mean_work_us(request), WORK_VARIATION, &request.id);
-        let work_us = if effect == Effect::Miss { full_work_us / MISS_WORK_DIVISOR } else { full_work_us };
-        let took_us = (work_us as f64 / self.speed(now)) as u64;
+        let cost_us = if effect == Effect::Miss { full_work_us / MISS_WORK_DIVISOR } else { full_work_us };
+        let took_us = (cost_us as f64 / self.speed(now)) as u64;
         let answered_at = self.cores.take(now, took_us, MAX_QUEUE_US).unwrap_or_else(|| {
             effect = Effect::Busy;
             now
@@ -157,7 +158,7 @@
             Effect::Miss => self.note_miss(request),
             _ => {}
         }
-        Work { effect, version, number, work_us, answered_at }
+        Work { effect, version, number, cost_us, answered_at }
     }
 
     fn mean_work_us(&self, request: &ServerRequest) -> u64 {
--- a/crates/stonevane-sim/src/shrink.rs
+++ b/crates/stonevane-sim/src/shrink.rs
@@ -1,10 +1,19 @@
 //! Makes a plan that fails smaller, as long as it fails in the same way: faults go first, by halves and then one by one
 //! (delta debugging; Zeller and Hildebrandt, 2002), then nodes, caches, load, network and time.
 
-use crate::plan::{Fault, FaultKind, Plan};
+use std::ops::Range;
+
+use crate::plan::{FaultKind, Plan};
 use crate::simulation::{Options, run};
 
-/// What is left.
+/// A fault isn't shortened below this, microseconds.
+const MIN_FAULT_US: u64 = 50_000;
+/// The load isn't reduced below this.
+const MIN_REQUESTS_PER_S: f64 = 4.0;
+/// How long the load goes on behind the last fault, the shortest first, microseconds.
+const TAILS_US: [u64; 3] = [200_000, 1_000_000, 3_000_000];
+
+/// What is left of a plan that fails.
 #[derive(Debug, Clone)]
 pub struct Shrunk {
     /// The smallest plan that was found.
@@ -19,12 +28,12 @@
     options: Options,
     code: String,
     runs: usize,
-    most: usize,
+    max_runs: usize,
 }
 
 impl Search {
     fn fails(&mut self, plan: &Plan) -> bool {
-        if self.runs >= self.most {
+        if self.runs >= self.max_runs {
             return false;
         }
         self.runs += 1;
@@ -35,82 +44,109 @@
     fn accept(&mut self, plan: &mut Plan, change: impl FnOnce(&mut Plan)) -> bool {
         let mut other = plan.clone();
         change(&mut other);
-        let better = other != *plan && self.fails(&other);
-        if better {
+        let is_better = other != *plan && self.fails(&other);
+        if is_better {
             *plan = other;
         }
-        better
+        is_better
     }
 
-    fn fewer_faults(&mut self, plan: &mut Plan) {
-        let mut part = plan.faults.len();
-        while part > 0 {
-            let mut at = 0;
-            while at < plan.faults.len() {
-                let end = (at + part).min(plan.faults.len());
-                if !self.accept(plan, |plan| drop(plan.faults.drain(at..end))) {
-                    at += part;
-                }
-            }
-            part /= 2;
+    /// One round of all changes; returns whether any was taken.
+    fn shrink_once(&mut self, plan: &mut Plan) -> bool {
+        let before = plan.clone();
+        let faults = plan.faults.len();
+        remove_by_halves(
+            plan,
+            faults,
+            |plan| plan.faults.len(),
+            |plan, range| self.accept(plan, |plan| drop(plan.faults.drain(range))),
+        );
+        self.shorten_load(plan);
+        while plan.nodes > 1 && self.accept(plan, remove_last_node) {}
+        while plan.caches > 1 && self.accept(plan, remove_last_cache) {}
+        while plan.requests_per_s > MIN_REQUESTS_PER_S && self.accept(plan, |plan| plan.requests_per_s /= 2.0)
+        {
         }
+        self.simplify(plan);
+        for fault in 0..plan.faults.len() {
+            while plan.faults[fault].duration_us > MIN_FAULT_US
+                && self.accept(plan, |plan| plan.faults[fault].duration_us /= 2)
+            {}
+        }
+        *plan != before
     }
 
-    fn smaller(&mut self, plan: &mut Plan) -> bool {
-        let before = plan.clone();
-        self.fewer_faults(plan);
-        let last = plan.faults.iter().map(|fault| fault.start_us + fault.duration_us).max().unwrap_or(0);
-        // Where it is that clients are not served again, they are given as much time as before.
-        let rests: &[u64] = if self.code == "progress" { &[] } else { &[200_000, 1_000_000, 3_000_000] };
-        for rest in rests {
-            if self.accept(plan, |plan| plan.load_duration_us = plan.load_duration_us.min(last + rest)) {
+    fn shorten_load(&mut self, plan: &mut Plan) {
+        if self.code == "progress" {
+            // Clients need their time to be served again.
+            return;
+        }
+        let last_fault_end = plan.last_fault_end_us();
+        for tail_us in TAILS_US {
+            let end = last_fault_end + tail_us;
+            if self.accept(plan, |plan| plan.load_duration_us = plan.load_duration_us.min(end)) {
                 break;
             }
         }
-        while plan.nodes > 1 && self.accept(plan, without_last_node) {}
-        while plan.caches > 1 && self.accept(plan, without_last_cache) {}
-        while plan.requests_per_s > 4.0 && self.accept(plan, |plan| plan.requests_per_s /= 2.0) {}
+    }
+
+    fn simplify(&mut self, plan: &mut Plan) {
         self.accept(plan, |plan| plan.fragmented_share = 0.0);
         self.accept(plan, |plan| plan.late_flush_share = 0.0);
         self.accept(plan, |plan| plan.pipelined_share = 0.0);
-        self.accept(plan, |plan| plan.clock_drifts.iter_mut().for_each(|clock| *clock = 0.0));
+        self.accept(plan, |plan| plan.clock_drifts.fill(0.0));
         self.accept(plan, |plan| plan.delay_us = (100, 100));
         self.accept(plan, |plan| plan.value_bytes = 24);
         self.accept(plan, |plan| (plan.max_sockets, plan.memory_mb) = (256, 64));
         self.accept(plan, |plan| plan.edit_share = 0.0);
         self.accept(plan, |plan| plan.move_share = 0.0);
-        for at in 0..plan.faults.len() {
-            while plan.faults[at].duration_us > 50_000
-                && self.accept(plan, |plan| plan.faults[at].duration_us /= 2)
-            {}
+    }
+}
+
+/// Tries to remove items from a plan, in stretches of so many and then of half as many, down to one by one. `remove`
+/// takes a stretch out where the plan still fails without it, and returns whether it did.
+pub(crate) fn remove_by_halves<P>(
+    plan: &mut P,
+    longest: usize,
+    count: impl Fn(&P) -> usize,
+    mut remove: impl FnMut(&mut P, Range<usize>) -> bool,
+) {
+    let mut length = longest;
+    while length > 0 {
+        let mut from = 0;
+        while from < count(plan) {
+            let until = (from + length).min(count(plan));
+            if !remove(plan, from..until) {
+                from += length;
+            }
         }
-        *plan != before
+        length /= 2;
     }
 }
 
-fn keep(plan: &mut Plan, keeps: impl Fn(FaultKind) -> bool) {
-    plan.faults.retain(|fault: &Fault| keeps(fault.kind));
+fn keep_faults(plan: &mut Plan, keeps: impl Fn(FaultKind) -> bool) {
+    plan.faults.retain(|fault| keeps(fault.kind));
 }
 
-fn without_last_node(plan: &mut Plan) {
+fn remove_last_node(plan: &mut Plan) {
     plan.nodes -= 1;
     plan.clock_drifts.truncate(plan.nodes);
     let nodes = plan.nodes;
-    keep(plan, |what| what.node().is_none_or(|node| node < nodes));
+    keep_faults(plan, |kind| kind.node().is_none_or(|node| node < nodes));
 }
 
-fn without_last_cache(plan: &mut Plan) {
+fn remove_last_cache(plan: &mut Plan) {
     plan.caches -= 1;
     let caches = plan.caches;
-    keep(plan, |what| what.cache().is_none_or(|cache| cache < caches));
+    keep_faults(plan, |kind| kind.cache().is_none_or(|cache| cache < caches));
 }
 
-/// Shrinks a plan that fails; `None` where it does not. `most`: runs, at most.
-pub fn shrink(plan: &Plan, options: Options, most: usize) -> Option<Shrunk> {
+/// Shrinks a plan that fails, in so many runs at most; `None` where it does not fail.
+pub fn shrink(plan: &Plan, options: Options, max_runs: usize) -> Option<Shrunk> {
     let options = Options { history: false, ..options };
     let code = run(plan, options).code()?;
-    let mut search = Search { options, code, runs: 1, most };
+    let mut search = Search { options, code, runs: 1, max_runs };
     let mut plan = plan.clone();
-    while search.smaller(&mut plan) && search.runs < search.most {}
+    while search.shrink_once(&mut plan) && search.runs < search.max_runs {}
     Some(Shrunk { plan, code: search.code, runs: search.runs })
 }
--- a/crates/stonevane-sim/src/simulation/mod.rs
+++ b/crates/stonevane-sim/src/simulation/mod.rs
@@ -13,7 +13,6 @@
 mod network;
 mod node;
 mod outputs;
-mod queue;
 mod recorder;
 mod servers;
 mod settings;
@@ -28,12 +27,12 @@
 
 use crate::client::ClientRequest;
 use crate::discovery::Discovery;
+use crate::event_queue::EventQueue;
 use crate::plan::Plan;
 use crate::server::Server;
 use crate::stream::{Stream, StreamId};
 use event::Event;
 use node::Node;
-use queue::EventQueue;
 use recorder::{Recorder, record};
 pub use verdict::{FleetTotals, Invariant, Options, Verdict, Violation};
 
@@ -212,8 +211,9 @@
         self.queue.now()
     }
 
+    /// Schedules an event, now at the earliest.
     fn schedule(&mut self, at: u64, event: Event) {
-        self.queue.schedule(at, event);
+        self.queue.schedule(at.max(self.now()), event);
     }
 
     fn schedule_in(&mut self, delay_us: u64, event: Event) {
--- a/crates/stonevane-sim/src/simulation/servers.rs
+++ b/crates/stonevane-sim/src/simulation/servers.rs
@@ -101,7 +101,7 @@
             effect: Some(work.effect),
             first_byte: (first_byte_at != self.now()).then_some(first_byte),
             number: work.number,
-            work_us: work.work_us,
+            work_us: work.cost_us,
             origin: self.servers[server].is_origin,
             ..record(&self.servers[server].name, RecordedEvent::Attempt)
         };
--- a/crates/stonevane-sim/tests/members.rs
+++ b/crates/stonevane-sim/tests/members.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use stonevane_membership::Mutant;
-use stonevane_sim::members::{MemberOptions, MemberPlan, play, shrink_members};
+use stonevane_sim::members::{MemberOptions, MemberPlan, TimedBreach, play, shrink_members};
 
 /// Plays seeds on all cores; those that fail.
 fn failing(seeds: std::ops::Range<u64>, mutant: Option<Mutant>, first_only: bool) -> Vec<(u64, String)> {
@@ -17,12 +17,12 @@
             if seed >= seeds.end || first_only && !failed.lock().unwrap().is_empty() {
                 return;
             }
-            let verdict = play(&MemberPlan::draw(seed), MemberOptions { mutant });
-            if let Some((at, breach)) = verdict.breaches.first() {
+            let verdict = play(&MemberPlan::generate(seed), MemberOptions { mutant });
+            if let Some(TimedBreach { at_us, breach }) = verdict.breaches.first() {
                 let what = format!(
                     "{} at {} s: n{} of n{}: {}",
                     breach.code,
-                    at / 1_000_000,
+                    at_us / 1_000_000,
                     breach.observer,
                     breach.member,
                     breach.what
@@ -55,13 +55,13 @@
 
 #[test]
 fn the_same_plan_gives_the_same_run_and_a_failing_one_is_shrunk() {
-    let plan = MemberPlan::draw(3);
+    let plan = MemberPlan::generate(3);
     let run = |plan: &MemberPlan| play(plan, MemberOptions::default()).digest;
-    assert_eq!(run(&plan), run(&MemberPlan::parse(&plan.text()).unwrap()));
+    assert_eq!(run(&plan), run(&MemberPlan::parse(&plan.to_json()).unwrap()));
     assert_ne!(run(&plan), run(&MemberPlan { seed: 4, ..plan }));
     let options = MemberOptions { mutant: Some(Mutant::NeverRefutes) };
     let failing =
-        (1..41).map(MemberPlan::draw).find(|plan| !play(plan, options).holds() && plan.faults.len() > 2);
+        (1..41).map(MemberPlan::generate).find(|plan| !play(plan, options).holds() && plan.faults.len() > 2);
     let plan = failing.unwrap();
     let (small, code) = shrink_members(&plan, options, 200).unwrap();
     assert!(small.faults.len() < plan.faults.len() && play(&small, options).code() == Some(code));
--- a/crates/stonevane-sim/tests/members_digest.rs
+++ b/crates/stonevane-sim/tests/members_digest.rs
@@ -7,7 +7,7 @@
 #[test]
 fn datagrams_of_simulated_fleets_of_members_stay_the_same() {
     let seeds = 1..=EXPECTED.len() as u64;
-    let digest = |seed| play(&MemberPlan::draw(seed), MemberOptions::default()).digest;
+    let digest = |seed| play(&MemberPlan::generate(seed), MemberOptions::default()).digest;
     let digests: Vec<_> = seeds.map(|seed| format!("{:016x}", digest(seed))).collect();
     assert_eq!(digests, EXPECTED);
 }
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -489,8 +489,8 @@
                 let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
                 MemberPlan::parse(&text).map_err(|e| format!("{}: {e}", file.display()))?
             }
-            (None, Some(members)) => MemberPlan::sized(seed, members as usize),
-            (None, None) => MemberPlan::draw(seed),
+            (None, Some(members)) => MemberPlan::generate_sized(seed, members as usize),
+            (None, None) => MemberPlan::generate(seed),
         };
         Ok(MemberPlan { heeds_health: !self.without_health, ..plan })
     }
@@ -525,9 +525,10 @@
         played.sort_by_key(|(seed, _)| *seed);
         let failed: Vec<_> = played.iter().filter(|(_, verdict)| !verdict.holds()).collect();
         for (seed, verdict) in failed.iter().take(TOLD) {
-            let Some((at, breach)) = verdict.breaches.first() else { continue };
+            let Some(broken) = verdict.breaches.first() else { continue };
+            let breach = &broken.breach;
             let (observer, member) = (breach.observer, breach.member);
-            let at = *at as f64 / 1e6;
+            let at = broken.at_us as f64 / 1e6;
             say!(
                 "seed {seed} fails: {} at {at:.1} s, n{member} in n{observer}'s view: {}",
                 breach.code,
@@ -545,7 +546,7 @@
                     plan.faults.len(),
                     small.members
                 );
-                say!("{}", small.text());
+                say!("{}", small.to_json());
             }
             return Ok(false);
         }
