--- a/crates/stonevane-policy/src/pending_request.rs
+++ b/crates/stonevane-policy/src/pending_request.rs
@@ -51,6 +51,23 @@
         if self.class.late_weight > 0.0 { self.deadline } else { self.objective_at.min(self.deadline) }
     }
 
+    /// Counts an attempt that is sent, and returns its number.
+    pub fn record_attempt(&mut self, server: ServerId, now: Micros) -> u16 {
+        let attempt = self.attempts;
+        self.attempts += 1;
+        self.in_flight += 1;
+        self.may_have_run.push(PossibleRun { attempt, sent_at: now, server });
+        attempt
+    }
+
+    /// Counts the end of an attempt.
+    pub fn record_end(&mut self, attempt: u16, proves_not_run: bool) {
+        self.in_flight -= 1;
+        if proves_not_run {
+            self.may_have_run.retain(|run| run.attempt != attempt);
+        }
+    }
+
     /// Whether it has made all attempts that it may: no more than when it arrived, nor than now.
     pub fn attempts_exhausted(&self, settings: &Settings) -> bool {
         u32::from(self.attempts) >= self.max_attempts.min(settings.max_attempts)
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -8,7 +8,6 @@
 use crate::hedging;
 use crate::ids::{Key, Micros, RequestId, ServerId};
 use crate::log_message::LogMessage;
-use crate::pending_request::PossibleRun;
 use crate::retry::{self, LOST_RESPONSE_MULTIPLE};
 use crate::timers::Timer;
 
@@ -34,16 +33,11 @@
         else {
             return false;
         };
-        let attempt = AttemptId { request: id, number: pending.attempts };
+        let attempt = AttemptId { request: id, number: pending.record_attempt(server, self.now) };
+        target.record_attempt(spent);
+        let key = pending.key;
         let latency_objective = pending.class.latency_objective;
         let slow_after = (latency_objective as f64 * SLOW_ATTEMPT) as Micros;
-        let key = pending.key;
-        pending.attempts += 1;
-        pending.in_flight += 1;
-        pending.may_have_run.push(PossibleRun { attempt: attempt.number, sent_at: self.now, server });
-        target.in_flight += 1;
-        target.slow_start_spent = spent;
-        target.reinstated_at = 0;
         let lost_after = (LOST_RESPONSE_MULTIPLE * target.response_time.value()) as Micros + 1;
         let timeout = if kind == CallKind::CacheRead { slow_after } else { lost_after.max(slow_after) };
         self.set_timer(timeout, Timer::AttemptTimeout(attempt));
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -30,10 +30,7 @@
         let is_isolated = matches!(outcome.status, AttemptStatus::Malformed | AttemptStatus::Reset)
             && self.servers.get(attempt.server).is_some_and(|server| server.outlier.failures_are_isolated());
         let Some(pending) = self.requests.get_mut(&outcome.request) else { return };
-        pending.in_flight -= 1;
-        if outcome.status.proves_not_run() {
-            pending.may_have_run.retain(|run| run.attempt != outcome.attempt);
-        }
+        pending.record_end(outcome.attempt, outcome.status.proves_not_run());
         let missed = outcome.status == AttemptStatus::Miss;
         pending.missed |= missed;
         if attempt.kind == CallKind::CacheRead && !missed && !is_isolated {
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -133,12 +133,14 @@
         let harmless =
             pending.class.idempotency == Idempotency::Idempotent || pending.may_have_run.is_empty();
         if harmless {
-            // No longer than the backoff of a blocked call, or clients retry too late and displace others;
-            // but not before an unavailable origin may be called again.
-            let needs_origin = pending.missed || pending.write;
-            let unavailable_for = if needs_origin { self.origin_limits.unavailable_for(self.now) } else { 0 };
-            let backoff = backoff(pending.class.latency_objective, &mut self.random);
-            let retry_after = unavailable_for + backoff.max(pending.min_retry_after);
+            let unavailable_for = match pending.missed || pending.write {
+                true => self.origin_limits.unavailable_for(self.now),
+                false => 0,
+            };
+            // No longer than a blocked call waits, or clients retry too late and displace others; but not
+            // before an unavailable origin may be called again.
+            let delay = backoff(pending.class.latency_objective, &mut self.random);
+            let retry_after = unavailable_for + delay.max(pending.min_retry_after);
             let retry_after = retry_after.min(self.settings.max_retry_after);
             actions.push(Action::Reject { request: id, retry_after });
         } else {
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -42,6 +42,14 @@
         self.entry.condition == Condition::Ready && !self.excluded
     }
 
+    /// Counts an attempt that is sent there. `slow_start_spent`: what it leaves spent of the slow-start
+    /// budget.
+    pub fn record_attempt(&mut self, slow_start_spent: SpentTokens) {
+        self.in_flight += 1;
+        self.slow_start_spent = slow_start_spent;
+        self.reinstated_at = 0;
+    }
+
     /// Its recent answers: they fade over a time span.
     pub fn recent_answers(&self, now: Micros, span: Micros) -> f64 {
         self.answers * (-((now - self.last_answer_at) as f64) / span as f64).exp()
--- a/crates/stonevane-policy/tests/fleet/origin.rs
+++ b/crates/stonevane-policy/tests/fleet/origin.rs
@@ -116,8 +116,8 @@
     }
 }
 
-/// Of the writes, 20 a second for ten seconds, those that have their answer in time, while so many nodes together
-/// miss 140 reads a second and the origin answers 100; and the reads that it answered.
+/// Of the writes, 20 a second for ten seconds, those that have their answer in time, while so many nodes
+/// together miss 140 reads a second and the origin answers 100; and the reads that it answered.
 fn writes_with_misses(count: u64) -> (f64, usize) {
     let mut simulation = Simulation::new(count);
     for turn in 0..REQUESTS {
--- a/crates/stonevane-policy/tests/fleet/startup.rs
+++ b/crates/stonevane-policy/tests/fleet/startup.rs
@@ -104,8 +104,8 @@
     }
 }
 
-/// What so many processes that start at one moment have in flight of 2,400 reads that come at once, before any is
-/// answered; how long the longest waited at a server, and how many were sent in the first second.
+/// What so many processes that start at one moment have in flight of 2,400 reads that come at once, before
+/// any is answered; how long the longest waited at a server, and how many were sent in the first second.
 fn start_together(count: u64, startup_attempts_per_server: f64) -> (usize, Micros, usize) {
     let mut simulation = Simulation::new(count, startup_attempts_per_server);
     for id in 1..=READS {
--- a/crates/stonevane-policy/tests/properties.rs
+++ b/crates/stonevane-policy/tests/properties.rs
@@ -61,8 +61,8 @@
 fn config() -> impl Strategy<Value = Settings> {
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1..5u32, 1..5u32, 0..4usize, 0..3u8, 0.0..1.0f64).prop_map(
-        |((aside, duplicate, ask, peers, sizes), max_attempts, balancers, tenants, group, cold_share)| {
-            let group = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(group)];
+        |((origin, duplicate, poll, peers, sizes), max_attempts, nodes, tenants, scope, initial_capacity)| {
+            let scope = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(scope)];
             let class = |effect| RequestClass {
                 latency_objective: 200_000,
                 deadline: 900_000,
@@ -70,21 +70,21 @@
                 ..RequestClass::default()
             };
             Settings {
-                nodes: balancers,
+                nodes,
                 classes: vec![
                     class(Idempotency::Idempotent),
-                    class(Idempotency::WithKey { scope: group, window: 300_000 }),
+                    class(Idempotency::WithKey { scope, window: 300_000 }),
                     class(Idempotency::NonIdempotent),
                 ],
                 tenants: vec![Tenant { quota_per_s: 5.0 }; tenants],
-                poll_discovery: ask,
-                origin_kind: aside.then_some(ORIGIN_KIND),
+                poll_discovery: poll,
+                origin_kind: origin.then_some(ORIGIN_KIND),
                 weights_are_sizes: sizes,
                 max_attempts,
                 may_duplicate: duplicate,
                 may_message_peers: peers,
-                coalesce_fetches: ask != sizes,
-                initial_capacity: cold_share,
+                coalesce_fetches: poll != sizes,
+                initial_capacity,
                 slow_start_duration: 2_000_000,
                 ..Settings::default()
             }
--- a/crates/stonevane-policy/tests/scenarios/balancing.rs
+++ b/crates/stonevane-policy/tests/scenarios/balancing.rs
@@ -65,7 +65,8 @@
 
 #[test]
 fn fewer_servers_are_skipped_while_the_origin_limits_are_saturated() {
-    // Guards against queues at few servers while the origin has capacity, and blocked fetches while it has none.
+    // Guards against queues at few servers while the origin has capacity, and blocked fetches while it has
+    // none.
     let taken = |pressed: bool| {
         let mut node = Node::new(Settings { nodes: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| pressed) {
--- a/crates/stonevane-policy/tests/settings.rs
+++ b/crates/stonevane-policy/tests/settings.rs
@@ -12,18 +12,18 @@
 fn text() -> impl Strategy<Value = (String, bool)> {
     let figure = || prop::sample::select(vec![0.0, 1.0, 1e3, 1e6, 8.64e10, 1e12, 1e30]);
     let count = || prop::sample::select(vec![0u32, 1, 4, 100, u32::MAX]);
-    (count(), count(), prop::collection::vec(figure(), 7)).prop_map(|(balancers, me, f)| {
+    (count(), count(), prop::collection::vec(figure(), 7)).prop_map(|(nodes, index, figures)| {
+        let [period, objective, deadline, quota, staleness, warm_up, window]: [f64; 7] =
+            figures.try_into().unwrap();
         let text = format!(
-            r#"{{"balancers":{balancers},"me":{me},"discovery":"ask","periodUs":{},"zones":["a"],
-               "classes":[{{"name":"read","effect":"pure","goalTimeUs":{},"deadlineUs":{}}}],
-               "realms":[{{"name":"all","quotaPerS":{}}}],"specifics":{{"mode":"aside","originKind":1}},
-               "guarantees":{{"askWithinUs":{},"coldUs":{},"tipAfterUs":{}}}}}"#,
-            f[0], f[1], f[2], f[3], f[4], f[5], f[6]
+            r#"{{"balancers":{nodes},"me":{index},"discovery":"ask","periodUs":{period},"zones":["a"],
+               "classes":[{{"name":"read","effect":"pure","goalTimeUs":{objective},"deadlineUs":{deadline}}}],
+               "realms":[{{"name":"all","quotaPerS":{quota}}}],"specifics":{{"mode":"aside","originKind":1}},
+               "guarantees":{{"askWithinUs":{staleness},"coldUs":{warm_up},"tipAfterUs":{window}}}}}"#
         );
-        let times = [f[0], f[1], f[2], f[4], f[5], f[6]];
-        let set = f[1] > 0.0 && f[2] > 0.0;
-        let sane =
-            set && balancers > me && f[4] > 0.0 && f[3] <= 1e9 && times.iter().all(|time| *time <= 8.64e10);
+        let times = [period, objective, deadline, staleness, warm_up, window];
+        let set = objective > 0.0 && deadline > 0.0 && staleness > 0.0;
+        let sane = set && nodes > index && quota <= 1e9 && times.iter().all(|time| *time <= 8.64e10);
         (text, sane)
     })
 }
--- a/crates/stonevane-wire-adapter/src/codec/tests.rs
+++ b/crates/stonevane-wire-adapter/src/codec/tests.rs
@@ -16,32 +16,35 @@
 }
 
 fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut r = vec![0; ACTION_SIZE];
-    (r[0], r[1]) = (code, 3);
+    let mut record = vec![0; ACTION_SIZE];
+    (record[0], record[1]) = (code, 3);
     for (at, bytes) in fields {
-        r[*at..at + bytes.len()].copy_from_slice(bytes);
+        record[*at..at + bytes.len()].copy_from_slice(bytes);
     }
-    r
+    record
 }
 
 #[test]
 fn every_action_has_its_code_and_its_fields_in_their_places() {
     let (id, server, tail) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
-    let (i, s) = (id.to_le_bytes(), server.to_le_bytes());
+    let (id_bytes, server_bytes) = (id.to_le_bytes(), server.to_le_bytes());
     let cases = [
         (
             Action::Send { request: id, server, give_up_after: 80_000 },
-            record(1, &[(3, &i), (11, &s), (15, &80_000u32.to_le_bytes())]),
+            record(1, &[(3, &id_bytes), (11, &server_bytes), (15, &80_000u32.to_le_bytes())]),
         ),
-        (Action::Reject { request: id, retry_after: 7 }, record(2, &[(3, &i), (11, &7u32.to_le_bytes())])),
-        (Action::Fail(id), record(3, &[(3, &i)])),
-        (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &i), (11, &[2])])),
+        (
+            Action::Reject { request: id, retry_after: 7 },
+            record(2, &[(3, &id_bytes), (11, &7u32.to_le_bytes())]),
+        ),
+        (Action::Fail(id), record(3, &[(3, &id_bytes)])),
+        (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &id_bytes), (11, &[2])])),
         (
             Action::Timer { after: 500_000, token: 77 },
             record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
         ),
-        (Action::HealthCheck(server), record(6, &[(3, &s)])),
-        (Action::CloseIdle(server), record(7, &[(3, &s)])),
+        (Action::HealthCheck(server), record(6, &[(3, &server_bytes)])),
+        (Action::CloseIdle(server), record(7, &[(3, &server_bytes)])),
         (Action::SendToPeer { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
         (Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
         (Action::Log("hi".into()), record(9, &[(3, &tail)])),
@@ -69,12 +72,13 @@
     body[15] = 50; // cost
     body[19] = 5; // key
     body[32] = 1; // time budget 256
-    let r = EVENT_SIZE;
-    (body[r], body[r + 3], body[r + 11], body[r + 15], body[r + 19]) = (3, 9, 3, 40, 1);
-    body[r + 21] = 1;
-    body[r + 22..r + 24].copy_from_slice(&429u16.to_le_bytes());
-    (body[r + 24], body[r + 28]) = (6, 1);
-    body[r + 29..r + 33].copy_from_slice(&1.5f32.to_le_bytes());
+    let second = EVENT_SIZE;
+    (body[second], body[second + 3], body[second + 11], body[second + 15], body[second + 19]) =
+        (3, 9, 3, 40, 1);
+    body[second + 21] = 1;
+    body[second + 22..second + 24].copy_from_slice(&429u16.to_le_bytes());
+    (body[second + 24], body[second + 28]) = (6, 1);
+    body[second + 29..second + 33].copy_from_slice(&1.5f32.to_le_bytes());
     let request = Request {
         id: 9,
         class: 2,
--- a/crates/stonevane-wire-adapter/tests/process.rs
+++ b/crates/stonevane-wire-adapter/tests/process.rs
@@ -16,13 +16,13 @@
 
 impl Batch {
     fn record(&mut self, code: u8, node: u16, fields: &[(usize, &[u8])]) -> &mut Self {
-        let mut r = [0u8; 48];
-        r[0] = code;
-        r[1..3].copy_from_slice(&node.to_le_bytes());
+        let mut record = [0u8; 48];
+        record[0] = code;
+        record[1..3].copy_from_slice(&node.to_le_bytes());
         for (at, bytes) in fields {
-            r[*at..at + bytes.len()].copy_from_slice(bytes);
+            record[*at..at + bytes.len()].copy_from_slice(bytes);
         }
-        self.records.push(r);
+        self.records.push(record);
         self
     }
 
@@ -92,8 +92,8 @@
     child.wait_with_output().expect("ended")
 }
 
-fn u32_at(b: &[u8], at: usize) -> u32 {
-    u32::from_le_bytes(b[at..at + 4].try_into().unwrap())
+fn u32_at(bytes: &[u8], at: usize) -> u32 {
+    u32::from_le_bytes(bytes[at..at + 4].try_into().unwrap())
 }
 
 /// The action records of the replies in an output, by batch.
