--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -22,6 +22,17 @@
 //! policy.handle(1_000_100, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: 1, server: 7 | 9, .. })));
 //! ```
+//!
+//! # Layout
+//!
+//! - `policy` dispatches events and timers; the files below it carry requests, attempts, outcomes, calls to the
+//!   origin and the server list through the rules.
+//! - A module for each rule, with its inputs, units and reason: `admission`, `balancing`, `coalescing`,
+//!   `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`, `slow_start`,
+//!   `startup`.
+//! - What the rules are about: `pending_request`, `attempt`, `server`, `server_pool`, `key_history`.
+//! - The interface: `event`, `outcome`, `server_entry`, `action`, [`settings`], `ids`.
+//! - Tools without decisions: `timers`, `token_bucket`, `statistics`, `random`, [`hash`], `log_message`.
 
 mod action;
 mod admission;
--- a/crates/stonevane-policy/src/startup.rs
+++ b/crates/stonevane-policy/src/startup.rs
@@ -20,7 +20,8 @@
 pub struct StartupLimit {
     /// When the process started; 0 until the first event.
     started_at: Micros,
-    /// Place among the nodes that start together, between 0 and 1 attempt: rounds shares of less than one.
+    /// Between 0 and 1 attempt, fixed for the node: where shares are below one attempt, some nodes get a
+    /// whole one.
     phase: f64,
     timely_answers: f64,
 }
--- a/crates/stonevane-policy/tests/scenarios/admission.rs
+++ b/crates/stonevane-policy/tests/scenarios/admission.rs
@@ -9,13 +9,13 @@
     let mut config = settings();
     config.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     let mut node = Node::new(config, 20);
-    let (mut served, mut asked) = ([0, 0], [0, 0]);
+    let (mut served, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=3000u64 {
         node.pass(5 * MS);
         let tenant = usize::from(id % 6 == 0);
         let answer = node.request(Request { tenant, ..read(id, id) });
         if id > 1000 {
-            asked[tenant] += 1;
+            requested[tenant] += 1;
             served[tenant] += sends(&answer);
         }
         let (status, to) =
@@ -27,8 +27,8 @@
             }
         }
     }
-    assert!(served[1] * 100 >= asked[1] * 98, "within its quota: {} of {}", served[1], asked[1]);
-    assert!(served[0] * 2 < asked[0], "at three times its quota: {} of {}", served[0], asked[0]);
+    assert!(served[1] * 100 >= requested[1] * 98, "within its quota: {} of {}", served[1], requested[1]);
+    assert!(served[0] * 2 < requested[0], "at three times its quota: {} of {}", served[0], requested[0]);
 }
 
 #[test]
@@ -90,8 +90,11 @@
         };
         node.actions.iter().filter_map(hint).collect::<Vec<_>>()
     };
-    let told = hints(SECOND);
-    assert!(told.len() > 20 && told.iter().all(|h| (12 * MS..38 * MS).contains(h)), "{told:?}");
+    let retry_afters = hints(SECOND);
+    assert!(
+        retry_afters.len() > 20 && retry_afters.iter().all(|h| (12 * MS..38 * MS).contains(h)),
+        "{retry_afters:?}"
+    );
     assert!(hints(0).iter().all(|h| *h == 0), "where clients honour none, none is given");
 }
 
@@ -105,19 +108,19 @@
         ..settings()
     };
     let mut node = Node::just_started(config, 70);
-    let (mut sent, mut asked) = ([0, 0], [0, 0]);
+    let (mut sent, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         node.pass(250 * MS);
         let tenant = usize::from(id % 6 == 0); // 3.3 a second of the first, 0.67 of the other, quota 1 each.
         let answer = node.request(Request { tenant, ..read(id, id) });
-        (asked[tenant], sent[tenant]) = (asked[tenant] + 1, sent[tenant] + sends(&answer));
+        (requested[tenant], sent[tenant]) = (requested[tenant] + 1, sent[tenant] + sends(&answer));
         if let Some(to) = sent_to(&answer) {
             node.pass(650 * MS * u64::from(id % 5 == 0)); // One in five nearly late: some strain.
             node.outcome(id, 0, to, AttemptStatus::Served);
         }
     }
-    assert!(sent[1] * 100 >= asked[1] * 95, "within its quota: {sent:?} of {asked:?}");
-    assert!(sent[0] * 10 < asked[0] * 8, "over its quota: {sent:?} of {asked:?}");
+    assert!(sent[1] * 100 >= requested[1] * 95, "within its quota: {sent:?} of {requested:?}");
+    assert!(sent[0] * 10 < requested[0] * 8, "over its quota: {sent:?} of {requested:?}");
 }
 
 #[test]
--- a/crates/stonevane-policy/tests/scenarios/balancing.rs
+++ b/crates/stonevane-policy/tests/scenarios/balancing.rs
@@ -76,7 +76,7 @@
         let first = sent_to(&node.request(read(101, 9))).unwrap();
         (102..=106).take_while(|id| sent_to(&node.request(read(*id, 9))) == Some(first)).count()
     };
-    assert_eq!(taken(false), 0, "the second request of eight balancers' fleet already goes on");
+    assert_eq!(taken(false), 0, "the second request of eight nodes' fleet already goes on");
     assert_eq!(taken(true), 2, "the bound is three times the mean");
 }
 
@@ -146,9 +146,9 @@
 #[test]
 fn idle_connections_are_closed_where_so_many_nodes_make_them_dearer_than_handshakes() {
     // Guards against full connection tables: four in five attempts of 413 nodes got no connection.
-    let closes = |balancers| {
+    let closes = |nodes| {
         let prices = Settings { connection_price: 0.03, handshake_price: 0.03, ..settings() };
-        let mut node = Node::new(Settings { nodes: balancers, ..prices }, 3);
+        let mut node = Node::new(Settings { nodes, ..prices }, 3);
         let to = sent_to(&node.request(read(1, 9))).unwrap();
         node.outcome(1, 0, to, AttemptStatus::Served).contains(&Action::CloseIdle(to))
     };
--- a/crates/stonevane-policy/tests/scenarios/origin_limits.rs
+++ b/crates/stonevane-policy/tests/scenarios/origin_limits.rs
@@ -21,8 +21,8 @@
     };
     let server = sent_to(&node.request(read(2, 9))).unwrap();
     assert_ne!(server, ORIGIN, "what a cache holds is served on");
-    let told = advice(&node.outcome(2, 0, server, AttemptStatus::Miss), 2);
-    assert!((400 * MS..500 * MS).contains(&told), "not before it may be called again: {told}");
+    let retry_after = advice(&node.outcome(2, 0, server, AttemptStatus::Miss), 2);
+    assert!((400 * MS..500 * MS).contains(&retry_after), "not before it may be called again: {retry_after}");
     assert!(advice(&node.request(write(3, 1)), 3) >= 400 * MS);
     // Once the time is over: one call first, and more as the origin answers.
     node.pass(401 * MS);
--- a/crates/stonevane-policy/tests/scenarios/slow_start.rs
+++ b/crates/stonevane-policy/tests/scenarios/slow_start.rs
@@ -31,18 +31,18 @@
         let tenants = vec![Tenant { quota_per_s: 100_000.0 }];
         let config = Settings { nodes: 1000, initial_capacity: 0.9, tenants, ..settings() };
         let mut node = Node::new(config, 4);
-        let ask = |node: &mut Node, id, key| {
+        let serve_read = |node: &mut Node, id, key| {
             node.pass(20 * MS);
             let to = sent_to(&node.request(read(id, key)));
             node.outcome(id, 0, to.unwrap(), AttemptStatus::Served);
             to
         };
-        let key = (1..).find(|key| ask(&mut node, 1000 + key, *key) == Some(2)).unwrap();
+        let key = (1..).find(|key| serve_read(&mut node, 1000 + key, *key) == Some(2)).unwrap();
         for id in 5000..5100 {
-            ask(&mut node, id, if again { key } else { id });
+            serve_read(&mut node, id, if again { key } else { id });
         }
         node.list(ListUpdate::Delta, vec![ServerEntry { started: node.now, ..server(2) }]);
-        ask(&mut node, 9999, key) == Some(2)
+        serve_read(&mut node, 9999, key) == Some(2)
     };
     assert!(at_cold(false), "a key of its own goes there");
     assert!(!at_cold(true), "a hot one does not");
