--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -25,8 +25,8 @@
 //!
 //! # Layout
 //!
-//! - `policy` dispatches events and timers; the files below it carry requests, attempts, outcomes, calls to the
-//!   origin and the server list through the rules.
+//! - `policy` dispatches events and timers; the files below it carry requests, attempts, outcomes, calls to
+//!   the origin and the server list through the rules.
 //! - A module for each rule, with its inputs, units and reason: `admission`, `balancing`, `coalescing`,
 //!   `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`, `slow_start`,
 //!   `startup`.
