--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -70,7 +70,7 @@
 pub use outcome::{AttemptStatus, CacheStatus, LoadReport, Outcome};
 pub use policy::Policy;
 pub use server_entry::{Condition, ListUpdate, ServerEntry};
-pub use settings::{DedupScope, Idempotency, LoadMetric, RequestClass, Settings, Tenant};
+pub use settings::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
 
 /// Runs the example of the README as a test.
 #[cfg(doctest)]
--- a/crates/stonevane-policy/src/outcome.rs
+++ b/crates/stonevane-policy/src/outcome.rs
@@ -86,7 +86,8 @@
     MissBeingFetched,
 }
 
-/// A load report: figures in the order of [`Settings::load_metrics`](crate::Settings::load_metrics).
+/// A load report: figures in the order of
+/// [`Deployment::load_metric_names`](crate::settings::Deployment::load_metric_names).
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// How many of `values` are present.
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -29,8 +29,6 @@
     pub weights_are_sizes: bool,
     /// Whether weights in the list are size / (1 + requests per core).
     pub weights_are_live: bool,
-    /// The figures that load reports carry, in their order.
-    pub load_metrics: Vec<LoadMetric>,
     /// Attempts that one request may make.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be in flight at once.
@@ -91,7 +89,6 @@
             origin_kind: None,
             weights_are_sizes: false,
             weights_are_live: false,
-            load_metrics: Vec::new(),
             max_attempts: 3,
             may_duplicate: true,
             may_cancel: false,
@@ -210,22 +207,3 @@
     /// Requests a second within its quota, over all nodes together.
     pub quota_per_s: f64,
 }
-
-/// A figure of a load report.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LoadMetric {
-    /// Requests in progress.
-    InFlight,
-    /// Requests that wait.
-    Queued,
-    /// Share of CPU in use.
-    Busy,
-    /// Recent service time, milliseconds.
-    ServiceMs,
-    /// Requests served a second.
-    Rate,
-    /// Errors a second.
-    ErrorRate,
-    /// A figure that the policy gives no meaning.
-    Other,
-}
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 
-use super::{DedupScope, Idempotency, LoadMetric, RequestClass, Settings, Tenant};
+use super::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
 use crate::ids::Micros;
 
 /// Why a settings text is refused; the message is one line.
@@ -45,7 +45,7 @@
     pub zones: Vec<String>,
     /// Names of the machine kinds.
     pub machine_types: Vec<String>,
-    /// Names of the figures in a load report, in the order of [`Settings::load_metrics`].
+    /// Names of the figures in a load report, in their order.
     pub load_metric_names: Vec<String>,
     /// A connection that is not established by then has failed.
     pub connect_timeout: Micros,
@@ -327,7 +327,6 @@
         origin_kind: u16::try_from(wire.specifics.origin_kind).ok().filter(|_| has_origin),
         weights_are_sizes: matches!(wire.weight_source.as_str(), "nominal" | "rough"),
         weights_are_live: wire.weight_source == "live",
-        load_metrics: wire.report.fields.iter().map(|name| load_metric(name)).collect(),
         max_attempts: limits.max_attempts,
         may_duplicate: limits.may_duplicate,
         may_cancel: limits.may_cancel,
@@ -370,18 +369,6 @@
     })
 }
 
-fn load_metric(name: &str) -> LoadMetric {
-    match name {
-        "rif" => LoadMetric::InFlight,
-        "q" => LoadMetric::Queued,
-        "busy" => LoadMetric::Busy,
-        "lat_ms" => LoadMetric::ServiceMs,
-        "rate" => LoadMetric::Rate,
-        "fail_rate" => LoadMetric::ErrorRate,
-        _ => LoadMetric::Other,
-    }
-}
-
 /// Saturating: a negative figure counts as 0.
 fn micros(value: f64) -> Micros {
     value as Micros
