--- a/crates/stonevane-codec/src/resp/tests.rs
+++ b/crates/stonevane-codec/src/resp/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_command_is_taken_only_when_its_last_byte_is_there() {
+fn a_command_is_taken_only_when_it_is_complete() {
     let whole = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..whole.len() {
         let mut part = BytesMut::from(&whole[..cut]);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_is_malformed_or_too_long_is_told_at_once() {
+fn malformed_or_too_long_commands_are_rejected_at_once() {
     for bad in [
         "GET k\r\n",
         "*17\r\n",
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn answers_are_read_and_deep_nesting_is_not() {
+fn replies_are_decoded_and_deep_nesting_is_rejected() {
     let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
     let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
     let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
--- a/crates/stonevane-codec/tests/lines.rs
+++ b/crates/stonevane-codec/tests/lines.rs
@@ -4,7 +4,7 @@
 use bytes::BytesMut;
 use stonevane_codec::lines::ObjectReader;
 
-/// All that comes of a text that is cut into parts of a length.
+/// All objects of a text that is cut into parts of a length.
 fn all(text: &str, step: usize) -> Vec<String> {
     let (mut reader, mut buffer, mut taken) = (ObjectReader::default(), BytesMut::new(), Vec::new());
     for part in text.as_bytes().chunks(step) {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn lists_come_whole_however_they_are_indented_and_cut() {
+fn objects_are_complete_however_they_are_indented_and_cut() {
     let (plain, deep) = ("{\"a\":[{}]}\n", "{\n  \"a\": [\n    {\n    }\n  ]\n}\n");
     let further = "\t{\r\n\t  \"a\": 1\r\n\t}\r\n";
     let text = format!("{plain}\n{deep}\n\n{further}{deep}{plain}");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn one_that_was_cut_off_is_taken_for_no_part_of_the_next() {
+fn a_truncated_object_is_no_part_of_the_next() {
     assert_eq!(all("{\"a\":[{\n\n", 3), ["{\"a\":[{\n", "\n"], "at once, where it is no indented one");
     let cut = "{\n  \"a\": [\n";
     assert_eq!(all(&format!("{cut}\n{{\"b\":1}}\n"), 5), [cut, "\n", "{\"b\":1}\n"]);
--- a/crates/stonevane-core/src/discovery_timeouts/tests.rs
+++ b/crates/stonevane-core/src/discovery_timeouts/tests.rs
@@ -6,7 +6,7 @@
 const NOTIFIED: Micros = 6_000_000;
 
 #[test]
-fn an_agent_is_heard_again_within_the_grace_however_short_and_a_silent_watch_before_it_counts() {
+fn an_agent_is_called_again_within_the_grace_and_a_silent_watch_before_its_changes_count() {
     for drain_grace in [0, 50_000, 100_000, 500_000, 1_000_000, 10_000_000] {
         let settings = Settings { poll_discovery: false, drain_grace, ..Settings::default() };
         let timeouts = DiscoveryTimeouts::of(&settings);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn discovery_that_all_share_gets_its_turn_and_a_silent_watch_leaves_time_to_ask_anew() {
+fn a_shared_service_gets_its_turn_and_a_silent_watch_leaves_time_for_another_call() {
     for list_staleness_limit in [1, 1_000_000, 6_500_000, 86_400_000_000] {
         let settings = Settings { poll_discovery: true, list_staleness_limit, ..Settings::default() };
         let timeouts = DiscoveryTimeouts::of(&settings);
--- a/crates/stonevane-core/src/handover/tests.rs
+++ b/crates/stonevane-core/src/handover/tests.rs
@@ -4,17 +4,17 @@
 
 use proptest::prelude::*;
 
-const WHOLE: Capacity = Capacity { connections: 320, memory: 16_000 };
+const NODE_CAPACITY: Capacity = Capacity { connections: 320, memory: 16_000 };
 
 #[derive(Debug, Clone)]
 enum Step {
     Start,
     End(usize),
     Drain(usize),
-    /// A process takes or gives back so much of what it may.
-    Hold(usize, usize),
-    /// A process looks at what the others have said.
-    Look(usize),
+    /// A process uses so many percent of its grant.
+    Use(usize, usize),
+    /// A process divides the capacity by the others' announcements.
+    Divide(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -22,106 +22,106 @@
         1 => Just(Step::Start),
         1 => (0..3usize).prop_map(Step::End),
         1 => (0..3usize).prop_map(Step::Drain),
-        4 => (0..3usize, 0..=100usize).prop_map(|(who, part)| Step::Hold(who, part)),
-        8 => (0..3usize).prop_map(Step::Look),
+        4 => (0..3usize, 0..=100usize).prop_map(|(index, percent)| Step::Use(index, percent)),
+        8 => (0..3usize).prop_map(Step::Divide),
     ]
 }
 
 struct Process {
-    said: ProcessStatus,
-    may: Capacity,
-    held: Capacity,
+    announced: ProcessStatus,
+    granted: Capacity,
+    used: Capacity,
 }
 
 proptest! {
     #[test]
-    fn processes_together_never_hold_more_than_the_whole(steps in prop::collection::vec(step(), 1..200)) {
-        let mut live: Vec<Process> = Vec::new();
+    fn processes_together_never_use_more_than_the_nodes_capacity(steps in prop::collection::vec(step(), 1..200)) {
+        let mut processes: Vec<Process> = Vec::new();
         let mut started = 0;
         for step in steps {
-            let count = live.len().max(1);
+            let count = processes.len().max(1);
             match step {
-                // As the daemon: it looks at the others before it holds anything.
-                Step::Start if live.len() < 2 => {
+                // Like the daemon, it divides before it uses anything.
+                Step::Start if processes.len() < 2 => {
                     started += 1;
                     let stage = ProcessStage::Serving;
-                    let mut said = ProcessStatus { started: (started, 0), stage, capacity: Capacity::default(), in_flight: 3 };
-                    let others: Vec<_> = live.iter().map(|process| process.said).collect();
-                    let may = divide(WHOLE, &said, Capacity::default(), &others).capacity;
-                    said.capacity = may;
-                    live.push(Process { said, may, held: Capacity::default() });
+                    let mut announced = ProcessStatus { started: (started, 0), stage, capacity: Capacity::default(), in_flight: 3 };
+                    let others: Vec<_> = processes.iter().map(|process| process.announced).collect();
+                    let granted = divide(NODE_CAPACITY, &announced, Capacity::default(), &others).capacity;
+                    announced.capacity = granted;
+                    processes.push(Process { announced, granted, used: Capacity::default() });
                 }
-                Step::End(who) if who < live.len() => drop(live.remove(who)),
+                Step::End(index) if index < processes.len() => drop(processes.remove(index)),
                 Step::Start | Step::End(_) => {}
-                Step::Drain(who) => {
-                    if let Some(process) = live.get_mut(who % count) {
-                        process.said.stage = ProcessStage::Draining;
+                Step::Drain(index) => {
+                    if let Some(process) = processes.get_mut(index % count) {
+                        process.announced.stage = ProcessStage::Draining;
                     }
                 }
-                Step::Hold(who, part) => {
-                    if let Some(process) = live.get_mut(who % count) {
-                        let want = Capacity {
-                            connections: process.may.connections * part / 100,
-                            memory: process.may.memory * part / 100,
+                Step::Use(index, percent) => {
+                    if let Some(process) = processes.get_mut(index % count) {
+                        let used = Capacity {
+                            connections: process.granted.connections * percent / 100,
+                            memory: process.granted.memory * percent / 100,
                         };
-                        process.held = want;
+                        process.used = used;
                     }
                 }
-                Step::Look(who) => {
-                    let who = who % count;
-                    let others = live.iter().enumerate().filter(|(i, _)| *i != who);
-                    let others: Vec<_> = others.map(|(_, process)| process.said).collect();
-                    if let Some(process) = live.get_mut(who) {
-                        let grant = divide(WHOLE, &process.said, process.held, &others);
+                Step::Divide(index) => {
+                    let index = index % count;
+                    let others = processes.iter().enumerate().filter(|(other, _)| *other != index);
+                    let others: Vec<_> = others.map(|(_, process)| process.announced).collect();
+                    if let Some(process) = processes.get_mut(index) {
+                        let grant = divide(NODE_CAPACITY, &process.announced, process.used, &others);
                         prop_assert!(grant.share > 0.0 && grant.share <= 1.0);
-                        process.may = grant.capacity;
-                        process.said.capacity = grant.capacity;
+                        process.granted = grant.capacity;
+                        process.announced.capacity = grant.capacity;
                     }
                 }
             }
-            let held = live.iter().fold(Capacity::default(), |sum, p| sum.zip_with(p.held, |a, b| a + b));
-            prop_assert!(held.connections <= WHOLE.connections && held.memory <= WHOLE.memory, "{held:?}");
+            let used = processes.iter().fold(Capacity::default(), |sum, process| sum.zip_with(process.used, |a, b| a + b));
+            prop_assert!(used.connections <= NODE_CAPACITY.connections && used.memory <= NODE_CAPACITY.memory, "{used:?}");
         }
     }
 }
 
 #[test]
-fn the_new_one_takes_over_as_the_old_one_lets_go() {
-    let standing = |since, stage, places| ProcessStatus {
-        started: (since, 0),
+fn the_new_process_takes_over_as_the_old_one_releases() {
+    let status = |started, stage, connections| ProcessStatus {
+        started: (started, 0),
         stage,
-        capacity: Capacity { connections: places, memory: 0 },
+        capacity: Capacity { connections: connections, memory: 0 },
         in_flight: 9,
     };
-    let held = |places| Capacity { connections: places, memory: 0 };
-    let mut old = standing(1, ProcessStage::Serving, 320);
-    old.capacity = divide(WHOLE, &old, held(200), &[]).capacity;
+    let used = |connections| Capacity { connections: connections, memory: 0 };
+    let mut old = status(1, ProcessStage::Serving, 320);
+    old.capacity = divide(NODE_CAPACITY, &old, used(200), &[]).capacity;
     assert_eq!(old.capacity.connections, 300, "alone, it leaves a spare");
-    let mut new = standing(2, ProcessStage::Starting, 0);
-    new.capacity = divide(WHOLE, &new, held(0), &[old]).capacity;
+    let mut new = status(2, ProcessStage::Starting, 0);
+    new.capacity = divide(NODE_CAPACITY, &new, used(0), &[old]).capacity;
     assert_eq!(new.capacity.connections, 20);
-    old.capacity = divide(WHOLE, &old, held(200), &[new]).capacity;
+    old.capacity = divide(NODE_CAPACITY, &old, used(200), &[new]).capacity;
     assert_eq!(old.capacity.connections, 200, "what it holds, and no more than it has said");
     new.stage = ProcessStage::Serving;
-    let grant = divide(WHOLE, &new, held(0), &[old]);
+    let grant = divide(NODE_CAPACITY, &new, used(0), &[old]);
     assert_eq!((grant.capacity.connections, grant.share, grant.replaced), (120, 0.5, false));
     (old.stage, old.in_flight) = (ProcessStage::Draining, 0);
-    let grant = divide(WHOLE, &old, held(50), &[new]);
+    let grant = divide(NODE_CAPACITY, &old, used(50), &[new]);
     assert_eq!((grant.capacity.connections, grant.share, grant.replaced), (70, 1.0 / 11.0, true));
     old.capacity = grant.capacity;
-    assert_eq!(divide(WHOLE, &new, held(100), &[old]).capacity.connections, 250);
-    assert_eq!(divide(WHOLE, &new, held(100), &[]).capacity.connections, 300);
+    assert_eq!(divide(NODE_CAPACITY, &new, used(100), &[old]).capacity.connections, 250);
+    assert_eq!(divide(NODE_CAPACITY, &new, used(100), &[]).capacity.connections, 300);
 }
 
 #[test]
-fn a_line_says_what_it_was_told_and_others_say_nothing() {
-    let standing = ProcessStatus {
+fn a_line_decodes_to_its_status_and_other_lines_to_nothing() {
+    let status = ProcessStatus {
         started: (5, 6),
         stage: ProcessStage::Draining,
         capacity: Capacity { connections: 7, memory: 8 },
         in_flight: 9,
     };
-    assert_eq!(ProcessStatus::read((5, 6), &standing.line()), Some(standing));
+    assert_eq!(ProcessStatus::read((5, 6), &status.line()), Some(status));
     for other in [
         "",
         "\n",
--- a/crates/stonevane-core/src/management/tests.rs
+++ b/crates/stonevane-core/src/management/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn calls_are_read_whole_and_at_any_cut() {
+fn calls_are_decoded_only_when_complete() {
     let put = "PUT /cache-servers/disable/s-5be2%61 HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}";
     for cut in 0..put.len() {
         assert_eq!(read(&put.as_bytes()[..cut]), Ok(None), "{cut} bytes");
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_is_no_call_is_answered_as_http_has_it() {
+fn invalid_calls_get_the_status_codes_of_http() {
     assert_eq!(status("nonsense\r\n\r\n"), Some(400));
     assert_eq!(status("GET / HTTP/1.1\r\n\r\n"), Some(404));
     assert_eq!(status("PUT /cache-servers/drop/a HTTP/1.1\r\n\r\n"), Some(404));
--- a/crates/stonevane-core/src/pause_detection/tests.rs
+++ b/crates/stonevane-core/src/pause_detection/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_standstill_of_a_grace_is_noticed_however_short_that_is() {
+fn a_pause_of_the_drain_grace_is_noticed_however_short_that_is() {
     for drain_grace in [50_000, 100_000, 250_000, 500_000, 1_000_000, 10_000_000] {
         let detection = PauseDetection::of(&Settings { drain_grace, ..Settings::default() });
         // With the slack of all limits on sockets.
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the core need.
+//! Fixtures of the core's tests.
 #![allow(dead_code, missing_docs)]
 
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
     core_with(store, sockets, rest, |_| {})
 }
 
-/// The same, of a deployment that differs.
-pub fn core_with(store: bool, sockets: usize, rest: Duration, differs: impl FnOnce(&mut Deployment)) -> Core {
-    core_seeded(1, store, sockets, rest, differs)
+/// The same, with other settings.
+pub fn core_with(store: bool, sockets: usize, rest: Duration, adjust: impl FnOnce(&mut Deployment)) -> Core {
+    core_seeded(1, store, sockets, rest, adjust)
 }
 
 /// The same with random numbers of another seed.
@@ -30,17 +30,17 @@
     store: bool,
     sockets: usize,
     rest: Duration,
-    differs: impl FnOnce(&mut Deployment),
+    adjust: impl FnOnce(&mut Deployment),
 ) -> Core {
-    Core::new(START, CoreConfig { seed, ..setup_with(store, sockets, rest, differs) })
+    Core::new(START, CoreConfig { seed, ..config_with(store, sockets, rest, adjust) })
 }
 
-/// What such a core is told at its start.
-pub fn setup_with(
+/// The configuration of such a core.
+pub fn config_with(
     store: bool,
     sockets: usize,
     rest: Duration,
-    differs: impl FnOnce(&mut Deployment),
+    adjust: impl FnOnce(&mut Deployment),
 ) -> CoreConfig {
     let names = |name: &str| vec![name.to_owned()];
     let class = RequestClass { latency_objective: 1_000_000, deadline: 2_000_000, ..RequestClass::default() };
@@ -63,7 +63,7 @@
         max_open: 1_024,
         load_metric_names: Vec::new(),
     };
-    differs(&mut deployment);
+    adjust(&mut deployment);
     let endpoint = |name: &str, port: u16| Endpoint {
         name: name.into(),
         address: SocketAddr::from(([127, 0, 0, 1], port)).to_string(),
@@ -96,7 +96,7 @@
     }
 }
 
-/// A cache's answer to a read.
+/// A cache's reply to a read.
 pub const HIT: &[u8] = b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$0\r\n\r\n";
 
 /// A client's read.
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -1,4 +1,4 @@
-//! The first calls to discovery of nodes that start together: soon enough for each, and not too many at once for the
+//! First calls to discovery of nodes that start together: early enough for each, and not too many at once for the
 //! service that all share.
 #![allow(missing_docs)]
 
@@ -13,26 +13,26 @@
 use stonevane_server_model::service::Turns;
 
 const SECOND: Micros = 1_000_000;
-/// What discovery has to tell counts as told so much later at the latest (protocol).
-const TOLD: Micros = 6 * SECOND;
-/// A call that waits for longer fails, and is worked off all the same.
-const GIVEN_UP: Micros = 2 * SECOND;
-/// Calls are turned away where the work ahead of them takes longer.
-const MOST_AHEAD: Micros = 6 * SECOND;
+/// A change counts as notified so much later at the latest (protocol).
+const NOTIFIED: Micros = 6 * SECOND;
+/// A call that waits for longer fails, and is still worked off by the service.
+const ANSWER_TIMEOUT: Micros = 2 * SECOND;
+/// Calls are rejected where the queue ahead of them takes longer.
+const MAX_QUEUE: Micros = 6 * SECOND;
 
 /// Nodes that share discovery.
 const NODES: u32 = 100;
 
-/// A node of many that asks discovery, and knows a list.
-fn node(seed: u64, ask_within: Micros) -> Core {
-    node_of(NODES, seed, ask_within)
+/// A node of many that polls discovery, and has a cached list.
+fn node(seed: u64, list_staleness_limit: Micros) -> Core {
+    node_of(NODES, seed, list_staleness_limit)
 }
 
-fn node_of(nodes: u32, seed: u64, ask_within: Micros) -> Core {
-    core_seeded(seed, false, 64, Duration::ZERO, |differs| {
-        differs.settings.poll_discovery = true;
-        differs.settings.nodes = nodes;
-        differs.settings.list_staleness_limit = ask_within;
+fn node_of(nodes: u32, seed: u64, list_staleness_limit: Micros) -> Core {
+    core_seeded(seed, false, 64, Duration::ZERO, |deployment| {
+        deployment.settings.poll_discovery = true;
+        deployment.settings.nodes = nodes;
+        deployment.settings.list_staleness_limit = list_staleness_limit;
     })
 }
 
@@ -48,7 +48,7 @@
 }
 
 /// When a node that starts now opens watches, up to a time.
-fn opens(core: &mut Core, until: Micros) -> Vec<Micros> {
+fn watch_times(core: &mut Core, until: Micros) -> Vec<Micros> {
     let mut opened = Vec::new();
     let mut now = START;
     while now <= until {
@@ -60,15 +60,16 @@
 
 #[test]
 fn of_many_that_start_together_nearly_all_are_answered_in_time() {
-    // 40 of 100 nodes are killed and start anew; discovery takes a call of each of the 100 in 7 s.
-    let (nodes, takes) = (40, 70_000);
+    // 40 of 100 nodes are killed and restart; discovery answers a call of each of the 100 in 7 s.
+    let (nodes, service_time) = (40, 70_000);
     for fleet in 0..10 {
-        let first = |seed| opens(&mut node(seed, 10 * SECOND), START + TOLD)[0];
+        let first = |seed| watch_times(&mut node(seed, 10 * SECOND), START + NOTIFIED)[0];
         let mut calls: Vec<Micros> = (0..nodes).map(|number| first(fleet * 1_000 + number)).collect();
         calls.sort_unstable();
         let mut turns = Turns::default();
-        let mut in_time =
-            |call: &&Micros| turns.take(**call, takes, MOST_AHEAD).is_some_and(|at| at <= **call + GIVEN_UP);
+        let mut in_time = |call: &&Micros| {
+            turns.take(**call, service_time, MAX_QUEUE).is_some_and(|at| at <= **call + ANSWER_TIMEOUT)
+        };
         let answered = calls.iter().filter(&mut in_time).count();
         assert!(answered >= 36, "fleet {fleet}: {answered} of {nodes}; all at once it would be 28");
     }
@@ -76,29 +77,32 @@
 
 #[test]
 fn the_first_call_is_made_once_and_early_enough_for_its_turn() {
-    for ask_within in [1, SECOND, 10 * SECOND, 86_400 * SECOND] {
+    for list_staleness_limit in [1, SECOND, 10 * SECOND, 86_400 * SECOND] {
         for seed in 0..50 {
-            let opened = opens(&mut node(seed, ask_within), START + TOLD);
-            let [at] = opened[..] else { panic!("{ask_within} {seed}: {opened:?}") };
+            let opened = watch_times(&mut node(seed, list_staleness_limit), START + NOTIFIED);
+            let [at] = opened[..] else { panic!("{list_staleness_limit} {seed}: {opened:?}") };
             let waited = at - START;
             assert!(
-                waited <= ask_within / 4 + 1,
-                "{ask_within} {seed}: a short time is hardly used up: {waited}"
+                waited <= list_staleness_limit / 4 + 1,
+                "{list_staleness_limit} {seed}: a short time is hardly used up: {waited}"
+            );
+            assert!(
+                waited + 3 * SECOND < NOTIFIED,
+                "{list_staleness_limit} {seed}: three seconds are left for its turn"
             );
-            assert!(waited + 3 * SECOND < TOLD, "{ask_within} {seed}: three seconds are left for its turn");
         }
     }
 }
 
 #[test]
-fn a_node_that_is_the_only_one_calls_at_once() {
+fn the_only_node_calls_at_once() {
     for seed in 0..50 {
-        assert_eq!(opens(&mut node_of(1, seed, 10 * SECOND), START + TOLD), [START]);
+        assert_eq!(watch_times(&mut node_of(1, seed, 10 * SECOND), START + NOTIFIED), [START]);
     }
 }
 
 #[test]
-fn a_node_that_is_moved_before_its_first_call_calls_there_at_once_and_only_there() {
+fn a_node_whose_discovery_moves_before_its_first_call_calls_there_at_once_and_only_there() {
     let elsewhere = SocketAddr::from(([127, 0, 0, 1], 4));
     for seed in 0..50 {
         let mut core = node(seed, 10 * SECOND);
@@ -110,6 +114,6 @@
             matches!(opened[..], [DiscoveryCall { address, .. }] if address == elsewhere),
             "{seed}: {opened:?}"
         );
-        assert!(opens(&mut core, START + TOLD).is_empty(), "{seed}: no call beside it");
+        assert!(watch_times(&mut core, START + NOTIFIED).is_empty(), "{seed}: no call beside it");
     }
 }
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -1,4 +1,4 @@
-//! Connections to servers rest after an answer, also where the table has no place for another.
+//! Server connections rest after a reply, even where the limit allows no other connection.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,40 +11,40 @@
 
 const REST: u64 = 15_000;
 
-/// A core in a full table: its servers are up at once and answer at once.
-struct World {
+/// A core at its limit of connections, whose servers accept connections at once.
+struct Harness {
     core: Core,
     now: u64,
-    asked: u64,
+    requests_sent: u64,
     clients: Vec<ConnId>,
     opened: usize,
     served: usize,
-    /// When each connection to the server had its last answer.
-    answered: HashMap<ConnId, u64>,
-    /// Connections to the server whose request was written.
-    written: Vec<ConnId>,
+    /// When each server connection had its last reply.
+    last_reply_at: HashMap<ConnId, u64>,
+    /// Server connections whose request is written.
+    awaiting_reply: Vec<ConnId>,
 }
 
-impl World {
-    fn new(clients: usize, idle_close: u64) -> World {
+impl Harness {
+    fn new(clients: usize, idle_close: u64) -> Harness {
         let core = core_with(false, 64, Duration::from_micros(REST), |d| d.idle_close = idle_close);
-        let (answered, written) = (HashMap::new(), Vec::new());
-        let mut it = World {
+        let (last_reply_at, awaiting_reply) = (HashMap::new(), Vec::new());
+        let mut harness = Harness {
             core,
             now: START,
-            asked: 0,
+            requests_sent: 0,
             clients: Vec::new(),
             opened: 0,
             served: 0,
-            answered,
-            written,
+            last_reply_at,
+            awaiting_reply,
         };
         for _ in 0..clients {
-            let id = it.core.next_connection_id();
-            it.clients.push(id);
-            it.feed(Input::Accepted(id));
+            let id = harness.core.next_connection_id();
+            harness.clients.push(id);
+            harness.feed(Input::Accepted(id));
         }
-        it
+        harness
     }
 
     fn feed(&mut self, input: Input<'_>) {
@@ -57,10 +57,10 @@
                     self.feed(Input::Opened(id));
                 }
                 Output::WriteRequest { id, .. } => {
-                    let rested = self.answered.get(&id).is_none_or(|at| at + REST <= self.now);
+                    let rested = self.last_reply_at.get(&id).is_none_or(|at| at + REST <= self.now);
                     assert!(rested, "written to before it has rested");
                     self.feed(Input::Flushed(id));
-                    self.written.push(id);
+                    self.awaiting_reply.push(id);
                 }
                 Output::Write(id, bytes) => {
                     assert_eq!(&bytes[..], b"$5\r\nvalue\r\n");
@@ -72,81 +72,81 @@
         }
     }
 
-    /// So many clients ask once.
-    fn ask(&mut self, clients: usize) {
+    /// Each of so many clients sends one request.
+    fn send_requests(&mut self, clients: usize) {
         for id in self.clients.clone().into_iter().take(clients) {
-            self.asked += 1;
-            let word = format!("{:06}", self.asked);
+            self.requests_sent += 1;
+            let word = format!("{:06}", self.requests_sent);
             self.feed(Input::Bytes(id, &get(&word, &word)));
         }
     }
 
-    fn answer(&mut self) {
-        for id in std::mem::take(&mut self.written) {
-            self.answered.insert(id, self.now);
+    fn reply_to_all(&mut self) {
+        for id in std::mem::take(&mut self.awaiting_reply) {
+            self.last_reply_at.insert(id, self.now);
             self.feed(Input::Bytes(id, HIT));
         }
     }
 
-    /// All places for connections to servers are taken by ones that rest; when the first of them have rested.
-    fn full(clients: usize, idle_close: u64) -> (World, u64) {
-        let mut it = World::new(clients, idle_close);
-        // Until the module knows that the cache answers.
+    /// A core whose server connections all rest, as many as the limit allows; and when the first of them has rested.
+    fn with_full_table(clients: usize, idle_close: u64) -> (Harness, u64) {
+        let mut harness = Harness::new(clients, idle_close);
+        // Until the decision module trusts the cache.
         for _ in 0..40 {
-            it.ask(1);
-            it.answer();
-            it.now += REST;
+            harness.send_requests(1);
+            harness.reply_to_all();
+            harness.now += REST;
         }
-        let begun = it.now;
-        while it.core.count().idle_server_connections < 30 {
-            it.ask(clients);
-            it.answer();
-            it.now += 4_000;
+        let begun = harness.now;
+        while harness.core.count().idle_server_connections < 30 {
+            harness.send_requests(clients);
+            harness.reply_to_all();
+            harness.now += 4_000;
         }
-        assert!(it.core.count().idle_server_connections == 30 && it.now < begun + REST);
-        it.now = begun + REST - 2_000;
-        (it, begun + REST)
+        assert!(harness.core.count().idle_server_connections == 30 && harness.now < begun + REST);
+        harness.now = begun + REST - 2_000;
+        (harness, begun + REST)
     }
 }
 
 #[test]
-fn in_a_full_table_the_first_to_have_rested_is_waited_for_and_none_is_opened() {
-    let (mut it, rested) = World::full(10, 10_000_000);
-    let (opened, served) = (it.opened, it.served);
-    it.ask(10);
-    assert_eq!((it.opened, it.written.len()), (opened, 0));
-    while it.written.len() < 10 {
-        it.now = it.core.next_timeout().unwrap();
-        it.feed(Input::Wake);
+fn at_the_limit_requests_wait_for_the_first_rested_connection_and_none_is_opened() {
+    let (mut harness, rested) = Harness::with_full_table(10, 10_000_000);
+    let (opened, served) = (harness.opened, harness.served);
+    harness.send_requests(10);
+    assert_eq!((harness.opened, harness.awaiting_reply.len()), (opened, 0));
+    while harness.awaiting_reply.len() < 10 {
+        harness.now = harness.core.next_timeout().unwrap();
+        harness.feed(Input::Wake);
     }
-    assert!(it.now <= rested);
-    it.answer();
-    assert_eq!((it.opened, it.served), (opened, served + 10));
+    assert!(harness.now <= rested);
+    harness.reply_to_all();
+    assert_eq!((harness.opened, harness.served), (opened, served + 10));
 }
 
 #[test]
-fn what_comes_while_a_request_waits_for_the_rest_is_no_answer_to_it() {
-    let (mut it, _) = World::full(10, 10_000_000);
-    let (opened, served) = (it.opened, it.served);
-    it.ask(10);
-    // A second copy of the answer, at every connection that may have been chosen.
-    let all: Vec<_> = it.answered.keys().copied().collect();
+fn bytes_that_arrive_while_a_request_waits_for_the_rest_are_no_reply_to_it() {
+    let (mut harness, _) = Harness::with_full_table(10, 10_000_000);
+    let (opened, served) = (harness.opened, harness.served);
+    harness.send_requests(10);
+    // A duplicate of the reply, on every connection that may have been chosen.
+    let all: Vec<_> = harness.last_reply_at.keys().copied().collect();
     for id in all {
-        it.feed(Input::Bytes(id, HIT));
+        harness.feed(Input::Bytes(id, HIT));
     }
-    assert_eq!((it.served, it.written.len()), (served, 10));
-    assert!(it.opened >= opened + 10);
-    it.answer();
-    assert_eq!(it.served, served + 10);
+    assert_eq!((harness.served, harness.awaiting_reply.len()), (served, 10));
+    assert!(harness.opened >= opened + 10);
+    harness.reply_to_all();
+    assert_eq!(harness.served, served + 10);
 }
 
 #[test]
-fn a_connection_that_its_server_ends_before_it_can_have_rested_is_not_waited_for() {
-    // What is written to it would end as a reset, which may have run.
-    let (mut it, _) = World::full(10, 2 * REST);
-    let (opened, served) = (it.opened, it.served);
-    it.ask(10);
-    assert_eq!((it.opened, it.written.len()), (opened + 10, 10));
-    it.answer();
-    assert_eq!(it.served, served + 10);
+fn a_connection_that_its_server_closes_before_it_has_rested_is_not_waited_for() {
+    // A request written to it would end as a reset, which may have run.
+    let (mut harness, _) = Harness::with_full_table(10, 2 * REST);
+    let (opened, served) = (harness.opened, harness.served);
+    harness.send_requests(10);
+    assert_eq!((harness.opened, harness.awaiting_reply.len()), (opened + 10, 10));
+    harness.reply_to_all();
+    assert_eq!(harness.served, served + 10);
 }
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -1,4 +1,4 @@
-//! A server's table of connections that all nodes share: what idle ones of some nodes leave for the others.
+//! The origin's connection table, which all nodes share: idle connections of some nodes leave places for the others.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,11 +11,11 @@
 use oorandom::Rand64;
 use stonevane_core::{ConnId, Core, Input, Output, Outputs};
 
-/// Connections that the origin holds; how long it takes for an answer; misses a second of all nodes together.
-const TABLE: usize = 92;
-const TAKES: u64 = 48_000;
-const MISSES: f64 = 500.0;
-const LASTS: u64 = 6_000_000;
+/// Connections that the origin accepts.
+const ORIGIN_CONNECTIONS: usize = 92;
+const ORIGIN_LATENCY: u64 = 48_000;
+const MISSES_PER_S: f64 = 500.0;
+const DURATION: u64 = 6_000_000;
 
 const MISS: &[u8] = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$0\r\n\r\n";
 const VALUE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue";
@@ -24,68 +24,68 @@
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask(usize),
-    Answer(usize, ConnId),
+    Request(usize),
+    Reply(usize, ConnId),
     Wake(usize),
 }
 
-/// Nodes before one origin, which turns away what finds its table full.
-struct World {
+/// Nodes in front of one origin, which rejects requests on connections beyond its limit.
+struct Harness {
     nodes: Vec<Core>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Connections to the origin: whether there was a place.
-    origin: HashMap<(usize, ConnId), bool>,
+    /// Connections to the origin, and whether it accepted them.
+    origin_connections: HashMap<(usize, ConnId), bool>,
     now: u64,
-    asked: Vec<u64>,
+    requests_sent: Vec<u64>,
     served: Vec<u64>,
-    calls: u64,
+    origin_calls: u64,
     opened: u64,
-    turned_away: u64,
+    rejected: u64,
 }
 
-impl World {
-    fn play(count: usize) -> World {
-        let mut it = World {
+impl Harness {
+    fn run(count: usize) -> Harness {
+        let mut harness = Harness {
             nodes: (0..count).map(|_| core(false, 512, Duration::ZERO)).collect(),
             events: BinaryHeap::new(),
-            origin: HashMap::new(),
+            origin_connections: HashMap::new(),
             now: START,
-            asked: vec![0; count],
+            requests_sent: vec![0; count],
             served: vec![0; count],
-            calls: 0,
+            origin_calls: 0,
             opened: 0,
-            turned_away: 0,
+            rejected: 0,
         };
         let (mut rng, mut at) = (Rand64::new(7), START);
         loop {
-            at += (-(1.0 - rng.rand_float()).ln() / MISSES * 1e6) as u64;
-            if at >= START + LASTS {
+            at += (-(1.0 - rng.rand_float()).ln() / MISSES_PER_S * 1e6) as u64;
+            if at >= START + DURATION {
                 break;
             }
-            it.events.push(Reverse((at, Event::Ask(rng.rand_range(0..count as u64) as usize))));
+            harness.events.push(Reverse((at, Event::Request(rng.rand_range(0..count as u64) as usize))));
         }
-        while let Some(Reverse((at, event))) = it.events.pop() {
-            // What is left after the last answer is housekeeping.
-            if at > START + LASTS + 2_500_000 {
+        while let Some(Reverse((at, event))) = harness.events.pop() {
+            // After the last reply, only periodic timers are left.
+            if at > START + DURATION + 2_500_000 {
                 break;
             }
-            it.now = at;
+            harness.now = at;
             match event {
-                Event::Ask(node) => {
-                    it.asked[node] += 1;
-                    let word = format!("{:08x}", (node as u64) << 16 | it.asked[node]);
-                    let client = it.nodes[node].next_connection_id();
-                    it.feed(node, Input::Accepted(client));
-                    it.feed(node, Input::Bytes(client, &get(&word, &word)));
+                Event::Request(node) => {
+                    harness.requests_sent[node] += 1;
+                    let key = format!("{:08x}", (node as u64) << 16 | harness.requests_sent[node]);
+                    let client = harness.nodes[node].next_connection_id();
+                    harness.feed(node, Input::Accepted(client));
+                    harness.feed(node, Input::Bytes(client, &get(&key, &key)));
                 }
-                Event::Answer(node, conn) if it.origin.contains_key(&(node, conn)) => {
-                    it.feed(node, Input::Bytes(conn, VALUE));
+                Event::Reply(node, conn) if harness.origin_connections.contains_key(&(node, conn)) => {
+                    harness.feed(node, Input::Bytes(conn, VALUE));
                 }
-                Event::Answer(..) => {}
-                Event::Wake(node) => it.feed(node, Input::Wake),
+                Event::Reply(..) => {}
+                Event::Wake(node) => harness.feed(node, Input::Wake),
             }
         }
-        it
+        harness
     }
 
     fn feed(&mut self, node: usize, input: Input<'_>) {
@@ -95,28 +95,28 @@
             match output {
                 Output::Open(id, address) => {
                     if address.port() == 2 {
-                        let held = self.origin.values().filter(|held| **held).count();
-                        self.origin.insert((node, id), held < TABLE);
+                        let accepted = self.origin_connections.values().filter(|accepted| **accepted).count();
+                        self.origin_connections.insert((node, id), accepted < ORIGIN_CONNECTIONS);
                         self.opened += 1;
                     }
                     self.feed(node, Input::Opened(id));
                 }
                 Output::WriteRequest { id, .. } => {
                     self.feed(node, Input::Flushed(id));
-                    match self.origin.get(&(node, id)) {
+                    match self.origin_connections.get(&(node, id)) {
                         None => self.feed(node, Input::Bytes(id, MISS)),
                         Some(true) => {
-                            self.calls += 1;
-                            self.events.push(Reverse((self.now + TAKES, Event::Answer(node, id))));
+                            self.origin_calls += 1;
+                            self.events.push(Reverse((self.now + ORIGIN_LATENCY, Event::Reply(node, id))));
                         }
                         Some(false) => {
-                            (self.calls, self.turned_away) = (self.calls + 1, self.turned_away + 1);
-                            self.origin.remove(&(node, id));
+                            (self.origin_calls, self.rejected) = (self.origin_calls + 1, self.rejected + 1);
+                            self.origin_connections.remove(&(node, id));
                             self.feed(node, Input::Bytes(id, FULL));
                         }
                     }
                 }
-                Output::Close(id) => drop(self.origin.remove(&(node, id))),
+                Output::Close(id) => drop(self.origin_connections.remove(&(node, id))),
                 Output::Write(id, bytes) => {
                     self.served[node] += u64::from(bytes.starts_with(b"$5\r\n"));
                     self.feed(node, Input::Flushed(id));
@@ -132,20 +132,28 @@
 }
 
 #[test]
-fn a_table_that_all_share_has_room_for_each_node() {
+fn a_table_that_all_nodes_share_has_places_for_each() {
     for count in [1, 4, 100] {
-        let it = World::play(count);
-        let away = it.turned_away as f64 / it.calls as f64;
-        let worst = it.asked.iter().zip(&it.served).map(|(asked, served)| *served as f64 / *asked as f64);
+        let harness = Harness::run(count);
+        let rejected_share = harness.rejected as f64 / harness.origin_calls as f64;
+        let worst = harness
+            .requests_sent
+            .iter()
+            .zip(&harness.served)
+            .map(|(requests_sent, served)| *served as f64 / *requests_sent as f64);
         let worst = worst.fold(1.0, f64::min);
         println!(
-            "{count} nodes: {} calls, {} opened, {away:.3} turned away, the worst node served {worst:.2}",
-            it.calls, it.opened
+            "{count} nodes: {} calls, {} opened, {rejected_share:.3} turned away, the worst node served {worst:.2}",
+            harness.origin_calls, harness.opened
         );
-        assert!(away < 0.10, "{count} nodes: {away:.3} of the calls turned away");
+        assert!(rejected_share < 0.10, "{count} nodes: {rejected_share:.3} of the calls turned away");
         assert!(worst > 0.8, "{count} nodes: one was served {worst:.2}");
-        // Few nodes keep theirs: opening them anew would cost the origin work for nothing.
-        assert!(count > 4 || it.opened < it.calls / 10, "{count} nodes: {} opened", it.opened);
-        assert!(it.nodes.iter().all(|node| node.count().attempts == 0));
+        // Few nodes keep theirs: new connections would cost the origin work.
+        assert!(
+            count > 4 || harness.opened < harness.origin_calls / 10,
+            "{count} nodes: {} opened",
+            harness.opened
+        );
+        assert!(harness.nodes.iter().all(|node| node.count().attempts == 0));
     }
 }
--- a/crates/stonevane-subset/tests/selector.rs
+++ b/crates/stonevane-subset/tests/selector.rs
@@ -1,4 +1,4 @@
-//! The subset is fixed, balanced and calm: what the order of the list can't change, and what a flapping server can't swing.
+//! The subset is deterministic, balanced and stable: neither the order of the list nor a flapping server changes it.
 #![allow(missing_docs)]
 
 use std::collections::HashMap;
