--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -150,8 +150,8 @@
 }
 
 impl Parameters {
-    /// Reads all parameters; those that stand alone go into the command at once. Each name may appear once, or it
-    /// could mean one thing here and another at a server.
+    /// Parses all parameters; those that need no further check go into the command at once. A name may appear only once,
+    /// or it could mean one thing here and another at a server.
     fn parse(
         facts: &str,
         deployment: &Deployment,
--- a/crates/stonevane-core/src/clients/session.rs
+++ b/crates/stonevane-core/src/clients/session.rs
@@ -78,7 +78,7 @@
     /// When its last write ended.
     pub idle_since: Micros,
     pub timer: ConnectionTimer,
-    /// The driver was told not to read it.
+    /// The driver does not read it until [`crate::Output::Resume`].
     pub reading_paused: bool,
     /// It is being closed, unless input arrives first.
     pub closing: bool,
--- a/crates/stonevane-core/src/handover.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -9,7 +9,7 @@
 
 /// This part of the node's capacity is left to a process that is just starting.
 const SPARE_DIVISOR: usize = 16;
-/// A process that a newer one stands beside keeps at least this part of the node's capacity until it drains.
+/// A process with a newer one beside it keeps at least this part of the node's capacity until it drains.
 const SERVING_DIVISOR: usize = 2;
 
 /// The stage of a process's life.
--- a/crates/stonevane-core/src/handover/tests.rs
+++ b/crates/stonevane-core/src/handover/tests.rs
@@ -90,10 +90,10 @@
     let status = |started, stage, connections| ProcessStatus {
         started: (started, 0),
         stage,
-        capacity: Capacity { connections: connections, memory: 0 },
+        capacity: Capacity { connections, memory: 0 },
         in_flight: 9,
     };
-    let used = |connections| Capacity { connections: connections, memory: 0 };
+    let used = |connections| Capacity { connections, memory: 0 };
     let mut old = status(1, ProcessStage::Serving, 320);
     old.capacity = divide(NODE_CAPACITY, &old, used(200), &[]).capacity;
     assert_eq!(old.capacity.connections, 300, "alone, it leaves a spare");
--- a/crates/stonevane-core/src/node/attempts.rs
+++ b/crates/stonevane-core/src/node/attempts.rs
@@ -72,7 +72,7 @@
             return self.end_attempt(key, AttemptStatus::NotSent);
         };
         let Some(conn) = self.connections.pool.get_mut(id) else { return };
-        // The news of the server's drain may have arrived during a pause and not be read yet.
+        // A list that drains the server may have arrived during a pause, and not be read yet.
         if let Some(until) = self.catching_up_until {
             conn.state = ConnState::Resting;
             conn.deadline = Some(until);
@@ -133,8 +133,8 @@
         let server = attempt.server;
         let sent_at = attempt.sent_at;
         self.close_server_connection(attempt.conn, CloseReason::GivenUp);
-        // Idle connections to a machine that vanished stay open and silent, and each would cost a request its whole
-        // time; a new one fails within the time-out of a connect.
+        // Idle connections to a machine that vanished stay open, and each would cost a request its time-out; a new
+        // connection fails sooner.
         if self.endpoints.last_heard(server).is_some_and(|heard| heard < sent_at) {
             self.close_idle_connections(server);
         }
--- a/crates/stonevane-core/src/node/config.rs
+++ b/crates/stonevane-core/src/node/config.rs
@@ -32,7 +32,7 @@
     pub servers: operator::Servers,
     /// Whether a store of record, which the driver calls, replaces the origin.
     pub has_store: bool,
-    /// Whether the driver is told which caches there are, to notify them of writes.
+    /// Whether the driver notifies caches of writes, for which it needs their addresses.
     pub notifies_caches: bool,
     /// Sockets for purposes other than clients, servers and discovery.
     pub other_sockets: usize,
--- a/crates/stonevane-core/src/node/discovery.rs
+++ b/crates/stonevane-core/src/node/discovery.rs
@@ -68,8 +68,8 @@
         self.notify_policy(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
     }
 
-    /// Switches to another discovery service. It counts versions in its own way, so that its whole list is fetched;
-    /// after the old version the list would seem to stand still.
+    /// Switches to another discovery service. It counts versions in its own way, so that its full list is fetched:
+    /// a watch after the old version might bring nothing.
     pub(super) fn move_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery.address {
             return;
--- a/crates/stonevane-core/src/node/endpoints.rs
+++ b/crates/stonevane-core/src/node/endpoints.rs
@@ -77,7 +77,7 @@
     /// Which servers the decision module knows; `None`: all.
     subset: Option<EndpointSubset>,
     origin_protocol: Protocol,
-    /// The caches that the driver was told of, where it notifies them of writes.
+    /// The caches that were announced to the driver, where it notifies them of writes.
     announced_caches: Option<Vec<SocketAddr>>,
 }
 
@@ -161,8 +161,8 @@
         self.subset.as_ref()
     }
 
-    /// The addresses of all caches, where the driver is to be told of a change. Draining ones are among them: a request
-    /// on its way there may still be answered.
+    /// The addresses of all caches, if they have changed since they were announced to the driver. Draining ones are among
+    /// them: a request on its way there may still be answered.
     fn take_changed_caches(&mut self) -> Option<Vec<SocketAddr>> {
         let announced = self.announced_caches.as_mut()?;
         let caches = self.servers.values().filter(|server| server.protocol == Protocol::Cache);
@@ -192,7 +192,7 @@
         if kind == ListUpdate::Delta && is_older && !self.faults.injects(Mutant::OldList) {
             return;
         }
-        // A node without a cached list fetches the whole one, whatever its version.
+        // A node without a cached list fetches the full one, whatever its version.
         let is_absent = kind == ListUpdate::Cached && list.endpoints.is_empty();
         self.discovery.list_version = (!is_absent).then_some(list.index);
         let is_first = self.endpoints.servers.is_empty();
@@ -314,7 +314,7 @@
         self.close_idle_connections(id);
     }
 
-    /// Gives the decision module a list or a delta: these entries, or what the subset makes of the whole list.
+    /// Gives the decision module a list or a delta: these entries, or what the subset makes of the full list.
     fn notify_servers(&mut self, kind: ListUpdate, entries: Vec<ServerEntry>) {
         let servers = self.update_subset(kind).unwrap_or(entries);
         self.notify_policy(Event::ServerList { kind, servers });
--- a/crates/stonevane-core/src/node/mod.rs
+++ b/crates/stonevane-core/src/node/mod.rs
@@ -52,12 +52,12 @@
 pub use drain::HandoverStatus;
 pub use reports::ResourceCounts;
 
-/// After a pause, inputs are taken for so long before timers fire and requests are sent: of what arrived meanwhile, the
-/// news of a draining server may be read after a request that would go there.
+/// After a pause, inputs are handled for so long before timers fire and requests are sent: a client's request may be read
+/// before the list that drains its server, though both arrived during the pause.
 const CATCH_UP_TIME: Micros = 5_000;
-/// Timers that are kept before stale ones are looked for.
+/// Stale timers are pruned beyond this number of timers ...
 const MIN_PRUNED_TIMERS: usize = 512;
-/// Timers for each request, attempt and connection before stale ones are looked for.
+/// ... and this number for each request, attempt and connection.
 const PRUNED_TIMERS_PER_ENTRY: usize = 8;
 
 /// A node without I/O.
--- a/crates/stonevane-core/src/node/reload.rs
+++ b/crates/stonevane-core/src/node/reload.rs
@@ -22,7 +22,7 @@
     deployment: Box<Deployment>,
 }
 
-/// The state of settings beside those in force.
+/// What modifies the settings in force.
 #[derive(Default)]
 pub(super) struct Reload {
     pending: Option<PendingReload>,
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -125,7 +125,7 @@
                 Phase::Ready | Phase::Draining => "+PONG\r\n",
             }),
             Ok(ClientCommand::Request(command)) => self.on_request(client, command),
-            // The decision module can't be asked about a request of no known class.
+            // The decision module knows requests of the settings' classes alone.
             Err(error) => session.push_answer(format!("-ERR {error}\r\n")),
         }
     }
--- a/crates/stonevane-core/src/node/server_io.rs
+++ b/crates/stonevane-core/src/node/server_io.rs
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Handles a complete reply. That of a connection which was given up meanwhile is ignored.
+    /// Handles a complete reply, unless its connection was closed meanwhile.
     pub(super) fn on_reply(&mut self, id: ConnId, reply: Reply) {
         let Some(key) = self.connections.pool.get(id).and_then(|conn| conn.attempt) else { return };
         self.note_server_heard(key);
--- a/crates/stonevane-core/src/node/streaming.rs
+++ b/crates/stonevane-core/src/node/streaming.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A streamed value broke off. A client that has seen a part of it can tell only by the end of its connection; any
-    /// other gets an error.
+    /// A streamed value broke off. A client that may have seen a part of it learns of that by the end of its connection
+    /// alone; any other gets an error.
     pub(super) fn on_stream_broken(&mut self, target: StreamTarget) {
         let StreamTarget { client, slot } = target;
         let Some(session) = self.connections.clients.sessions.get_mut(&client) else { return };
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -13,7 +13,7 @@
 const MAX_TIME_LEFT_DIGITS: usize = 20;
 /// Length of a key that is the hexadecimal form of its own hash.
 const HASHED_KEY_DIGITS: usize = 16;
-/// Memory that an answer takes beside its value, in bytes.
+/// Memory that an answer takes in addition to its value, in bytes.
 const ANSWER_OVERHEAD: usize = 16;
 
 /// A command of a client.
--- a/crates/stonevane-core/src/servers/conn.rs
+++ b/crates/stonevane-core/src/servers/conn.rs
@@ -75,7 +75,7 @@
     pub bytes: Bytes,
     /// Whether it is the value's last one.
     pub is_last: bool,
-    /// Once the whole reply has arrived: whether the connection can be used again.
+    /// Once the complete reply has arrived: whether the connection can be used again.
     pub reply_end: Option<bool>,
 }
 
@@ -133,7 +133,7 @@
     /// When its current state must have ended.
     pub deadline: Option<Micros>,
     pub timer: ConnectionTimer,
-    /// The driver was told not to read it.
+    /// The driver does not read it until [`crate::Output::Resume`].
     pub reading_paused: bool,
     /// Where its value is streamed to.
     pub stream_target: Option<StreamTarget>,
@@ -208,7 +208,7 @@
                 self.buffer.extend_from_slice(bytes);
                 self.decode(now, options)
             }
-            // A duplicate or noise behind a reply: the next request's reply could not be told from it.
+            // A duplicate or noise behind a reply, which could be mistaken for the next request's reply.
             ConnState::Connecting | ConnState::Idle | ConnState::Resting | ConnState::Writing => {
                 ReadOutcome::Unsolicited
             }
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -70,7 +70,7 @@
         match head.status {
             100 | 102..200 => interim_length += head.length,
             200.. => return Ok(Some((interim_length, head))),
-            // No other protocol was asked for, and there are no codes below 100.
+            // No request asks for a change of the protocol, and there are no codes below 100.
             _ => return Err(MalformedReply),
         }
     }
@@ -111,7 +111,7 @@
 ) -> Result<Option<Body>, MalformedReply> {
     let length = match head.content_length {
         Some(length) if length <= max_value => length,
-        // A value that ends with its connection can't be told from a truncated one; of a failure the head says all.
+        // A value that ends with its connection might be truncated; a failure needs no body.
         None if head.status != 200 => 0,
         _ => return Err(MalformedReply),
     };
--- a/crates/stonevane-core/src/servers/pool.rs
+++ b/crates/stonevane-core/src/servers/pool.rs
@@ -18,8 +18,8 @@
 const KEEP_ALIVE_BACKOFF_DIVISOR: Micros = 2;
 /// An answered first request adds this part of the longest keep-alive.
 const KEEP_ALIVE_RECOVERY_DIVISOR: Micros = 64;
-/// Connections are given up after this part of the time after which servers close them: a request written to a closed
-/// connection ends as a reset, which may have run and so may not be retried.
+/// Idle connections are closed after this part of the servers' own limit: a request written to a connection that its
+/// server has closed ends as a reset, which may have run and so may not be retried.
 const SERVER_IDLE_CLOSE_DIVISOR: Micros = 2;
 
 /// All connections to servers.
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -331,7 +331,7 @@
             for ask_discovery in [true, false] {
                 let settings = stonevane_policy::Settings {
                     poll_discovery: ask_discovery,
-                    list_staleness_limit: list_staleness_limit,
+                    list_staleness_limit,
                     drain_grace,
                     ..Default::default()
                 };
--- a/crates/stonevane-core/tests/start_times.rs
+++ b/crates/stonevane-core/tests/start_times.rs
@@ -52,7 +52,7 @@
 
 impl Node {
     fn start(clock_offset: i64, endpoints: Vec<Endpoint>) -> Node {
-        let endpoints = EndpointList { index: 1, snapshot: true, endpoints: endpoints };
+        let endpoints = EndpointList { index: 1, snapshot: true, endpoints };
         let config = stonevane_core::CoreConfig {
             cached_list: endpoints,
             ..config_with(false, 64, Duration::ZERO, |_| {})
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -69,7 +69,7 @@
             deployment.settings.tenants[0].quota_per_s = 50.0 * f64::from(nodes);
             deployment.zones = ["a", "b", "c"].map(String::from).into();
         });
-        config.cached_list = EndpointList { index: 1, snapshot: true, endpoints: endpoints };
+        config.cached_list = EndpointList { index: 1, snapshot: true, endpoints };
         config.regions = regions;
         let mut harness = Harness {
             core: Core::new(START, config),
@@ -108,7 +108,7 @@
                     self.feed(Input::Flushed(id));
                 }
                 Output::Log(LogLine::Info(line)) if line.starts_with("regions: ") => {
-                    self.region_log.push(line)
+                    self.region_log.push(line);
                 }
                 _ => {}
             }
