--- a/crates/stonevane-audit/src/auditor/duplicate_effects.rs
+++ b/crates/stonevane-audit/src/auditor/duplicate_effects.rs
@@ -93,9 +93,7 @@
         attempt: &NumberedRecord,
     ) {
         for ran in earlier.iter().filter(|earlier| earlier.effect == Some(Effect::Ran)) {
-            if let Some((code, what)) = self.repeat_violation(class, ran, attempt) {
-                let evidence = vec![ran.clone(), attempt.clone()];
-                let accusation = Accusation::new(Rule::DuplicateEffects, code, what, evidence);
+            if let Some(accusation) = self.repeat_violation(class, ran, attempt) {
                 self.accuse(accusation.about(&attempt.request));
             }
         }
@@ -106,22 +104,29 @@
         class: &ClassRule,
         ran: &NumberedRecord,
         attempt: &NumberedRecord,
-    ) -> Option<(&'static str, String)> {
+    ) -> Option<Accusation> {
         let sent = attempt.first_byte_time().earliest;
         let is_repeat = attempt.effect.unwrap_or(Effect::Ran) == Effect::Ran || sent > ran.time.latest;
-        let window_us = class.window_us;
+        let accusation = |code, what| {
+            let evidence = vec![ran.clone(), attempt.clone()];
+            Some(Accusation::new(Rule::DuplicateEffects, code, what, evidence))
+        };
         match class.kind {
-            Idempotency::Idempotent => None,
-            Idempotency::NonIdempotent => is_repeat
-                .then(|| ("unsafe-again", "an unsafe request was sent again after it had run".to_owned())),
+            Idempotency::NonIdempotent if is_repeat => {
+                let what = "an unsafe request was sent again after it had run";
+                accusation("unsafe-again", what.to_owned())
+            }
+            Idempotency::Idempotent | Idempotency::NonIdempotent => None,
             Idempotency::WithKey if is_repeat && !self.dedups_together(class.scope, ran, attempt) => {
-                Some(("group", format!("sent again to {}, which can't know it", attempt.server_name())))
+                let what = format!("sent again to {}, which can't know it", attempt.server_name());
+                accusation("group", what)
             }
             Idempotency::WithKey => {
-                let late = sent.saturating_sub(ran.time.latest);
-                (late > window_us + self.rules.answer_slack_us).then(|| {
-                    ("window", format!("sent again {late} us after it ran, past the {window_us} us"))
-                })
+                let (late, window_us) = (sent.saturating_sub(ran.time.latest), class.window_us);
+                if late <= window_us + self.rules.answer_slack_us {
+                    return None;
+                }
+                accusation("window", format!("sent again {late} us after it ran, past the {window_us} us"))
             }
         }
     }
--- a/crates/stonevane-audit/src/membership/mod.rs
+++ b/crates/stonevane-audit/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! The membership rules: what is known of processes and of the network between them, held against each member's view
-//! of the others. Members are not asked who lives.
+//! The membership rules: each member's view of the others is compared with what is known of processes and of the network
+//! between them. Members have no say in who is alive.
 //!
 //! A member is *healthy* while its process runs, is not paused, and datagrams pass in both directions between it and
 //! most of the others that run; one that is left alone is not, for it can't tell the others' end from its own
@@ -20,7 +20,14 @@
 /// A membership rule that is broken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// Which of [`BREACHES`].
+    /// Which rule:
+    /// - `undetected`: a member that is gone is dead or suspected in every healthy view;
+    /// - `accused`: a healthy member is not dead in any healthy view;
+    /// - `hounded`: a healthy member is not falsely suspected again and again in fair or mild conditions;
+    /// - `unrefuted`: a suspicion of a healthy member ends;
+    /// - `diverged`: once all faults have ended, views are equal and right;
+    /// - `stranger`: an unknown peer, which never was a member, is not alive in any view;
+    /// - `risen`: an incarnation that ended is not alive again.
     pub code: &'static str,
     /// Whose view shows it.
     pub observer: usize,
@@ -30,23 +37,12 @@
     pub what: String,
 }
 
-/// The codes, and what each is of.
-pub const BREACHES: [(&str, &str); 7] = [
-    ("undetected", "detection: a member that is gone is dead or suspected in every clear view"),
-    ("accused", "accuracy: a clear member is not dead in any clear view"),
-    ("hounded", "accuracy: a clear member is not suspected again and again in fair weather"),
-    ("unrefuted", "refutation: a suspicion of a clear member ends"),
-    ("diverged", "convergence: once all faults have ended, views are equal and right"),
-    ("stranger", "no strangers: who never was a member is not alive in any view"),
-    ("risen", "no resurrection: a life that ended stays ended"),
-];
-
 #[derive(Debug, Clone, Default)]
 struct Member {
     /// Since when it has had no process, at the latest; `None` while there is one.
     down_since: Option<u64>,
     ever_started: bool,
-    /// It was told to end, and may say that it leaves.
+    /// It was sent SIGTERM, and may announce that it leaves.
     terminating: bool,
     /// Reasons why it can't be expected to answer: it starts, ends or is paused.
     suspensions: u32,
@@ -60,7 +56,7 @@
     }
 }
 
-/// Holds members' views against what became of processes and network. Events come in the order of their latest times.
+/// Compares members' views with the state of processes and network. Events come in the order of their latest times.
 #[derive(Debug)]
 pub struct Membership {
     rules: MembershipRules,
@@ -138,7 +134,7 @@
             "killed" | "exited" | "crashed" if known.down_since.is_none() => {
                 known.down_since = Some(time.latest);
                 known.suspensions = 0;
-                // One that was told to end has said that it leaves.
+                // One that was sent SIGTERM has announced that it leaves.
                 if !std::mem::take(&mut known.terminating) {
                     self.note_death(member, time.latest);
                 }
--- a/crates/stonevane-audit/src/membership/views.rs
+++ b/crates/stonevane-audit/src/membership/views.rs
@@ -92,7 +92,15 @@
     }
 }
 
-type Violation = (&'static str, String);
+/// A rule that is broken: the code of [`Breach::code`], and a sentence.
+struct Violation {
+    code: &'static str,
+    what: String,
+}
+
+fn violation(code: &'static str, what: String) -> Violation {
+    Violation { code, what }
+}
 
 impl Membership {
     /// Takes a view that was read: a letter for each member, `a`live, `s`uspect, `d`ead, `l`eft or `?`. A breach is
@@ -110,10 +118,10 @@
         // A view may lack members: its owner's list of them is shorter.
         let padded = states.into_iter().chain(std::iter::repeat(ViewState::Unknown));
         for (member, state) in padded.take(count).enumerate() {
-            let violation = self.check_entry(time, observer, member, state, has_converged);
+            let broken = self.check_entry(time, observer, member, state, has_converged);
             let entry = &mut self.views[observer * count + member];
-            match violation {
-                Some((code, what)) if !entry.is_reported => {
+            match broken {
+                Some(Violation { code, what }) if !entry.is_reported => {
                     entry.is_reported = true;
                     breaches.push(Breach { code, observer, member, what });
                 }
@@ -149,14 +157,14 @@
         let seen = Observation { observer, member, state, now, has_changed, is_quiet, has_converged };
         let about = self.members[member].clone();
         if !about.ever_started && state.is_live() {
-            return Some(("stranger", "it is in the view and never was a member".into()));
+            return Some(violation("stranger", "it is in the view and never was a member".into()));
         }
-        let violation = about.down_since.and_then(|down_since| self.check_gone(&seen, down_since));
-        if violation.is_some() || member == observer {
-            return violation;
+        let gone = about.down_since.and_then(|down_since| self.check_gone(&seen, down_since));
+        if gone.is_some() || member == observer {
+            return gone;
         }
-        let violation = self.check_healthy(&seen, &about);
-        violation.or_else(|| self.check_convergence(&seen, &about))
+        let healthy = self.check_healthy(&seen, &about);
+        healthy.or_else(|| self.check_convergence(&seen, &about))
     }
 
     fn entry(&mut self, seen: &Observation) -> &mut ViewEntry {
@@ -170,7 +178,10 @@
         let entry = self.entry(seen);
         if entry.was_declared_dead && seen.state.is_live() {
             let ms = seen.ms_since(down_since);
-            return Some(("risen", format!("shown dead, then alive, {ms} ms after its process ended")));
+            return Some(violation(
+                "risen",
+                format!("shown dead, then alive, {ms} ms after its process ended"),
+            ));
         }
         if seen.state.is_gone() && seen.exceeds(down_since, detect_us) {
             entry.was_declared_dead = true;
@@ -178,7 +189,7 @@
         let since = down_since.max(healthy_since.unwrap_or(u64::MAX));
         let is_undetected = seen.state == ViewState::Alive && seen.exceeds(since, detect_us);
         let ms = seen.ms_since(down_since);
-        is_undetected.then(|| ("undetected", format!("alive {ms} ms after its process ended")))
+        is_undetected.then(|| violation("undetected", format!("alive {ms} ms after its process ended")))
     }
 
     /// A healthy member in a healthy view: it is not declared dead, and suspicions are refuted and rare.
@@ -190,23 +201,24 @@
         if seen.state.is_gone() {
             if seen.has_changed && seen.is_quiet {
                 let what = "declared dead while it runs and is reached, and nothing has happened";
-                return Some(("accused", what.into()));
+                return Some(violation("accused", what.into()));
             }
             let is_accused = seen.exceeds(since, accuse_us);
-            return is_accused
-                .then(|| ("accused", format!("dead in the view for {ms} ms while it runs and is reached")));
+            return is_accused.then(|| {
+                violation("accused", format!("dead in the view for {ms} ms while it runs and is reached"))
+            });
         }
         if seen.state != ViewState::Suspect {
             return None;
         }
         if seen.has_changed
             && seen.is_quiet
-            && let Some(violation) = self.count_false_suspicion(seen)
+            && let Some(broken) = self.count_false_suspicion(seen)
         {
-            return Some(violation);
+            return Some(broken);
         }
         seen.exceeds(since, refute_us)
-            .then(|| ("unrefuted", format!("suspected for {ms} ms while it runs and is reached")))
+            .then(|| violation("unrefuted", format!("suspected for {ms} ms while it runs and is reached")))
     }
 
     fn count_false_suspicion(&mut self, seen: &Observation) -> Option<Violation> {
@@ -222,7 +234,7 @@
         let times = entry.false_suspicions;
         let ms = seen.ms_since(first);
         (times >= MAX_FALSE_SUSPICIONS)
-            .then(|| ("hounded", format!("suspected {times} times in {ms} ms with no reason")))
+            .then(|| violation("hounded", format!("suspected {times} times in {ms} ms with no reason")))
     }
 
     /// Once all faults have ended, views are as the processes are. A suspicion that passes is another rule's.
@@ -233,6 +245,7 @@
         let is_right = about.down_since.is_none() == seen.state.is_live();
         let ms = seen.ms_since(self.changed_at);
         let letter = seen.state.letter();
-        (!is_right).then(|| ("diverged", format!("`{letter}` in the view {ms} ms after all faults ended")))
+        (!is_right)
+            .then(|| violation("diverged", format!("`{letter}` in the view {ms} ms after all faults ended")))
     }
 }
--- a/crates/stonevane-audit/tests/rules/attempts.rs
+++ b/crates/stonevane-audit/tests/rules/attempts.rs
@@ -24,7 +24,7 @@
             let line = if line.contains("attempt") { line.replace(from, to) } else { line };
             (t, line)
         };
-        History(day.0.into_iter().map(change).collect(), day.1, day.2)
+        History { lines: day.lines.into_iter().map(change).collect(), ..day }
     };
     wrong(r#""key":"k""#, r#""key":"l""#).is(&["wrong-key"]);
     wrong(r#""key":"k","#, "").is(&["wrong-key"]);
@@ -32,7 +32,7 @@
     wrong(r#""effect""#, r#""token":"t","effect""#).is(&["wrong-token"]);
     let edit = |asked: &str, sent: &str| {
         let mut day = History::new();
-        day.1.insert("e".into(), "edit".into());
+        day.classes.insert("e".into(), "edit".into());
         let rest =
             r#""event":"ask","request":"e","node":"n0","class":"edit","key":"k","until":1000000,"token":"t""#;
         let day = day.at(1, &format!("{rest}{asked}"));
@@ -65,7 +65,7 @@
     // The client notes its ask when its write has returned: the server may have read it by then.
     let ask = r#""event":"ask","request":"a","node":"n0","class":"read","key":"k","until":1000000"#;
     let mut early = History::new().between((10, 90), ask);
-    early.1.insert("a".into(), "read".into());
+    early.classes.insert("a".into(), "read".into());
     early.clone().attempt(10, "a", "s1", "ran").answered(95, "a", "failed").is(&[]);
     early.attempt(9, "a", "s1", "ran").answered(95, "a", "failed").is(&["too-early"]);
     // A history that breaks off just before the ask was written down.
--- a/crates/stonevane-audit/tests/rules/builder.rs
+++ b/crates/stonevane-audit/tests/rules/builder.rs
@@ -10,9 +10,16 @@
 /// The rules: three classes, 500 ms of grace, servers that fall over at three times their capacity.
 pub const BEGIN: &str = r#"{"t":[0,0],"who":"lab","event":"begin","rules":{"classes":[{"name":"read"},{"name":"edit","kind":"keyed","scope":"all","window_us":200000},{"name":"near","kind":"keyed","scope":"zone","window_us":200000},{"name":"once","kind":"unsafe"}],"origin":{"capacity_us_per_s":1000000}}}"#;
 
-/// Lines with their moments; the class of each request; the number of the last attempt of each at each server.
+/// A history in the making.
 #[derive(Default, Clone)]
-pub struct History(pub Vec<(u64, String)>, pub HashMap<String, String>, pub HashMap<String, usize>);
+pub struct History {
+    /// Lines with their moments.
+    pub lines: Vec<(u64, String)>,
+    /// The class of each request.
+    pub classes: HashMap<String, String>,
+    /// The number of each request's last attempt at each server.
+    pub last_attempts: HashMap<String, usize>,
+}
 
 thread_local! {
     /// The judgement that is left out, and whether a test has missed it.
@@ -38,18 +45,18 @@
 
     /// Adds an event at an exact moment.
     pub fn at(mut self, t: u64, rest: &str) -> Self {
-        self.0.push((t, format!(r#"{{"t":[{t},{t}],"who":"x",{rest}}}"#)));
+        self.lines.push((t, format!(r#"{{"t":[{t},{t}],"who":"x",{rest}}}"#)));
         self
     }
 
     /// Adds an event that happened at some moment between two.
     pub fn between(mut self, (b, e): (u64, u64), rest: &str) -> Self {
-        self.0.push((e, format!(r#"{{"t":[{b},{e}],"who":"x",{rest}}}"#)));
+        self.lines.push((e, format!(r#"{{"t":[{b},{e}],"who":"x",{rest}}}"#)));
         self
     }
 
     pub fn ask(mut self, t: u64, r: &str, class: &str) -> Self {
-        self.1.insert(r.into(), class.into());
+        self.classes.insert(r.into(), class.into());
         let until = t + 1_000 * MS;
         let rest = format!(
             r#""event":"ask","request":"{r}","node":"n0","class":"{class}","key":"k","until":{until}"#
@@ -63,9 +70,9 @@
 
     /// An attempt from its first byte on, as it must be for what was asked; `rest` comes on top.
     pub fn sent(mut self, t: (u64, u64), r: &str, node: &str, server: &str, rest: &str) -> Self {
-        let number = self.0.len() + 1;
-        self.2.insert(format!("{r} {server}"), number);
-        let class = self.1.get(r).cloned().unwrap_or_default();
+        let number = self.lines.len() + 1;
+        self.last_attempts.insert(format!("{r} {server}"), number);
+        let class = self.classes.get(r).cloned().unwrap_or_default();
         let rest = format!(
             r#""event":"attempt","server":"{server}","request":"{r}","node":"{node}","class":"{class}","key":"k","number":{number},"first":[{0},{0}],{rest}"#,
             t.0
@@ -75,7 +82,7 @@
 
     /// What becomes of the last attempt of a request at a server.
     pub fn then(self, t: u64, r: &str, server: &str, event: &str, rest: &str) -> Self {
-        let number = self.2.get(&format!("{r} {server}")).copied().unwrap_or(999);
+        let number = self.last_attempts.get(&format!("{r} {server}")).copied().unwrap_or(999);
         let rest =
             format!(r#""event":"{event}","server":"{server}","request":"{r}","number":{number}{rest}"#);
         self.at(t, &rest)
@@ -112,7 +119,7 @@
     }
 
     pub fn text(&self) -> String {
-        let mut lines = self.0.clone();
+        let mut lines = self.lines.clone();
         lines.sort_by_key(|(t, _)| *t);
         let last = lines.last().map_or(0, |(t, _)| *t) + 20_000 * MS;
         let lines: Vec<_> = lines.into_iter().map(|(_, line)| line).collect();
--- a/crates/stonevane-audit/tests/rules/emulators.rs
+++ b/crates/stonevane-audit/tests/rules/emulators.rs
@@ -8,7 +8,7 @@
         let ask =
             r#""event":"ask","request":"a","node":"n0","class":"edit","key":"k","until":1000000,"token":"t""#;
         let mut day = History::new().at(1, ask);
-        day.1.insert("a".into(), "edit".into());
+        day.classes.insert("a".into(), "edit".into());
         let ran = r#""effect":"ran","token":"t""#;
         let day = day.sent((10, 10), "a", "n0", "o", ran).sent((t, t), "a", "n0", server, ran);
         day.answered(900 * MS, "a", "failed")
