--- a/crates/stonevane-sim/src/members/process.rs
+++ b/crates/stonevane-sim/src/members/process.rs
@@ -11,7 +11,7 @@
 /// A slow process runs for the first of these times in each of the second, microseconds.
 const TIME_SLICE_US: u64 = 10_000;
 const TIME_SLICE_PERIOD_US: u64 = 100_000;
-/// A process that was told to end drains for this long, microseconds.
+/// A process that was sent SIGTERM drains for this long, microseconds.
 const DRAIN_US: u64 = PERIOD_US / 2;
 
 /// A datagram that waits to be read.
@@ -118,7 +118,7 @@
         self.verdict.bytes += counts.sent_bytes;
     }
 
-    /// A member is told to end: it says so, drains for a moment and is gone.
+    /// A member is sent SIGTERM: it announces that it leaves, drains for a moment and ends.
     pub(super) fn terminate(&mut self, member: usize) {
         let now = self.now();
         let process = &mut self.processes[member];
@@ -130,7 +130,7 @@
         self.schedule(now + DRAIN_US, Event::Drained { member, incarnation });
     }
 
-    /// A member that was told to end has drained.
+    /// A member that was sent SIGTERM has drained.
     pub(super) fn drained(&mut self, member: usize, incarnation: u32) {
         let process = &self.processes[member];
         if process.incarnation == incarnation && process.kills > 0 {
--- a/crates/stonevane-sim/src/members/simulation.rs
+++ b/crates/stonevane-sim/src/members/simulation.rs
@@ -75,7 +75,7 @@
         member: usize,
         incarnation: u32,
     },
-    /// A process that was told to end has drained.
+    /// A process that was sent SIGTERM has drained.
     Drained {
         member: usize,
         incarnation: u32,
--- a/crates/stonevane-sim/src/plan/mod.rs
+++ b/crates/stonevane-sim/src/plan/mod.rs
@@ -78,7 +78,7 @@
     NoDiscovery,
     /// Discovery sends a stale watch event behind each new one.
     OldNews,
-    /// Clients give up long before their deadline.
+    /// Clients leave long before their deadline.
     Impatient,
     /// Clients connect and send nothing.
     Crowd {
@@ -193,6 +193,14 @@
     },
 }
 
+/// A field of a plan, by its key, and the range that its value is to be in.
+struct FieldRange {
+    field: &'static str,
+    value: f64,
+    least: f64,
+    most: f64,
+}
+
 /// Clocks drift by this share at most.
 const MAX_CLOCK_DRIFT: f64 = 0.5;
 
@@ -213,7 +221,7 @@
     /// What is wrong with it; of wrong JSON its line.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_str(text)?;
-        for (field, value, least, most) in plan.bounds() {
+        for FieldRange { field, value, least, most } in plan.ranges() {
             if !(least..=most).contains(&value) {
                 return Err(PlanError::OutOfRange { field, value, least, most });
             }
@@ -233,33 +241,34 @@
         Ok(plan)
     }
 
-    /// Each field with a bound: its key, its value, the least and the most that it may be.
-    fn bounds(&self) -> [(&'static str, f64, f64, f64); 17] {
+    /// Each field that has a range.
+    fn ranges(&self) -> [FieldRange; 17] {
         let nodes = self.nodes as f64;
+        let range = |field, value, least, most| FieldRange { field, value, least, most };
         [
-            ("nodes", nodes, 1.0, 200.0),
-            ("caches", self.caches as f64, 1.0, 200.0),
-            ("length", self.load_duration_us as f64, 1.0, 600e6),
-            ("per_s", self.requests_per_s, 0.1, 10_000.0),
-            ("edits", self.edit_share, 0.0, 1.0),
-            ("moves", self.move_share, 0.0, 1.0),
-            ("keys", self.keys as f64, 1.0, 1e6),
-            ("warm", self.cached_share, 0.0, 1.0),
-            ("pipelined", self.pipelined_share, 0.0, 1.0),
-            ("split", self.fragmented_share, 0.0, 1.0),
-            ("slow", self.late_flush_share, 0.0, 1.0),
-            ("sockets", self.max_sockets as f64, 32.0, 1024.0),
-            ("memory_mb", self.memory_mb as f64, 16.0, 4096.0),
-            ("value", self.value_bytes as f64, 1.0, 65_536.0),
-            ("places", self.origin_connections.unwrap_or(1) as f64, 1.0, 1e6),
-            ("call", self.discovery_call_us.unwrap_or(1) as f64, 1.0, 60e6),
-            ("clocks", self.clock_drifts.len() as f64, nodes, nodes),
+            range("nodes", nodes, 1.0, 200.0),
+            range("caches", self.caches as f64, 1.0, 200.0),
+            range("length", self.load_duration_us as f64, 1.0, 600e6),
+            range("per_s", self.requests_per_s, 0.1, 10_000.0),
+            range("edits", self.edit_share, 0.0, 1.0),
+            range("moves", self.move_share, 0.0, 1.0),
+            range("keys", self.keys as f64, 1.0, 1e6),
+            range("warm", self.cached_share, 0.0, 1.0),
+            range("pipelined", self.pipelined_share, 0.0, 1.0),
+            range("split", self.fragmented_share, 0.0, 1.0),
+            range("slow", self.late_flush_share, 0.0, 1.0),
+            range("sockets", self.max_sockets as f64, 32.0, 1024.0),
+            range("memory_mb", self.memory_mb as f64, 16.0, 4096.0),
+            range("value", self.value_bytes as f64, 1.0, 65_536.0),
+            range("places", self.origin_connections.unwrap_or(1) as f64, 1.0, 1e6),
+            range("call", self.discovery_call_us.unwrap_or(1) as f64, 1.0, 60e6),
+            range("clocks", self.clock_drifts.len() as f64, nodes, nodes),
         ]
     }
 }
 
 impl FaultKind {
-    /// The cache that it strikes.
+    /// The cache that it concerns.
     pub fn cache(self) -> Option<usize> {
         match self {
             FaultKind::KillCache { cache }
@@ -274,7 +283,7 @@
         }
     }
 
-    /// The node that it strikes.
+    /// The node that it concerns.
     pub fn node(self) -> Option<usize> {
         match self {
             FaultKind::KillNode { node } | FaultKind::TermNode { node } | FaultKind::PauseNode { node } => {
--- a/crates/stonevane-sim/src/server/mod.rs
+++ b/crates/stonevane-sim/src/server/mod.rs
@@ -177,14 +177,13 @@
 
     /// What becomes of a request where there is capacity for it, and the version that it shows or makes.
     fn effect_of(&self, now: u64, request: &ServerRequest, number: u64) -> (Effect, u64) {
-        let held = self.versions.get(&request.key).copied();
         if request.is_write {
             let known = self.dedup.get(&request.idempotency_key);
             let known = known.filter(|edit| edit.expires_at > now && !request.idempotency_key.is_empty());
             return known.map_or((Effect::Ran, number), |edit| (Effect::Deduplicated, edit.version));
         }
-        match held {
-            Some(version) => (Effect::Ran, version),
+        match self.versions.get(&request.key) {
+            Some(version) => (Effect::Ran, *version),
             None if self.is_origin => (Effect::Ran, 0),
             None => (Effect::Miss, 0),
         }
--- a/crates/stonevane-sim/src/simulation/faults.rs
+++ b/crates/stonevane-sim/src/simulation/faults.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A node is told to end, and starts again by itself.
+    /// A node is sent SIGTERM; it starts again by itself.
     fn terminate_node(&mut self, node: usize, begins: bool) {
         if begins && self.nodes[node].core.is_some() && !self.nodes[node].is_paused {
             self.record_node_state(node, "term");
--- a/crates/stonevane-sim/src/simulation/network.rs
+++ b/crates/stonevane-sim/src/simulation/network.rs
@@ -8,7 +8,7 @@
 use super::event::Event;
 use crate::stream::{Chunk, Peer, Stream, StreamId};
 
-/// Pieces of one write, at most, the last aside.
+/// Pieces of one write that are cut off its front, at most.
 const MAX_PIECES: usize = 6;
 /// A machine takes the rest of a write late by up to this, microseconds.
 const MAX_FLUSH_DELAY_US: u64 = 20_000;
@@ -217,7 +217,7 @@
         true
     }
 
-    /// The node's end is closed, and the node is told.
+    /// Closes the node's end, and gives the node the connection's end.
     fn node_end_closed(&mut self, node: usize, connection: ConnId, id: StreamId, outputs: &mut Outputs) {
         self.nodes[node].streams.remove(&connection);
         self.close_node_end(id);
--- a/crates/stonevane-sim/src/simulation/node.rs
+++ b/crates/stonevane-sim/src/simulation/node.rs
@@ -1,7 +1,7 @@
 //! Nodes: processes that run the core, each with a clock of its own.
 
 use std::collections::{HashMap, VecDeque};
-use std::net::SocketAddr;
+use std::net::{Ipv4Addr, SocketAddrV4};
 
 use stonevane_audit::{Event as RecordedEvent, HistoryRecord};
 use stonevane_config::operator;
@@ -16,7 +16,7 @@
 use crate::stream::{Chunk, StreamId};
 
 /// Where discovery listens, as nodes are set to.
-const DISCOVERY_ADDRESS: ([u8; 4], u16) = ([10, 4, 0, 1], 8_500);
+const DISCOVERY_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 4, 0, 1), 8_500);
 /// A process wakes late with this probability, by up to so many microseconds.
 const LATE_WAKE_PROBABILITY: f64 = 0.2;
 const MAX_LATE_WAKE_US: u64 = 3_000;
@@ -54,7 +54,7 @@
     pub watch: Option<Watch>,
     /// Its process has ended by itself.
     pub has_ended: bool,
-    /// It was told to end.
+    /// It was sent SIGTERM.
     pub is_terminating: bool,
     /// How much its clock runs too fast, parts in a million.
     drift_ppm: i64,
@@ -116,14 +116,13 @@
     /// Starts a process, with the list of the run's beginning.
     pub(super) fn start_node(&mut self, node: usize) {
         let plan = self.plan;
-        let (ip, port) = DISCOVERY_ADDRESS;
         let setup = Setup {
             deployment: deployment(plan, node),
             seed: plan.seed ^ (self.nodes[node].incarnation << 32) ^ node as u64,
             sockets: plan.max_sockets,
             memory_mb: plan.memory_mb,
             known: Discovery::of(&self.servers).list_after(0, EPOCH_US),
-            discovery: SocketAddr::from((ip, port)),
+            discovery: DISCOVERY_ADDRESS.into(),
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
             store: false,
--- a/crates/stonevane-sim/src/simulation/settings.rs
+++ b/crates/stonevane-sim/src/simulation/settings.rs
@@ -1,4 +1,4 @@
-//! What a simulated fleet is set to, and the rules that it is held to.
+//! The settings of a simulated fleet, and the rules that it is audited by.
 
 use stonevane_audit::{ClassRule, DedupScope, Idempotency, OriginRule, Rules};
 use stonevane_policy::settings::Deployment;
--- a/crates/stonevane-sim/src/stream.rs
+++ b/crates/stonevane-sim/src/stream.rs
@@ -17,7 +17,7 @@
     Server(usize),
 }
 
-/// A stream. Whoever opens it has a node's end and a peer's end, each with what arrived and was not read yet.
+/// A stream, with its node's end and its peer's, and what has arrived at each and was not read yet.
 pub struct Stream {
     pub node: usize,
     /// Which incarnation of the node it is to.
