--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: the honest core holds, each deliberate fault is found, and a run can be repeated to the byte.
+//! The simulated fleet: the correct core holds, each deliberate fault is found, and a run can be repeated to the byte.
 #![allow(missing_docs)]
 
 use std::path::Path;
@@ -6,7 +6,7 @@
 
 use stonevane_sim::{Fault, FaultKind, Mutant, Options, Plan, Verdict, run, shrink};
 
-/// Seeds that the honest core is held to here; the command plays more.
+/// Seeds that the correct core holds over here; the command plays more.
 const SEEDS: u64 = 2_000;
 /// The seed on which a command of 60 KB is read 72 ms after it was sent, and answered as late.
 const LATE_READ: u64 = 256;
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn the_honest_core_holds_over_all_seeds() {
+fn the_correct_core_holds_over_all_seeds() {
     holds_over((1..=SEEDS).filter(|seed| *seed != LATE_READ));
 }
 
 #[test]
-fn the_honest_core_holds_where_a_long_command_is_read_late() {
+fn the_correct_core_holds_where_a_long_command_is_read_late() {
     holds_over([LATE_READ]);
 }
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn what_goes_on_for_a_client_that_has_left_is_found_as_just_that() {
+fn a_forward_after_its_client_left_is_found_as_just_that() {
     let options = Options { mutant: Some(Mutant::ForgetGone), history: false };
     let told = |seed| {
         run(&Plan::generate(seed), options)
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_plan_that_fails_is_cut_to_three_faults_or_fewer_and_fails_in_the_same_way() {
+fn a_plan_that_fails_is_shrunk_to_three_faults_or_fewer_and_fails_in_the_same_way() {
     let options = Options { mutant: Some(Mutant::ForgetDrain), history: false };
     let seed = (1..=WITHIN).find(|seed| run(&Plan::generate(*seed), options).code().is_some()).unwrap();
     let plan = Plan::generate(seed);
@@ -103,7 +103,7 @@
 
 /// Large fleets in a mass restart, with a lost zone, a mass replacement and bad servers, by few seeds.
 #[test]
-fn a_large_fleet_keeps_the_rules_and_its_sums_within_bounds() {
+fn a_large_fleet_keeps_the_rules_and_its_totals_within_bounds() {
     let large = |seed: u64| (seed, run(&Plan::generate_large(seed), Options::default()));
     let seeds: Vec<_> = std::thread::scope(|scope| {
         let threads: Vec<_> = (1..=4).map(|seed| scope.spawn(move || large(seed))).collect();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_pause_a_fast_clock_and_a_successor_at_the_same_address_leave_nothing_behind() {
+fn a_pause_a_fast_clock_and_a_replaced_cache_leave_nothing_behind() {
     let fault = |at, lasts, what| Fault { start_us: at, duration_us: lasts, kind: what };
     let faults = vec![
         fault(1_000_000, 2_500_000, FaultKind::PauseNode { node: 0 }),
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_plan_that_can_not_be_played_says_what_is_wrong_with_it() {
+fn a_plan_that_cannot_be_played_says_what_is_wrong_with_it() {
     let good = quiet(Vec::new()).to_json();
     let (none, node) =
         ("\"faults\": []", "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"kill-node\", \"node\": 4}]");
