--- a/crates/stonevane-audit/src/auditor/emulator_faults.rs
+++ b/crates/stonevane-audit/src/auditor/emulator_faults.rs
@@ -39,7 +39,7 @@
     /// Notes a fault of the server that the last record speaks of.
     fn blame_server(&mut self, code: &'static str, what: String, evidence: Vec<NumberedRecord>) {
         self.report.faulty += 1;
-        if self.report.faults.len() >= Report::MOST {
+        if self.report.faults.len() >= Report::MAX_REPORTED {
             return;
         }
         let server = evidence.last().map_or("", |record| record.server_name()).to_owned();
--- a/crates/stonevane-audit/src/auditor/mod.rs
+++ b/crates/stonevane-audit/src/auditor/mod.rs
@@ -210,7 +210,7 @@
             tracked.reported.push(code);
         }
         self.report.broken += 1;
-        if self.report.findings.len() >= Report::MOST {
+        if self.report.findings.len() >= Report::MAX_REPORTED {
             return;
         }
         // A request's own first record tells what it was.
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -111,11 +111,11 @@
 /// The verdict on a history.
 #[derive(Debug, Clone, PartialEq, Serialize, Default)]
 pub struct Report {
-    /// Rules broken, in the order in which they were proven; at most [`Report::MOST`] are kept.
+    /// Rules broken, in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
     pub findings: Vec<Finding>,
     /// How many there were in all.
     pub broken: usize,
-    /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MOST`] are kept.
+    /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
     pub faults: Vec<EmulatorFault>,
     /// How many there were in all. A verdict on nodes is worth little where there are any.
     pub faulty: usize,
@@ -145,8 +145,8 @@
 }
 
 impl Report {
-    /// Findings kept with their proof.
-    pub const MOST: usize = 100;
+    /// Findings, and faults, that are kept with their proof, at most each.
+    pub const MAX_REPORTED: usize = 100;
 
     /// Whether no rule is broken.
     pub fn holds(&self) -> bool {
--- a/crates/stonevane-sim/src/members/mod.rs
+++ b/crates/stonevane-sim/src/members/mod.rs
@@ -2,10 +2,7 @@
 //! cuts datagrams, processes that are killed, restarted, paused and slowed, all drawn from one seed. Views are judged by
 //! [`stonevane_audit::Membership`], which knows the processes and the network.
 
-mod faults;
-mod network;
 mod plan;
-mod process;
 mod shrink;
 mod simulation;
 
--- a/crates/stonevane-sim/src/members/faults.rs
+++ b/crates/stonevane-sim/src/members/simulation/faults.rs
@@ -1,8 +1,8 @@
 //! Faults of the plan, as they begin and end.
 
 use super::network::Degradation;
-use super::plan::{FOREVER_US, MemberFaultKind};
-use super::simulation::{Event, PERIOD_US, Simulation};
+use super::{Event, PERIOD_US, Simulation};
+use crate::members::plan::{FOREVER_US, MemberFaultKind};
 
 /// Mild conditions lose no more than this share, and delay by no more than this.
 const MAX_MILD_LOSS: f64 = 0.1;
--- a/crates/stonevane-sim/src/members/simulation.rs
+++ b/crates/stonevane-sim/src/members/simulation/mod.rs
@@ -1,16 +1,20 @@
 //! The run of a plan: events in a total order, and members' views read at intervals.
 
+mod faults;
+mod network;
+mod process;
+
 use oorandom::Rand64;
 use stonevane_audit::{Breach, Membership, MembershipFigures, TimeInterval};
 use stonevane_membership::{Mutant, Outputs};
 
-use super::network::Degradation;
 use super::plan::MemberPlan;
-use super::process::{Datagram, Process};
 use crate::event_queue::EventQueue;
+use network::Degradation;
+use process::{Datagram, Process};
 
 /// The protocol period, microseconds.
-pub const PERIOD_US: u64 = 1_000_000;
+const PERIOD_US: u64 = 1_000_000;
 /// Views are read at this interval, microseconds.
 const VIEW_INTERVAL_US: u64 = PERIOD_US / 2;
 /// Breaches that are kept, at most.
@@ -64,7 +68,7 @@
 }
 
 /// What happens.
-pub enum Event {
+enum Event {
     FaultBegins(usize),
     FaultEnds(usize),
     Deliver {
@@ -88,18 +92,18 @@
 }
 
 /// A run.
-pub struct Simulation<'a> {
-    pub(super) plan: &'a MemberPlan,
-    pub(super) options: MemberOptions,
+struct Simulation<'a> {
+    plan: &'a MemberPlan,
+    options: MemberOptions,
     queue: EventQueue<Event>,
-    pub(super) rng: Rand64,
-    pub(super) processes: Vec<Process>,
+    rng: Rand64,
+    processes: Vec<Process>,
     /// How many partitions are in force from one member to another: a row for each sender.
-    pub(super) partitions: Vec<u16>,
-    pub(super) degradations: Vec<Degradation>,
-    pub(super) membership: Membership,
-    pub(super) verdict: MemberVerdict,
-    pub(super) outputs: Outputs,
+    partitions: Vec<u16>,
+    degradations: Vec<Degradation>,
+    membership: Membership,
+    verdict: MemberVerdict,
+    outputs: Outputs,
 }
 
 /// Plays a plan to its end.
@@ -163,20 +167,20 @@
         self.verdict
     }
 
-    pub(super) fn now(&self) -> u64 {
+    fn now(&self) -> u64 {
         self.queue.now()
     }
 
     /// The present moment, as the rules take it.
-    pub(super) fn time(&self) -> TimeInterval {
+    fn time(&self) -> TimeInterval {
         TimeInterval { earliest: self.now(), latest: self.now() }
     }
 
-    pub(super) fn schedule(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.queue.schedule(at, event);
     }
 
-    pub(super) fn note_state(&mut self, member: usize, state: &str) {
+    fn note_state(&mut self, member: usize, state: &str) {
         let time = self.time();
         self.membership.process_state(time, member, state);
     }
--- a/crates/stonevane-sim/src/members/network.rs
+++ b/crates/stonevane-sim/src/members/simulation/network.rs
@@ -3,9 +3,9 @@
 use stonevane_membership::wire::MAX_DATAGRAM;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::plan::MemberFaultKind;
 use super::process::Datagram;
-use super::simulation::{Event, PERIOD_US, Simulation};
+use super::{Event, PERIOD_US, Simulation};
+use crate::members::plan::{MemberFault, MemberFaultKind};
 
 /// The shortest time that a datagram takes, microseconds.
 const MIN_DELAY_US: u64 = 200;
@@ -67,7 +67,7 @@
     /// Random bytes come to a member under another's address, while a flood lasts.
     pub(super) fn flood(&mut self, member: usize) {
         let now = self.now();
-        let is_on = |fault: &super::MemberFault| {
+        let is_on = |fault: &MemberFault| {
             fault.start_us <= now && now < fault.start_us.saturating_add(fault.duration_us)
         };
         let rate = self.plan.faults.iter().find_map(|fault| match fault.kind {
--- a/crates/stonevane-sim/src/members/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -4,7 +4,7 @@
 
 use stonevane_membership::{Counts, Input, Machine, Mutant, Setup};
 
-use super::simulation::{Event, PERIOD_US, Simulation};
+use super::{Event, PERIOD_US, Simulation};
 
 /// Datagrams that wait for a process that does not run, at most: what a socket's buffer holds.
 const MAX_INBOX: usize = 250;
