--- a/crates/stonevane-scale/src/budget.rs
+++ b/crates/stonevane-scale/src/budget.rs
@@ -90,8 +90,8 @@
         (Item::DeathKnown, figures.death_known_s, budget.death_known_s),
     ];
     let over = |(item, figure, most): (Item, Option<f64>, f64)| {
-        let kept = figure.is_some_and(|figure| figure <= most);
-        (!kept).then_some(Excess { item, figure, most: Some(most) })
+        let within = figure.is_some_and(|figure| figure <= most);
+        (!within).then_some(Excess { item, figure, most: Some(most) })
     };
     bounds.into_iter().filter_map(over).collect()
 }
--- a/crates/stonevane-scale/src/convergence.rs
+++ b/crates/stonevane-scale/src/convergence.rs
@@ -1,8 +1,8 @@
-//! From the workers' reports: whether every node has come so far, and when the last one did.
+//! From the workers' reports: whether every node has reached a state, and when the last one did.
 
 use crate::Micros;
 
-/// How many nodes of one worker have come so far.
+/// How many nodes of one worker have reached a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, serde::Serialize, serde::Deserialize)]
 pub struct Reached {
     /// Nodes.
@@ -32,7 +32,7 @@
         }
     }
 
-    /// When the last node came so far; `None` while one has not, or has fallen back.
+    /// When the last node reached the state; `None` while one has not, or has left it again.
     pub fn at(&self) -> Option<Micros> {
         let all = self.wanted.iter().zip(&self.reached).all(|(wanted, reached)| reached.nodes == *wanted);
         let taking_part = self.wanted.iter().zip(&self.reached).filter(|(wanted, _)| **wanted > 0);
@@ -40,7 +40,7 @@
         last.filter(|_| all)
     }
 
-    /// Nodes that have come so far, and all that are waited for.
+    /// Nodes that have reached the state, and all that are waited for.
     pub fn progress(&self) -> (u32, u32) {
         (self.reached.iter().map(|reached| reached.nodes).sum(), self.wanted.iter().sum())
     }
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -1,6 +1,5 @@
 //! The run of one fleet: starts the workers and discovery, waits for one event after the other, and ends them.
 
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,21 +10,22 @@
 
 use crate::Micros;
 use crate::convergence::{Convergence, Reached};
+use crate::discovery_service::DiscoveryService;
 use crate::figures::{Figures, Sample, rates};
 use crate::host::{self, Interrupt};
 use crate::layout::{Layout, LayoutError};
 use crate::limits::{self, LimitError, MemoryCosts};
-use crate::message::{Order, Progress, Report};
+use crate::message::{Command, Progress, Report};
 use crate::plan::Plan;
 use crate::processes::{Event, Processes};
-use crate::registry::Registry;
 
-/// How often memory and signals are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// How often memory and signals are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Events of workers that may wait; their readers wait beyond that.
-const EVENTS: usize = 1_024;
+const EVENT_QUEUE_LENGTH: usize = 1_024;
 /// How long workers may take to open their sockets, and to answer with a sample.
-const ANSWER: Duration = Duration::from_secs(60);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// What a run needs of its surroundings.
 #[derive(Debug, Clone)]
@@ -43,59 +43,47 @@
 }
 
 /// Why a run gave no figures.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Such a fleet can't be.
+    /// Such a fleet cannot be laid out.
+    #[error("{0}")]
     Layout(LayoutError),
-    /// It has no room on this machine; nothing was started.
+    /// It exceeds what this machine has; nothing was started.
+    #[error("{0}")]
     NoRoom(LimitError),
     /// It took more than it may; it was ended.
+    #[error("{0}")]
     TookTooMuch(LimitError),
     /// A worker has ended.
+    #[error("the worker with process number {process} has ended ({how})")]
     WorkerEnded {
         /// Its process.
         process: u32,
         /// How it ended.
         how: String,
     },
-    /// A worker has said something that it was not asked for.
-    WorkerGarbled {
+    /// A worker has sent what it was not asked for.
+    #[error("the worker with process number {process} can't be understood: {what}")]
+    WorkerMalformed {
         /// Its process.
         process: u32,
         /// What is wrong with it.
         what: String,
     },
     /// Workers have not done in time what they do at once.
+    #[error("the workers are too slow: {what}")]
     WorkerSilent {
         /// What was waited for.
         what: &'static str,
     },
     /// SIGINT or SIGTERM.
+    #[error("interrupted")]
     Interrupted,
-    /// A process, pipe, socket or thread could not be had.
-    Io(io::Error),
+    /// A process, pipe, socket or thread failed.
+    #[error("the fleet can't be run: {0}")]
+    Io(#[from] io::Error),
 }
 
-impl fmt::Display for RunError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            RunError::Layout(e) => write!(f, "{e}"),
-            RunError::NoRoom(e) | RunError::TookTooMuch(e) => write!(f, "{e}"),
-            RunError::WorkerEnded { process, how } => {
-                write!(f, "the worker with process number {process} has ended ({how})")
-            }
-            RunError::WorkerGarbled { process, what } => {
-                write!(f, "the worker with process number {process} can't be understood: {what}")
-            }
-            RunError::WorkerSilent { what } => write!(f, "the workers are too slow: {what}"),
-            RunError::Interrupted => write!(f, "interrupted"),
-            RunError::Io(e) => write!(f, "the fleet can't be run: {e}"),
-        }
-    }
-}
-
-impl std::error::Error for RunError {}
-
 impl RunError {
     /// Whether it is the input that can't be used: nothing was started.
     pub fn is_input(&self) -> bool {
@@ -103,12 +91,6 @@
     }
 }
 
-impl From<io::Error> for RunError {
-    fn from(e: io::Error) -> Self {
-        RunError::Io(e)
-    }
-}
-
 /// Checks that a fleet can be run here, without starting anything.
 ///
 /// # Errors
@@ -133,18 +115,18 @@
     tell: &mut dyn FnMut(String),
 ) -> Result<Figures, RunError> {
     let layout = check(plan, environment)?;
-    let registry = Registry::start(plan)?;
-    let (send, events) = mpsc::sync_channel(EVENTS);
+    let discovery = DiscoveryService::start(plan)?;
+    let (sender, events) = mpsc::sync_channel(EVENT_QUEUE_LENGTH);
     let (program, arguments) = &environment.worker;
-    let processes = Processes::start(layout.workers(), program, arguments, &send)?;
+    let processes = Processes::start(layout.workers(), program, arguments, &sender)?;
     for worker in 0..layout.workers() {
         let nodes = layout.worker_nodes(worker);
         let process = processes.id(worker as usize);
         tell(format!("worker process {process}: nodes {} to {}", nodes.start, nodes.end - 1));
     }
     let progress = vec![Progress::default(); layout.workers() as usize];
-    let (looked, peak) = (Instant::now(), 0);
-    let mut fleet = Fleet { plan, layout, environment, processes, events, progress, looked, peak };
+    let (checked, peak) = (Instant::now(), 0);
+    let mut fleet = Fleet { plan, layout, environment, processes, events, progress, checked, peak };
     let mut figures = Figures {
         nodes: layout.nodes(),
         regions: layout.regions(),
@@ -153,7 +135,7 @@
         seed: plan.seed,
         ..Figures::default()
     };
-    fleet.measure(&registry, &mut figures, tell)?;
+    fleet.measure(&discovery, &mut figures, tell)?;
     tell(format!("all processes had {} MiB of memory at the most", fleet.peak / limits::MIB));
     Ok(figures)
 }
@@ -166,14 +148,14 @@
     processes: Processes,
     events: Receiver<Event>,
     progress: Vec<Progress>,
-    /// When signals and memory were last looked at.
-    looked: Instant,
-    /// The most resident memory that all processes had together at any look, bytes.
+    /// When signals and memory were last checked.
+    checked: Instant,
+    /// The most resident memory that all processes had together at any check, in bytes.
     peak: u64,
 }
 
 fn seconds(from: Micros, to: Micros) -> f64 {
-    to.saturating_sub(from) as f64 / 1e6
+    to.saturating_sub(from) as f64 / MICROS_PER_SECOND
 }
 
 fn reached(what: &str, after: Option<f64>) -> String {
@@ -187,13 +169,13 @@
     /// The phases of the run; the figures keep what was reached.
     fn measure(
         &mut self,
-        registry: &Registry,
+        discovery: &DiscoveryService,
         figures: &mut Figures,
         tell: &mut dyn FnMut(String),
     ) -> Result<(), RunError> {
         let peers = self.bind()?;
         let begun = Mono::now();
-        self.processes.tell_all(&Order::Start { peers, discovery: registry.address() })?;
+        self.processes.send_all(&Command::Start { peers, discovery: discovery.address() })?;
 
         figures.converged_s = self.until_all(|progress| progress.complete)?.map(|at| seconds(begun, at));
         tell(reached("all know of all", figures.converged_s));
@@ -217,7 +199,7 @@
     /// Has all workers open their sockets; the addresses of all nodes.
     fn bind(&mut self) -> Result<Vec<SocketAddr>, RunError> {
         for worker in 0..self.layout.workers() {
-            self.processes.tell(worker as usize, &Order::Bind { plan: self.plan.clone(), worker })?;
+            self.processes.send(worker as usize, &Command::Bind { plan: self.plan.clone(), worker })?;
         }
         let bound = self.answers("their sockets are not open yet", |report| match report {
             Report::Bound { addresses } => Ok(addresses),
@@ -227,7 +209,7 @@
     }
 
     fn sample(&mut self) -> Result<Vec<Sample>, RunError> {
-        self.processes.tell_all(&Order::Sample)?;
+        self.processes.send_all(&Command::Sample)?;
         self.answers("a sample is not there yet", |report| match report {
             Report::Sample(sample) => Ok(sample),
             other => Err(other),
@@ -237,9 +219,9 @@
     /// The rates and the memory of a window of time at rest.
     fn sample_window(&mut self, figures: &mut Figures) -> Result<(), RunError> {
         let begun = self.sample()?;
-        let ends = Instant::now() + self.plan.window;
-        while let Some(event) = self.event(ends)? {
-            self.take(event)?;
+        let deadline = Instant::now() + self.plan.window;
+        while let Some(event) = self.next_event(deadline)? {
+            self.handle(event)?;
         }
         let ended = self.sample()?;
         let rates = rates(&begun, &ended, self.plan.nodes);
@@ -253,13 +235,13 @@
 
     /// Kills a node; the seconds until all others of its domain hold it dead, if they do in time.
     fn kill(&mut self, number: u32) -> Result<Option<f64>, RunError> {
-        self.processes.tell_all(&Order::Kill { number })?;
+        self.processes.send_all(&Command::Kill { number })?;
         let owner = self.layout.worker_of(number) as usize;
-        let ends = Instant::now() + ANSWER;
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
         let killed = loop {
-            match self.event(ends)? {
-                Some(Event::Said(worker, Report::Killed { at })) if worker == owner => break at,
-                Some(event) => self.take(event)?,
+            match self.next_event(deadline)? {
+                Some(Event::Report(worker, Report::Killed { at })) if worker == owner => break at,
+                Some(event) => self.handle(event)?,
                 None => return Err(RunError::WorkerSilent { what: "a node is not killed yet" }),
             }
         };
@@ -279,7 +261,7 @@
         mut convergence: Convergence,
         of: fn(&Progress) -> Reached,
     ) -> Result<Option<Micros>, RunError> {
-        let ends = Instant::now() + self.plan.phase;
+        let deadline = Instant::now() + self.plan.phase;
         loop {
             for (worker, progress) in self.progress.iter().enumerate() {
                 convergence.observe(worker, of(progress));
@@ -287,8 +269,8 @@
             if let Some(at) = convergence.at() {
                 return Ok(Some(at));
             }
-            let Some(event) = self.event(ends)? else { return Ok(None) };
-            self.take(event)?;
+            let Some(event) = self.next_event(deadline)? else { return Ok(None) };
+            self.handle(event)?;
         }
     }
 
@@ -298,32 +280,32 @@
         what: &'static str,
         of: impl Fn(Report) -> Result<T, Report>,
     ) -> Result<Vec<T>, RunError> {
-        let ends = Instant::now() + ANSWER;
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
         let mut answers: Vec<Option<T>> = self.progress.iter().map(|_| None).collect();
         while answers.iter().any(Option::is_none) {
-            match self.event(ends)? {
-                Some(Event::Said(worker, report)) => match of(report) {
+            match self.next_event(deadline)? {
+                Some(Event::Report(worker, report)) => match of(report) {
                     Ok(answer) => answers[worker] = Some(answer),
-                    Err(other) => self.take(Event::Said(worker, other))?,
+                    Err(other) => self.handle(Event::Report(worker, other))?,
                 },
-                Some(event) => self.take(event)?,
+                Some(event) => self.handle(event)?,
                 None => return Err(RunError::WorkerSilent { what }),
             }
         }
         Ok(answers.into_iter().flatten().collect())
     }
 
-    /// The next event before a time; looks at signals and memory meanwhile, however many events there are.
-    fn event(&mut self, ends: Instant) -> Result<Option<Event>, RunError> {
+    /// The next event before a time; checks signals and memory meanwhile, however many events there are.
+    fn next_event(&mut self, deadline: Instant) -> Result<Option<Event>, RunError> {
         loop {
-            if self.looked.elapsed() >= LOOK_EVERY {
-                self.look()?;
+            if self.checked.elapsed() >= CHECK_INTERVAL {
+                self.check_limits()?;
             }
-            let left = ends.saturating_duration_since(Instant::now());
+            let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(None);
             }
-            match self.events.recv_timeout(left.min(LOOK_EVERY)) {
+            match self.events.recv_timeout(left.min(CHECK_INTERVAL)) {
                 Ok(event) => return Ok(Some(event)),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
@@ -333,8 +315,8 @@
         }
     }
 
-    fn look(&mut self) -> Result<(), RunError> {
-        self.looked = Instant::now();
+    fn check_limits(&mut self) -> Result<(), RunError> {
+        self.checked = Instant::now();
         if self.environment.interrupt.came() {
             return Err(RunError::Interrupted);
         }
@@ -343,22 +325,22 @@
         limits::check_used(used, self.environment.memory_limit).map_err(RunError::TookTooMuch)
     }
 
-    /// Takes an event that nobody waits for.
-    fn take(&mut self, event: Event) -> Result<(), RunError> {
+    /// Handles an event that nobody waits for.
+    fn handle(&mut self, event: Event) -> Result<(), RunError> {
         match event {
-            Event::Said(worker, Report::Progress(progress)) => {
+            Event::Report(worker, Report::Progress(progress)) => {
                 self.progress[worker] = progress;
                 Ok(())
             }
-            Event::Said(worker, Report::Failed { why }) => {
+            Event::Report(worker, Report::Failed { why }) => {
                 Err(RunError::WorkerEnded { process: self.processes.id(worker), how: why })
             }
-            Event::Said(worker, other) => {
+            Event::Report(worker, other) => {
                 let what = format!("not asked for: {other:?}");
-                Err(RunError::WorkerGarbled { process: self.processes.id(worker), what })
+                Err(RunError::WorkerMalformed { process: self.processes.id(worker), what })
             }
-            Event::Garbled(worker, what) => {
-                Err(RunError::WorkerGarbled { process: self.processes.id(worker), what })
+            Event::Malformed(worker, what) => {
+                Err(RunError::WorkerMalformed { process: self.processes.id(worker), what })
             }
             Event::Ended(worker) => {
                 let process = self.processes.id(worker);
--- a/crates/stonevane-scale/src/registry.rs
+++ b/crates/stonevane-scale/src/discovery_service.rs
@@ -1,4 +1,4 @@
-//! Discovery for the hollow nodes: the stand-in of the lab on a thread of its own, with a list that does not change.
+//! Discovery for the stub nodes: the lab's emulator on a thread of its own, with a list that does not change.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,32 +12,32 @@
 
 use crate::plan::Plan;
 
-/// The one door, which all nodes share.
-const DOOR: &str = "nodes";
+/// The name of the one address, which all nodes share.
+const ADDRESS_NAME: &str = "nodes";
 
 /// Discovery that runs until it is dropped.
-pub struct Registry {
+pub struct DiscoveryService {
     address: SocketAddr,
     end: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Registry {
+impl DiscoveryService {
     /// Starts it, with the list of a plan.
     ///
     /// # Errors
-    /// Where there is no port or no thread for it.
-    pub fn start(plan: &Plan) -> io::Result<Registry> {
+    /// There is no port or no thread for it.
+    pub fn start(plan: &Plan) -> io::Result<DiscoveryService> {
         let entries = (0..plan.caches).map(|cache| entry(plan, cache)).collect();
         let (end, ended) = oneshot::channel();
-        let (told, tells) = mpsc::channel();
+        let (started, starts) = mpsc::channel();
         let thread = std::thread::Builder::new().name("discovery".into()).spawn(move || {
-            if let Err(e) = serve(entries, ended, &told) {
-                let _ = told.send(Err(e));
+            if let Err(e) = serve(entries, ended, &started) {
+                let _ = started.send(Err(e));
             }
         })?;
-        let address = tells.recv().map_err(io::Error::other)??;
-        Ok(Registry { address, end: Some(end), thread: Some(thread) })
+        let address = starts.recv().map_err(io::Error::other)??;
+        Ok(DiscoveryService { address, end: Some(end), thread: Some(thread) })
     }
 
     /// Where it listens.
@@ -46,7 +46,7 @@
     }
 }
 
-impl Drop for Registry {
+impl Drop for DiscoveryService {
     fn drop(&mut self) {
         drop(self.end.take());
         let _ = self.thread.take().map(JoinHandle::join);
@@ -56,7 +56,7 @@
 fn entry(plan: &Plan, cache: u32) -> Entry {
     Entry {
         name: format!("cache-{cache}"),
-        addresses: BTreeMap::from([(DOOR.to_owned(), plan.cache_address(cache))]),
+        addresses: BTreeMap::from([(ADDRESS_NAME.to_owned(), plan.cache_address(cache))]),
         zone: "z".into(),
         kind: "cache".into(),
         group: 0,
@@ -67,18 +67,20 @@
     }
 }
 
-/// Serves until the end is told; says where it listens first.
+/// Reports where it listens, and serves until `ended`.
 fn serve(
     entries: Vec<Entry>,
     ended: oneshot::Receiver<()>,
-    told: &mpsc::Sender<io::Result<SocketAddr>>,
+    started: &mpsc::Sender<io::Result<SocketAddr>>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
-        let doors = [(DOOR.to_owned(), SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))];
-        let discovery = Discovery::start(&doors, Recorder::none(), entries, DiscoverySpec::default()).await?;
-        let address = discovery.address(DOOR).ok_or_else(|| io::Error::other("discovery has no door"))?;
-        let _ = told.send(Ok(address));
+        let addresses = [(ADDRESS_NAME.to_owned(), SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))];
+        let discovery =
+            Discovery::start(&addresses, Recorder::none(), entries, DiscoverySpec::default()).await?;
+        let address =
+            discovery.address(ADDRESS_NAME).ok_or_else(|| io::Error::other("discovery has no door"))?;
+        let _ = started.send(Ok(address));
         let _ = ended.await;
         Ok(())
     })
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -3,6 +3,9 @@
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
+use crate::limits::MIB;
+
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Sums over the nodes of a worker since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -40,7 +43,7 @@
 pub fn rates(begun: &[Sample], ended: &[Sample], nodes: u32) -> Rates {
     let mut rates = Rates::default();
     for (begun, ended) in begun.iter().zip(ended) {
-        let seconds = ended.at.saturating_sub(begun.at).max(1) as f64 / 1e6;
+        let seconds = ended.at.saturating_sub(begun.at).max(1) as f64 / MICROS_PER_SECOND;
         let each =
             |begun: u64, ended: u64| ended.saturating_sub(begun) as f64 / seconds / f64::from(nodes.max(1));
         rates.datagrams += each(begun.datagrams, ended.datagrams);
@@ -54,7 +57,7 @@
 /// The figures of one size: a line of the output.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Figures {
-    /// Hollow nodes.
+    /// Stub nodes.
     pub nodes: u32,
     /// Regions.
     pub regions: u32,
@@ -66,7 +69,7 @@
     pub seed: u64,
     /// Seconds from the start of the nodes until all knew of all and held the list of cache servers.
     pub converged_s: Option<f64>,
-    /// Seconds until all were at rest, without news and in full health: the window of the rates begins then.
+    /// Seconds until all were at rest, without updates and in full health: the window of the rates begins then.
     pub rested_s: Option<f64>,
     /// Bytes of datagrams a node and second.
     pub udp_bytes_s: Option<f64>,
@@ -94,7 +97,7 @@
             Some(value) => format!("{value:.digits$}"),
             None => "-".to_owned(),
         };
-        let memory = self.memory_bytes.map(|bytes| bytes as f64 / f64::from(1 << 20));
+        let memory = self.memory_bytes.map(|bytes| bytes as f64 / MIB as f64);
         write!(f, "nodes={} regions={} domain={} ", self.nodes, self.regions, self.domain)?;
         write!(f, "workers={} seed={} ", self.workers, self.seed)?;
         write!(f, "converged_s={} ", figure(self.converged_s, 2))?;
--- a/crates/stonevane-scale/src/host.rs
+++ b/crates/stonevane-scale/src/host.rs
@@ -9,10 +9,12 @@
 
 use crate::limits::Host;
 
+const BYTES_PER_KIB: u64 = 1_024;
+
 /// Reads what this machine has.
 ///
 /// # Errors
-/// Where it can't be read.
+/// It cannot be read.
 pub fn read() -> io::Result<Host> {
     let text = std::fs::read_to_string("/proc/meminfo")?;
     let memory =
@@ -26,7 +28,7 @@
 fn kibibytes(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     let count: u64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
-    Some(count * 1_024)
+    Some(count * BYTES_PER_KIB)
 }
 
 /// Resident memory of a process, bytes; 0 where there is no such process any more.
@@ -43,10 +45,10 @@
     /// Listens to both signals from now on, to the end of the process.
     ///
     /// # Errors
-    /// Where the signals can't be listened to.
+    /// The signals cannot be handled.
     pub fn listen() -> io::Result<Interrupt> {
         let interrupt = Interrupt::default();
-        let told = interrupt.clone();
+        let received = interrupt.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (mut int, mut term) = {
             let _entered = runtime.enter();
@@ -55,7 +57,7 @@
         std::thread::Builder::new().name("signals".into()).spawn(move || {
             runtime.block_on(async {
                 tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
-                told.0.store(true, Ordering::Relaxed);
+                received.0.store(true, Ordering::Relaxed);
                 // Later ones change nothing: the run is on its way to its end.
                 std::future::pending::<()>().await;
             });
--- a/crates/stonevane-scale/src/layout.rs
+++ b/crates/stonevane-scale/src/layout.rs
@@ -1,6 +1,5 @@
 //! Which node numbers a worker, a region and a membership domain have: contiguous blocks of nearly equal length.
 
-use std::fmt;
 use std::ops::Range;
 
 /// Members of one membership domain: a datagram names them by 16 bits.
@@ -10,14 +9,17 @@
 /// Nodes for each worker where the number of workers is not given.
 const NODES_PER_WORKER: u32 = 64;
 
-/// Why a fleet can't be laid out.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a fleet cannot be laid out.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LayoutError {
     /// There is no node.
+    #[error("--nodes is 0; at least 2 are needed")]
     NoNodes,
     /// There is no region.
+    #[error("--regions is 0; at least 1 is needed")]
     NoRegions,
     /// Some regions would have no node.
+    #[error("{regions} regions and {nodes} nodes: some regions would have no node")]
     EmptyRegions {
         /// Regions asked for.
         regions: u32,
@@ -25,6 +27,7 @@
         nodes: u32,
     },
     /// There is no worker, or there are too many.
+    #[error("--workers is {workers}; 1 to {most} are possible here")]
     Workers {
         /// Workers asked for.
         workers: u32,
@@ -32,37 +35,16 @@
         most: u32,
     },
     /// A membership domain has more members than a datagram can name.
+    #[error("{members} nodes in one membership domain; at most {MAX_MEMBERS} can be named")]
     Members {
         /// Members of the largest domain.
         members: u32,
     },
     /// Nobody is left to notice the death of a node in a domain of its own.
+    #[error("a membership domain has a single node: nobody could notice a death; 2 are needed")]
     Alone,
 }
 
-impl fmt::Display for LayoutError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LayoutError::NoNodes => write!(f, "--nodes is 0; at least 2 are needed"),
-            LayoutError::NoRegions => write!(f, "--regions is 0; at least 1 is needed"),
-            LayoutError::EmptyRegions { regions, nodes } => {
-                write!(f, "{regions} regions and {nodes} nodes: some regions would have no node")
-            }
-            LayoutError::Workers { workers, most } => {
-                write!(f, "--workers is {workers}; 1 to {most} are possible here")
-            }
-            LayoutError::Members { members } => {
-                write!(f, "{members} nodes in one membership domain; at most {MAX_MEMBERS} can be named")
-            }
-            LayoutError::Alone => {
-                write!(f, "a membership domain has a single node: nobody could notice a death; 2 are needed")
-            }
-        }
-    }
-}
-
-impl std::error::Error for LayoutError {}
-
 /// Where each node of a fleet belongs. Nodes have the numbers from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Layout {
@@ -93,7 +75,7 @@
     /// Lays a fleet out. `domain_per_region`: the nodes of a region know of one another only; else all know of all.
     ///
     /// # Errors
-    /// Why it can't be.
+    /// It cannot be laid out.
     pub fn new(
         nodes: u32,
         regions: u32,
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -1,13 +1,11 @@
-//! Whether a fleet of hollow nodes has room on a machine: memory and descriptors, before it starts and while it runs.
-
-use std::fmt;
+//! Whether memory and descriptors of a machine suffice for a fleet, before it starts and while it runs.
 
 use crate::layout::Layout;
 
 /// One mebibyte.
 pub const MIB: u64 = 1 << 20;
-/// A run may have at most this part of the machine's memory.
-const PART_OF_MEMORY: u64 = 2;
+/// A run may have at most the machine's memory divided by this.
+const MEMORY_DIVISOR: u64 = 2;
 /// Descriptors of a process beside those of its nodes: standard streams, the event loop, a listener.
 const OTHER_DESCRIPTORS: u64 = 64;
 /// Descriptors of a node in its worker: its UDP socket, and its connection to discovery.
@@ -40,7 +38,6 @@
 }
 
 impl Default for MemoryCosts {
-    /// As measured (`docs/operators/scale.md`), rounded up.
     fn default() -> Self {
         MemoryCosts { process: 16 * MIB, node: 80 << 10, member: 288 }
     }
@@ -55,10 +52,11 @@
     }
 }
 
-/// Why there is no room.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Which limit a run exceeds.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LimitError {
     /// More memory is asked for than a run may have.
+    #[error("--memory-mb is {}; half of this machine's memory is {}", mib(*asked), most / MIB)]
     AboveHalf {
         /// Asked for, bytes.
         asked: u64,
@@ -66,8 +64,9 @@
         most: u64,
     },
     /// It would need more memory than it may have.
+    #[error("{nodes} hollow nodes need about {} MiB of memory; the limit is {} MiB", mib(*needed), limit / MIB)]
     MemoryNeeded {
-        /// Hollow nodes.
+        /// Stub nodes.
         nodes: u32,
         /// Estimated need, bytes.
         needed: u64,
@@ -75,8 +74,9 @@
         limit: u64,
     },
     /// A process would need more descriptors than it may have.
+    #[error("{nodes} hollow nodes: {process} needs {needed} descriptors; the limit is {limit}")]
     DescriptorsNeeded {
-        /// Hollow nodes.
+        /// Stub nodes.
         nodes: u32,
         /// Which process.
         process: &'static str,
@@ -86,6 +86,7 @@
         limit: u64,
     },
     /// Its processes have taken more memory than they may.
+    #[error("the run has taken {} MiB of memory; the limit is {} MiB: it was ended", mib(*used), limit / MIB)]
     MemoryUsed {
         /// Resident memory of all its processes, bytes.
         used: u64,
@@ -94,37 +95,17 @@
     },
 }
 
-impl fmt::Display for LimitError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mib = |bytes: &u64| bytes.div_ceil(MIB);
-        match self {
-            LimitError::AboveHalf { asked, most } => {
-                let (asked, most) = (mib(asked), most / MIB);
-                write!(f, "--memory-mb is {asked}; half of this machine's memory is {most}")
-            }
-            LimitError::MemoryNeeded { nodes, needed, limit } => {
-                let (needed, limit) = (mib(needed), limit / MIB);
-                write!(f, "{nodes} hollow nodes need about {needed} MiB of memory; the limit is {limit} MiB")
-            }
-            LimitError::DescriptorsNeeded { nodes, process, needed, limit } => {
-                write!(f, "{nodes} hollow nodes: {process} needs {needed} descriptors; the limit is {limit}")
-            }
-            LimitError::MemoryUsed { used, limit } => {
-                let (used, limit) = (mib(used), limit / MIB);
-                write!(f, "the run has taken {used} MiB of memory; the limit is {limit} MiB: it was ended")
-            }
-        }
-    }
+/// Bytes as mebibytes, rounded up.
+fn mib(bytes: u64) -> u64 {
+    bytes.div_ceil(MIB)
 }
 
-impl std::error::Error for LimitError {}
-
 /// The memory that a run may have: half of the machine's, or less where less is asked for.
 ///
 /// # Errors
-/// Where more is asked for.
+/// More is asked for.
 pub fn memory_limit(host: &Host, asked: Option<u64>) -> Result<u64, LimitError> {
-    let most = host.memory / PART_OF_MEMORY;
+    let most = host.memory / MEMORY_DIVISOR;
     match asked {
         Some(asked) if asked > most => Err(LimitError::AboveHalf { asked, most }),
         Some(asked) => Ok(asked),
@@ -132,10 +113,10 @@
     }
 }
 
-/// Checks before the start that a fleet has room.
+/// Checks before the start that the machine suffices for a fleet.
 ///
 /// # Errors
-/// What does not suffice.
+/// The limit that would be exceeded.
 pub fn check(layout: &Layout, costs: &MemoryCosts, limit: u64, descriptors: u64) -> Result<(), LimitError> {
     let nodes = layout.nodes();
     let needed = costs.of(layout);
@@ -156,7 +137,7 @@
 /// Checks while it runs what its processes have taken.
 ///
 /// # Errors
-/// Where that is too much.
+/// They have taken more than the limit.
 pub fn check_used(used: u64, limit: u64) -> Result<(), LimitError> {
     if used > limit { Err(LimitError::MemoryUsed { used, limit }) } else { Ok(()) }
 }
--- a/crates/stonevane-scale/src/message.rs
+++ b/crates/stonevane-scale/src/message.rs
@@ -1,4 +1,4 @@
-//! What the coordinator and a worker say to each other: one JSON object a line, on the worker's standard input and
+//! The messages between the coordinator and a worker: one JSON object a line, on the worker's standard input and
 //! output. The end of its input ends a worker.
 
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// From the coordinator to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Order {
+pub enum Command {
     /// Opens the sockets of the worker's nodes; answered with [`Report::Bound`].
     Bind {
         /// The whole run.
@@ -30,7 +30,7 @@
     },
     /// Takes a sample; answered with [`Report::Sample`].
     Sample,
-    /// A node dies: its worker ends it, and answers with [`Report::Killed`]; all watch for others that hold it dead.
+    /// Kills a node: its worker ends it and answers with [`Report::Killed`]; all others watch for its death.
     Kill {
         /// Its number.
         number: u32,
@@ -46,7 +46,7 @@
         /// Their addresses, in the order of the nodes' numbers.
         addresses: Vec<SocketAddr>,
     },
-    /// How far its nodes have come, each time that has changed.
+    /// The progress of its nodes, each time that has changed.
     Progress(Progress),
     /// The sample that was asked for.
     Sample(Sample),
@@ -55,20 +55,20 @@
         /// Since when.
         at: Micros,
     },
-    /// The worker can't go on.
+    /// The worker cannot go on.
     Failed {
         /// Why.
         why: String,
     },
 }
 
-/// How far the nodes of a worker have come.
+/// The progress of the nodes of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// Nodes that know of all others, hold none dead, and have the list of cache servers.
+    /// Nodes to which all others are live, and that have the endpoint list.
     pub complete: Reached,
-    /// Nodes at rest: with no news to pass on, and in full health.
+    /// Nodes at rest: with no updates to disseminate, and in full health.
     pub rested: Reached,
-    /// Nodes that hold the node dead that was killed.
+    /// Nodes to which the node that was killed is dead.
     pub informed: Reached,
 }
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -5,13 +5,14 @@
 
 use oorandom::Rand64;
 use serde::{Deserialize, Serialize};
+use stonevane_config::Fault;
 use stonevane_config::operator::Operator;
 use stonevane_policy::settings::{self, Deployment};
 
 use crate::Micros;
 use crate::layout::{Layout, LayoutError};
 
-/// What is drawn for.
+/// What a random number is for: each purpose has a stream of its own.
 #[derive(Debug, Clone, Copy)]
 enum Purpose {
     Machine = 1,
@@ -23,17 +24,17 @@
 /// Membership, as the operator file's `[fleet]` sets it.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// One probe in each.
+    /// The protocol period.
     pub period: Micros,
-    /// A probe is to be answered within this.
+    /// The probe timeout.
     pub answer: Micros,
-    /// Others that are asked for one that does not answer.
+    /// Members that are asked for indirect probes.
     pub indirect: usize,
-    /// Periods to object in, for each power of ten of the members.
+    /// The suspicion multiplier.
     pub suspicion: f64,
-    /// Whether a node that finds itself slow accuses later.
+    /// Whether local health lengthens timeouts.
     pub heeds_health: bool,
-    /// The newest form of datagrams.
+    /// The highest version of datagrams that is sent.
     pub speaks: u8,
 }
 
@@ -41,14 +42,11 @@
     /// The settings that an operator file has which names the period only.
     ///
     /// # Errors
-    /// A period that the operator file does not take.
-    pub fn with_period(period: Duration) -> Result<Membership, String> {
+    /// The operator file does not accept the period.
+    pub fn with_period(period: Duration) -> Result<Membership, PlanError> {
         let text = format!("version = 1\n[fleet]\nperiod_ms = {}\n", period.as_millis());
-        let operator = Operator::parse(&text).map_err(|faults| {
-            let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-            lines.join("; ")
-        })?;
-        let fleet = operator.fleet.ok_or("the operator file has no [fleet]")?;
+        let operator = Operator::parse(&text).map_err(PlanError::Operator)?;
+        let fleet = operator.fleet.ok_or(PlanError::NoMembership)?;
         Ok(Membership {
             period: fleet.period.as_micros() as Micros,
             answer: fleet.answer.as_micros() as Micros,
@@ -60,10 +58,41 @@
     }
 }
 
+/// The random numbers of a membership machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct MachineSeed {
+    /// Tells this instance of the node apart from all others.
+    pub nonce: u32,
+    /// The seed of the machine's random choices.
+    pub seed: u64,
+}
+
+/// Why a plan cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum PlanError {
+    /// The fleet cannot be laid out.
+    #[error("{0}")]
+    Layout(#[from] LayoutError),
+    /// The operator file does not accept the membership settings.
+    #[error("{}", join(.0))]
+    Operator(Vec<Fault>),
+    /// The operator file has no membership settings.
+    #[error("the operator file has no [fleet]")]
+    NoMembership,
+    /// The platform's settings cannot be used.
+    #[error("{0}")]
+    Settings(String),
+}
+
+fn join(faults: &[Fault]) -> String {
+    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    lines.join("; ")
+}
+
 /// The run of a fleet of one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Hollow nodes.
+    /// Stub nodes.
     pub nodes: u32,
     /// Regions: contiguous blocks of numbers.
     pub regions: u32,
@@ -71,7 +100,7 @@
     pub domain_per_region: bool,
     /// Worker processes.
     pub workers: u32,
-    /// Of every random choice.
+    /// The seed of every random choice.
     pub seed: u64,
     /// Cache servers in discovery's list.
     pub caches: u32,
@@ -87,42 +116,43 @@
     /// Where each node belongs.
     ///
     /// # Errors
-    /// Why such a fleet can't be.
+    /// The fleet cannot be laid out.
     pub fn layout(&self) -> Result<Layout, LayoutError> {
         Layout::new(self.nodes, self.regions, self.workers, self.domain_per_region)
     }
 
-    fn draw(&self, purpose: Purpose, number: u32) -> Rand64 {
+    fn random(&self, purpose: Purpose, number: u32) -> Rand64 {
         let stream = (purpose as u128) << 96 | u128::from(number) << 64;
         Rand64::new(stream | u128::from(self.seed))
     }
 
-    /// What tells this life of a node from every other, and the seed of its membership machine.
-    pub fn machine_seed(&self, number: u32) -> (u32, u64) {
-        let mut random = self.draw(Purpose::Machine, number);
-        (random.rand_u64() as u32, random.rand_u64())
+    /// The random numbers of a node's membership machine.
+    pub fn machine_seed(&self, number: u32) -> MachineSeed {
+        let mut random = self.random(Purpose::Machine, number);
+        let nonce = random.rand_u64() as u32;
+        MachineSeed { nonce, seed: random.rand_u64() }
     }
 
     /// The seed of a node's core.
     pub fn core_seed(&self, number: u32) -> u64 {
-        self.draw(Purpose::Core, number).rand_u64()
+        self.random(Purpose::Core, number).rand_u64()
     }
 
     /// How long after the others' beginning a node starts: within one period, so that they don't run in step.
     pub fn start_delay(&self, number: u32) -> Micros {
-        self.draw(Purpose::Start, number).rand_range(0..self.membership.period.max(1))
+        self.random(Purpose::Start, number).rand_range(0..self.membership.period.max(1))
     }
 
     /// The node that is killed.
     pub fn victim(&self) -> u32 {
-        self.draw(Purpose::Victim, 0).rand_range(0..u64::from(self.nodes.max(1))) as u32
+        self.random(Purpose::Victim, 0).rand_range(0..u64::from(self.nodes.max(1))) as u32
     }
 
     /// The settings of a node, as the platform would write them: discovery is asked by all nodes, one cache kind.
     ///
     /// # Errors
-    /// What is wrong with them.
-    pub fn deployment(&self, number: u32) -> Result<Deployment, String> {
+    /// The settings cannot be used.
+    pub fn deployment(&self, number: u32) -> Result<Deployment, PlanError> {
         let settings = serde_json::json!({
             "balancers": self.nodes, "me": number, "zones": ["z"], "machineTypes": ["cache", "origin"],
             "classes": [{"name": "read", "goalTimeUs": 250_000, "deadlineUs": 1_000_000, "effect": "pure"}],
@@ -133,10 +163,10 @@
             "guarantees": {"askWithinUs": 6_000_000, "drainGraceUs": 500_000},
             "periodUs": 2_000,
         });
-        settings::read(settings.to_string().as_bytes())
+        settings::read(settings.to_string().as_bytes()).map_err(PlanError::Settings)
     }
 
-    /// Where a cache server of the list would be: nobody is asked there, since there are no clients.
+    /// The address of a cache server of the list. Without clients, no request goes there.
     pub fn cache_address(&self, cache: u32) -> SocketAddr {
         let [high, low] = (cache as u16).to_be_bytes();
         SocketAddr::from(([127, 1, high, low], 6_379))
--- a/crates/stonevane-scale/src/processes.rs
+++ b/crates/stonevane-scale/src/processes.rs
@@ -1,4 +1,4 @@
-//! The worker processes of a run: started, spoken to over pipes, and ended by their own numbers whatever happens.
+//! The worker processes of a run: started, sent commands over pipes, and ended by their process ids whatever happens.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::process::CommandExt;
@@ -8,26 +8,26 @@
 use std::thread::Builder;
 
 use crate::host;
-use crate::message::{Order, Report};
+use crate::message::{Command as WorkerCommand, Report};
 
-/// Something that a worker has brought about.
+/// An event of a worker.
 #[derive(Debug)]
 pub enum Event {
-    /// It has said something.
-    Said(usize, Report),
-    /// It has said what is no report.
-    Garbled(usize, String),
+    /// It has sent a report.
+    Report(usize, Report),
+    /// It has sent what is no report.
+    Malformed(usize, String),
     /// Its output has ended: so has the process, or it will.
     Ended(usize),
 }
 
-/// The stack of a thread that serves a pipe.
-const STACK: usize = 256 << 10;
+/// The stack of a thread that serves a pipe, in bytes.
+const STACK_BYTES: usize = 256 << 10;
 
 struct Worker {
     child: Child,
     /// To the thread that writes: a worker that does not read holds nobody else up.
-    orders: Sender<Vec<u8>>,
+    commands: Sender<Vec<u8>>,
 }
 
 /// The worker processes; none is left when this is dropped.
@@ -39,7 +39,7 @@
     /// Starts so many workers: `program` with `arguments`.
     ///
     /// # Errors
-    /// Where one can't be started; those that were are ended.
+    /// One cannot be started; those that were are ended.
     pub fn start(
         count: u32,
         program: &Path,
@@ -57,25 +57,25 @@
                 .process_group(0)
                 .spawn()?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
-            let (orders, lines) = channel();
+            let (commands, lines) = channel();
             // First of all: from here on it is ended with the others.
-            processes.workers.push(Worker { child, orders });
+            processes.workers.push(Worker { child, commands });
             let missing = || io::Error::other("a worker has no pipe");
             let (input, output) = (input.ok_or_else(missing)?, output.ok_or_else(missing)?);
             let events = events.clone();
-            let thread = |job: &str| Builder::new().name(format!("{job}-{index}")).stack_size(STACK);
-            thread("orders").spawn(move || write(input, &lines))?;
-            thread("reports").spawn(move || listen(index, BufReader::new(output), &events))?;
+            let thread = |job: &str| Builder::new().name(format!("{job}-{index}")).stack_size(STACK_BYTES);
+            thread("commands").spawn(move || write_commands(input, &lines))?;
+            thread("reports").spawn(move || read_reports(index, BufReader::new(output), &events))?;
         }
         Ok(processes)
     }
 
-    /// The numbers of the processes.
+    /// The process ids.
     pub fn ids(&self) -> impl Iterator<Item = u32> {
         self.workers.iter().map(|worker| worker.child.id())
     }
 
-    /// The number of a worker's process.
+    /// The process id of a worker.
     pub fn id(&self, worker: usize) -> u32 {
         self.workers.get(worker).map_or(0, |worker| worker.child.id())
     }
@@ -85,25 +85,25 @@
         self.ids().map(host::resident).sum()
     }
 
-    /// Tells a worker; one that has ended is told of by its [`Event::Ended`].
+    /// Sends a command to a worker; one that has ended is reported by its [`Event::Ended`].
     ///
     /// # Errors
-    /// An order that can't be written as JSON.
-    pub fn tell(&self, worker: usize, order: &Order) -> io::Result<()> {
-        let mut line = serde_json::to_vec(order)?;
+    /// The command cannot be written as JSON.
+    pub fn send(&self, worker: usize, command: &WorkerCommand) -> io::Result<()> {
+        let mut line = serde_json::to_vec(command)?;
         line.push(b'\n');
         if let Some(worker) = self.workers.get(worker) {
-            let _ = worker.orders.send(line);
+            let _ = worker.commands.send(line);
         }
         Ok(())
     }
 
-    /// Tells all workers the same.
+    /// Sends a command to all workers.
     ///
     /// # Errors
-    /// An order that can't be written as JSON.
-    pub fn tell_all(&self, order: &Order) -> io::Result<()> {
-        (0..self.workers.len()).try_for_each(|worker| self.tell(worker, order))
+    /// The command cannot be written as JSON.
+    pub fn send_all(&self, command: &WorkerCommand) -> io::Result<()> {
+        (0..self.workers.len()).try_for_each(|worker| self.send(worker, command))
     }
 
     /// Waits for a worker whose output has ended; how its process did.
@@ -126,7 +126,7 @@
     }
 }
 
-fn write(mut input: impl Write, lines: &Receiver<Vec<u8>>) {
+fn write_commands(mut input: impl Write, lines: &Receiver<Vec<u8>>) {
     while let Ok(line) = lines.recv() {
         if input.write_all(&line).is_err() {
             return;
@@ -134,12 +134,12 @@
     }
 }
 
-fn listen(index: usize, said: impl BufRead, events: &SyncSender<Event>) {
-    for line in said.lines() {
+fn read_reports(index: usize, output: impl BufRead, events: &SyncSender<Event>) {
+    for line in output.lines() {
         let Ok(line) = line else { break };
         let event = match serde_json::from_str(&line) {
-            Ok(report) => Event::Said(index, report),
-            Err(e) => Event::Garbled(index, e.to_string()),
+            Ok(report) => Event::Report(index, report),
+            Err(e) => Event::Malformed(index, e.to_string()),
         };
         if events.send(event).is_err() {
             return;
--- /dev/null
+++ b/crates/stonevane-scale/src/stub_driver.rs
@@ -0,0 +1,197 @@
+//! A stub node on its sockets: drives a [`StubNode`] as the daemon drives its own machines, by the daemon's own reader of
+//! datagrams and its own calls to discovery.
+
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
+
+use stonevane_core::Input as CoreInput;
+use stonevane_node::datagrams::{DatagramReader, PeerTable};
+use stonevane_node::discovery::{Discovery, Traffic};
+use tokio::net::UdpSocket;
+use tokio::sync::Notify;
+use tokio::time::sleep_until;
+
+use crate::Micros;
+use crate::clock::Clock;
+use crate::convergence::Reached;
+use crate::message::Progress;
+use crate::stub_node::{Input, NodeProgress, Outputs, Setup, StubNode};
+
+/// Sums over the nodes of a worker.
+#[derive(Debug, Default)]
+pub struct Totals {
+    /// Datagrams sent.
+    pub datagrams: AtomicU64,
+    /// Bytes of those.
+    pub udp_bytes: AtomicU64,
+}
+
+/// What all nodes of a worker share.
+pub struct Shared {
+    /// The clock.
+    pub clock: Clock,
+    /// All nodes of the fleet.
+    peers: PeerTable,
+    /// Datagrams of all nodes of the worker.
+    pub totals: Totals,
+    /// Their calls to discovery.
+    pub traffic: Arc<Traffic>,
+    progress: Mutex<Progress>,
+}
+
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl Shared {
+    /// For the nodes of a worker, which start now.
+    pub fn new(peers: PeerTable) -> Shared {
+        Shared {
+            clock: Clock::start(),
+            peers,
+            totals: Totals::default(),
+            traffic: Arc::default(),
+            progress: Mutex::default(),
+        }
+    }
+
+    /// The progress of the nodes.
+    pub fn progress(&self) -> Progress {
+        *lock(&self.progress)
+    }
+
+    /// Counts the change of one node's progress, forward or back.
+    fn count_change(&self, before: NodeProgress, after: NodeProgress) {
+        let now = self.clock.now();
+        let mut progress = lock(&self.progress);
+        let count = |reached: &mut Reached, before: bool, after: bool| {
+            if before != after {
+                reached.nodes = reached.nodes + u32::from(after) - u32::from(before);
+                reached.changed = now;
+            }
+        };
+        count(&mut progress.complete, before.complete, after.complete);
+        count(&mut progress.rested, before.rested, after.rested);
+        count(&mut progress.informed, before.informed, after.informed);
+    }
+}
+
+/// What should not happen to a node.
+#[derive(Debug, Clone, Copy)]
+pub struct Anomalies {
+    /// Times that it took a living node for dead.
+    pub false_deaths: u64,
+    /// Times that its membership machine was woken late by more than half of its period.
+    pub stalls: u64,
+}
+
+/// Drives one stub node.
+pub struct StubDriver {
+    state: Mutex<State>,
+    socket: UdpSocket,
+    shared: Arc<Shared>,
+    /// The node has handled an input of discovery, and may be due earlier.
+    rescheduled: Notify,
+}
+
+struct State {
+    node: StubNode,
+    outputs: Outputs,
+    discovery: Discovery,
+    progress: NodeProgress,
+}
+
+impl StubDriver {
+    /// A driver of a node that starts at a time.
+    pub fn new(starts: Micros, setup: Setup, socket: UdpSocket, shared: Arc<Shared>) -> Arc<StubDriver> {
+        let node = StubNode::new(starts, setup);
+        Arc::new_cyclic(|driver: &Weak<StubDriver>| {
+            let driver = driver.clone();
+            let sink = move |input: CoreInput<'static>| {
+                if let Some(driver) = driver.upgrade() {
+                    driver.handle(Input::Discovery(input));
+                    driver.rescheduled.notify_one();
+                }
+            };
+            let discovery = Discovery::new(Arc::default(), Arc::new(sink)).counted(shared.traffic.clone());
+            let (outputs, progress) = (Outputs::default(), NodeProgress::default());
+            let state = Mutex::new(State { node, outputs, discovery, progress });
+            StubDriver { state, socket, shared, rescheduled: Notify::new() }
+        })
+    }
+
+    /// Takes part from its start until its task is ended.
+    pub async fn run(self: Arc<Self>, starts: Micros) {
+        sleep_until(self.shared.clock.instant(starts)).await;
+        self.handle(Input::Wake);
+        let mut reader = DatagramReader::new(&self.socket);
+        loop {
+            let next = lock(&self.state).node.next();
+            tokio::select! {
+                ready = reader.ready() => {
+                    reader.read(ready, |from, bytes| self.receive(from, bytes)).await;
+                }
+                () = sleep_until(self.shared.clock.instant(next)) => self.handle(Input::Wake),
+                () = self.rescheduled.notified() => {}
+            }
+        }
+    }
+
+    fn receive(&self, from: SocketAddr, bytes: &[u8]) {
+        if let Some(number) = self.shared.peers.number_of(from) {
+            self.handle(Input::Datagram(number, bytes));
+        }
+    }
+
+    /// Brings an input to the node and performs its outputs.
+    fn handle(&self, input: Input<'_>) {
+        let mut state = lock(&self.state);
+        let state = &mut *state;
+        state.node.handle(self.shared.clock.now(), input, &mut state.outputs);
+        while let Some((to, bytes)) = state.outputs.datagrams.pop_front() {
+            self.send(to, &bytes);
+        }
+        while let Some(call) = state.outputs.calls.pop_front() {
+            state.discovery.call(call);
+        }
+        self.update_progress(state);
+    }
+
+    fn send(&self, to: u32, bytes: &[u8]) {
+        let Some(address) = self.shared.peers.address_of(to) else { return };
+        if self.socket.try_send_to(bytes, address).is_ok() {
+            self.shared.totals.datagrams.fetch_add(1, Ordering::Relaxed);
+            self.shared.totals.udp_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        }
+    }
+
+    /// What should not have happened to it so far.
+    pub fn anomalies(&self) -> Anomalies {
+        let state = lock(&self.state);
+        Anomalies { false_deaths: state.node.false_deaths(), stalls: state.node.stalls() }
+    }
+
+    fn update_progress(&self, state: &mut State) {
+        let after = state.node.progress();
+        let before = std::mem::replace(&mut state.progress, after);
+        if before != after {
+            self.shared.count_change(before, after);
+        }
+    }
+
+    /// Watches for the death of a node.
+    pub fn watch_for(&self, victim: u32) {
+        let mut state = lock(&self.state);
+        state.node.watch_for(victim);
+        self.update_progress(&mut state);
+    }
+
+    /// Ends its calls to discovery, and removes it from what is counted.
+    pub fn leave(&self) {
+        let mut state = lock(&self.state);
+        state.discovery.cancel_all();
+        let before = std::mem::take(&mut state.progress);
+        self.shared.count_change(before, NodeProgress::default());
+    }
+}
--- a/crates/stonevane-scale/src/hollow.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -1,8 +1,9 @@
-//! One hollow node as a machine: the daemon's core and its membership machine, without sockets, clock or tasks.
+//! A load-generating stub node as a state machine without I/O: the daemon's core and its membership machine, with neither
+//! clients nor cache servers. The command line and its figures call it a hollow node.
 //!
 //! The core ([`stonevane_core::Core`]) keeps the list of cache servers and says when discovery is called; the
 //! membership machine ([`stonevane_membership::Machine`]) knows the other nodes of the domain, by numbers that begin with 0
-//! in each domain. Out here a node has its number in the whole fleet.
+//! in each domain. Elsewhere a node has its number in the whole fleet.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,14 +15,14 @@
 use stonevane_policy::settings::Deployment;
 
 use crate::Micros;
-use crate::plan::Membership;
+use crate::plan::{MachineSeed, Membership};
 
 /// Sockets that a core may hold; without clients and servers it holds none of them.
 const SOCKETS: usize = 1_024;
 /// Memory that a core may take for requests, in megabytes; without clients it takes none.
 const MEMORY_MB: usize = 64;
 
-/// What a hollow node is told at its start.
+/// The parameters of a node, set at its start.
 #[derive(Debug, Clone)]
 pub struct Setup {
     /// Its number in the fleet.
@@ -30,8 +31,8 @@
     pub domain: Range<u32>,
     /// Membership.
     pub membership: Membership,
-    /// What tells this life from every other, and the seed of the membership machine.
-    pub machine_seed: (u32, u64),
+    /// The random numbers of the membership machine.
+    pub machine_seed: MachineSeed,
     /// The seed of the core.
     pub core_seed: u64,
     /// The platform's settings.
@@ -40,39 +41,39 @@
     pub discovery: SocketAddr,
 }
 
-/// Something that has happened.
+/// An input of a node.
 #[derive(Debug)]
 pub enum Input<'b> {
-    /// A datagram came from the address of the node of a number.
+    /// A datagram arrived from the address of a node.
     Datagram(u32, &'b [u8]),
-    /// A call to discovery has brought something.
+    /// A call to discovery has a result.
     Discovery(CoreInput<'static>),
-    /// Nothing but time.
+    /// Time has passed.
     Wake,
 }
 
-/// What is to be done.
+/// What the driver has to do.
 #[derive(Debug, Default)]
 pub struct Outputs {
-    /// Datagrams, and the numbers of the nodes that they are for.
+    /// Datagrams to send, each with the number of its receiver.
     pub datagrams: VecDeque<(u32, Vec<u8>)>,
-    /// Calls to discovery.
+    /// Calls to make to discovery.
     pub calls: VecDeque<DiscoveryCall>,
 }
 
-/// How far a node has come.
+/// The progress of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Standing {
-    /// It knows of all others of its domain, holds none of them dead, and has the list of cache servers.
+pub struct NodeProgress {
+    /// All others of its domain are live to it, and it has the endpoint list.
     pub complete: bool,
-    /// It has no news to pass on and its own health is full: it sends what it sends at rest.
+    /// It has no updates to disseminate and is in full health: it sends what it sends at rest.
     pub rested: bool,
-    /// It holds the node dead that was killed.
+    /// The node that was killed is dead to it.
     pub informed: bool,
 }
 
-/// One hollow node.
-pub struct Hollow {
+/// A load-generating stub node.
+pub struct StubNode {
     number: u32,
     domain: Range<u32>,
     period: Micros,
@@ -80,19 +81,20 @@
     core: Core,
     machine_outputs: stonevane_membership::Outputs,
     core_outputs: stonevane_core::Outputs,
-    /// Other members that live, as far as is known.
-    living: u32,
-    /// Nodes that share the fleet's limits, as the core was last told.
-    sharers: usize,
+    /// Other members that are live.
+    live_others: u32,
+    /// Nodes that share the fleet's limits, as the core last knew them.
+    node_count: usize,
+    /// The node that was killed.
     victim: Option<u32>,
     false_deaths: u64,
     stalls: u64,
 }
 
-impl Hollow {
-    /// A node that has heard nothing yet. Its first outputs come with the first input.
-    pub fn new(now: Micros, setup: Setup) -> Hollow {
-        let Setup { number, domain, membership, machine_seed: (draw, seed), .. } = setup;
+impl StubNode {
+    /// A node that knows nobody. Its first outputs come with the first input.
+    pub fn new(now: Micros, setup: Setup) -> StubNode {
+        let Setup { number, domain, membership, machine_seed, .. } = setup;
         let machine = stonevane_membership::Setup {
             me: (number - domain.start) as Number,
             members: (domain.end - domain.start) as Number,
@@ -103,8 +105,8 @@
             heeds_health: membership.heeds_health,
             key: None,
             speaks: membership.speaks,
-            seed,
-            draw,
+            seed: machine_seed.seed,
+            draw: machine_seed.nonce,
         };
         let core = stonevane_core::Setup {
             deployment: setup.deployment,
@@ -122,7 +124,7 @@
             excluded: Vec::new(),
             regions: None,
         };
-        Hollow {
+        StubNode {
             number,
             domain,
             period: membership.period,
@@ -130,8 +132,8 @@
             core: Core::new(now, core),
             machine_outputs: stonevane_membership::Outputs::default(),
             core_outputs: stonevane_core::Outputs::new(),
-            living: 0,
-            sharers: 0,
+            live_others: 0,
+            node_count: 0,
             victim: None,
             false_deaths: 0,
             stalls: 0,
@@ -143,54 +145,54 @@
         self.number
     }
 
-    /// When it wants to be woken, at the latest.
+    /// When it has to be woken next.
     pub fn next(&self) -> Micros {
         self.core.next().map_or(self.machine.next(), |next| next.min(self.machine.next()))
     }
 
-    /// Something has happened at a time, which never goes back: what is to be done.
+    /// Handles an input at a time, which never goes back, and adds what is to be done to the outputs.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Outputs) {
         match input {
             Input::Datagram(from, bytes) => {
                 if self.domain.contains(&from) {
                     let from = (from - self.domain.start) as Number;
-                    self.tell_machine(now, MachineInput::Datagram(from, bytes), outputs);
+                    self.handle_machine(now, MachineInput::Datagram(from, bytes), outputs);
                 }
             }
-            Input::Discovery(input) => self.tell_core(now, input, outputs),
+            Input::Discovery(input) => self.handle_core(now, input, outputs),
             Input::Wake => {
                 if self.machine.next() <= now {
-                    self.tell_machine(now, MachineInput::Wake, outputs);
+                    self.handle_machine(now, MachineInput::Wake, outputs);
                 }
                 if self.core.next().is_some_and(|next| next <= now) {
-                    self.tell_core(now, CoreInput::Wake, outputs);
+                    self.handle_core(now, CoreInput::Wake, outputs);
                 }
             }
         }
     }
 
-    /// A node of the fleet is dead from now on.
+    /// A node of the fleet is killed now.
     pub fn watch_for(&mut self, victim: u32) {
         self.victim = Some(victim);
     }
 
-    /// How far it has come.
-    pub fn standing(&self) -> Standing {
+    /// Its progress.
+    pub fn progress(&self) -> NodeProgress {
         let others = self.domain.end - self.domain.start - 1;
-        Standing {
-            complete: self.living == others && self.core.list_version().is_some(),
+        NodeProgress {
+            complete: self.live_others == others && self.core.list_version().is_some(),
             rested: !self.machine.disseminates() && self.machine.health() == 0,
-            informed: self.victim.and_then(|victim| self.held(victim)) == Some(State::Dead),
+            informed: self.victim.and_then(|victim| self.state_of(victim)) == Some(State::Dead),
         }
     }
 
-    /// What a node of its domain is held to be.
-    pub fn held(&self, number: u32) -> Option<State> {
+    /// The state of a node of its domain, as it sees it.
+    pub fn state_of(&self, number: u32) -> Option<State> {
         let inside = self.domain.contains(&number);
         self.machine.state(inside.then(|| (number - self.domain.start) as Number)?)
     }
 
-    /// Times that it held a living node dead.
+    /// Times that it took a living node for dead.
     pub fn false_deaths(&self) -> u64 {
         self.false_deaths
     }
@@ -200,8 +202,8 @@
         self.stalls
     }
 
-    fn tell_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
-        // The machine itself counts such a delay as a time in which it stood still.
+    fn handle_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
+        // The machine counts such a delay as a stall of its own.
         if now.saturating_sub(self.machine.next()) > self.period / 2 {
             self.stalls += 1;
         }
@@ -209,33 +211,34 @@
         let first = self.domain.start;
         let sends = self.machine_outputs.sends.drain(..);
         outputs.datagrams.extend(sends.map(|(to, bytes)| (first + u32::from(to), bytes)));
-        for news in std::mem::take(&mut self.machine_outputs.news) {
-            self.take_news(news);
+        for event in std::mem::take(&mut self.machine_outputs.news) {
+            self.take_event(event);
         }
-        let sharers = self.machine.known();
-        if sharers != std::mem::replace(&mut self.sharers, sharers) {
-            self.tell_core(now, CoreInput::NodeCount(sharers as u32), outputs);
+        let node_count = self.machine.known();
+        if node_count != std::mem::replace(&mut self.node_count, node_count) {
+            self.handle_core(now, CoreInput::NodeCount(node_count as u32), outputs);
         }
     }
 
-    fn take_news(&mut self, news: MemberEvent) {
-        let member = self.domain.start + u32::from(news.now.member);
+    fn take_event(&mut self, event: MemberEvent) {
+        let member = self.domain.start + u32::from(event.now.member);
         if member == self.number {
             return;
         }
-        let (lived, lives) = (news.was.is_some_and(State::is_live), news.now.state.is_live());
-        self.living = self.living + u32::from(lives) - u32::from(lived);
-        if news.now.state == State::Dead && self.victim != Some(member) {
+        let was_live = event.was.is_some_and(State::is_live);
+        let is_live = event.now.state.is_live();
+        self.live_others = self.live_others + u32::from(is_live) - u32::from(was_live);
+        if event.now.state == State::Dead && self.victim != Some(member) {
             self.false_deaths += 1;
         }
     }
 
-    fn tell_core(&mut self, now: Micros, input: CoreInput<'_>, outputs: &mut Outputs) {
+    fn handle_core(&mut self, now: Micros, input: CoreInput<'_>, outputs: &mut Outputs) {
         self.core.handle(now, input, &mut self.core_outputs);
         while let Some(output) = self.core_outputs.pop_front() {
             match output {
                 CoreOutput::Discovery(call) => outputs.calls.push_back(call),
-                // No server of the list is there, and without clients none is asked for.
+                // The servers of the list do not exist, and without clients no request goes to any.
                 CoreOutput::Open(id, _) => {
                     self.core.handle(now, CoreInput::Closed(id), &mut self.core_outputs);
                 }
--- a/crates/stonevane-scale/src/worker.rs
+++ b/crates/stonevane-scale/src/worker.rs
@@ -1,8 +1,7 @@
-//! A worker: the event loop of many hollow nodes in one process, each with its own UDP socket and its own connection
-//! to discovery, so that a node is known by its address as the daemon is. It follows the coordinator's orders.
+//! A worker: the event loop of many stub nodes in one process, each with its own UDP socket and its own connection to
+//! discovery, so that a node is known by its address as the daemon is. It follows the coordinator's commands.
 
 use std::collections::HashMap;
-use std::fmt;
 use std::io::{self, BufRead, Write};
 use std::net::{Ipv4Addr, SocketAddr};
 use std::ops::Range;
@@ -12,6 +11,7 @@
 
 use rustix::process::{Signal, getppid, set_parent_process_death_signal};
 use rustix::time::{ClockId, clock_gettime};
+use stonevane_node::datagrams::PeerTable;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
@@ -19,80 +19,67 @@
 
 use crate::Micros;
 use crate::figures::Sample;
-use crate::hollow::Setup;
 use crate::layout::Layout;
-use crate::message::{Order, Progress, Report};
-use crate::node::{Node, Peers, Shared};
-use crate::plan::Plan;
-
-/// How often progress is told, where there is any.
-const TELL_EVERY: Duration = Duration::from_millis(50);
-
-/// Why a worker can't go on.
-#[derive(Debug)]
+use crate::message::{Command, Progress, Report};
+use crate::plan::{Plan, PlanError};
+use crate::stub_driver::{Shared, StubDriver};
+use crate::stub_node::Setup;
+
+/// How often progress is reported, where there is any.
+const REPORT_INTERVAL: Duration = Duration::from_millis(50);
+const MICROS_PER_SECOND: Micros = 1_000_000;
+const NANOS_PER_MICRO: Micros = 1_000;
+
+/// Why a worker cannot go on.
+#[derive(Debug, thiserror::Error)]
 pub enum WorkerError {
-    /// A socket, a pipe or a task.
-    Io(io::Error),
-    /// An order that is none, or that comes out of turn.
-    Order(String),
-    /// The settings of its nodes can't be used.
-    Plan(String),
+    /// A socket, a pipe or a task failed.
+    #[error("{0}")]
+    Io(#[from] io::Error),
+    /// A command cannot be read, or comes out of turn.
+    #[error("an order that can't be followed: {0}")]
+    Command(String),
+    /// The settings of its nodes cannot be used.
+    #[error("a plan that can't be used: {0}")]
+    Plan(#[from] PlanError),
     /// The process that started it has ended.
+    #[error("the process that started this worker has ended")]
     Orphan,
 }
 
-impl fmt::Display for WorkerError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WorkerError::Io(e) => write!(f, "{e}"),
-            WorkerError::Order(what) => write!(f, "an order that can't be followed: {what}"),
-            WorkerError::Plan(what) => write!(f, "a plan that can't be used: {what}"),
-            WorkerError::Orphan => write!(f, "the process that started this worker has ended"),
-        }
-    }
-}
-
-impl std::error::Error for WorkerError {}
-
-impl From<io::Error> for WorkerError {
-    fn from(e: io::Error) -> Self {
-        WorkerError::Io(e)
-    }
-}
-
 /// Runs a worker on standard input and output until its input ends. Where `parent` is given, the machine kills this
 /// process when that one ends.
 ///
 /// # Errors
-/// Why it can't go on; the coordinator has been told.
+/// It cannot go on; the coordinator has been notified.
 pub fn run(parent: Option<u32>) -> Result<(), WorkerError> {
     if let Some(parent) = parent {
-        end_with(parent)?;
+        die_with(parent)?;
     }
-    let (send, orders) = mpsc::unbounded_channel();
-    std::thread::Builder::new().name("orders".into()).spawn(move || {
+    let (sender, commands) = mpsc::unbounded_channel();
+    std::thread::Builder::new().name("commands".into()).spawn(move || {
         for line in io::stdin().lock().lines() {
             let Ok(line) = line else { return };
-            if send.send(line).is_err() {
+            if sender.send(line).is_err() {
                 return;
             }
         }
     })?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let done = runtime.block_on(serve(orders));
+    let done = runtime.block_on(serve(commands));
     if let Err(e) = &done {
-        let _ = tell(&Report::Failed { why: e.to_string() });
+        let _ = send(&Report::Failed { why: e.to_string() });
     }
     done
 }
 
-fn end_with(parent: u32) -> Result<(), WorkerError> {
+fn die_with(parent: u32) -> Result<(), WorkerError> {
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from)?;
-    let there = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
-    if there { Ok(()) } else { Err(WorkerError::Orphan) }
+    let lives = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
+    if lives { Ok(()) } else { Err(WorkerError::Orphan) }
 }
 
-fn tell(report: &Report) -> io::Result<()> {
+fn send(report: &Report) -> io::Result<()> {
     let mut line = serde_json::to_string(report)?;
     line.push('\n');
     let mut out = io::stdout().lock();
@@ -100,37 +87,39 @@
     out.flush()
 }
 
-/// Follows orders, and tells progress, until there are no more orders.
-async fn serve(mut orders: mpsc::UnboundedReceiver<String>) -> Result<(), WorkerError> {
+/// Follows commands, and reports progress, until there are no more commands.
+async fn serve(mut commands: mpsc::UnboundedReceiver<String>) -> Result<(), WorkerError> {
     let mut worker = Worker::default();
-    let mut ticks = interval(TELL_EVERY);
+    let mut ticks = interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            line = orders.recv() => {
+            line = commands.recv() => {
                 let Some(line) = line else { return Ok(()) };
-                let order = serde_json::from_str(&line).map_err(|e| WorkerError::Order(e.to_string()))?;
-                worker.follow(order).await?;
+                let command =
+                    serde_json::from_str(&line).map_err(|e| WorkerError::Command(e.to_string()))?;
+                worker.follow(command).await?;
             }
-            _ = ticks.tick() => worker.tell_progress()?,
+            _ = ticks.tick() => worker.report_progress()?,
         }
     }
 }
 
 /// A node that runs.
 struct Running {
-    node: Arc<Node>,
+    driver: Arc<StubDriver>,
     task: JoinHandle<()>,
 }
 
-/// What a worker has been brought to so far.
+/// The state of a worker.
 #[derive(Default)]
 struct Worker {
     bound: Option<Bound>,
     shared: Option<Arc<Shared>>,
-    /// The nodes that live, by their numbers.
+    /// The nodes that run, by their numbers.
     nodes: HashMap<u32, Running>,
-    told: Progress,
+    /// The progress as it was last reported.
+    reported: Progress,
 }
 
 /// Sockets that wait for their nodes.
@@ -142,17 +131,17 @@
 }
 
 impl Worker {
-    async fn follow(&mut self, order: Order) -> Result<(), WorkerError> {
-        match order {
-            Order::Bind { plan, worker } => self.bind(plan, worker).await,
-            Order::Start { peers, discovery } => self.start(peers, discovery),
-            Order::Sample => Ok(tell(&Report::Sample(self.sample()?))?),
-            Order::Kill { number } => self.kill(number).await,
+    async fn follow(&mut self, command: Command) -> Result<(), WorkerError> {
+        match command {
+            Command::Bind { plan, worker } => self.bind(plan, worker).await,
+            Command::Start { peers, discovery } => self.start(peers, discovery),
+            Command::Sample => Ok(send(&Report::Sample(self.sample()?))?),
+            Command::Kill { number } => self.kill(number).await,
         }
     }
 
     async fn bind(&mut self, plan: Plan, worker: u32) -> Result<(), WorkerError> {
-        let layout = plan.layout().map_err(|e| WorkerError::Plan(e.to_string()))?;
+        let layout = plan.layout().map_err(PlanError::Layout)?;
         let numbers = layout.worker_nodes(worker);
         let mut sockets = Vec::new();
         for _ in numbers.clone() {
@@ -160,13 +149,13 @@
         }
         let addresses = sockets.iter().map(UdpSocket::local_addr).collect::<io::Result<Vec<_>>>()?;
         self.bound = Some(Bound { plan, layout, numbers, sockets });
-        Ok(tell(&Report::Bound { addresses })?)
+        Ok(send(&Report::Bound { addresses })?)
     }
 
     fn start(&mut self, peers: Vec<SocketAddr>, discovery: SocketAddr) -> Result<(), WorkerError> {
-        let bound = self.bound.take().ok_or_else(|| WorkerError::Order("a start before a bind".into()))?;
+        let bound = self.bound.take().ok_or_else(|| WorkerError::Command("a start before a bind".into()))?;
         let Bound { plan, layout, numbers, sockets } = bound;
-        let shared = Arc::new(Shared::new(Peers::new(peers)));
+        let shared = Arc::new(Shared::new(PeerTable::new(peers)));
         let begun = shared.clock.now();
         for (number, socket) in numbers.zip(sockets) {
             let setup = Setup {
@@ -175,20 +164,20 @@
                 membership: plan.membership,
                 machine_seed: plan.machine_seed(number),
                 core_seed: plan.core_seed(number),
-                deployment: plan.deployment(number).map_err(WorkerError::Plan)?,
+                deployment: plan.deployment(number)?,
                 discovery,
             };
             let starts = begun + plan.start_delay(number);
-            let node = Node::new(starts, setup, socket, shared.clone());
-            let task = tokio::spawn(node.clone().run(starts));
-            self.nodes.insert(number, Running { node, task });
+            let driver = StubDriver::new(starts, setup, socket, shared.clone());
+            let task = tokio::spawn(driver.clone().run(starts));
+            self.nodes.insert(number, Running { driver, task });
         }
         self.shared = Some(shared);
         Ok(())
     }
 
     fn shared(&self) -> Result<&Arc<Shared>, WorkerError> {
-        self.shared.as_ref().ok_or_else(|| WorkerError::Order("no nodes have been started".into()))
+        self.shared.as_ref().ok_or_else(|| WorkerError::Command("no nodes have been started".into()))
     }
 
     fn sample(&self) -> Result<Sample, WorkerError> {
@@ -197,16 +186,16 @@
         let cpu = clock_gettime(ClockId::ProcessCPUTime);
         let mut sample = Sample {
             at: shared.clock.now(),
-            cpu: cpu.tv_sec as Micros * 1_000_000 + cpu.tv_nsec as Micros / 1_000,
+            cpu: cpu.tv_sec as Micros * MICROS_PER_SECOND + cpu.tv_nsec as Micros / NANOS_PER_MICRO,
             datagrams: load(&shared.totals.datagrams),
             udp_bytes: load(&shared.totals.udp_bytes),
             tcp_bytes: load(&shared.traffic.sent) + load(&shared.traffic.received),
             ..Sample::default()
         };
         for running in self.nodes.values() {
-            let mishaps = running.node.mishaps();
-            sample.stalls += mishaps.stalls;
-            sample.false_deaths += mishaps.false_deaths;
+            let anomalies = running.driver.anomalies();
+            sample.stalls += anomalies.stalls;
+            sample.false_deaths += anomalies.false_deaths;
         }
         Ok(sample)
     }
@@ -216,22 +205,22 @@
         let shared = self.shared()?.clone();
         let killed = self.nodes.remove(&number);
         for running in self.nodes.values() {
-            running.node.watch_for(number);
+            running.driver.watch_for(number);
         }
-        let Some(Running { node, task }) = killed else { return Ok(()) };
-        node.leave();
+        let Some(Running { driver, task }) = killed else { return Ok(()) };
+        driver.leave();
         task.abort();
         let _ = task.await;
-        // The last one who held its socket.
-        drop(node);
-        Ok(tell(&Report::Killed { at: shared.clock.now() })?)
+        // The last reference to its socket.
+        drop(driver);
+        Ok(send(&Report::Killed { at: shared.clock.now() })?)
     }
 
-    fn tell_progress(&mut self) -> io::Result<()> {
+    fn report_progress(&mut self) -> io::Result<()> {
         let Some(shared) = &self.shared else { return Ok(()) };
         let progress = shared.progress();
-        if progress != std::mem::replace(&mut self.told, progress) {
-            tell(&Report::Progress(progress))?;
+        if progress != std::mem::replace(&mut self.reported, progress) {
+            send(&Report::Progress(progress))?;
         }
         Ok(())
     }
--- a/crates/stonevane-scale/tests/hollow.rs
+++ b/crates/stonevane-scale/tests/stub_node.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes as machines, on a network and a clock that are made up here.
+//! Stub nodes as state machines, on a simulated network and clock.
 #![allow(missing_docs)]
 
 use std::collections::VecDeque;
@@ -8,11 +8,11 @@
 use stonevane_core::{DiscoveryCall, DiscoveryRequest, EndpointList, Input as CoreInput};
 use stonevane_membership::State;
 use stonevane_scale::Micros;
-use stonevane_scale::hollow::{Hollow, Input, Outputs, Setup};
 use stonevane_scale::plan::{Membership, Plan};
+use stonevane_scale::stub_node::{Input, Outputs, Setup, StubNode};
 
-/// How long a datagram or an answer of discovery is on its way.
-const ON_THE_WAY: Micros = 200;
+/// The latency of a datagram or a response of discovery.
+const LATENCY: Micros = 200;
 const SECOND: Micros = 1_000_000;
 
 fn plan(nodes: u32, regions: u32) -> Plan {
@@ -29,21 +29,21 @@
     }
 }
 
-/// What is on its way: when it comes, to whom, and from whom.
-enum Parcel {
+/// A message in flight: when it arrives, its receiver, and its sender or call.
+enum Message {
     Datagram(Micros, u32, u32, Vec<u8>),
     List(Micros, u32, DiscoveryCall),
 }
 
-struct World {
+struct Cluster {
     now: Micros,
-    nodes: Vec<Option<Hollow>>,
-    parcels: VecDeque<Parcel>,
+    nodes: Vec<Option<StubNode>>,
+    messages: VecDeque<Message>,
     lists: u32,
 }
 
-impl World {
-    fn new(plan: &Plan) -> World {
+impl Cluster {
+    fn new(plan: &Plan) -> Cluster {
         let layout = plan.layout().unwrap();
         let discovery = SocketAddr::from(([127, 0, 0, 1], 1));
         let node = |number| {
@@ -56,35 +56,40 @@
                 deployment: plan.deployment(number).unwrap(),
                 discovery,
             };
-            Some(Hollow::new(SECOND + plan.start_delay(number), setup))
+            Some(StubNode::new(SECOND + plan.start_delay(number), setup))
         };
-        World { now: SECOND, nodes: (0..plan.nodes).map(node).collect(), parcels: VecDeque::new(), lists: 0 }
+        Cluster {
+            now: SECOND,
+            nodes: (0..plan.nodes).map(node).collect(),
+            messages: VecDeque::new(),
+            lists: 0,
+        }
     }
 
     fn handle(&mut self, number: u32, input: Input<'_>) {
         let Some(node) = &mut self.nodes[number as usize] else { return };
         let mut outputs = Outputs::default();
         node.handle(self.now, input, &mut outputs);
-        let comes = self.now + ON_THE_WAY;
+        let comes = self.now + LATENCY;
         for (to, bytes) in outputs.datagrams {
-            self.parcels.push_back(Parcel::Datagram(comes, to, number, bytes));
+            self.messages.push_back(Message::Datagram(comes, to, number, bytes));
         }
         for call in outputs.calls {
-            self.parcels.push_back(Parcel::List(comes, number, call));
+            self.messages.push_back(Message::List(comes, number, call));
         }
     }
 
     /// Brings what comes next, or wakes who is to be woken next.
     fn step(&mut self) {
         let waking = self.nodes.iter().flatten().map(|node| (node.next(), node.number())).min().unwrap();
-        let comes = self.parcels.front().map(|parcel| match parcel {
-            Parcel::Datagram(at, ..) | Parcel::List(at, ..) => *at,
+        let comes = self.messages.front().map(|message| match message {
+            Message::Datagram(at, ..) | Message::List(at, ..) => *at,
         });
         if let Some(at) = comes.filter(|at| *at <= waking.0) {
             self.now = self.now.max(at);
-            match self.parcels.pop_front().unwrap() {
-                Parcel::Datagram(_, to, from, bytes) => self.handle(to, Input::Datagram(from, &bytes)),
-                Parcel::List(_, to, call) => self.answer(to, call),
+            match self.messages.pop_front().unwrap() {
+                Message::Datagram(_, to, from, bytes) => self.handle(to, Input::Datagram(from, &bytes)),
+                Message::List(_, to, call) => self.answer(to, call),
             }
         } else {
             self.now = self.now.max(waking.0);
@@ -102,7 +107,7 @@
     }
 
     /// Goes on until all nodes are so; how long that takes.
-    fn until(&mut self, what: &str, all: impl Fn(&Hollow) -> bool) -> Micros {
+    fn until(&mut self, what: &str, all: impl Fn(&StubNode) -> bool) -> Micros {
         let begun = self.now;
         while !self.nodes.iter().flatten().all(&all) {
             self.step();
@@ -114,46 +119,46 @@
 
 #[test]
 fn nodes_learn_of_all_others_and_of_the_list_come_to_rest_and_learn_of_a_death() {
-    let mut world = World::new(&plan(8, 1));
-    world.until("all know of all", |node| node.standing().complete);
-    assert_eq!(world.lists, 8, "each has asked once");
-    world.until("all are at rest", |node| node.standing().rested);
-    assert!(world.nodes.iter().flatten().all(|node| !node.standing().informed));
-    world.nodes[3] = None;
-    world.nodes.iter_mut().flatten().for_each(|node| node.watch_for(3));
-    let took = world.until("all hold it dead", |node| node.standing().informed);
+    let mut cluster = Cluster::new(&plan(8, 1));
+    cluster.until("all know of all", |node| node.progress().complete);
+    assert_eq!(cluster.lists, 8, "each has asked once");
+    cluster.until("all are at rest", |node| node.progress().rested);
+    assert!(cluster.nodes.iter().flatten().all(|node| !node.progress().informed));
+    cluster.nodes[3] = None;
+    cluster.nodes.iter_mut().flatten().for_each(|node| node.watch_for(3));
+    let took = cluster.until("all hold it dead", |node| node.progress().informed);
     assert!((2 * SECOND..30 * SECOND).contains(&took), "no sooner than the time to object: {took}");
-    for node in world.nodes.iter().flatten() {
-        assert_eq!((node.held(3), node.held(4)), (Some(State::Dead), Some(State::Alive)));
+    for node in cluster.nodes.iter().flatten() {
+        assert_eq!((node.state_of(3), node.state_of(4)), (Some(State::Dead), Some(State::Alive)));
         assert_eq!((node.false_deaths(), node.stalls()), (0, 0));
-        assert!(!node.standing().complete, "one of the others does not live");
+        assert!(!node.progress().complete, "one of the others does not live");
     }
 }
 
 #[test]
 fn nodes_of_another_domain_are_neither_known_nor_heard() {
-    let mut world = World::new(&plan(9, 3));
-    world.until("all know of their region", |node| node.standing().complete);
-    assert!(world.nodes[0].as_ref().unwrap().held(3).is_none());
-    assert!(world.nodes[0].as_ref().unwrap().held(2).is_some());
-    let before = world.parcels.len();
-    world.handle(0, Input::Datagram(4, &[0; 64]));
-    assert_eq!(world.parcels.len(), before);
-    world.nodes[4] = None;
-    world.nodes.iter_mut().flatten().for_each(|node| node.watch_for(4));
-    let others = |node: &Hollow| node.standing().informed == [3, 5].contains(&node.number());
-    world.until("its region holds it dead", others);
+    let mut cluster = Cluster::new(&plan(9, 3));
+    cluster.until("all know of their region", |node| node.progress().complete);
+    assert!(cluster.nodes[0].as_ref().unwrap().state_of(3).is_none());
+    assert!(cluster.nodes[0].as_ref().unwrap().state_of(2).is_some());
+    let before = cluster.messages.len();
+    cluster.handle(0, Input::Datagram(4, &[0; 64]));
+    assert_eq!(cluster.messages.len(), before);
+    cluster.nodes[4] = None;
+    cluster.nodes.iter_mut().flatten().for_each(|node| node.watch_for(4));
+    let others = |node: &StubNode| node.progress().informed == [3, 5].contains(&node.number());
+    cluster.until("its region holds it dead", others);
 }
 
 #[test]
 fn a_late_wake_up_is_counted_and_what_spoils_a_datagram_changes_nothing() {
-    let mut world = World::new(&plan(4, 1));
-    world.until("all know of all", |node| node.standing().complete);
-    world.handle(1, Input::Datagram(2, b"nonsense"));
-    assert!(world.nodes[1].as_ref().unwrap().standing().complete);
-    world.now += 3 * SECOND;
-    world.handle(1, Input::Wake);
-    assert_eq!(world.nodes[1].as_ref().unwrap().stalls(), 1);
+    let mut cluster = Cluster::new(&plan(4, 1));
+    cluster.until("all know of all", |node| node.progress().complete);
+    cluster.handle(1, Input::Datagram(2, b"nonsense"));
+    assert!(cluster.nodes[1].as_ref().unwrap().progress().complete);
+    cluster.now += 3 * SECOND;
+    cluster.handle(1, Input::Wake);
+    assert_eq!(cluster.nodes[1].as_ref().unwrap().stalls(), 1);
 }
 
 #[test]
@@ -166,7 +171,7 @@
     };
     assert_eq!(draws(&one), draws(&one.clone()));
     assert_ne!(draws(&one), draws(&other));
-    let mut lives: Vec<u32> = (0..8).map(|number| one.machine_seed(number).0).collect();
+    let mut lives: Vec<u32> = (0..8).map(|number| one.machine_seed(number).nonce).collect();
     lives.sort_unstable();
     lives.dedup();
     assert_eq!(lives.len(), 8, "no two nodes draw the same life");
@@ -176,20 +181,22 @@
 }
 
 #[test]
-fn orders_and_reports_are_read_as_they_were_written() {
+fn commands_and_reports_are_read_as_they_were_written() {
     use stonevane_scale::convergence::Reached;
-    use stonevane_scale::message::{Order, Progress, Report};
+    use stonevane_scale::message::{Command, Progress, Report};
     let reached = Reached { nodes: 3, changed: u64::MAX };
     let progress = Report::Progress(Progress { complete: reached, ..Progress::default() });
-    let order = Order::Bind { plan: plan(8, 2), worker: 1 };
-    let lines = (serde_json::to_string(&progress).unwrap(), serde_json::to_string(&order).unwrap());
+    let command = Command::Bind { plan: plan(8, 2), worker: 1 };
+    let lines = (serde_json::to_string(&progress).unwrap(), serde_json::to_string(&command).unwrap());
     assert!(!lines.0.contains('\n') && !lines.1.contains('\n'));
     assert_eq!(serde_json::from_str::<Report>(&lines.0).unwrap(), progress);
-    assert_eq!(serde_json::from_str::<Order>(&lines.1).unwrap(), order);
-    assert!(serde_json::from_str::<Order>(r#"{"dance":{}}"#).is_err());
+    assert_eq!(serde_json::from_str::<Command>(&lines.1).unwrap(), command);
+    assert!(serde_json::from_str::<Command>(r#"{"dance":{}}"#).is_err());
 }
 
 #[test]
 fn a_period_that_an_operator_file_does_not_take_is_refused() {
-    assert!(Membership::with_period(Duration::from_millis(49)).unwrap_err().contains("period_ms"));
+    assert!(
+        Membership::with_period(Duration::from_millis(49)).unwrap_err().to_string().contains("period_ms")
+    );
 }
