--- a/crates/stonevane-membership/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -36,7 +36,9 @@
         let digests = matches!(kind, Kind::Digests | Kind::DigestsReply).then_some(digests);
         records.truncate(room(version, digests.is_some(), true));
         if version == 1 {
-            records.iter_mut().for_each(|record| record.by = from);
+            for record in &mut records {
+                record.by = from;
+            }
         }
         let (instance, incarnation) = (Instance { generation: f.0, nonce: f.1 }, f.2);
         let health = if version == 1 { 0 } else { f.6 };
--- a/crates/stonevane-node/tests/node/stand_in.rs
+++ b/crates/stonevane-node/tests/node/stand_in.rs
@@ -517,9 +517,11 @@
 }
 
 pub fn command(words: &[&str]) -> Vec<u8> {
-    let words = words.iter().map(|word| format!("${}\r\n{word}\r\n", word.len())).collect::<String>();
-    let count = words.matches("\r\n$").count() + 1;
-    format!("*{count}\r\n{words}").into_bytes()
+    let mut bytes = format!("*{}\r\n", words.len()).into_bytes();
+    for word in words {
+        bytes.extend(format!("${}\r\n{word}\r\n", word.len()).into_bytes());
+    }
+    bytes
 }
 
 pub fn get(key: &str, id: &str) -> Vec<u8> {
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -169,7 +169,9 @@
 fn each_cache_server_hears_only_from_the_nodes_of_its_region() {
     let site = Site::new();
     let mut members = members(&site, true);
-    members.iter_mut().for_each(|member| drop(member.read(READS)));
+    for member in &mut members {
+        member.read(READS);
+    }
     drop(members);
     for (name, from) in [("s-1", names(["east", "west"])), ("s-2", names(["east", "west"]))] {
         assert_eq!(site.heard_from(name), from, "{name}");
@@ -183,7 +185,9 @@
 fn without_the_section_each_cache_server_hears_from_all_nodes() {
     let site = Site::new();
     let mut members = members(&site, false);
-    members.iter_mut().for_each(|member| drop(member.read(READS)));
+    for member in &mut members {
+        member.read(READS);
+    }
     let (status, figures) = members[0].node.call("GET", "/metrics");
     assert!(status == 200 && !figures.contains("regions"), "{figures}");
     drop(members);
@@ -196,7 +200,9 @@
 fn nodes_of_a_lost_region_are_served_by_another_and_return() {
     let site = Site::new();
     let mut members = members(&site, true);
-    members.iter_mut().for_each(|member| drop(member.read(READS)));
+    for member in &mut members {
+        member.read(READS);
+    }
     for member in &mut members[..2] {
         assert_eq!(member.node.figure("regions.regions_in_use"), 1);
         member.tell(6, false, &[site.line("s-1", "left")]);
@@ -215,7 +221,9 @@
         (0..2).for_each(|_| site.caches[name].0.ended());
         site.seen(name);
     }
-    members.iter_mut().for_each(|member| drop(member.read(READS)));
+    for member in &mut members {
+        member.read(READS);
+    }
     for name in ["n-1", "n-2"] {
         let from: BTreeSet<_> = site.seen(name).into_iter().map(|(_, member)| member).collect();
         assert_eq!(from, names(["far"]), "{name} gets nothing new from the south");
