--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use oorandom::Rand64;
-use stonevane_membership::{Input, Machine, Micros, Number, Outputs, Setup, State};
+use stonevane_membership::{Input, Machine, MemberId, Micros, Outputs, Setup, State};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
@@ -40,11 +40,11 @@
 const KIND_GOSSIP: u8 = 4;
 
 enum Due {
-    Start(Number),
-    Leave(Number),
-    End(Number),
-    Wake(Number),
-    Arrive { from: Number, to: Number, bytes: Box<[u8]> },
+    Start(MemberId),
+    Leave(MemberId),
+    End(MemberId),
+    Wake(MemberId),
+    Arrive { from: MemberId, to: MemberId, bytes: Box<[u8]> },
 }
 
 struct Event {
@@ -85,9 +85,9 @@
 
 /// What a member tells about another that died.
 struct Death {
-    member: Number,
+    member: MemberId,
     at: Micros,
-    unaware: BTreeSet<Number>,
+    unaware: BTreeSet<MemberId>,
     first: Option<Micros>,
     last: Micros,
 }
@@ -102,7 +102,7 @@
 }
 
 struct Fleet {
-    members: Number,
+    members: MemberId,
     now: Micros,
     order: u64,
     queue: BinaryHeap<Reverse<Event>>,
@@ -119,7 +119,7 @@
 }
 
 impl Fleet {
-    fn new(members: Number, conditions: &Conditions) -> Fleet {
+    fn new(members: MemberId, conditions: &Conditions) -> Fleet {
         let process = || Process { machine: None, armed: Micros::MAX, known: 0, second: (0, 0) };
         let mut fleet = Fleet {
             members,
@@ -189,12 +189,12 @@
         }
     }
 
-    fn start(&mut self, member: Number) {
+    fn start(&mut self, member: MemberId) {
         let setup = Setup {
-            me: member,
+            number: member,
             members: self.members,
             seed: self.rng.rand_u64(),
-            draw: self.rng.rand_u64() as u32,
+            nonce: self.rng.rand_u64() as u32,
             ..Setup::default()
         };
         let process = &mut self.processes[usize::from(member)];
@@ -202,7 +202,7 @@
         self.tell(member, Input::Wake);
     }
 
-    fn tell(&mut self, member: Number, input: Input<'_>) {
+    fn tell(&mut self, member: MemberId, input: Input<'_>) {
         let process = &mut self.processes[usize::from(member)];
         let Some(machine) = &mut process.machine else { return };
         let (now, outputs) = (self.now, &mut self.outputs);
@@ -217,23 +217,23 @@
         self.carry(member);
     }
 
-    fn hear_news(&mut self, observer: Number) {
+    fn hear_news(&mut self, observer: MemberId) {
         let others = u32::from(self.members) - 1;
-        for news in std::mem::take(&mut self.outputs.news) {
+        for news in std::mem::take(&mut self.outputs.events) {
             let process = &mut self.processes[usize::from(observer)];
-            if news.was.is_none() && news.now.member != observer {
+            if news.previous.is_none() && news.record.member != observer {
                 process.known += 1;
                 if process.known == others {
                     self.informed = (self.informed.0 + 1, self.now);
                 }
             }
-            if news.now.state == State::Dead {
-                self.hear_death(observer, news.now.member);
+            if news.record.state == State::Dead {
+                self.hear_death(observer, news.record.member);
             }
         }
     }
 
-    fn hear_death(&mut self, observer: Number, member: Number) {
+    fn hear_death(&mut self, observer: MemberId, member: MemberId) {
         let now = self.now;
         let Some(death) = self.deaths.iter_mut().find(|death| death.member == member) else {
             self.false_deaths += u64::from(self.processes[usize::from(member)].machine.is_some());
@@ -245,7 +245,7 @@
         }
     }
 
-    fn carry(&mut self, from: Number) {
+    fn carry(&mut self, from: MemberId) {
         let mut bytes_sent = 0;
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.traffic.datagrams += 1;
@@ -312,7 +312,7 @@
     }
 }
 
-fn per_member_second(total: f64, members: Number, lasts: Micros) -> f64 {
+fn per_member_second(total: f64, members: MemberId, lasts: Micros) -> f64 {
     total / f64::from(members) / (lasts as f64 / SECOND as f64)
 }
 
@@ -324,7 +324,7 @@
 ///
 /// # Errors
 /// Where memory runs out on the way.
-pub fn measure(members: Number, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: MemberId, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
     let before = limits::resident();
     let mut fleet = Fleet::new(members, conditions);
     let mut figures = Vec::new();
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -10,7 +10,7 @@
 
 use oorandom::Rand64;
 use stonevane_membership::wire::{self, Kind, Message};
-use stonevane_membership::{Input, Instance, Machine, Micros, Number, Outputs, Record, Setup, State};
+use stonevane_membership::{Input, Instance, Machine, MemberId, Micros, Outputs, Record, Setup, State};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
@@ -37,20 +37,20 @@
 /// What restarts set off has ended after this.
 const RESTART_WINDOW: Micros = 70 * SECOND;
 /// The number of the real member.
-const REAL: Number = 0;
+const REAL: MemberId = 0;
 
 enum Due {
     Wake,
     PeerProbes,
-    Arrive { from: Number, bytes: Box<[u8]> },
-    Restarts(Number),
-    Returns(Number),
+    Arrive { from: MemberId, bytes: Box<[u8]> },
+    Restarts(MemberId),
+    Returns(MemberId),
 }
 
 type Event = Reverse<(Micros, u64, usize)>;
 
 struct Scene {
-    members: Number,
+    members: MemberId,
     now: Micros,
     rng: Rand64,
     machine: Machine,
@@ -75,11 +75,11 @@
 }
 
 impl Scene {
-    fn new(members: Number, seed: u64) -> Scene {
+    fn new(members: MemberId, seed: u64) -> Scene {
         let mut rng = Rand64::new(u128::from(seed) << 16 | 0x5a);
         let draw = rng.rand_u64() as u32;
-        let setup = Setup { me: REAL, members, seed: rng.rand_u64(), draw, ..Setup::default() };
-        let record = |member: Number| Record {
+        let setup = Setup { number: REAL, members, seed: rng.rand_u64(), nonce: draw, ..Setup::default() };
+        let record = |member: MemberId| Record {
             member,
             instance: Instance { generation: 1, nonce: u32::from(member) + 7 },
             incarnation: 0,
@@ -118,17 +118,17 @@
         self.queue.push(Reverse((at, self.order, place)));
     }
 
-    fn peer(&mut self) -> Number {
-        self.rng.rand_range(1..u64::from(self.members)) as Number
+    fn peer(&mut self) -> MemberId {
+        self.rng.rand_range(1..u64::from(self.members)) as MemberId
     }
 
     /// A datagram of a peer to the real member.
-    fn datagram(&mut self, from: Number, kind: Kind, probe: u32, records: Vec<Record>) -> Box<[u8]> {
+    fn datagram(&mut self, from: MemberId, kind: Kind, probe: u32, records: Vec<Record>) -> Box<[u8]> {
         self.sequence += 1;
         let own = self.records[usize::from(from)];
         let message = Message {
             version: wire::VERSION,
-            speaks: wire::VERSION,
+            max_version: wire::VERSION,
             kind,
             from,
             to: REAL,
@@ -145,7 +145,7 @@
         message.bytes(None).into()
     }
 
-    fn deliver(&mut self, from: Number, kind: Kind, probe: u32, records: Vec<Record>) {
+    fn deliver(&mut self, from: MemberId, kind: Kind, probe: u32, records: Vec<Record>) {
         let bytes = self.datagram(from, kind, probe, records);
         let at = self.now + self.rng.rand_range(DELAY.0..DELAY.1);
         self.push(at, Due::Arrive { from, bytes });
@@ -159,8 +159,8 @@
             self.armed = next;
             self.push(next.max(now), Due::Wake);
         }
-        self.learned |= !self.outputs.news.is_empty();
-        self.outputs.news.clear();
+        self.learned |= !self.outputs.events.is_empty();
+        self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.datagrams += 1;
             self.bytes += bytes.len() as u64;
@@ -170,7 +170,7 @@
     }
 
     /// What a peer does with a datagram of the real member.
-    fn answer(&mut self, to: Number, bytes: &[u8]) -> Result<(), MeasureError> {
+    fn answer(&mut self, to: MemberId, bytes: &[u8]) -> Result<(), MeasureError> {
         let message = Message::read(bytes, None, self.members)
             .map_err(|e| MeasureError::Broken(format!("a member sent what is no datagram: {e:?}")))?;
         match message.kind {
@@ -228,7 +228,7 @@
     }
 
     /// The news of a member reaches the real one.
-    fn spread(&mut self, member: Number) {
+    fn spread(&mut self, member: MemberId) {
         let from = loop {
             let peer = self.peer();
             if self.records[usize::from(peer)].state == State::Alive {
@@ -261,7 +261,7 @@
 
     /// All that peers know reaches the real member within the first seconds.
     fn fill(&mut self) {
-        let room = wire::room(wire::VERSION, false, false);
+        let room = wire::record_capacity(wire::VERSION, false, false);
         let all: Vec<Record> = self.records[1..].to_vec();
         for (turn, records) in all.chunks(room).enumerate() {
             let bytes = self.datagram(records[0].member, Kind::Gossip, 0, records.to_vec());
@@ -288,7 +288,7 @@
     time as f64 / SECOND as f64
 }
 
-fn play(members: Number, seed: u64, sums: &mut Sums) -> Result<Scene, MeasureError> {
+fn play(members: MemberId, seed: u64, sums: &mut Sums) -> Result<Scene, MeasureError> {
     let mut scene = Scene::new(members, seed);
     scene.fill();
     scene.push(0, Due::PeerProbes);
@@ -313,7 +313,7 @@
 ///
 /// # Errors
 /// Where a member sends what can't be read.
-pub fn measure(members: Number, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: MemberId, seed: u64) -> Result<Vec<Figure>, MeasureError> {
     let before = limits::resident();
     let mut sums = Sums::default();
     let mut scenes = Vec::new();
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -404,13 +404,13 @@
                 None => kind.clone(),
                 Some((spec, (_, mutant))) => Kind::Member(Member {
                     setup: Setup {
-                        me: number as u16,
+                        number: number as u16,
                         members: peer_listens.len() as u16,
                         period: spec.period.as_micros() as u64,
-                        answer: spec.period.as_micros() as u64 / 2,
+                        probe_timeout: spec.period.as_micros() as u64 / 2,
                         key: spec.keyed.then_some([0x5a; 32]),
                         seed,
-                        draw: 1 + number as u32,
+                        nonce: 1 + number as u32,
                         ..Setup::default()
                     },
                     listen: peer_listens[number].1,
--- a/crates/stonevane-lab/src/member.rs
+++ b/crates/stonevane-lab/src/member.rs
@@ -45,7 +45,7 @@
                 None => Input::Wake,
             };
             machine.handle(Mono::now(), input, &mut outputs);
-            outputs.news.clear();
+            outputs.events.clear();
             while let Some((to, bytes)) = outputs.sends.pop_front() {
                 let _ = socket.send_to(&bytes, self.peers[usize::from(to)]).await;
             }
@@ -70,7 +70,7 @@
         (0..5).map(|_| lie(member(), State::Dead)).chain([lie(members - 1, State::Alive)]).collect();
     let message = Message {
         version: 2,
-        speaks: 2,
+        max_version: 2,
         kind: Kind::Ping,
         from,
         to,
--- a/crates/stonevane-membership/src/dissemination.rs
+++ b/crates/stonevane-membership/src/dissemination.rs
@@ -3,31 +3,31 @@
 
 use std::collections::BTreeSet;
 
-use crate::record::Number;
+use crate::record::MemberId;
 
 /// Members whose latest record is still to be disseminated.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
     /// How often each update was transmitted, and the member that it is about.
-    queue: BTreeSet<(u32, Number)>,
+    queue: BTreeSet<(u32, MemberId)>,
     /// How often the update about each member was transmitted; `None`: no update is queued.
     transmitted: Vec<Option<u32>>,
 }
 
 impl UpdateQueue {
     /// An empty queue for a fleet of `members`.
-    pub fn new(members: Number) -> UpdateQueue {
+    pub fn new(members: MemberId) -> UpdateQueue {
         UpdateQueue { queue: BTreeSet::new(), transmitted: vec![None; usize::from(members)] }
     }
 
-    /// Makes room for a fleet of `members`; a smaller number changes nothing.
-    pub fn grow(&mut self, members: Number) {
+    /// Grows to a fleet of `members`; a smaller number changes nothing.
+    pub fn grow(&mut self, members: MemberId) {
         let members = usize::from(members).max(self.transmitted.len());
         self.transmitted.resize(members, None);
     }
 
     /// Queues an update about a member, in the place of an older one.
-    pub fn push(&mut self, member: Number) {
+    pub fn push(&mut self, member: MemberId) {
         self.remove(member);
         self.insert(member, 0);
     }
@@ -42,10 +42,10 @@
         self.queue.len()
     }
 
-    /// The updates for one datagram, at most `room`, counted as transmitted. An update leaves the queue once it was
+    /// The updates for one datagram, at most `capacity`, counted as transmitted. An update leaves the queue once it was
     /// transmitted `limit` times.
-    pub fn take(&mut self, room: usize, limit: u32) -> Vec<Number> {
-        let next: Vec<(u32, Number)> = self.queue.iter().take(room).copied().collect();
+    pub fn take(&mut self, capacity: usize, limit: u32) -> Vec<MemberId> {
+        let next: Vec<(u32, MemberId)> = self.queue.iter().take(capacity).copied().collect();
         for (transmitted, member) in &next {
             self.remove(*member);
             if transmitted + 1 < limit {
@@ -55,12 +55,12 @@
         next.into_iter().map(|(_, member)| member).collect()
     }
 
-    fn insert(&mut self, member: Number, transmitted: u32) {
+    fn insert(&mut self, member: MemberId, transmitted: u32) {
         self.queue.insert((transmitted, member));
         self.transmitted[usize::from(member)] = Some(transmitted);
     }
 
-    fn remove(&mut self, member: Number) {
+    fn remove(&mut self, member: MemberId) {
         if let Some(transmitted) = self.transmitted[usize::from(member)].take() {
             self.queue.remove(&(transmitted, member));
         }
--- a/crates/stonevane-membership/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -9,7 +9,13 @@
 //! ```
 //! use stonevane_membership::{NoFaults, Input, Machine, Outputs, Setup, State};
 //!
-//! let setup = |me| Setup { me, members: 2, seed: 7 + u64::from(me), draw: 100 + u32::from(me), ..Setup::default() };
+//! let setup = |number| Setup {
+//!     number,
+//!     members: 2,
+//!     seed: 7 + u64::from(number),
+//!     nonce: 100 + u32::from(number),
+//!     ..Setup::default()
+//! };
 //! let mut members = [Machine::<NoFaults>::new(0, setup(0)), Machine::new(0, setup(1))];
 //! let mut outputs = Outputs::default();
 //! members[0].handle(0, Input::Wake, &mut outputs);
@@ -28,7 +34,7 @@
 
 pub use faults::{Faults, Mutant, NoFaults};
 pub use machine::{Input, Machine, MemberEvent, Outputs, Setup};
-pub use record::{Instance, Number, Record, State};
+pub use record::{Instance, MemberId, Record, State};
 pub use status::{Counts, MemberStatus, Status};
 
 /// Microseconds, of one monotonic clock.
--- a/crates/stonevane-membership/src/machine/anti_entropy.rs
+++ b/crates/stonevane-membership/src/machine/anti_entropy.rs
@@ -5,8 +5,8 @@
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record};
-use crate::wire::{Kind, Message, PARTITIONS, room};
+use crate::record::{MemberId, Record};
+use crate::wire::{Kind, Message, PARTITIONS, record_capacity};
 
 /// Datagrams that answer one exchange, at most.
 const MAX_ANSWER_DATAGRAMS: usize = 32;
@@ -63,7 +63,7 @@
         let updating = !self.gossip.is_idle();
         let periods = if updating { REQUEST_PERIODS_DURING_UPDATES } else { REQUEST_PERIODS };
         self.anti_entropy.allow_request_at(now + periods * self.setup.period);
-        self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.setup.me), out);
+        self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.setup.number), out);
     }
 
     /// Answers the digests of another table with the records of all partitions that differ.
@@ -78,7 +78,7 @@
         let records = self.differing_records(digests);
         self.send_records(message.from, message.probe, &records, out);
         if message.kind == Kind::Digests && !records.is_empty() {
-            self.send(Envelope::new(message.from, Kind::DigestsReply, message.probe, self.setup.me), out);
+            self.send(Envelope::new(message.from, Kind::DigestsReply, message.probe, self.setup.number), out);
         }
     }
 
@@ -90,10 +90,10 @@
     }
 
     /// Sends records in as many datagrams as they need and the limit allows.
-    fn send_records(&mut self, to: Number, probe: u32, records: &[Record], out: &mut Outputs) {
-        let room = room(self.version_for(to), false, self.setup.key.is_some());
-        let envelope = Envelope::new(to, Kind::Gossip, probe, self.setup.me);
-        for records in records.chunks(room).take(MAX_ANSWER_DATAGRAMS) {
+    fn send_records(&mut self, to: MemberId, probe: u32, records: &[Record], out: &mut Outputs) {
+        let capacity = record_capacity(self.version_for(to), false, self.setup.key.is_some());
+        let envelope = Envelope::new(to, Kind::Gossip, probe, self.setup.number);
+        for records in records.chunks(capacity).take(MAX_ANSWER_DATAGRAMS) {
             self.transmit(envelope, records.to_vec(), out);
         }
     }
--- a/crates/stonevane-membership/src/machine/digests.rs
+++ b/crates/stonevane-membership/src/machine/digests.rs
@@ -1,7 +1,7 @@
 //! Digests of the member table. The table is partitioned by member number; each partition's digest is the XOR of its
 //! records' digests, so that a changed record updates it in constant time.
 
-use crate::record::{Number, Record};
+use crate::record::{MemberId, Record};
 use crate::wire::PARTITIONS;
 
 /// The digests of a member table.
@@ -33,6 +33,6 @@
 }
 
 /// The partition that a member belongs to.
-fn partition_of(member: Number) -> usize {
+fn partition_of(member: MemberId) -> usize {
     usize::from(member) % PARTITIONS
 }
--- a/crates/stonevane-membership/src/machine/gossip.rs
+++ b/crates/stonevane-membership/src/machine/gossip.rs
@@ -6,8 +6,8 @@
 use crate::Micros;
 use crate::dissemination::UpdateQueue;
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record, State};
-use crate::wire::{Kind, VERSION, room};
+use crate::record::{MemberId, Record, State};
+use crate::wire::{Kind, VERSION, record_capacity};
 
 /// Members that a round of gossip is sent to, at the least.
 const MIN_FANOUT: usize = 2;
@@ -15,8 +15,8 @@
 const MAX_FANOUT: usize = 6;
 /// Rounds of gossip in a period.
 const ROUNDS_PER_PERIOD: Micros = 4;
-/// A new update waits for this part of a period, for others to share its datagram.
-const FIRST_ROUND_PART: Micros = 8;
+/// A new update waits for a period divided by this, for others to share its datagram.
+const FIRST_ROUND_DIVISOR: Micros = 8;
 /// How often an update is transmitted, for each power of ten of the live members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
@@ -29,12 +29,12 @@
 
 impl Gossip {
     /// Nothing is queued.
-    pub fn new(members: Number) -> Gossip {
+    pub fn new(members: MemberId) -> Gossip {
         Gossip { queue: UpdateQueue::new(members), next_round: Micros::MAX }
     }
 
-    /// Makes room for more members.
-    pub fn grow(&mut self, members: Number) {
+    /// Adds members of whom nothing is queued.
+    pub fn grow(&mut self, members: MemberId) {
         self.queue.grow(members);
     }
 
@@ -49,14 +49,14 @@
     }
 
     /// Queues an update about a member, with the next round no later than `by`.
-    fn push(&mut self, member: Number, by: Micros) {
+    fn push(&mut self, member: MemberId, by: Micros) {
         self.queue.push(member);
         self.next_round = self.next_round.min(by);
     }
 
     /// How many members a round is sent to: more where the updates fill several datagrams.
     fn fanout(&self) -> usize {
-        let datagrams = self.queue.len() / room(VERSION, false, true);
+        let datagrams = self.queue.len() / record_capacity(VERSION, false, true);
         MIN_FANOUT + datagrams.min(MAX_FANOUT - MIN_FANOUT)
     }
 }
@@ -75,15 +75,15 @@
         }
         self.gossip.next_round = Micros::MAX;
         if self.faults.has(Mutant::LiesOfIncarnations) {
-            self.lie(now, out);
+            self.forge_incarnation(now, out);
         }
         if self.gossip.is_idle() || self.faults.has(Mutant::ForwardsNothing) {
             return;
         }
         let fanout = self.gossip.fanout();
-        for member in self.random_peers(fanout, self.setup.me) {
+        for member in self.random_peers(fanout, self.setup.number) {
             if !self.gossip.is_idle() {
-                self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.me), out);
+                self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.number), out);
             }
         }
         if !self.gossip.is_idle() {
@@ -92,29 +92,29 @@
     }
 
     /// A deliberate fault: states that a dead member is alive, under an incarnation that it never had.
-    fn lie(&mut self, now: Micros, out: &mut Outputs) {
+    fn forge_incarnation(&mut self, now: Micros, out: &mut Outputs) {
         let is_dead = |record: &Record| record.state == State::Dead;
         let dead = self.members.iter().filter_map(|(_, member)| member.record()).find(is_dead);
         if let Some(record) = dead {
             let incarnation = record.incarnation.saturating_add(1);
-            let lie = Record { state: State::Alive, incarnation, ..record };
-            self.merge(now, lie, out);
+            let forged = Record { state: State::Alive, incarnation, ..record };
+            self.merge(now, forged, out);
         }
         self.gossip.next_round = now + self.setup.period / ROUNDS_PER_PERIOD;
     }
 
     /// Queues an update about a member.
-    pub(super) fn disseminate(&mut self, now: Micros, member: Number) {
-        self.gossip.push(member, now + self.setup.period / FIRST_ROUND_PART);
+    pub(super) fn disseminate(&mut self, now: Micros, member: MemberId) {
+        self.gossip.push(member, now + self.setup.period / FIRST_ROUND_DIVISOR);
     }
 
-    /// The updates to piggyback on a datagram, at most `room`, beside the records that it carries already.
-    pub(super) fn piggyback(&mut self, records: &mut Vec<Record>, room: usize) {
+    /// The updates to piggyback on a datagram, at most `capacity` records with those that it carries already.
+    pub(super) fn piggyback(&mut self, records: &mut Vec<Record>, capacity: usize) {
         if self.faults.has(Mutant::ForwardsNothing) {
             return;
         }
         let limit = transmit_limit(self.members.live_count());
-        let updates = self.gossip.queue.take(room.saturating_sub(records.len()), limit);
+        let updates = self.gossip.queue.take(capacity.saturating_sub(records.len()), limit);
         let updates = updates.into_iter().filter_map(|member| self.members.record(member));
         let added: Vec<Record> = updates.filter(|record| !records.contains(record)).collect();
         records.extend(added);
--- a/crates/stonevane-membership/src/machine/isolation.rs
+++ b/crates/stonevane-membership/src/machine/isolation.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeSet;
 
 use crate::Micros;
-use crate::record::Number;
+use crate::record::MemberId;
 
 /// When the last datagram of anybody arrived, and whom this member doubts because none does.
 #[derive(Debug)]
 pub(super) struct Isolation {
     last_heard: Micros,
-    doubted: BTreeSet<Number>,
+    doubted: BTreeSet<MemberId>,
 }
 
 impl Isolation {
@@ -36,12 +36,12 @@
     }
 
     /// Doubts a member whose probe failed while nobody was heard.
-    pub fn doubt(&mut self, member: Number) {
+    pub fn doubt(&mut self, member: MemberId) {
         self.doubted.insert(member);
     }
 
     /// Whether a member is doubted.
-    pub fn doubts(&self, member: Number) -> bool {
+    pub fn doubts(&self, member: MemberId) -> bool {
         self.doubted.contains(&member)
     }
 
--- a/crates/stonevane-membership/src/machine/members.rs
+++ b/crates/stonevane-membership/src/machine/members.rs
@@ -5,7 +5,7 @@
 use super::digests::TableDigests;
 use super::replay::ReplayGuard;
 use crate::Micros;
-use crate::record::{Instance, Number, Record, State};
+use crate::record::{Instance, MemberId, Record, State};
 use crate::wire::PARTITIONS;
 
 /// What is known of a member.
@@ -20,7 +20,7 @@
     /// The instance and incarnation that its newest datagram stated.
     pub stated: Option<(Instance, u32)>,
     /// The highest version of datagrams that it reads, as far as known.
-    pub speaks: u8,
+    pub max_version: u8,
     /// The score of its local health, as it stated it.
     pub health: u8,
     /// When its newest datagram arrived.
@@ -58,7 +58,7 @@
 
 impl MemberTable {
     /// A table of members of whom nothing is known.
-    pub fn new(members: Number) -> MemberTable {
+    pub fn new(members: MemberId) -> MemberTable {
         MemberTable {
             members: vec![Member::default(); usize::from(members)],
             digests: TableDigests::default(),
@@ -66,22 +66,22 @@
     }
 
     /// Adds members of whom nothing is known, up to this number.
-    pub fn grow(&mut self, members: Number) {
+    pub fn grow(&mut self, members: MemberId) {
         self.members.resize(usize::from(members), Member::default());
     }
 
     /// The member of a number, where there is one.
-    pub fn get(&self, member: Number) -> Option<&Member> {
+    pub fn get(&self, member: MemberId) -> Option<&Member> {
         self.members.get(usize::from(member))
     }
 
     /// All members with their numbers.
-    pub fn iter(&self) -> impl Iterator<Item = (Number, &Member)> {
-        self.members.iter().enumerate().map(|(number, member)| (number as Number, member))
+    pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
+        self.members.iter().enumerate().map(|(number, member)| (number as MemberId, member))
     }
 
     /// The latest record of a member.
-    pub fn record(&self, member: Number) -> Option<Record> {
+    pub fn record(&self, member: MemberId) -> Option<Record> {
         self[member].record
     }
 
@@ -108,26 +108,26 @@
     }
 
     /// The numbers of the live members.
-    pub fn live(&self) -> impl Iterator<Item = Number> {
+    pub fn live(&self) -> impl Iterator<Item = MemberId> {
         self.iter().filter(|(_, member)| member.is_live()).map(|(number, _)| number)
     }
 
     /// The numbers of all other members: dead, left or unknown.
-    pub fn not_live(&self) -> impl Iterator<Item = Number> {
+    pub fn not_live(&self) -> impl Iterator<Item = MemberId> {
         self.iter().filter(|(_, member)| !member.is_live()).map(|(number, _)| number)
     }
 }
 
-impl Index<Number> for MemberTable {
+impl Index<MemberId> for MemberTable {
     type Output = Member;
 
-    fn index(&self, member: Number) -> &Member {
+    fn index(&self, member: MemberId) -> &Member {
         &self.members[usize::from(member)]
     }
 }
 
-impl IndexMut<Number> for MemberTable {
-    fn index_mut(&mut self, member: Number) -> &mut Member {
+impl IndexMut<MemberId> for MemberTable {
+    fn index_mut(&mut self, member: MemberId) -> &mut Member {
         &mut self.members[usize::from(member)]
     }
 }
--- a/crates/stonevane-membership/src/machine/merge.rs
+++ b/crates/stonevane-membership/src/machine/merge.rs
@@ -8,7 +8,7 @@
 impl<F: Faults> Machine<F> {
     /// Merges a record: one that is later than the known one replaces it; one that shares a suspicion confirms it.
     pub(super) fn merge(&mut self, now: Micros, record: Record, out: &mut Outputs) {
-        if record.member == self.setup.me {
+        if record.member == self.setup.number {
             return self.merge_own(now, record, out);
         }
         match self.members.record(record.member) {
@@ -61,7 +61,7 @@
         if self.faults.has(Mutant::StaleLife) {
             return None;
         }
-        self.counts.claimed += 1;
+        self.counts.identity_conflicts += 1;
         let mut record = *own;
         record.instance.generation = stated.instance.generation.checked_add(1)?;
         record.incarnation = 0;
@@ -84,7 +84,7 @@
     /// A member that has become live is probed in the present round.
     fn probe_if_new(&mut self, before: Option<Record>, record: &Record) {
         let was_live = before.is_some_and(|before| before.state.is_live());
-        if !was_live && record.state.is_live() && record.member != self.setup.me {
+        if !was_live && record.state.is_live() && record.member != self.setup.number {
             self.probing.add(record.member, &mut self.random);
         }
     }
@@ -96,7 +96,7 @@
             return;
         }
         self.members[record.member].since = now;
-        let was = before.map(|before| before.state);
-        out.news.push(MemberEvent { was, now: record });
+        let previous = before.map(|before| before.state);
+        out.events.push(MemberEvent { previous, record });
     }
 }
--- a/crates/stonevane-membership/src/machine/mod.rs
+++ b/crates/stonevane-membership/src/machine/mod.rs
@@ -15,7 +15,7 @@
 //! | `replay` | which datagrams are replays |
 //! | `members` | the member table |
 //! | `reception`, `transmission` | datagrams in and out |
-//! | `stall` | a process that did not run for a while |
+//! | `process_pause` | a process that did not run for a while |
 //! | `snapshot` | what the caller can query |
 
 mod anti_entropy;
@@ -25,6 +25,7 @@
 mod members;
 mod merge;
 mod probing;
+mod process_pause;
 mod random;
 mod reception;
 mod reconnection;
@@ -32,7 +33,6 @@
 mod replay;
 mod setup;
 mod snapshot;
-mod stall;
 mod suspicion;
 mod transmission;
 
@@ -51,7 +51,7 @@
 use crate::Micros;
 use crate::faults::{Faults, NoFaults};
 use crate::health::LocalHealth;
-use crate::record::{Instance, Number, Record, State};
+use crate::record::{Instance, MemberId, Record, State};
 use crate::status::Counts;
 use crate::wire::Kind;
 
@@ -86,15 +86,16 @@
     }
 
     /// The same, with deliberate faults.
-    pub fn with(now: Micros, setup: Setup, faults: F) -> Self {
-        let members = setup.members.max(setup.me.saturating_add(1));
+    pub fn with(now: Micros, mut setup: Setup, faults: F) -> Self {
+        let members = setup.members.max(setup.number.saturating_add(1));
+        setup.members = members;
         let mut machine = Machine {
             faults,
-            random: Random::new(setup.seed, setup.draw),
+            random: Random::new(setup.seed, setup.nonce),
             members: MemberTable::new(members),
-            health: LocalHealth::new(setup.heeds_health),
+            health: LocalHealth::new(setup.uses_local_health),
             isolation: Isolation::new(now),
-            probing: Probing::new(now, setup.draw),
+            probing: Probing::new(now, setup.nonce),
             relays: Relays::default(),
             reconnection: Reconnection::new(now),
             suspicions: Suspicions::new(&setup),
@@ -104,7 +105,7 @@
             wake_at: now,
             leaving: false,
             counts: Counts::default(),
-            setup: Setup { members, ..setup },
+            setup,
         };
         let own = machine.initial_record();
         machine.replace(now, own, &mut Outputs::default());
@@ -118,7 +119,7 @@
 
     /// Handles an event at a time, and adds what is to be done to the outputs.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Outputs) {
-        self.detect_stall(now, out);
+        self.detect_pause(now, out);
         match input {
             Input::Datagram(from, bytes) => self.receive(now, from, bytes, out),
             Input::Wake => {}
@@ -149,7 +150,7 @@
     }
 
     /// Adds members of whom nothing is known; they are contacted like those that are not live.
-    fn grow(&mut self, members: Number) {
+    fn grow(&mut self, members: MemberId) {
         if members <= self.setup.members {
             return;
         }
@@ -166,26 +167,26 @@
         self.probing.abandon();
         let left = Record { state: State::Left, ..self.own_record() };
         self.replace(now, left, out);
-        for member in self.random_peers(LEAVE_FANOUT, self.setup.me) {
-            self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.me), out);
+        for member in self.random_peers(LEAVE_FANOUT, self.setup.number) {
+            self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.number), out);
         }
     }
 
     /// The record of this member.
     fn own_record(&self) -> Record {
         let initial = self.initial_record();
-        self.members.record(self.setup.me).unwrap_or(initial)
+        self.members.record(self.setup.number).unwrap_or(initial)
     }
 
     fn initial_record(&self) -> Record {
-        let member = self.setup.me;
-        let instance = Instance { generation: 1, nonce: self.setup.draw };
+        let member = self.setup.number;
+        let instance = Instance { generation: 1, nonce: self.setup.nonce };
         Record { member, instance, incarnation: 0, state: State::Alive, by: member }
     }
 
     /// Random live members, other than this one and `except`.
-    fn random_peers(&mut self, count: usize, except: Number) -> Vec<Number> {
-        let me = self.setup.me;
+    fn random_peers(&mut self, count: usize, except: MemberId) -> Vec<MemberId> {
+        let me = self.setup.number;
         let candidates = self.members.live().filter(|member| *member != me && *member != except).collect();
         self.random.choose(candidates, count)
     }
--- a/crates/stonevane-membership/src/machine/probing.rs
+++ b/crates/stonevane-membership/src/machine/probing.rs
@@ -9,19 +9,19 @@
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record, State};
+use crate::record::{MemberId, Record, State};
 use crate::wire::{Kind, Message};
 
 /// The probe of the present period.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
-    member: Number,
+    member: MemberId,
     number: u32,
     begun: Micros,
-    /// When others are asked for indirect probes; `None`: the timeout has passed.
+    /// When indirect probes are requested; `None`: the timeout has passed.
     times_out: Option<Micros>,
     answered: bool,
-    /// Members that were asked for an indirect probe and have sent no nack.
+    /// Members of which an indirect probe was requested and that have sent no nack.
     missing_nacks: u64,
 }
 
@@ -42,7 +42,7 @@
     last_number: u32,
     current: Option<Probe>,
     /// Members still to be probed in this round, the next one last.
-    round: Vec<Number>,
+    round: Vec<MemberId>,
     period_ends: Micros,
 }
 
@@ -75,7 +75,7 @@
     }
 
     /// Adds a member that has become live to this round, at a random place.
-    pub fn add(&mut self, member: Number, random: &mut Random) {
+    pub fn add(&mut self, member: MemberId, random: &mut Random) {
         let place = random.below(self.round.len() + 1);
         self.round.insert(place, member);
     }
@@ -89,7 +89,7 @@
         if !direct && message.about != probe.member {
             return AckOutcome::Mismatched;
         }
-        // The members that were asked have no reason to answer any more.
+        // The members with a request for an indirect probe have no reason to answer any more.
         probe.missing_nacks = 0;
         let first = !std::mem::replace(&mut probe.answered, true);
         AckOutcome::Answered { direct, first }
@@ -103,7 +103,7 @@
     }
 
     /// Takes the next member of this round that is still live.
-    fn next_live(&mut self, members: &MemberTable) -> Option<Number> {
+    fn next_live(&mut self, members: &MemberTable) -> Option<MemberId> {
         while let Some(member) = self.round.pop() {
             if members[member].is_live() {
                 return Some(member);
@@ -153,18 +153,18 @@
         }
         let Some(member) = self.next_target() else { return };
         let number = self.probing.next_number();
-        let times_out = Some(now + self.setup.answer * multiplier);
+        let times_out = Some(now + self.setup.probe_timeout * multiplier);
         let probe = Probe { member, number, begun: now, times_out, answered: false, missing_nacks: 0 };
         self.probing.current = Some(probe);
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.me), out);
+        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
     }
 
     /// The next member to be probed: of this round, or of a new one.
-    fn next_target(&mut self) -> Option<Number> {
+    fn next_target(&mut self) -> Option<MemberId> {
         if let Some(member) = self.probing.next_live(&self.members) {
             return Some(member);
         }
-        self.probing.round = self.random_peers(usize::MAX, self.setup.me);
+        self.probing.round = self.random_peers(usize::MAX, self.setup.number);
         self.probing.next_live(&self.members)
     }
 
@@ -179,11 +179,11 @@
         self.probing.current = Some(probe);
     }
 
-    /// Probes a member once more, as only the datagram may have been lost, and asks others for indirect probes of it.
-    /// Returns how many were asked.
-    fn request_indirect_probes(&mut self, member: Number, number: u32, out: &mut Outputs) -> u64 {
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.me), out);
-        let relays = self.random_peers(self.setup.indirect, member);
+    /// Probes a member once more, as only the datagram may have been lost, and requests indirect probes of it from others.
+    /// Returns how many requests were sent.
+    fn request_indirect_probes(&mut self, member: MemberId, number: u32, out: &mut Outputs) -> u64 {
+        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
+        let relays = self.random_peers(self.setup.indirect_probes, member);
         for relay in &relays {
             self.send(Envelope::new(*relay, Kind::PingReq, number, member), out);
         }
@@ -224,7 +224,7 @@
     }
 
     fn accuse(&mut self, now: Micros, record: Record, state: State, out: &mut Outputs) {
-        let accusation = Record { state, by: self.setup.me, ..record };
+        let accusation = Record { state, by: self.setup.number, ..record };
         self.merge(now, accusation, out);
     }
 }
--- a/crates/stonevane-membership/src/machine/stall.rs
+++ b/crates/stonevane-membership/src/machine/process_pause.rs
@@ -1,26 +1,26 @@
-//! Stalls: the process was not scheduled when the machine was due, for instance because it or its host was suspended.
+//! Process pauses: the process was not scheduled when the machine was due, for instance because it or its host was suspended.
 //! What it missed meanwhile is attributed to itself and not to the others.
 
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::Faults;
 
-/// Members that are pinged at once after a stall.
-const PINGS_AFTER_STALL: usize = 3;
-/// Periods by which suspicions are postponed in addition to the stall.
+/// Members that are pinged at once after a pause.
+const PINGS_AFTER_PAUSE: usize = 3;
+/// Periods by which suspicions are postponed in addition to the pause.
 const GRACE_PERIODS: Micros = 2;
 
 impl<F: Faults> Machine<F> {
-    /// Recovers from a stall, if the machine was woken more than half a period late.
-    pub(super) fn detect_stall(&mut self, now: Micros, out: &mut Outputs) {
+    /// Recovers from a pause, if the machine was woken more than half a period late.
+    pub(super) fn detect_pause(&mut self, now: Micros, out: &mut Outputs) {
         let late = now.saturating_sub(self.wake_at);
         if late > self.setup.period / 2 {
-            self.recover_from_stall(now, late, out);
+            self.recover_from_pause(now, late, out);
         }
     }
 
-    fn recover_from_stall(&mut self, now: Micros, late: Micros, out: &mut Outputs) {
-        self.counts.stood_still += 1;
+    fn recover_from_pause(&mut self, now: Micros, late: Micros, out: &mut Outputs) {
+        self.counts.pauses += 1;
         self.health.penalize(1 + late / self.setup.period);
         self.probing.abandon();
         self.relays.clear();
@@ -29,7 +29,7 @@
         self.suspicions.postpone(late + GRACE_PERIODS * self.setup.period);
         self.isolation.restart(now);
         // Others may have declared this member dead: their answers to its pings say so.
-        for member in self.random_peers(PINGS_AFTER_STALL, self.setup.me) {
+        for member in self.random_peers(PINGS_AFTER_PAUSE, self.setup.number) {
             self.ping_outside_round(member, out);
         }
         self.anti_entropy.allow_request_at(now);
--- a/crates/stonevane-membership/src/machine/random.rs
+++ b/crates/stonevane-membership/src/machine/random.rs
@@ -2,7 +2,7 @@
 
 use oorandom::Rand64;
 
-use crate::record::Number;
+use crate::record::MemberId;
 
 /// A source of random choices.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     }
 
     /// Chooses `count` of the candidates, or all where there are fewer, in random order.
-    pub fn choose(&mut self, mut candidates: Vec<Number>, count: usize) -> Vec<Number> {
+    pub fn choose(&mut self, mut candidates: Vec<MemberId>, count: usize) -> Vec<MemberId> {
         let count = count.min(candidates.len());
         for at in 0..count {
             let other = at + self.below(candidates.len() - at);
--- a/crates/stonevane-membership/src/machine/reception.rs
+++ b/crates/stonevane-membership/src/machine/reception.rs
@@ -6,12 +6,12 @@
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record, State};
+use crate::record::{MemberId, Record, State};
 use crate::wire::{Kind, Message, Refused};
 
 impl<F: Faults> Machine<F> {
     /// Handles a datagram from the address of a member.
-    pub(super) fn receive(&mut self, now: Micros, from: Number, bytes: &[u8], out: &mut Outputs) {
+    pub(super) fn receive(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Outputs) {
         let message = match self.read(from, bytes) {
             Ok(message) => message,
             Err(reason) => return self.counts.refuse(reason),
@@ -27,15 +27,15 @@
         }
         self.counts.heard += 1;
         self.counts.heard_bytes += bytes.len() as u64;
-        self.members[from].speaks = message.speaks;
+        self.members[from].max_version = message.max_version;
         self.merge_all(now, &message, out);
         self.dispatch(now, &message, out);
     }
 
     /// Reads a datagram, and checks its sender and receiver.
-    fn read(&self, from: Number, bytes: &[u8]) -> Result<Message, Refused> {
+    fn read(&self, from: MemberId, bytes: &[u8]) -> Result<Message, Refused> {
         let message = Message::read(bytes, self.setup.key.as_ref(), self.setup.members)?;
-        let me = self.setup.me;
+        let me = self.setup.number;
         if message.from != from || message.to != me || from == me {
             return Err(Refused::Address);
         }
@@ -90,7 +90,7 @@
     }
 
     fn handle_ping(&mut self, ping: &Message, out: &mut Outputs) {
-        self.send(Envelope::new(ping.from, Kind::Ack, ping.probe, self.setup.me), out);
+        self.send(Envelope::new(ping.from, Kind::Ack, ping.probe, self.setup.number), out);
     }
 
     fn handle_ack(&mut self, now: Micros, ack: &Message, out: &mut Outputs) {
@@ -111,7 +111,7 @@
         }
     }
 
-    fn probe_answered(&mut self, now: Micros, from: Number, direct: bool, first: bool) {
+    fn probe_answered(&mut self, now: Micros, from: MemberId, direct: bool, first: bool) {
         if direct {
             self.members[from].answered = Some(now);
         }
--- a/crates/stonevane-membership/src/machine/reconnection.rs
+++ b/crates/stonevane-membership/src/machine/reconnection.rs
@@ -7,7 +7,7 @@
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::Number;
+use crate::record::MemberId;
 use crate::wire::Kind;
 
 /// Pings whose answers are waited for, at most.
@@ -29,7 +29,7 @@
 pub(super) struct Reconnection {
     next_attempt: Micros,
     /// Numbers and receivers of pings that may still be answered, the oldest first.
-    outstanding: VecDeque<(u32, Number)>,
+    outstanding: VecDeque<(u32, MemberId)>,
 }
 
 impl Reconnection {
@@ -44,11 +44,11 @@
     }
 
     /// Whether an ack of this number from this member answers a ping.
-    pub fn is_outstanding(&self, number: u32, member: Number) -> bool {
+    pub fn is_outstanding(&self, number: u32, member: MemberId) -> bool {
         self.outstanding.contains(&(number, member))
     }
 
-    fn remember(&mut self, number: u32, member: Number) {
+    fn remember(&mut self, number: u32, member: MemberId) {
         if self.outstanding.len() == MAX_OUTSTANDING {
             self.outstanding.pop_front();
         }
@@ -62,7 +62,7 @@
         if self.reconnection.next_attempt > now {
             return;
         }
-        let me = self.setup.me;
+        let me = self.setup.number;
         let connected = self.members.live().any(|member| member != me);
         let pace = if connected { CONNECTED } else { DISCONNECTED };
         self.reconnection.next_attempt = now + self.setup.period / pace.attempts_per_period;
@@ -73,7 +73,7 @@
         self.ping_some(candidates, pace.pings, out);
     }
 
-    fn ping_some(&mut self, mut candidates: Vec<Number>, count: usize, out: &mut Outputs) {
+    fn ping_some(&mut self, mut candidates: Vec<MemberId>, count: usize, out: &mut Outputs) {
         for _ in 0..count.min(candidates.len()) {
             let at = self.random.below(candidates.len());
             let member = candidates.swap_remove(at);
@@ -82,9 +82,9 @@
     }
 
     /// Pings a member outside of the failure detector's rounds: no answer means nothing.
-    pub(super) fn ping_outside_round(&mut self, member: Number, out: &mut Outputs) {
+    pub(super) fn ping_outside_round(&mut self, member: MemberId, out: &mut Outputs) {
         let number = self.probing.next_number();
         self.reconnection.remember(number, member);
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.me), out);
+        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
     }
 }
--- a/crates/stonevane-membership/src/machine/relays.rs
+++ b/crates/stonevane-membership/src/machine/relays.rs
@@ -5,22 +5,22 @@
 use super::{Machine, Outputs, Setup};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::Number;
+use crate::record::MemberId;
 use crate::wire::{Kind, Message};
 
 /// Indirect probes that are in progress at once, at most.
 const MAX_RELAYS: usize = 64;
-/// The part of the probe timeout after which a nack is sent, so that it arrives before the requester's period ends.
-const NACK_AFTER: (Micros, Micros) = (4, 5);
+/// A nack is sent after this percentage of the probe timeout, so that it arrives before the requester's period ends.
+const NACK_AFTER_PERCENT: Micros = 80;
 /// Periods for which a late ack is still forwarded.
 const RELAY_PERIODS: Micros = 4;
 
 /// An indirect probe in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Relay {
-    target: Number,
+    target: MemberId,
     number: u32,
-    requester: Number,
+    requester: MemberId,
     /// The requester's number of the probe.
     requested: u32,
     nack_at: Option<Micros>,
@@ -48,7 +48,7 @@
 
     /// Adds the probe, under a number of this member, that a ping-req asks for.
     fn add(&mut self, now: Micros, number: u32, request: &Message, setup: &Setup) {
-        let nack_after = setup.answer * NACK_AFTER.0 / NACK_AFTER.1;
+        let nack_after = setup.probe_timeout * NACK_AFTER_PERCENT / 100;
         self.0.push(Relay {
             target: request.about,
             number,
@@ -87,12 +87,12 @@
     /// Probes a member for the sender of a ping-req.
     pub(super) fn handle_ping_req(&mut self, now: Micros, request: &Message, out: &mut Outputs) {
         let relays = !self.faults.has(Mutant::ForwardsNothing);
-        if self.relays.is_full() || request.about == self.setup.me || !relays {
+        if self.relays.is_full() || request.about == self.setup.number || !relays {
             return;
         }
         let number = self.probing.next_number();
         self.relays.add(now, number, request, &self.setup);
-        self.send(Envelope::new(request.about, Kind::Ping, number, self.setup.me), out);
+        self.send(Envelope::new(request.about, Kind::Ping, number, self.setup.number), out);
     }
 
     /// Forwards an ack that answers an indirect probe. Returns whether it did.
--- a/crates/stonevane-membership/src/machine/replay.rs
+++ b/crates/stonevane-membership/src/machine/replay.rs
@@ -55,8 +55,8 @@
 
     fn advance(&mut self, sequence: u64) {
         let by = sequence.saturating_sub(self.highest);
-        let kept = if by < WINDOW { self.accepted << by } else { 0 };
-        self.accepted = kept | 1;
+        let still_covered = if by < WINDOW { self.accepted << by } else { 0 };
+        self.accepted = still_covered | 1;
         self.highest = sequence;
     }
 }
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -3,50 +3,50 @@
 use std::collections::VecDeque;
 
 use crate::Micros;
-use crate::record::{Number, Record, State};
+use crate::record::{MemberId, Record, State};
 
 /// The parameters of a member, set at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Setup {
     /// Its number.
-    pub me: Number,
+    pub number: MemberId,
     /// How many members there are.
-    pub members: Number,
+    pub members: MemberId,
     /// The protocol period: one probe in each.
     pub period: Micros,
-    /// The probe timeout: after it, other members are asked for indirect probes.
-    pub answer: Micros,
-    /// How many other members are asked for indirect probes.
-    pub indirect: usize,
+    /// The probe timeout: after it, indirect probes are requested from other members.
+    pub probe_timeout: Micros,
+    /// From how many other members indirect probes are requested.
+    pub indirect_probes: usize,
     /// The suspicion multiplier: the shortest suspicion timeout in periods, for each power of ten of the live members.
-    pub suspicion: f64,
+    pub suspicion_multiplier: f64,
     /// Whether the Lifeguard extensions lengthen timeouts: the local health multiplier and the longer timeout of a
     /// suspicion that few members share.
-    pub heeds_health: bool,
+    pub uses_local_health: bool,
     /// The key that all members share.
     pub key: Option<[u8; 32]>,
     /// The highest version of datagrams that is sent.
-    pub speaks: u8,
+    pub max_version: u8,
     /// The seed of its random choices.
     pub seed: u64,
     /// The nonce of this instance, drawn anew at each start.
-    pub draw: u32,
+    pub nonce: u32,
 }
 
 impl Default for Setup {
     fn default() -> Self {
         Setup {
-            me: 0,
+            number: 0,
             members: 1,
             period: 1_000_000,
-            answer: 500_000,
-            indirect: 3,
-            suspicion: 3.0,
-            heeds_health: true,
+            probe_timeout: 500_000,
+            indirect_probes: 3,
+            suspicion_multiplier: 3.0,
+            uses_local_health: true,
             key: None,
-            speaks: crate::wire::VERSION,
+            max_version: crate::wire::VERSION,
             seed: 0,
-            draw: 1,
+            nonce: 1,
         }
     }
 }
@@ -55,11 +55,11 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Input<'b> {
     /// A datagram arrived from the address of a member.
-    Datagram(Number, &'b [u8]),
+    Datagram(MemberId, &'b [u8]),
     /// Time has passed.
     Wake,
     /// A newer list of peers has this many members. Members keep their numbers: a shorter list changes nothing.
-    Members(Number),
+    Members(MemberId),
     /// The process is about to end.
     Leave,
 }
@@ -68,16 +68,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberEvent {
     /// The state before; `None`: the member was unknown.
-    pub was: Option<State>,
+    pub previous: Option<State>,
     /// The record that holds now.
-    pub now: Record,
+    pub record: Record,
 }
 
 /// What the caller has to do.
 #[derive(Debug, Default)]
 pub struct Outputs {
     /// Datagrams to send, each with its receiver.
-    pub sends: VecDeque<(Number, Vec<u8>)>,
+    pub sends: VecDeque<(MemberId, Vec<u8>)>,
     /// Membership changes, in their order.
-    pub news: Vec<MemberEvent>,
+    pub events: Vec<MemberEvent>,
 }
--- a/crates/stonevane-membership/src/machine/snapshot.rs
+++ b/crates/stonevane-membership/src/machine/snapshot.rs
@@ -3,13 +3,13 @@
 use super::Machine;
 use super::members::Member;
 use crate::faults::Faults;
-use crate::record::{Number, State};
+use crate::record::{MemberId, State};
 use crate::status::{MemberStatus, Status};
 
 impl<F: Faults> Machine<F> {
     /// The state of a member. While this member hears nobody at all, those that did not answer it count as suspected
     /// here and this is not disseminated: it may be this member that is isolated.
-    pub fn state(&self, member: Number) -> Option<State> {
+    pub fn state(&self, member: MemberId) -> Option<State> {
         let state = self.members.get(member)?.record()?.state;
         let doubted = self.isolation.doubts(member) && state.is_live();
         Some(if doubted { State::Suspect } else { state })
@@ -41,18 +41,18 @@
     pub fn status(&self) -> Status {
         let own = self.own_record();
         Status {
-            me: self.setup.me,
-            life: own.instance,
+            number: self.setup.number,
+            instance: own.instance,
             incarnation: own.incarnation,
             health: self.health.score(),
-            alone: self.isolation.isolated_since(),
+            isolated_since: self.isolation.isolated_since(),
             digest: self.members.digests().overall(),
             members: self.members.iter().map(|(number, member)| self.member_status(number, member)).collect(),
             counts: self.counts,
         }
     }
 
-    fn member_status(&self, number: Number, member: &Member) -> MemberStatus {
+    fn member_status(&self, number: MemberId, member: &Member) -> MemberStatus {
         MemberStatus {
             member: number,
             record: member.record(),
--- a/crates/stonevane-membership/src/machine/suspicion.rs
+++ b/crates/stonevane-membership/src/machine/suspicion.rs
@@ -6,7 +6,7 @@
 use super::{Machine, Outputs, Setup};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record, State};
+use crate::record::{MemberId, Record, State};
 
 /// Accusers beyond the first that shorten a suspicion.
 const CONFIRMATIONS: usize = 3;
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 struct Suspicion {
     begun: Micros,
-    accusers: Vec<Number>,
+    accusers: Vec<MemberId>,
     ends: Micros,
 }
 
@@ -56,23 +56,23 @@
 #[derive(Debug)]
 pub(super) struct Suspicions {
     timeouts: Timeouts,
-    by_member: BTreeMap<Number, Suspicion>,
-    deadlines: BTreeSet<(Micros, Number)>,
+    by_member: BTreeMap<MemberId, Suspicion>,
+    deadlines: BTreeSet<(Micros, MemberId)>,
 }
 
 impl Suspicions {
     /// No suspicions yet.
     pub fn new(setup: &Setup) -> Suspicions {
         let timeouts = Timeouts {
-            multiplier: setup.suspicion,
+            multiplier: setup.suspicion_multiplier,
             period: setup.period as f64,
-            dynamic: setup.heeds_health,
+            dynamic: setup.uses_local_health,
         };
         Suspicions { timeouts, by_member: BTreeMap::new(), deadlines: BTreeSet::new() }
     }
 
     /// Starts the suspicion of a member, in a fleet of so many live members.
-    pub fn start(&mut self, now: Micros, member: Number, accuser: Number, live: usize) {
+    pub fn start(&mut self, now: Micros, member: MemberId, accuser: MemberId, live: usize) {
         let ends = now + self.timeouts.timeout(1, live);
         let suspicion = Suspicion { begun: now, accusers: vec![accuser], ends };
         self.by_member.insert(member, suspicion);
@@ -80,7 +80,7 @@
     }
 
     /// Ends the suspicion of a member, if there is one.
-    pub fn cancel(&mut self, member: Number) {
+    pub fn cancel(&mut self, member: MemberId) {
         if let Some(suspicion) = self.by_member.remove(&member) {
             self.deadlines.remove(&(suspicion.ends, member));
         }
@@ -88,7 +88,7 @@
 
     /// Adds an accuser to the suspicion of a member, which shortens it. Returns false where there is no suspicion, the
     /// accuser is known, or there are enough.
-    pub fn confirm(&mut self, now: Micros, member: Number, accuser: Number, live: usize) -> bool {
+    pub fn confirm(&mut self, now: Micros, member: MemberId, accuser: MemberId, live: usize) -> bool {
         let Some(suspicion) = self.by_member.get_mut(&member) else { return false };
         if suspicion.accusers.len() > CONFIRMATIONS || suspicion.accusers.contains(&accuser) {
             return false;
@@ -102,7 +102,7 @@
     }
 
     /// How many members suspect this one.
-    pub fn accusers(&self, member: Number) -> usize {
+    pub fn accusers(&self, member: MemberId) -> usize {
         self.by_member.get(&member).map_or(0, |suspicion| suspicion.accusers.len())
     }
 
@@ -112,7 +112,7 @@
     }
 
     /// Takes the earliest deadline that has passed, and returns its member.
-    fn pop_expired(&mut self, now: Micros) -> Option<Number> {
+    fn pop_expired(&mut self, now: Micros) -> Option<MemberId> {
         let (ends, member) = self.deadlines.first().copied()?;
         if ends > now {
             return None;
@@ -122,7 +122,7 @@
     }
 
     /// Sets a new deadline for a suspicion that has expired.
-    fn extend(&mut self, member: Number, ends: Micros) {
+    fn extend(&mut self, member: MemberId, ends: Micros) {
         if let Some(suspicion) = self.by_member.get_mut(&member) {
             suspicion.ends = ends;
             self.deadlines.insert((ends, member));
@@ -150,7 +150,7 @@
     }
 
     /// Declares a member dead that has not refuted its suspicion.
-    fn suspicion_expired(&mut self, now: Micros, member: Number, out: &mut Outputs) {
+    fn suspicion_expired(&mut self, now: Micros, member: MemberId, out: &mut Outputs) {
         let Some(record) = self.members.record(member) else { return };
         let silent = self.isolation.last_heard() + SILENT_PERIODS * self.setup.period < now;
         if silent {
@@ -162,7 +162,7 @@
             return;
         }
         self.counts.declared += 1;
-        let dead = Record { state: State::Dead, by: self.setup.me, ..record };
+        let dead = Record { state: State::Dead, by: self.setup.number, ..record };
         self.merge(now, dead, out);
     }
 }
--- a/crates/stonevane-membership/src/machine/transmission.rs
+++ b/crates/stonevane-membership/src/machine/transmission.rs
@@ -4,8 +4,8 @@
 
 use super::{Machine, Outputs};
 use crate::faults::{Faults, Mutant};
-use crate::record::{Number, Record};
-use crate::wire::{Kind, Message, room};
+use crate::record::{MemberId, Record};
+use crate::wire::{Kind, Message, record_capacity};
 
 /// The lowest version of datagrams: one that all members read.
 const FIRST_VERSION: u8 = 1;
@@ -15,15 +15,15 @@
 /// The receiver of a datagram and what it is for.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Envelope {
-    to: Number,
+    to: MemberId,
     kind: Kind,
     probe: u32,
-    about: Number,
+    about: MemberId,
 }
 
 impl Envelope {
     /// A datagram that belongs to the probe of a number and is about a member.
-    pub fn new(to: Number, kind: Kind, probe: u32, about: Number) -> Envelope {
+    pub fn new(to: MemberId, kind: Kind, probe: u32, about: MemberId) -> Envelope {
         Envelope { to, kind, probe, about }
     }
 }
@@ -33,7 +33,7 @@
 pub(super) struct Transmitter {
     sequence: u64,
     /// What a member with the fault [`Mutant::Replays`] has sent and will send again.
-    backlog: VecDeque<(Number, Vec<u8>)>,
+    backlog: VecDeque<(MemberId, Vec<u8>)>,
 }
 
 impl Transmitter {
@@ -43,7 +43,7 @@
     }
 
     /// Stores a datagram to replay it later, and returns an old one that is due.
-    fn replay(&mut self, to: Number, bytes: &[u8]) -> Option<(Number, Vec<u8>)> {
+    fn replay(&mut self, to: MemberId, bytes: &[u8]) -> Option<(MemberId, Vec<u8>)> {
         self.backlog.push_back((to, bytes.to_vec()));
         if self.backlog.len() <= REPLAY_BACKLOG {
             return None;
@@ -54,23 +54,23 @@
 
 impl<F: Faults> Machine<F> {
     /// The version of datagrams that a member reads. One that was not heard yet may read the first only.
-    pub(super) fn version_for(&self, to: Number) -> u8 {
-        let reads = self.members[to].speaks.max(FIRST_VERSION);
-        self.setup.speaks.min(reads)
+    pub(super) fn version_for(&self, to: MemberId) -> u8 {
+        let reads = self.members[to].max_version.max(FIRST_VERSION);
+        self.setup.max_version.min(reads)
     }
 
-    /// Sends a datagram with as many updates as it has room for.
+    /// Sends a datagram with as many updates as fit.
     pub(super) fn send(&mut self, envelope: Envelope, out: &mut Outputs) {
         let digests = envelope.kind.carries_digests();
-        let room = room(self.version_for(envelope.to), digests, self.setup.key.is_some());
+        let capacity = record_capacity(self.version_for(envelope.to), digests, self.setup.key.is_some());
         let mut records = self.leading_records(envelope.to);
-        self.piggyback(&mut records, room);
+        self.piggyback(&mut records, capacity);
         self.transmit(envelope, records, out);
     }
 
     /// The records that precede piggybacked updates: that this member leaves, and what is known here of the receiver but
     /// not to it, so that it can refute or supersede it.
-    fn leading_records(&self, to: Number) -> Vec<Record> {
+    fn leading_records(&self, to: MemberId) -> Vec<Record> {
         let receiver = &self.members[to];
         let leave = self.leaving.then(|| self.own_record());
         let unknown_to_receiver = receiver.record().filter(|record| !receiver.knows(record));
@@ -94,7 +94,7 @@
         let digests = self.members.digests();
         Message {
             version: self.version_for(envelope.to),
-            speaks: self.setup.speaks,
+            max_version: self.setup.max_version,
             kind: envelope.kind,
             from: self.sender(),
             to: envelope.to,
@@ -111,8 +111,8 @@
     }
 
     /// The number under which this member sends.
-    fn sender(&self) -> Number {
+    fn sender(&self) -> MemberId {
         let impersonates = self.faults.has(Mutant::ClaimsAnother);
-        if impersonates { (self.setup.me + 1) % self.setup.members } else { self.setup.me }
+        if impersonates { (self.setup.number + 1) % self.setup.members } else { self.setup.number }
     }
 }
--- a/crates/stonevane-membership/src/record.rs
+++ b/crates/stonevane-membership/src/record.rs
@@ -2,7 +2,7 @@
 //! nodes, so that tables which have merged the same records are equal, in whatever order these came.
 
 /// The number of a member: its place in `peers`.
-pub type Number = u16;
+pub type MemberId = u16;
 
 /// One run of a member's process, from its start to its end.
 ///
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Record {
     /// The member that it is about.
-    pub member: Number,
+    pub member: MemberId,
     /// The instance of that member.
     pub instance: Instance,
     /// The incarnation of that instance: only the member itself raises it, to refute a suspicion.
@@ -60,7 +60,7 @@
     /// The state.
     pub state: State,
     /// The member that stated it first.
-    pub by: Number,
+    pub by: MemberId,
 }
 
 impl Record {
--- a/crates/stonevane-membership/src/status.rs
+++ b/crates/stonevane-membership/src/status.rs
@@ -1,7 +1,7 @@
 //! The status of a member: its own, its view of the others, and its counters.
 
 use crate::Micros;
-use crate::record::{Instance, Number, Record, State};
+use crate::record::{Instance, MemberId, Record, State};
 use crate::wire::Refused;
 
 /// Counters of datagrams and events.
@@ -35,10 +35,10 @@
     pub refuted: u64,
     /// Members that it declared dead.
     pub declared: u64,
-    /// Stalls that it detected.
-    pub stood_still: u64,
+    /// Pauses of its own process that it detected.
+    pub pauses: u64,
     /// Times that another instance of its own member was later than itself.
-    pub claimed: u64,
+    pub identity_conflicts: u64,
 }
 
 impl Counts {
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
     /// Its number.
-    pub member: Number,
+    pub member: MemberId,
     /// Its latest record; `None`: it is unknown.
     pub record: Option<Record>,
     /// Its state, as this member sees it.
@@ -85,12 +85,12 @@
     }
 
     /// Whether its datagrams arrive although it does not answer: the path to it is cut.
-    pub fn hears_not(&self) -> bool {
+    pub fn outbound_cut(&self) -> bool {
         self.unanswered > self.answered && self.heard >= self.unanswered
     }
 
     /// Whether others hold it alive although it neither answers nor is heard: the path from it is cut.
-    pub fn unheard(&self) -> bool {
+    pub fn inbound_cut(&self) -> bool {
         let alive = self.state == Some(State::Alive);
         alive && self.unanswered > self.answered && self.heard < self.unanswered
     }
@@ -100,15 +100,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
     /// Its number.
-    pub me: Number,
+    pub number: MemberId,
     /// Its instance.
-    pub life: Instance,
+    pub instance: Instance,
     /// Its incarnation.
     pub incarnation: u32,
     /// The score of its local health.
     pub health: u8,
     /// Since when it has heard nobody, where it doubts others for it.
-    pub alone: Option<Micros>,
+    pub isolated_since: Option<Micros>,
     /// The digest of its member table: equal at members whose tables agree.
     pub digest: u32,
     /// Every member, its own entry among them.
--- a/crates/stonevane-membership/src/wire/mod.rs
+++ b/crates/stonevane-membership/src/wire/mod.rs
@@ -23,7 +23,7 @@
 mod tag;
 
 use self::reader::Reader;
-use crate::record::{Instance, Number, Record, State};
+use crate::record::{Instance, MemberId, Record, State};
 
 /// The longest datagram that the platform carries, in bytes.
 pub const MAX_DATAGRAM: usize = 256;
@@ -70,13 +70,13 @@
     /// The version of its format.
     pub version: u8,
     /// The highest version that its sender reads.
-    pub speaks: u8,
+    pub max_version: u8,
     /// Its kind.
     pub kind: Kind,
     /// The sender.
-    pub from: Number,
+    pub from: MemberId,
     /// The receiver.
-    pub to: Number,
+    pub to: MemberId,
     /// The sender's instance.
     pub instance: Instance,
     /// The sender's incarnation.
@@ -86,7 +86,7 @@
     /// The number of the probe that it belongs to.
     pub probe: u32,
     /// The member that it is about: the target of a probe, or the sender.
-    pub about: Number,
+    pub about: MemberId,
     /// The digest of the sender's member table.
     pub digest: u32,
     /// The score of the sender's local health.
@@ -139,7 +139,7 @@
 }
 
 /// How many records fit into a datagram.
-pub fn room(version: u8, digests: bool, keyed: bool) -> usize {
+pub fn record_capacity(version: u8, digests: bool, keyed: bool) -> usize {
     (MAX_DATAGRAM - overhead(version, digests, keyed)) / record_size(version)
 }
 
@@ -147,7 +147,7 @@
     /// Its bytes. Records that do not fit are left out.
     pub fn bytes(&self, key: Option<&[u8; 32]>) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_DATAGRAM);
-        out.extend([self.version, self.speaks, self.kind as u8]);
+        out.extend([self.version, self.max_version, self.kind as u8]);
         out.extend(self.from.to_le_bytes());
         out.extend(self.to.to_le_bytes());
         out.extend(self.instance.generation.to_le_bytes());
@@ -160,10 +160,13 @@
         if self.version >= 2 {
             out.push(self.health);
         }
-        self.digests.iter().flatten().for_each(|digest| out.extend(digest.to_le_bytes()));
-        let room = room(self.version, self.digests.is_some(), key.is_some()).min(self.records.len());
-        out.push(room as u8);
-        for record in &self.records[..room] {
+        for digest in self.digests.iter().flatten() {
+            out.extend(digest.to_le_bytes());
+        }
+        let capacity = record_capacity(self.version, self.digests.is_some(), key.is_some());
+        let count = capacity.min(self.records.len());
+        out.push(count as u8);
+        for record in &self.records[..count] {
             out.extend(record.member.to_le_bytes());
             out.push(record.state as u8);
             out.extend(record.instance.generation.to_le_bytes());
@@ -181,7 +184,7 @@
     ///
     /// # Errors
     /// Why it is refused.
-    pub fn read(bytes: &[u8], key: Option<&[u8; 32]>, members: Number) -> Result<Message, Refused> {
+    pub fn read(bytes: &[u8], key: Option<&[u8; 32]>, members: MemberId) -> Result<Message, Refused> {
         if bytes.len() > MAX_DATAGRAM || bytes.len() < overhead(1, false, key.is_some()) {
             return Err(Refused::Length);
         }
@@ -209,11 +212,11 @@
     /// Reads all fields before the digests and records.
     fn read_header(reader: &mut Reader<'_>) -> Result<Message, Refused> {
         let version = reader.u8()?;
-        let speaks = reader.u8()?.max(version);
+        let max_version = reader.u8()?.max(version);
         let kind = usize::from(reader.u8()?);
         Ok(Message {
             version,
-            speaks,
+            max_version,
             kind: *KINDS.get(kind).ok_or(Refused::Form)?,
             from: reader.u16()?,
             to: reader.u16()?,
@@ -231,8 +234,8 @@
 
     /// Drops records of members that are not in this node's list of peers, which may be older than the sender's. A
     /// suspicion by such a member counts as the sender's.
-    fn restrict_to(&mut self, members: Number) -> Result<(), Refused> {
-        let known = |number: Number| number < members;
+    fn restrict_to(&mut self, members: MemberId) -> Result<(), Refused> {
+        let known = |number: MemberId| number < members;
         if !known(self.from) || !known(self.to) || !known(self.about) {
             return Err(Refused::Form);
         }
--- a/crates/stonevane-membership/src/wire/reader.rs
+++ b/crates/stonevane-membership/src/wire/reader.rs
@@ -1,7 +1,7 @@
 //! Reading the fields of a datagram.
 
 use super::{PARTITIONS, Refused, STATES};
-use crate::record::{Instance, Number, Record};
+use crate::record::{Instance, MemberId, Record};
 
 /// Reads fields from the front of a datagram.
 pub(super) struct Reader<'b>(&'b [u8]);
@@ -54,7 +54,7 @@
     }
 
     /// The next record. Version 1 does not state the accuser: the sender counts as the one.
-    pub fn record(&mut self, version: u8, sender: Number) -> Result<Record, Refused> {
+    pub fn record(&mut self, version: u8, sender: MemberId) -> Result<Record, Refused> {
         let member = self.u16()?;
         let state = *STATES.get(usize::from(self.u8()?)).ok_or(Refused::Form)?;
         let instance = self.instance()?;
--- a/crates/stonevane-membership/tests/machine.rs
+++ b/crates/stonevane-membership/tests/machine.rs
@@ -24,7 +24,7 @@
 }
 
 fn setup(me: u16, members: u16) -> Setup {
-    Setup { me, members, seed: 40 + u64::from(me), draw: 1_000 + u32::from(me), ..Setup::default() }
+    Setup { number: me, members, seed: 40 + u64::from(me), nonce: 1_000 + u32::from(me), ..Setup::default() }
 }
 
 impl Fleet {
@@ -161,7 +161,7 @@
         fleet.run((9 + pause) * S);
         assert_eq!(fleet.views(), ["aaaaaa"; 6], "after {pause} s");
         let status = fleet.machine(2).status();
-        assert!(status.counts.stood_still == 1 && status.counts.accused == 0 && status.counts.declared == 0);
+        assert!(status.counts.pauses == 1 && status.counts.accused == 0 && status.counts.declared == 0);
         let after: Vec<_> = (0..6).map(|m| fleet.machine(m).status().incarnation).collect();
         assert!(after[2] > before[2], "{before:?} {after:?}");
         assert!(
@@ -180,8 +180,8 @@
     assert_eq!(fleet.views(), ["aaaaa"; 5]);
     assert!((0..5).all(|m| fleet.machine(m).status().incarnation == 0), "nobody had to object");
     let entry = |of: u16, m: usize| fleet.machine(of).status().members[m];
-    assert!(entry(0, 1).hears_not() && !entry(0, 2).hears_not(), "n0 hears n1, n1 does not hear n0");
-    assert!(entry(1, 0).unheard() && !entry(1, 2).unheard());
+    assert!(entry(0, 1).outbound_cut() && !entry(0, 2).outbound_cut(), "n0 hears n1, n1 does not hear n0");
+    assert!(entry(1, 0).inbound_cut() && !entry(1, 2).inbound_cut());
 }
 
 #[test]
@@ -190,7 +190,7 @@
     fleet.run(4 * S);
     fleet.cut = Box::new(|_, to| to == 3);
     fleet.run(40 * S);
-    assert!(fleet.machine(3).status().alone.is_some());
+    assert!(fleet.machine(3).status().isolated_since.is_some());
     assert!(fleet.views()[3].contains('s') && !fleet.views()[3].contains('d'), "{:?}", fleet.views());
     fleet.cut = Box::new(|_, _| false);
     fleet.run(46 * S);
@@ -203,9 +203,9 @@
 fn a_restart_that_nobody_noticed_is_a_new_life_and_the_old_one_does_not_speak_again() {
     let mut fleet = Fleet::of(4);
     fleet.run(5 * S);
-    let old = fleet.machine(1).status().life;
+    let old = fleet.machine(1).status().instance;
     let recorded: Vec<_> = fleet.sent.iter().filter(|(from, ..)| *from == 1).cloned().collect();
-    fleet.members[1] = Some(Machine::new(fleet.now, Setup { draw: 77, seed: 9, ..setup(1, 4) }));
+    fleet.members[1] = Some(Machine::new(fleet.now, Setup { nonce: 77, seed: 9, ..setup(1, 4) }));
     fleet.run(8 * S);
     assert_eq!(fleet.views(), ["aaaa"; 4]);
     let known = |of: u16| fleet.machine(of).status().members[1].record.unwrap().instance;
@@ -215,7 +215,7 @@
         known(0)
     );
     // All that the old life ever sent comes once more, to those who knew it and to one who did not.
-    fleet.members[3] = Some(Machine::new(fleet.now, Setup { draw: 78, seed: 10, ..setup(3, 4) }));
+    fleet.members[3] = Some(Machine::new(fleet.now, Setup { nonce: 78, seed: 10, ..setup(3, 4) }));
     fleet.run(9 * S);
     let refused = fleet.machine(0).status().counts.refused_old;
     for (_, to, bytes) in recorded {
@@ -238,14 +238,14 @@
     fleet.run(8 * S);
     assert_eq!(fleet.views(), ["aaaal"; 4]);
     assert!((0..4).all(|m| fleet.machine(m).status().counts.accused == 0 && fleet.machine(m).known() == 4));
-    fleet.members[4] = Some(Machine::new(fleet.now, Setup { draw: 5, ..setup(4, 5) }));
+    fleet.members[4] = Some(Machine::new(fleet.now, Setup { nonce: 5, ..setup(4, 5) }));
     fleet.run(12 * S);
     assert_eq!(fleet.views(), ["aaaaa"; 5]);
 }
 
 #[test]
 fn both_versions_live_side_by_side_and_fleets_of_other_keys_do_not_hear_each_other() {
-    let speaks = |me: u16| Setup { speaks: if me < 2 { 1 } else { 2 }, ..setup(me, 5) };
+    let speaks = |me: u16| Setup { max_version: if me < 2 { 1 } else { 2 }, ..setup(me, 5) };
     let mut fleet = Fleet::new((0..5).map(speaks).collect());
     fleet.run(6 * S);
     fleet.members[4] = None;
@@ -270,11 +270,11 @@
     let record = Record { member: 0, instance: most, incarnation: u32::MAX, state: State::Dead, by: 1 };
     let message = Message {
         version: 2,
-        speaks: 2,
+        max_version: 2,
         kind: Kind::Gossip,
         from: 1,
         to: 0,
-        instance: fleet.machine(1).status().life,
+        instance: fleet.machine(1).status().instance,
         incarnation: 0,
         sequence: 1 << 40,
         probe: 0,
@@ -286,7 +286,7 @@
     };
     fleet.tell(0, Input::Datagram(1, &message.bytes(None)));
     fleet.run(10 * S);
-    assert_eq!(fleet.machine(0).status().counts.claimed, 1);
+    assert_eq!(fleet.machine(0).status().counts.identity_conflicts, 1);
 }
 
 fn records() -> impl Strategy<Value = Vec<Record>> {
@@ -320,7 +320,7 @@
                 let kind = KINDS[*kind];
                 let digests = matches!(kind, Kind::Digests | Kind::DigestsReply).then_some([*probe; 16]);
                 let message = Message {
-                    version: 2, speaks: 2, kind, from: *from, to: 0, instance: Instance { generation: 0, nonce: 9_000 },
+                    version: 2, max_version: 2, kind, from: *from, to: 0, instance: Instance { generation: 0, nonce: 9_000 },
                     incarnation: 0, sequence: 1_000 + at as u64, probe: *probe, about: (*from + 1) % 6, digest: *probe,
                     health: *health, digests, records: records.clone(),
                 };
--- a/crates/stonevane-membership/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -2,7 +2,9 @@
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
-use stonevane_membership::wire::{Kind, MAX_DATAGRAM, Message, PARTITIONS, Refused, VERSION, room};
+use stonevane_membership::wire::{
+    Kind, MAX_DATAGRAM, Message, PARTITIONS, Refused, VERSION, record_capacity,
+};
 use stonevane_membership::{Instance, Record, State};
 
 const KINDS: [Kind; 7] =
@@ -34,7 +36,7 @@
         let (version, kind, from, to, about) = head;
         let kind = KINDS[kind];
         let digests = matches!(kind, Kind::Digests | Kind::DigestsReply).then_some(digests);
-        records.truncate(room(version, digests.is_some(), true));
+        records.truncate(record_capacity(version, digests.is_some(), true));
         if version == 1 {
             for record in &mut records {
                 record.by = from;
@@ -45,7 +47,7 @@
         let (sequence, probe, digest) = (f.3, f.4, f.5);
         Message {
             version,
-            speaks: VERSION,
+            max_version: VERSION,
             kind,
             from,
             to,
@@ -64,8 +66,11 @@
 
 #[test]
 fn a_datagram_has_room_for_a_dozen_records_whatever_the_key() {
-    assert_eq!((room(2, false, false), room(2, false, true), room(1, false, true)), (12, 11, 13));
-    assert!(room(2, true, true) >= 8);
+    assert_eq!(
+        (record_capacity(2, false, false), record_capacity(2, false, true), record_capacity(1, false, true)),
+        (12, 11, 13)
+    );
+    assert!(record_capacity(2, true, true) >= 8);
 }
 
 proptest! {
--- a/crates/stonevane-node/src/membership/config.rs
+++ b/crates/stonevane-node/src/membership/config.rs
@@ -81,17 +81,17 @@
             }
         };
         let setup = Setup {
-            me: config.deployment.settings.node_index as u16,
+            number: config.deployment.settings.node_index as u16,
             members: peers.len() as u16,
             period: to_micros(fleet.period),
-            answer: to_micros(fleet.answer),
-            indirect: fleet.indirect,
-            suspicion: fleet.suspicion,
-            heeds_health: fleet.heeds_health,
+            probe_timeout: to_micros(fleet.answer),
+            indirect_probes: fleet.indirect,
+            suspicion_multiplier: fleet.suspicion,
+            uses_local_health: fleet.heeds_health,
             key: fleet.key,
-            speaks: fleet.speaks,
+            max_version: fleet.speaks,
             seed: config.seed,
-            draw: instance_nonce(),
+            nonce: instance_nonce(),
         };
         Ok(MembershipConfig { setup, listen, peers })
     }
--- a/crates/stonevane-node/src/membership/mod.rs
+++ b/crates/stonevane-node/src/membership/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use stonevane_membership::{Input, Machine, MemberEvent, Number, Outputs, State};
+use stonevane_membership::{Input, Machine, MemberEvent, MemberId, Outputs, State};
 use stonevane_policy::Micros;
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
@@ -54,7 +54,7 @@
         let socket = UdpSocket::bind(listen).await;
         let socket = socket.map_err(|e| Error::new(e.kind(), format!("peer_listen {listen}: {e}")))?;
         let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-        tracing::info!(me = setup.me, members = setup.members, %listen, keyed = setup.key.is_some(), "fleet");
+        tracing::info!(me = setup.number, members = setup.members, %listen, keyed = setup.key.is_some(), "fleet");
         let period = setup.period;
         let machine = Machine::new(clock.now(), setup);
         let inner = Inner { machine, outputs: Outputs::default(), peers: PeerTable::new(peers) };
@@ -115,7 +115,7 @@
         let moved = previous.iter().zip(&addresses).filter(|(before, now)| before != now).count();
         if moved > 0 || previous.len() < present {
             tracing::info!(members = present, moved, "peers");
-            self.handle(Input::Members(present as Number));
+            self.handle(Input::Members(present as MemberId));
             self.rescheduled.notify_one();
         }
         Ok(())
@@ -145,7 +145,7 @@
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
         let number = self.lock().peers.number_of(from);
         match number {
-            Some(number) => self.handle(Input::Datagram(number as Number, bytes)),
+            Some(number) => self.handle(Input::Datagram(number as MemberId, bytes)),
             None => drop(self.unknown_peer.fetch_add(1, Ordering::Relaxed)),
         }
     }
@@ -161,17 +161,17 @@
                 self.unsent.fetch_add(1, Ordering::Relaxed);
             }
         }
-        for event in inner.outputs.news.drain(..) {
+        for event in inner.outputs.events.drain(..) {
             log_event(&event);
         }
     }
 }
 
 fn log_event(event: &MemberEvent) {
-    let record = event.now;
+    let record = event.record;
     tracing::info!(
         member = record.member,
-        was = event.was.map_or("unknown", State::name),
+        was = event.previous.map_or("unknown", State::name),
         now = record.state.name(),
         by = record.by,
         generation = record.instance.generation,
--- a/crates/stonevane-node/src/membership/report.rs
+++ b/crates/stonevane-node/src/membership/report.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
-use stonevane_membership::{Counts, Machine, MemberStatus, Number, State, Status};
+use stonevane_membership::{Counts, Machine, MemberId, MemberStatus, State, Status};
 use stonevane_policy::Micros;
 
 const MICROS_PER_MS: Micros = 1_000;
@@ -18,8 +18,8 @@
 
 /// The initial of each member's state, `?` for an unknown one.
 pub(super) fn brief(machine: &Machine, members: usize) -> String {
-    let initial = |member: Number| machine.state(member).map_or("?", |state| &state.name()[..1]);
-    let view: String = (0..members as Number).map(initial).collect();
+    let initial = |member: MemberId| machine.state(member).map_or("?", |state| &state.name()[..1]);
+    let view: String = (0..members as MemberId).map(initial).collect();
     json!({ "view": view }).to_string()
 }
 
@@ -35,13 +35,13 @@
     let members = members.map(|entry| member(status, entry, addresses[usize::from(entry.member)], now));
     let counts = &status.counts;
     json!({
-        "me": status.me, "life": status.life.nonce, "generation": status.life.generation,
+        "me": status.number, "life": status.instance.nonce, "generation": status.instance.generation,
         "incarnation": status.incarnation, "health": status.health, "digest": format!("{:08x}", status.digest),
-        "period_ms": period / MICROS_PER_MS, "alone_ms": milliseconds_since(status.alone, now),
+        "period_ms": period / MICROS_PER_MS, "alone_ms": milliseconds_since(status.isolated_since, now),
         "members": members.collect::<Vec<_>>(),
         "datagrams": datagrams(counts, figures),
         "probes_failed": counts.probes_failed, "accused": counts.accused, "declared": counts.declared,
-        "refuted": counts.refuted, "stood_still": counts.stood_still, "claimed": counts.claimed,
+        "refuted": counts.refuted, "stood_still": counts.pauses, "claimed": counts.identity_conflicts,
     })
     .to_string()
 }
@@ -75,11 +75,11 @@
 
 /// Whether this node and a member reach each other.
 fn link(status: &Status, entry: &MemberStatus) -> &'static str {
-    if entry.member == status.me {
+    if entry.member == status.number {
         "self"
-    } else if entry.hears_not() {
+    } else if entry.outbound_cut() {
         "does not hear this node"
-    } else if entry.unheard() {
+    } else if entry.inbound_cut() {
         "is not heard"
     } else if entry.answers() {
         "both ways"
--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -11,7 +11,7 @@
 
 use stonevane_config::operator;
 use stonevane_core::{Core, DiscoveryCall, EndpointList, Input as CoreInput, Output as CoreOutput};
-use stonevane_membership::{Input as MachineInput, Machine, MemberEvent, NoFaults, Number, State};
+use stonevane_membership::{Input as MachineInput, Machine, MemberEvent, MemberId, NoFaults, State};
 use stonevane_policy::settings::Deployment;
 
 use crate::Micros;
@@ -96,17 +96,17 @@
     pub fn new(now: Micros, setup: Setup) -> StubNode {
         let Setup { number, domain, membership, machine_seed, .. } = setup;
         let machine = stonevane_membership::Setup {
-            me: (number - domain.start) as Number,
-            members: (domain.end - domain.start) as Number,
+            number: (number - domain.start) as MemberId,
+            members: (domain.end - domain.start) as MemberId,
             period: membership.period,
-            answer: membership.answer,
-            indirect: membership.indirect,
-            suspicion: membership.suspicion,
-            heeds_health: membership.heeds_health,
+            probe_timeout: membership.answer,
+            indirect_probes: membership.indirect,
+            suspicion_multiplier: membership.suspicion,
+            uses_local_health: membership.heeds_health,
             key: None,
-            speaks: membership.speaks,
+            max_version: membership.speaks,
             seed: machine_seed.seed,
-            draw: machine_seed.nonce,
+            nonce: machine_seed.nonce,
         };
         let core = stonevane_core::Setup {
             deployment: setup.deployment,
@@ -155,7 +155,7 @@
         match input {
             Input::Datagram(from, bytes) => {
                 if self.domain.contains(&from) {
-                    let from = (from - self.domain.start) as Number;
+                    let from = (from - self.domain.start) as MemberId;
                     self.handle_machine(now, MachineInput::Datagram(from, bytes), outputs);
                 }
             }
@@ -189,7 +189,7 @@
     /// The state of a node of its domain, as it sees it.
     pub fn state_of(&self, number: u32) -> Option<State> {
         let inside = self.domain.contains(&number);
-        self.machine.state(inside.then(|| (number - self.domain.start) as Number)?)
+        self.machine.state(inside.then(|| (number - self.domain.start) as MemberId)?)
     }
 
     /// Times that it took a living node for dead.
@@ -211,7 +211,7 @@
         let first = self.domain.start;
         let sends = self.machine_outputs.sends.drain(..);
         outputs.datagrams.extend(sends.map(|(to, bytes)| (first + u32::from(to), bytes)));
-        for event in std::mem::take(&mut self.machine_outputs.news) {
+        for event in std::mem::take(&mut self.machine_outputs.events) {
             self.take_event(event);
         }
         let node_count = self.machine.known();
@@ -221,14 +221,14 @@
     }
 
     fn take_event(&mut self, event: MemberEvent) {
-        let member = self.domain.start + u32::from(event.now.member);
+        let member = self.domain.start + u32::from(event.record.member);
         if member == self.number {
             return;
         }
-        let was_live = event.was.is_some_and(State::is_live);
-        let is_live = event.now.state.is_live();
+        let was_live = event.previous.is_some_and(State::is_live);
+        let is_live = event.record.state.is_live();
         self.live_others = self.live_others + u32::from(is_live) - u32::from(was_live);
-        if event.now.state == State::Dead && self.victim != Some(member) {
+        if event.record.state == State::Dead && self.victim != Some(member) {
             self.false_deaths += 1;
         }
     }
--- a/crates/stonevane-sim/src/members/world.rs
+++ b/crates/stonevane-sim/src/members/world.rs
@@ -134,15 +134,15 @@
         let draw = self.rng.rand_u64() as u32;
         let seed = self.rng.rand_u64();
         let setup = Setup {
-            me: member as u16,
+            number: member as u16,
             members: self.plan.members as u16,
             period: PERIOD,
-            answer: PERIOD / 2,
-            heeds_health: self.plan.heeds_health,
+            probe_timeout: PERIOD / 2,
+            uses_local_health: self.plan.heeds_health,
             key: self.plan.keyed.then_some([9; 32]),
-            speaks: if member < self.plan.old { 1 } else { 2 },
+            max_version: if member < self.plan.old { 1 } else { 2 },
             seed,
-            draw,
+            nonce: draw,
             ..Setup::default()
         };
         let mutant = self.options.mutant.filter(|mutant| !crooked(*mutant) || member == 0);
@@ -186,7 +186,7 @@
     }
 
     fn after(&mut self, member: usize) {
-        self.outputs.news.clear();
+        self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.send(member, usize::from(to), bytes);
         }
