--- a/crates/stonevane-lab/src/faulty_member.rs
+++ b/crates/stonevane-lab/src/faulty_member.rs
@@ -53,7 +53,7 @@
                 None => Input::Wake,
             };
             machine.handle(MonotonicClock::now(), input, &mut outputs);
-            outputs.news.clear();
+            outputs.events.clear();
             while let Some((to, bytes)) = outputs.sends.pop_front() {
                 let _ = socket.send_to(&bytes, peers[usize::from(to)]).await;
             }
@@ -83,7 +83,7 @@
     let records = deaths.chain([false_claim(members - 1, State::Alive)]).collect();
     let message = Message {
         version: 2,
-        speaks: 2,
+        max_version: 2,
         kind: Kind::Ping,
         from,
         to,
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -345,13 +345,13 @@
         let faulty = spec.faulty_member.filter(|faulty| faulty.node == number)?;
         let period_us = spec.period.as_micros() as u64;
         let setup = Setup {
-            me: number as u16,
+            number: number as u16,
             members: addresses.peers.len() as u16,
             period: period_us,
-            answer: period_us / 2,
+            probe_timeout: period_us / 2,
             key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN]),
             seed: self.seed,
-            draw: 1 + number as u32,
+            nonce: 1 + number as u32,
             ..Setup::default()
         };
         let listen = addresses.peers[number].1;
--- a/crates/stonevane-sim/src/members/simulation/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -74,18 +74,18 @@
         if self.processes[member].machine.is_some() || self.processes[member].kills > 0 {
             return;
         }
-        let draw = self.rng.rand_u64() as u32;
+        let nonce = self.rng.rand_u64() as u32;
         let seed = self.rng.rand_u64();
         let setup = Setup {
-            me: member as u16,
+            number: member as u16,
             members: self.plan.members as u16,
             period: PERIOD_US,
-            answer: PERIOD_US / 2,
-            heeds_health: self.plan.heeds_health,
+            probe_timeout: PERIOD_US / 2,
+            uses_local_health: self.plan.heeds_health,
             key: self.plan.has_key.then_some([9; 32]),
-            speaks: if member < self.plan.first_version_members { 1 } else { 2 },
+            max_version: if member < self.plan.first_version_members { 1 } else { 2 },
             seed,
-            draw,
+            nonce,
             ..Setup::default()
         };
         let is_faulty = |mutant: &Mutant| !is_single_member_fault(*mutant) || member == 0;
@@ -207,7 +207,7 @@
 
     /// Does what a member says, and schedules its next wake.
     fn perform(&mut self, member: usize) {
-        self.outputs.news.clear();
+        self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.send(member, usize::from(to), &bytes);
         }
