--- a/crates/stonevane-server-model/src/lib.rs
+++ b/crates/stonevane-server-model/src/lib.rs
@@ -1,5 +1,5 @@
-//! What servers of a fleet do, without I/O or clock. Two drivers share it: the stand-ins, behind sockets, and the
-//! simulation, so that a server is as busy in the one as in the other.
+//! The behaviour of the servers around a node, without I/O or clock. Two drivers share it: the emulators, behind
+//! sockets, and the simulation, so that a server is as busy in the one as in the other.
 
 pub mod service;
 pub mod value;
