--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -1,5 +1,7 @@
 //! The experiment file: which runs there are. Pure: it reads no file but through the caller.
 
+use std::io;
+
 use stonevane_config::operator::Operator;
 use stonevane_config::{ConfigError, Document, Table, suggest};
 use stonevane_lab::scenario::Expectation;
@@ -97,7 +99,7 @@
     /// All that is wrong with it, in the order of the text.
     pub fn parse(
         text: &str,
-        find: &dyn Fn(&str) -> Result<String, String>,
+        find: &dyn Fn(&str) -> io::Result<String>,
     ) -> Result<Experiment, Vec<ConfigError>> {
         let document = Document::parse(text);
         let root = document.root();
@@ -195,7 +197,7 @@
     }
 }
 
-fn scenario(name: &str, find: &dyn Fn(&str) -> Result<String, String>) -> Result<(Scenario, String), String> {
+fn scenario(name: &str, find: &dyn Fn(&str) -> io::Result<String>) -> Result<(Scenario, String), String> {
     let known = BuiltInScenario::find(name);
     let text = match known {
         Some(scenario) => scenario.text.to_owned(),
@@ -249,7 +251,7 @@
     use super::*;
 
     fn parse(text: &str) -> Result<Experiment, Vec<String>> {
-        let find = |_: &str| Err("no such file".to_owned());
+        let find = |_: &str| Err(io::Error::other("no such file"));
         Experiment::parse(text, &find).map_err(|faults| faults.iter().map(ToString::to_string).collect())
     }
 
--- /dev/null
+++ b/crates/stonevane/src/bench/nodes.rs
@@ -0,0 +1,238 @@
+//! `stonevane bench lab`: the node and a bare relay in its place, in turn.
+
+use std::fs::File;
+use std::io::{BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+
+use stonevane_audit::{Event, HistoryRecord, Rules};
+use stonevane_emulators::client::{Clients, plan};
+use stonevane_emulators::{MonotonicClock, Recorder};
+use stonevane_lab::{Fleet, NodeKind, Scenario, summarise};
+
+use super::{BenchResult, median};
+
+/// Caches that answer at once, all keys preloaded, and a load that only reads.
+const SCENARIO: &str = "name = \"bench\"\n[fleet]\nnodes = 1\ncaches = 1\nwarm_keys = 1\n[fleet.cache]\n\
+    work_ms = 0\ncores = 64\n[load]\nper_s = 20000\nfor_ms = 1000\nedits = 0\nretries = 0\n";
+/// The time in which connections come up, in microseconds.
+const WARM_UP_US: u64 = 300_000;
+const SEED: u64 = 1;
+
+/// What takes turns with the relay.
+pub(super) struct Contestant {
+    name: &'static str,
+    program: PathBuf,
+}
+
+impl Contestant {
+    /// The daemon's program, and another one.
+    pub(super) fn list(program: PathBuf, beside: Option<PathBuf>) -> Vec<Contestant> {
+        let node = Contestant { name: "node", program };
+        let beside = beside.map(|program| Contestant { name: "beside", program });
+        std::iter::once(node).chain(beside).collect()
+    }
+}
+
+/// How the comparison is run.
+pub(super) struct Comparison {
+    pub(super) rounds: u64,
+    pub(super) for_s: u64,
+    pub(super) connections: usize,
+    pub(super) sockets: u64,
+}
+
+/// The figures of one turn.
+struct Figures {
+    per_s: f64,
+    p50_ms: f64,
+    p99_ms: f64,
+    /// Processor time of a request, in microseconds.
+    cpu_us: f64,
+    /// The lab's own processor time of a request, in microseconds.
+    lab_cpu_us: f64,
+    /// Requests that were not served.
+    other: u64,
+}
+
+/// Figures as multiples of the relay's of the same round.
+#[derive(Default)]
+struct Ratios {
+    rates: Vec<f64>,
+    cpu: Vec<f64>,
+}
+
+/// Processor time that a process and the lab have used, in microseconds.
+#[derive(Clone, Copy)]
+struct CpuTimes {
+    measured: u64,
+    lab: u64,
+}
+
+impl CpuTimes {
+    fn read(pid: u32) -> CpuTimes {
+        CpuTimes { measured: cpu_us(pid).unwrap_or(0), lab: cpu_us(std::process::id()).unwrap_or(0) }
+    }
+}
+
+/// Processor time that a process has used, in microseconds.
+fn cpu_us(pid: u32) -> Option<u64> {
+    let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
+    let nanos: u64 = text.split_whitespace().next()?.parse().ok()?;
+    Some(nanos / 1_000)
+}
+
+/// A process that is killed when dropped.
+struct Process(Child);
+
+impl Drop for Process {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+impl Comparison {
+    pub(super) fn run(&self, contestants: &[Contestant]) -> BenchResult {
+        let scenario = Scenario::parse(SCENARIO).map_err(|errors| format!("{errors:?}"))?;
+        let scenario = Scenario { sockets: self.sockets, ..scenario };
+        self.print_header();
+        let mut ratios: Vec<Ratios> = contestants.iter().map(|_| Ratios::default()).collect();
+        for _ in 0..self.rounds {
+            let mut figures = Vec::new();
+            for contestant in contestants {
+                figures.push(self.turn(&scenario, contestant.name, Some(&contestant.program))?);
+            }
+            let relay = self.turn(&scenario, "relay", None)?;
+            for (ratios, figures) in ratios.iter_mut().zip(figures) {
+                ratios.rates.push(figures.per_s / relay.per_s);
+                ratios.cpu.push(figures.cpu_us / relay.cpu_us);
+            }
+        }
+        for (contestant, ratios) in contestants.iter().zip(ratios) {
+            let (rate, cpu) = (median(ratios.rates), median(ratios.cpu));
+            say!(
+                "{} / relay, median of pairs: requests a second {rate:.2}, CPU of a request {cpu:.2}",
+                contestant.name
+            );
+        }
+        Ok(())
+    }
+
+    fn print_header(&self) {
+        say!(
+            "{} connections, {} s a turn, {} turns of each, history written",
+            self.connections,
+            self.for_s,
+            self.rounds
+        );
+        say!(
+            "{:<7} {:>12} {:>9} {:>9} {:>14} {:>14} {:>7}",
+            "",
+            "requests/s",
+            "p50 ms",
+            "p99 ms",
+            "its CPU us/r",
+            "lab CPU us/r",
+            "other"
+        );
+    }
+
+    /// Measures a program, or the relay where there is none, and prints its figures.
+    fn turn(&self, scenario: &Scenario, name: &str, program: Option<&Path>) -> BenchResult<Figures> {
+        let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
+        let (recorder, writer) = Recorder::to(File::create(&path)?);
+        recorder.line(HistoryRecord {
+            time: MonotonicClock::moment(),
+            recorder: "bench".into(),
+            event: Event::Begin,
+            rules: Some(Box::new(Rules::default())),
+            ..HistoryRecord::default()
+        });
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let (cpu_us, lab_cpu_us) = runtime.block_on(self.play(scenario, program, &recorder))?;
+        drop((runtime, recorder));
+        writer.finish()?;
+        let summary = summarise(BufReader::new(File::open(&path)?));
+        let _ = std::fs::remove_file(&path);
+        let summary = summary?;
+        let class = summary.classes.get("zone-lookup").ok_or("nothing was asked")?;
+        let figures = Figures {
+            per_s: class.served as f64 / (self.for_s as f64 + WARM_UP_US as f64 / 1e6),
+            p50_ms: class.p50_ms,
+            p99_ms: class.p99_ms,
+            cpu_us,
+            lab_cpu_us,
+            other: class.refused + class.failed,
+        };
+        figures.print(name);
+        Ok(figures)
+    }
+
+    /// Plays the load; returns the processor time of a request, of the program and of the lab.
+    async fn play(
+        &self,
+        scenario: &Scenario,
+        program: Option<&Path>,
+        recorder: &Recorder,
+    ) -> BenchResult<(f64, f64)> {
+        let clock = MonotonicClock::default();
+        let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
+        // Beside a relay the node stands idle.
+        let node = match program {
+            Some(program) => program.to_owned(),
+            None => std::env::current_exe()?.with_file_name("stonevane-node"),
+        };
+        let fleet = Fleet::start(scenario, &NodeKind::Process(node.into()), SEED, &clock, recorder).await?;
+        let (targets, pid, _relay) = if program.is_some() {
+            (fleet.targets.clone(), fleet.pids()[0], None)
+        } else {
+            let server = fleet.caches[0].address("n0").ok_or("the cache has no door")?;
+            let (relay, address) = start_relay(server)?;
+            (vec![("relay".to_owned(), address)], relay.0.id(), Some(relay))
+        };
+        let clients = Clients::new(&targets, scenario.load.clone(), SEED, &clock, recorder.clone());
+        let planned = plan(&scenario.load, 1, SEED);
+        clients.hammer(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
+        let (asked, begun) = (clients.asked(), CpuTimes::read(pid));
+        let end = MonotonicClock::now() + self.for_s * 1_000_000;
+        clients.hammer(&planned, self.connections, end).await;
+        let requests = (clients.asked() - asked).max(1) as f64;
+        let ended = CpuTimes::read(pid);
+        fleet.end().await;
+        let measured = (ended.measured - begun.measured) as f64 / requests;
+        Ok((measured, (ended.lab - begun.lab) as f64 / requests))
+    }
+}
+
+impl Figures {
+    fn print(&self, name: &str) {
+        say!(
+            "{:<7} {:>12.0} {:>9.2} {:>9.2} {:>14.1} {:>14.1} {:>7}",
+            name,
+            self.per_s,
+            self.p50_ms,
+            self.p99_ms,
+            self.cpu_us,
+            self.lab_cpu_us,
+            self.other
+        );
+    }
+}
+
+/// Starts a relay as a process of its own, as the node is one.
+fn start_relay(server: SocketAddr) -> std::io::Result<(Process, SocketAddr)> {
+    let mut child = Command::new(std::env::current_exe()?)
+        .args(["stand-in", "relay", "--server", &server.to_string()])
+        .stdout(Stdio::piped())
+        .spawn()?;
+    let output = child.stdout.take();
+    let process = Process(child);
+    let mut line = String::new();
+    if let Some(output) = output {
+        BufReader::new(output).read_line(&mut line)?;
+    }
+    let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
+    Ok((process, address.ok_or_else(|| std::io::Error::other("the relay did not start"))?))
+}
--- a/crates/stonevane/src/demo.rs
+++ b/crates/stonevane/src/demo.rs
@@ -1,7 +1,6 @@
 //! `stonevane demo`: a whole fleet to speak to.
 
 use std::path::PathBuf;
-use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Args;
@@ -10,7 +9,8 @@
 use stonevane_lab::scenario::StoreSpec;
 use stonevane_lab::{Fleet, NodeKind, Scenario, interrupted};
 
-use crate::{NOT_RUN, node};
+use crate::error::CommandError;
+use crate::node_program;
 
 /// Builds and serves a demo fleet until it is interrupted.
 #[derive(Args)]
@@ -28,25 +28,25 @@
 }
 
 const SCENARIO: &str = "name = \"demo\"\n[fleet]\ncaches = 4\nwarm_keys = 0.5\n";
+const SEED: u64 = 1;
+/// The longest time that it serves: a year.
+const LONGEST: Duration = Duration::from_secs(365 * 86_400);
+/// The rank of a key that no cache holds at the start.
+const COLD_RANK: usize = 150;
 
 impl Demo {
-    /// Serves.
-    pub fn run(self) -> ExitCode {
-        let served = node::program(self.node_program.as_deref()).and_then(|program| self.serve(program));
-        match served {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(e) => {
-                warn!("stonevane: {e}");
-                ExitCode::from(NOT_RUN)
-            }
-        }
+    pub fn run(self) -> Result<(), CommandError> {
+        let program = node_program::find(self.node_program.as_deref()).map_err(CommandError::not_run)?;
+        let scenario = self.scenario()?;
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        runtime.map_err(CommandError::not_run)?.block_on(self.serve(&scenario, program))
     }
 
-    fn serve(&self, program: PathBuf) -> Result<(), String> {
-        let mut scenario = Scenario::parse(SCENARIO).map_err(|e| format!("{e:?}"))?;
-        scenario.nodes = self.nodes as usize;
-        // The main job on one machine: a real store in a file, caches that nodes fill and void.
-        let base = StoreSpec {
+    /// A store in a file, and caches that nodes fill and invalidate.
+    fn scenario(&self) -> Result<Scenario, CommandError> {
+        let scenario =
+            Scenario::parse(SCENARIO).map_err(|errors| CommandError::not_run(format!("{errors:?}")))?;
+        let store = StoreSpec {
             sqlite: true,
             call_timeout_ms: 500,
             copy_lifetime_ms: 60_000,
@@ -55,49 +55,53 @@
             fills_caches: true,
             shares_fetches: true,
         };
-        scenario.store = Some(base);
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        runtime.map_err(|e| e.to_string())?.block_on(async {
-            let mono = MonotonicClock::default();
-            let _beat = tokio::spawn(mono.clone().run_heartbeat());
-            warn!(
-                "starting {} nodes, {} caches, a store in a file and discovery ...",
-                scenario.nodes, scenario.caches
-            );
-            let fleet =
-                Fleet::start(&scenario, &NodeKind::Process(program.into()), 1, &mono, &Recorder::none())
-                    .await;
-            let fleet = fleet.map_err(|e| e.to_string())?;
-            say!("A fleet serves on this machine:");
-            for (name, address) in &fleet.targets {
-                say!("  node {name}    {address}");
-            }
-            for cache in &fleet.caches {
-                let address = cache.address("n0").map(|a| a.to_string()).unwrap_or_default();
-                say!("  {}   {address} (as n0 sees it)", cache.spec.name);
-            }
-            say!("  store     {} (stonevane store check FILE)", fleet.folder().join("zones.db").display());
-            say!("  logs      {}", fleet.folder().display());
-            let Some((_, first)) = fleet.targets.first() else { return Ok(()) };
-            let at = format!("redis-cli -h {} -p {}", first.ip(), first.port());
-            say!("\nSpeak to it with any RESP2 client. Each request needs an id of its own:");
-            say!("  {at} PING");
-            say!("  {at} OBJ.GET {:016x} id-1 c=zone-lookup,t=coastline,d=1500     (a hit)", key(0));
-            say!(
-                "  {at} OBJ.GET {:016x} id-2 c=zone-lookup,t=coastline,d=1500     (a miss, fetched and kept)",
-                key(150)
-            );
-            say!("  {at} OBJ.SET {:016x} id-3 c=zone-edit,t=coastline,d=300,k=aa area-2", key(0));
-            say!(
-                "  {at} OBJ.GET {:016x} id-4 c=zone-lookup,t=coastline,d=1500     (area-2, on every node)",
-                key(0)
-            );
-            say!("\nCtrl-C ends it.");
-            let bound = self.for_s.map_or(Duration::MAX, Duration::from_secs);
-            let _ = tokio::time::timeout(bound.min(Duration::from_secs(86_400 * 365)), interrupted()).await;
-            warn!("ending ...");
-            fleet.end().await;
-            Ok(())
-        })
+        Ok(Scenario { nodes: self.nodes as usize, store: Some(store), ..scenario })
+    }
+
+    async fn serve(&self, scenario: &Scenario, program: PathBuf) -> Result<(), CommandError> {
+        let clock = MonotonicClock::default();
+        let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
+        warn!(
+            "starting {} nodes, {} caches, a store in a file and discovery ...",
+            scenario.nodes, scenario.caches
+        );
+        let kind = NodeKind::Process(program.into());
+        let fleet = Fleet::start(scenario, &kind, SEED, &clock, &Recorder::none()).await;
+        let fleet = fleet.map_err(CommandError::not_run)?;
+        print_addresses(&fleet);
+        print_commands(&fleet);
+        let duration = self.for_s.map_or(LONGEST, Duration::from_secs).min(LONGEST);
+        let _ = tokio::time::timeout(duration, interrupted()).await;
+        warn!("ending ...");
+        fleet.end().await;
+        Ok(())
+    }
+}
+
+fn print_addresses(fleet: &Fleet) {
+    say!("A fleet serves on this machine:");
+    for (name, address) in &fleet.targets {
+        say!("  node {name}    {address}");
+    }
+    for cache in &fleet.caches {
+        let address = cache.address("n0").map(|address| address.to_string()).unwrap_or_default();
+        say!("  {}   {address} (as n0 sees it)", cache.spec.name);
     }
+    say!("  store     {} (stonevane store check FILE)", fleet.folder().join("zones.db").display());
+    say!("  logs      {}", fleet.folder().display());
+}
+
+/// Prints commands to try.
+fn print_commands(fleet: &Fleet) {
+    let Some((_, node)) = fleet.targets.first() else { return };
+    let client = format!("redis-cli -h {} -p {}", node.ip(), node.port());
+    let (warm, cold) = (key(0), key(COLD_RANK));
+    let read = "c=zone-lookup,t=coastline,d=1500";
+    say!("\nSpeak to it with any RESP2 client. Each request needs an id of its own:");
+    say!("  {client} PING");
+    say!("  {client} OBJ.GET {warm:016x} id-1 {read}     (a hit)");
+    say!("  {client} OBJ.GET {cold:016x} id-2 {read}     (a miss, fetched and kept)");
+    say!("  {client} OBJ.SET {warm:016x} id-3 c=zone-edit,t=coastline,d=300,k=aa area-2");
+    say!("  {client} OBJ.GET {warm:016x} id-4 {read}     (area-2, on every node)");
+    say!("\nCtrl-C ends it.");
 }
--- a/crates/stonevane/src/main.rs
+++ b/crates/stonevane/src/main.rs
@@ -1,39 +1,30 @@
 //! `stonevane`: the command line beside the daemon.
 
-/// Prints a line; nobody who closes its end is a reason to stop.
-macro_rules! say {
-    ($($part:tt)*) => {{
-        use std::io::Write as _;
-        let _ = writeln!(std::io::stdout(), $($part)*);
-    }};
-}
-
-/// The same on standard error.
-macro_rules! warn {
-    ($($part:tt)*) => {{
-        use std::io::Write as _;
-        let _ = writeln!(std::io::stderr(), $($part)*);
-    }};
-}
+#[macro_use]
+mod output;
 
+mod arguments;
 mod bench;
+mod check;
 mod demo;
+mod error;
 mod fleet;
 mod lab;
-mod node;
+mod node_program;
+mod parallel;
 mod scale;
 mod sim;
-mod standin;
+mod stand_in;
 mod store;
-mod top;
 
-use std::path::PathBuf;
 use std::process::ExitCode;
 
+use clap::error::ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand;
 use clap::{Parser, Subcommand};
-use stonevane_config::operator::Operator;
 use tracing_subscriber::EnvFilter;
 
+use crate::error::{CommandError, UNUSABLE};
+
 /// The command line beside the daemon: check configuration, run the lab, audit histories, run stand-ins.
 #[derive(Parser)]
 #[command(
@@ -55,7 +46,7 @@
 struct Cli {
     /// Logs of the lab and its stand-ins on standard error: a level, or levels by package
     /// (`info`, `warn,stonevane_emulators=debug`).
-    #[arg(long, global = true, value_name = "LEVELS", value_parser = levels)]
+    #[arg(long, global = true, value_name = "LEVELS", value_parser = arguments::log_levels)]
     log: Option<EnvFilter>,
     /// Logs as JSON lines.
     #[arg(long, global = true, requires = "log")]
@@ -68,7 +59,7 @@
 enum Command {
     /// Configuration, without a node.
     #[command(subcommand)]
-    Config(Config),
+    Config(check::Config),
     /// The lab: real nodes between stand-ins, faults by script, the auditor's verdict.
     #[command(subcommand)]
     Lab(lab::Lab),
@@ -83,7 +74,7 @@
     Scale(scale::Scale),
     /// Runs one stand-in by hand, until it is interrupted.
     #[command(subcommand)]
-    StandIn(standin::StandIn),
+    StandIn(stand_in::StandIn),
     /// The store of record: make, check, import, export, torture.
     #[command(subcommand)]
     Store(store::Store),
@@ -94,112 +85,59 @@
     Bench(bench::Bench),
 }
 
-#[derive(Subcommand)]
-enum Config {
-    /// Checks an operator file, and lists all that is wrong with it.
-    #[command(after_help = "Example: stonevane config check deploy/operator.toml")]
-    Check {
-        /// The file.
-        file: PathBuf,
-    },
-}
-
-/// Exit code: a rule or an expectation is broken.
-const BROKEN: u8 = 1;
-/// Exit code: the input can't be used.
-const UNUSABLE: u8 = 2;
-/// Exit code: it could not be run to its end.
-const NOT_RUN: u8 = 3;
-
-/// The exit code of a command that says whether all holds, or why it could not.
-fn ended(done: Result<bool, (String, u8)>) -> ExitCode {
-    match done {
-        Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(BROKEN),
-        Err((what, code)) => {
-            warn!("stonevane: {what}");
-            ExitCode::from(code)
-        }
-    }
-}
-
-/// Reads a file, or says in one line why it can't be.
-fn read(file: &std::path::Path) -> Result<String, ExitCode> {
-    std::fs::read_to_string(file).map_err(|e| {
-        warn!("stonevane: {}: {e}", file.display());
-        ExitCode::from(UNUSABLE)
-    })
-}
-
-/// Says what is wrong with a file, a line for each fault.
-fn faults(file: &str, faults: &[stonevane_config::ConfigError]) -> ExitCode {
-    faults.iter().for_each(|fault| warn!("stonevane: {file}: {fault}"));
-    ExitCode::from(UNUSABLE)
-}
-
-fn check(file: &std::path::Path) -> ExitCode {
-    let text = match read(file) {
-        Ok(text) => text,
-        Err(code) => return code,
-    };
-    match Operator::parse(&text) {
-        Ok(_) => {
-            say!("{}: good", file.display());
-            ExitCode::SUCCESS
+impl Command {
+    fn run(self) -> Result<(), CommandError> {
+        match self {
+            Command::Config(config) => config.run(),
+            Command::Lab(lab) => lab.run(),
+            Command::Sim(sim) => sim.run(),
+            Command::Fleet(fleet) => fleet.run(),
+            Command::Scale(scale) => scale.run(),
+            Command::StandIn(stand_in) => stand_in.run(),
+            Command::Store(store) => store.run(),
+            Command::Demo(demo) => demo.run(),
+            Command::Bench(bench) => bench.run(),
         }
-        Err(wrong) => faults(&file.display().to_string(), &wrong),
     }
 }
 
-fn levels(text: &str) -> Result<EnvFilter, String> {
-    text.parse().map_err(|e| format!("{e}"))
-}
-
 /// Sends logs to standard error, where they are asked for.
-fn log(levels: Option<EnvFilter>, json: bool) {
+fn start_logs(levels: Option<EnvFilter>, json: bool) {
     let Some(levels) = levels else { return };
-    let made =
+    let subscriber =
         tracing_subscriber::fmt().with_env_filter(levels).with_writer(std::io::stderr).with_ansi(false);
-    if json { made.json().init() } else { made.init() }
+    if json { subscriber.json().init() } else { subscriber.init() }
 }
 
 /// What clap says is wrong with the arguments, in one line.
-fn in_one_line(error: &clap::Error) -> String {
+fn one_line(error: &clap::Error) -> String {
     let text = error.render().to_string();
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
-    let told: Vec<&str> =
+    let message: Vec<&str> =
         lines.take_while(|line| !line.starts_with("Usage:") && !line.starts_with("For more")).collect();
-    let line = told.join(" ");
+    let line = message.join(" ");
     line.strip_prefix("error: ").unwrap_or(&line).to_owned()
 }
 
-/// Reads the command line; help goes out whole, what is wrong in one line.
-fn arguments() -> Result<Cli, ExitCode> {
-    use clap::error::ErrorKind::DisplayHelpOnMissingArgumentOrSubcommand as NoCommand;
+/// Reads the command line; help is printed in full, an error in one line.
+fn parse_arguments() -> Result<Cli, ExitCode> {
     Cli::try_parse().map_err(|error| {
-        if !error.use_stderr() || error.kind() == NoCommand {
+        if !error.use_stderr() || error.kind() == DisplayHelpOnMissingArgumentOrSubcommand {
             error.exit();
         }
-        warn!("stonevane: {}", in_one_line(&error));
+        warn!("stonevane: {}", one_line(&error));
         ExitCode::from(UNUSABLE)
     })
 }
 
 fn main() -> ExitCode {
-    let cli = match arguments() {
+    let cli = match parse_arguments() {
         Ok(cli) => cli,
         Err(code) => return code,
     };
-    log(cli.log, cli.log_json);
-    match cli.command {
-        Command::Config(Config::Check { file }) => check(&file),
-        Command::Lab(lab) => lab.run(),
-        Command::Sim(sim) => sim.run(),
-        Command::Fleet(fleet) => fleet.run(),
-        Command::Scale(scale) => scale.run(),
-        Command::StandIn(standin) => standin.run(),
-        Command::Store(store) => store.run(),
-        Command::Demo(demo) => demo.run(),
-        Command::Bench(bench) => bench.run(),
+    start_logs(cli.log, cli.log_json);
+    match cli.command.run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => error.report(),
     }
 }
--- /dev/null
+++ b/crates/stonevane/src/parallel.rs
@@ -0,0 +1,89 @@
+//! Work on several threads.
+
+use std::ops::RangeInclusive;
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::thread::available_parallelism;
+use std::time::{Duration, Instant};
+
+/// The pause between looks at whether the threads have ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// One thread for each core.
+pub fn default_threads() -> u64 {
+    available_parallelism().map_or(1, |cores| cores.get() as u64)
+}
+
+/// Numbers that threads work on, and the results.
+struct Work<R, F> {
+    next: AtomicU64,
+    last: u64,
+    results: Mutex<Vec<(u64, R)>>,
+    function: F,
+}
+
+impl<R: Send, F: Fn(u64) -> R + Sync> Work<R, F> {
+    fn new(numbers: &RangeInclusive<u64>, function: F) -> Self {
+        let next = AtomicU64::new(*numbers.start());
+        Work { next, last: *numbers.end(), results: Mutex::default(), function }
+    }
+
+    /// Works until no number is left.
+    fn run(&self) {
+        loop {
+            let number = self.next.fetch_add(1, Ordering::Relaxed);
+            if number > self.last {
+                return;
+            }
+            let result = (self.function)(number);
+            if let Ok(mut results) = self.results.lock() {
+                results.push((number, result));
+            }
+        }
+    }
+
+    fn done(&self) -> usize {
+        self.results.lock().map_or(0, |results| results.len())
+    }
+
+    /// The results in the order of their numbers.
+    fn finish(self) -> Vec<(u64, R)> {
+        let mut results = self.results.into_inner().unwrap_or_default();
+        results.sort_by_key(|(number, _)| *number);
+        results
+    }
+}
+
+/// Works on each number with one thread for each core; returns the results in the order of the numbers.
+pub fn map<R: Send>(numbers: &RangeInclusive<u64>, function: impl Fn(u64) -> R + Sync) -> Vec<(u64, R)> {
+    let work = Work::new(numbers, function);
+    std::thread::scope(|scope| {
+        for _ in 0..default_threads() {
+            scope.spawn(|| work.run());
+        }
+    });
+    work.finish()
+}
+
+/// The same with a number of threads; `progress` is called at an interval with the number of results.
+pub fn map_with_progress<R: Send>(
+    numbers: &RangeInclusive<u64>,
+    threads: u64,
+    function: impl Fn(u64) -> R + Sync,
+    interval: Duration,
+    mut progress: impl FnMut(usize),
+) -> Vec<(u64, R)> {
+    let work = Work::new(numbers, function);
+    std::thread::scope(|scope| {
+        let handles: Vec<_> = (0..threads).map(|_| scope.spawn(|| work.run())).collect();
+        let mut last = Instant::now();
+        while handles.iter().any(|handle| !handle.is_finished()) {
+            std::thread::sleep(POLL_INTERVAL);
+            if last.elapsed() >= interval {
+                last = Instant::now();
+                progress(work.done());
+            }
+        }
+    });
+    work.finish()
+}
--- a/crates/stonevane/src/scale/mod.rs
+++ b/crates/stonevane/src/scale.rs
@@ -1,13 +1,13 @@
 //! `stonevane scale`: what fleets of many thousands of nodes cost.
 
-pub mod measure;
-pub mod run;
-pub mod table;
-
-use std::process::ExitCode;
+mod measure;
+mod run;
+mod table;
 
 use clap::Subcommand;
 
+use crate::error::CommandError;
+
 /// The commands on the size of fleets.
 #[derive(Subcommand)]
 pub enum Scale {
@@ -23,8 +23,7 @@
 }
 
 impl Scale {
-    /// Runs the command.
-    pub fn run(self) -> ExitCode {
+    pub fn run(self) -> Result<(), CommandError> {
         match self {
             Scale::Measure(measure) => measure.run(),
             Scale::Table(table) => table.run(),
--- a/crates/stonevane/src/scale/measure.rs
+++ b/crates/stonevane/src/scale/measure.rs
@@ -4,7 +4,7 @@
 
 use std::fs::OpenOptions;
 use std::path::{Path, PathBuf};
-use std::process::{Command, ExitCode, Stdio};
+use std::process::{Command, Output, Stdio};
 
 use clap::Args;
 use stonevane_capacity::limits::MachineMemory;
@@ -12,7 +12,7 @@
 use stonevane_capacity::{csv, report};
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
 
-use crate::{NOT_RUN, UNUSABLE, ended};
+use crate::error::{CommandError, NOT_RUN, write_file};
 
 /// What is measured.
 #[derive(Args)]
@@ -46,6 +46,26 @@
     in_process: bool,
 }
 
+/// Why the arguments can't be used.
+#[derive(Debug, thiserror::Error)]
+enum OrderError {
+    #[error("--role: there is no role {role:?}; one of {known}")]
+    UnknownRole { role: String, known: String },
+    #[error("--sizes: {0:?} is no size above 0")]
+    NoSize(String),
+    #[error("--sizes: {next} does not rise above {previous}")]
+    SizeOrder { previous: u64, next: u64 },
+    #[error("--tolerance: {0:?} is no number between 0 and 1")]
+    Tolerance(String),
+    #[error("the system does not tell how much memory there is")]
+    UnknownMemory,
+    /// A size that the role can't have.
+    #[error("{0}")]
+    Size(String),
+    #[error("{}: {error}", .file.display())]
+    Output { file: PathBuf, error: std::io::Error },
+}
+
 /// What the arguments ask for, checked.
 struct Order {
     role: Role,
@@ -55,32 +75,28 @@
 }
 
 /// Reads sizes, which must rise.
-fn sizes(text: &str) -> Result<Vec<u64>, String> {
+fn sizes(text: &str) -> Result<Vec<u64>, OrderError> {
     let size = |part: &str| {
         let number = part.trim().parse::<u64>().ok().filter(|size| *size > 0);
-        number.ok_or_else(|| format!("--sizes: {:?} is no size above 0", part.trim()))
+        number.ok_or_else(|| OrderError::NoSize(part.trim().to_owned()))
     };
     let sizes = text.split(',').map(size).collect::<Result<Vec<_>, _>>()?;
     match sizes.windows(2).find(|pair| pair[1] <= pair[0]) {
-        Some(pair) => Err(format!("--sizes: {} does not rise above {}", pair[1], pair[0])),
+        Some(pair) => Err(OrderError::SizeOrder { previous: pair[0], next: pair[1] }),
         None => Ok(sizes),
     }
 }
 
 /// Reads a tolerance, a part of 1.
-fn tolerance(text: &str) -> Result<f64, String> {
+fn tolerance(text: &str) -> Result<f64, OrderError> {
     let value = text.parse::<f64>().ok().filter(|value| *value > 0.0 && *value < 1.0);
-    value.ok_or_else(|| format!("--tolerance: {text:?} is no number between 0 and 1"))
+    value.ok_or_else(|| OrderError::Tolerance(text.to_owned()))
 }
 
 /// Whether a file can be written, before anything is measured.
-fn writable(file: &Path) -> Result<(), String> {
+fn check_writable(file: &Path) -> Result<(), OrderError> {
     let opened = OpenOptions::new().create(true).append(true).open(file);
-    opened.map(drop).map_err(|e| format!("{}: {e}", file.display()))
-}
-
-fn write(file: &Path, text: &str) -> Result<(), (String, u8)> {
-    std::fs::write(file, text).map_err(|e| (format!("{}: {e}", file.display()), NOT_RUN))
+    opened.map(drop).map_err(|error| OrderError::Output { file: file.into(), error })
 }
 
 /// Ends this process when its standard input does, which the process that started it holds open: nothing is left behind
@@ -91,45 +107,34 @@
 }
 
 impl Measure {
-    fn order(&self) -> Result<Order, String> {
+    fn order(&self) -> Result<Order, OrderError> {
         let role = Role::named(&self.role).ok_or_else(|| {
-            let names = Role::ALL.map(Role::name).join(", ");
-            format!("--role: there is no role {:?}; one of {names}", self.role)
+            let known = Role::ALL.map(Role::name).join(", ");
+            OrderError::UnknownRole { role: self.role.clone(), known }
         })?;
         let sizes = sizes(&self.sizes)?;
         let tolerance = tolerance(&self.tolerance)?;
-        let memory = MachineMemory::read().ok_or("the system does not tell how much memory there is")?;
+        let memory = MachineMemory::read().ok_or(OrderError::UnknownMemory)?;
         let conditions =
             Conditions { seed: self.seed, memory: memory.allowed(), full_up_to: self.full_up_to };
         for size in &sizes {
-            role.check(*size, &conditions).map_err(|e| e.to_string())?;
+            role.check(*size, &conditions).map_err(|error| OrderError::Size(error.to_string()))?;
+        }
+        for file in self.csv.iter().chain(&self.chart) {
+            check_writable(file)?;
         }
-        self.csv.iter().chain(&self.chart).try_for_each(|file| writable(file))?;
         Ok(Order { role, sizes, tolerance, conditions })
     }
 
-    /// Runs the command.
-    pub fn run(self) -> ExitCode {
-        let measure = if self.in_process { Measure::measure_here } else { Measure::measure };
-        let done = self.order().map_err(|what| (what, UNUSABLE)).and_then(|order| measure(&self, &order));
-        ended(done.map(|()| true))
-    }
-
-    /// Measures every size in this process, for as long as the one that started it lives.
-    fn measure_here(&self, order: &Order) -> Result<(), (String, u8)> {
-        std::thread::spawn(end_with_parent);
-        let mut lines = Vec::new();
-        for size in &order.sizes {
-            let measured = order.role.measure(*size, &order.conditions);
-            lines.extend(csv::lines(&measured.map_err(|e| (e.to_string(), NOT_RUN))?));
-        }
-        say!("{}", csv::write(&lines));
-        Ok(())
+    pub fn run(self) -> Result<(), CommandError> {
+        let order = self.order().map_err(CommandError::unusable)?;
+        if self.in_process { measure_here(&order) } else { self.measure(&order) }
     }
 
     /// Measures a size in a process of its own.
-    fn measure_size(&self, order: &Order, size: u64) -> Result<Measurement, (String, u8)> {
-        let program = std::env::current_exe().map_err(|e| (format!("this program: {e}"), NOT_RUN))?;
+    fn measure_size(&self, order: &Order, size: u64) -> Result<Measurement, CommandError> {
+        let failed = |what: &str, error: std::io::Error| CommandError::not_run(format!("{what}: {error}"));
+        let program = std::env::current_exe().map_err(|error| failed("this program", error))?;
         let mut child = Command::new(program)
             .args(["scale", "measure", "--in-process", "--role", order.role.name()])
             .args(["--sizes", &size.to_string(), "--seed", &self.seed.to_string()])
@@ -138,25 +143,21 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(|e| (format!("a process for size {size}: {e}"), NOT_RUN))?;
+            .map_err(|error| failed(&format!("a process for size {size}"), error))?;
         // Open until it has ended: see `end_with_parent`.
         let held_open = child.stdin.take();
         let output = child.wait_with_output();
         drop(held_open);
-        let output = output.map_err(|e| (format!("the process for size {size}: {e}"), NOT_RUN))?;
+        let output = output.map_err(|error| failed(&format!("the process for size {size}"), error))?;
         if !output.status.success() {
-            let said = String::from_utf8_lossy(&output.stderr);
-            let said = said.trim().trim_start_matches("stonevane: ");
-            let why =
-                if said.is_empty() { format!("size {size} ended: {}", output.status) } else { said.into() };
-            return Err((why, NOT_RUN));
+            return Err(CommandError::NotRun(failure(size, &output)));
         }
         let lines = csv::read(&String::from_utf8_lossy(&output.stdout));
         let measured = lines.and_then(|lines| csv::measurement(&lines));
-        measured.map_err(|e| (format!("size {size}: {e}"), NOT_RUN))
+        measured.map_err(|error| CommandError::not_run(format!("size {size}: {error}")))
     }
 
-    fn measure(&self, order: &Order) -> Result<(), (String, u8)> {
+    fn measure(&self, order: &Order) -> Result<(), CommandError> {
         let mut measured = Vec::new();
         for size in &order.sizes {
             let measurement = self.measure_size(order, *size)?;
@@ -164,18 +165,42 @@
             measured.push(measurement);
         }
         say!("straight within {} of the line through the smaller sizes:", order.tolerance);
-        report::growth_lines(&measured, order.tolerance).iter().for_each(|line| say!("{line}"));
+        for line in report::growth_lines(&measured, order.tolerance) {
+            say!("{line}");
+        }
         if let Some(file) = &self.csv {
             let lines: Vec<_> = measured.iter().flat_map(csv::lines).collect();
-            write(file, &csv::write(&lines))?;
+            write_file(file, csv::write(&lines))?;
         }
         if let Some(file) = &self.chart {
-            write(file, &chart(order.role, &measured))?;
+            write_file(file, chart(order.role, &measured))?;
         }
         Ok(())
     }
 }
 
+/// Measures every size in this process, for as long as the one that started it lives.
+fn measure_here(order: &Order) -> Result<(), CommandError> {
+    std::thread::spawn(end_with_parent);
+    let mut lines = Vec::new();
+    for size in &order.sizes {
+        let measured = order.role.measure(*size, &order.conditions);
+        lines.extend(csv::lines(&measured.map_err(CommandError::not_run)?));
+    }
+    say!("{}", csv::write(&lines));
+    Ok(())
+}
+
+/// Why a size's process failed: its own message, where it has printed one.
+fn failure(size: u64, output: &Output) -> String {
+    let message = String::from_utf8_lossy(&output.stderr);
+    let message = message.trim().trim_start_matches("stonevane: ");
+    match message.is_empty() {
+        true => format!("size {size} ended: {}", output.status),
+        false => message.to_owned(),
+    }
+}
+
 /// A panel for each figure.
 fn chart(role: Role, measured: &[Measurement]) -> String {
     let metrics = measured.first().map_or(&[][..], |first| &first.figures);
--- a/crates/stonevane/src/scale/run.rs
+++ b/crates/stonevane/src/scale/run.rs
@@ -1,7 +1,6 @@
 //! `stonevane scale run`: fleets of hollow nodes, one after the other, and a line of figures for each.
 
 use std::path::{Path, PathBuf};
-use std::process::ExitCode;
 use std::time::Duration;
 
 use clap::Args;
@@ -14,7 +13,8 @@
 use stonevane_scale::plan::{Membership, Plan};
 use stonevane_scale::worker;
 
-use crate::{NOT_RUN, UNUSABLE, ended};
+use crate::arguments::positive;
+use crate::error::{CommandError, require};
 
 /// The most seconds of a window or phase.
 const MAX_SECONDS: u64 = 24 * 60 * 60;
@@ -100,80 +100,56 @@
 }
 
 impl Worker {
-    /// Runs the command.
-    pub fn run(self) -> ExitCode {
-        match worker::run(self.ends_with) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(e) => {
-                warn!("stonevane: {e}");
-                ExitCode::from(NOT_RUN)
-            }
-        }
+    pub fn run(self) -> Result<(), CommandError> {
+        worker::run(self.ends_with).map_err(CommandError::not_run)
     }
 }
 
-fn positive(text: &str) -> Result<f64, String> {
-    let number: Option<f64> = text.parse().ok().filter(|number: &f64| *number > 0.0 && number.is_finite());
-    number.ok_or_else(|| "a number above 0".into())
-}
-
-fn unusable(what: impl ToString) -> (String, u8) {
-    (what.to_string(), UNUSABLE)
-}
-
-fn not_run(what: impl ToString) -> (String, u8) {
-    (what.to_string(), NOT_RUN)
-}
-
-fn refused(e: &RunError) -> (String, u8) {
-    if e.is_input() { unusable(e) } else { not_run(e) }
+fn run_error(error: &RunError) -> CommandError {
+    if error.is_input() { CommandError::unusable(error) } else { CommandError::not_run(error) }
 }
 
 impl Run {
-    /// Runs the command.
-    pub fn run(self) -> ExitCode {
-        ended(self.play())
-    }
-
-    fn play(&self) -> Result<bool, (String, u8)> {
+    pub fn run(self) -> Result<(), CommandError> {
         if self.nodes.windows(2).any(|pair| pair[0] >= pair[1]) {
-            return Err(unusable("--nodes is to rise from one size to the next"));
+            return Err(CommandError::unusable("--nodes is to rise from one size to the next"));
         }
-        let host = host::read().map_err(not_run)?;
+        let host = host::read().map_err(CommandError::not_run)?;
         let plans: Vec<Plan> =
             self.nodes.iter().map(|nodes| self.plan(*nodes, host.processors)).collect::<Result<_, _>>()?;
         let environment = Environment {
-            worker: worker_command().map_err(not_run)?,
+            worker: worker_command().map_err(CommandError::not_run)?,
             memory_limit: memory_limit(&host, self.memory_mb.map(|mb| mb.saturating_mul(MIB)))
-                .map_err(unusable)?,
+                .map_err(CommandError::unusable)?,
             descriptors: host.descriptors,
             costs: MemoryCosts::default(),
             interrupt: Interrupt::default(),
         };
         // All sizes before the first one starts.
         for plan in &plans {
-            coordinator::check(plan, &environment).map_err(|e| refused(&e))?;
+            coordinator::check(plan, &environment).map_err(|error| run_error(&error))?;
         }
         let mut table = self.csv.as_deref().map(open_table).transpose()?;
-        let environment = Environment { interrupt: Interrupt::listen().map_err(not_run)?, ..environment };
+        let environment =
+            Environment { interrupt: Interrupt::listen().map_err(CommandError::not_run)?, ..environment };
         let mut all_within = true;
         for plan in &plans {
             let figures = self.measure(plan, &environment)?;
             all_within &= figures.within_budget;
             if self.json {
-                say!("{}", serde_json::to_string(&figures).map_err(not_run)?);
+                say!("{}", serde_json::to_string(&figures).map_err(CommandError::not_run)?);
             } else {
                 say!("{figures}");
             }
             if let Some(table) = &mut table {
-                table.serialize(&figures).map_err(not_run)?;
-                table.flush().map_err(not_run)?;
+                table.serialize(&figures).map_err(CommandError::not_run)?;
+                table.flush().map_err(CommandError::not_run)?;
             }
         }
-        Ok(all_within)
+        require(all_within)
     }
 
-    fn plan(&self, nodes: u32, processors: usize) -> Result<Plan, (String, u8)> {
+    fn plan(&self, nodes: u32, processors: usize) -> Result<Plan, CommandError> {
         let period = Duration::from_millis(self.period_ms);
         Ok(Plan {
             nodes,
@@ -182,7 +158,7 @@
             workers: self.workers.unwrap_or_else(|| default_workers(nodes, processors)),
             seed: self.seed,
             caches: self.caches,
-            membership: Membership::with_period(period).map_err(unusable)?,
+            membership: Membership::with_period(period).map_err(CommandError::unusable)?,
             window: Duration::from_secs(self.seconds),
             phase: Duration::from_secs(self.phase_seconds),
         })
@@ -198,16 +174,19 @@
     }
 
     /// Runs one fleet; what is over the budget is a line each on standard error.
-    fn measure(&self, plan: &Plan, environment: &Environment) -> Result<Figures, (String, u8)> {
-        let mut tell = |step: String| {
+    fn measure(&self, plan: &Plan, environment: &Environment) -> Result<Figures, CommandError> {
+        let mut on_step = |step: String| {
             if self.verbose {
                 warn!("  {} nodes: {step}", plan.nodes);
             }
         };
-        let mut figures = coordinator::run(plan, environment, &mut tell).map_err(|e| refused(&e))?;
+        let mut figures =
+            coordinator::run(plan, environment, &mut on_step).map_err(|error| run_error(&error))?;
         let over = excesses(&self.budget(), &figures);
         figures.within_budget = over.is_empty();
-        over.iter().for_each(|excess| warn!("stonevane: {} nodes: over budget: {excess}", plan.nodes));
+        for excess in &over {
+            warn!("stonevane: {} nodes: over budget: {excess}", plan.nodes);
+        }
         Ok(figures)
     }
 }
@@ -219,6 +198,6 @@
     Ok((std::env::current_exe()?, arguments))
 }
 
-fn open_table(path: &Path) -> Result<csv::Writer<std::fs::File>, (String, u8)> {
-    csv::Writer::from_path(path).map_err(|e| unusable(format!("{}: {e}", path.display())))
+fn open_table(path: &Path) -> Result<csv::Writer<std::fs::File>, CommandError> {
+    csv::Writer::from_path(path).map_err(|error| CommandError::unusable_file(path, error))
 }
--- a/crates/stonevane/tests/store.rs
+++ b/crates/stonevane/tests/store.rs
@@ -149,8 +149,8 @@
     let folder = std::env::temp_dir().join(format!("stonevane-damage-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = |name: &str| folder.join(name).display().to_string();
-    let rows: String = (0..5_000).map(|n| format!("key-{n:05},{}\n", "v".repeat(100))).collect();
-    std::fs::write(path("zones.csv"), format!("key,value\n{rows}")).unwrap();
+    let rows: Vec<_> = (0..5_000).map(|n| format!("key-{n:05},{}\n", "v".repeat(100))).collect();
+    std::fs::write(path("zones.csv"), format!("key,value\n{}", rows.concat())).unwrap();
     assert!(store(&["init", &path("zones.db")]).status.success());
     assert!(store(&["import", &path("zones.db"), &path("zones.csv")]).status.success());
     // Some pages in the middle are overwritten.
