--- a/crates/stonevane/src/lab/experiment.rs
+++ b/crates/stonevane/src/lab/experiment.rs
@@ -41,7 +41,7 @@
         let played = runner::play(&matrix, &text, &builds, &folder, &mut |line| warn!("  {line}"));
         let played = played.map_err(|error| match error {
             ExperimentError::Unusable(_) => CommandError::unusable(error),
-            ExperimentError::Io(..) | ExperimentError::Interrupted(..) => CommandError::not_run(error),
+            ExperimentError::Io { .. } | ExperimentError::Interrupted { .. } => CommandError::not_run(error),
         })?;
         show(&matrix, &played, false)
     }
