--- a/crates/stonevane-core/src/clients/mod.rs
+++ b/crates/stonevane-core/src/clients/mod.rs
@@ -14,7 +14,7 @@
 use crate::reply::ConnId;
 
 pub use resp::{ClientCommand, decode, encode};
-pub use session::{EvictionClass, READ_CHUNK, Session, SessionTimeout};
+pub use session::{Evictability, EvictionClass, READ_CHUNK, Session, SessionTimeout};
 pub use slot::{Slot, StreamedAnswer};
 
 /// Time limits on client connections. Each ends at a fixed point in time, which bytes that trickle in do not move.
@@ -59,7 +59,7 @@
     pub sessions: HashMap<ConnId, Session>,
     pub timeouts: ClientTimeouts,
     /// Evictable connections in the order of their class, the longest in it first.
-    evictable: BTreeSet<(EvictionClass, Micros, ConnId)>,
+    evictable: BTreeSet<(Evictability, ConnId)>,
     /// Ids of the pending requests; a second request of the same id is rejected. Clients choose them, so that the
     /// hash is the standard library's, which resists collision attacks.
     pub pending_ids: HashSet<Bytes>,
@@ -84,24 +84,24 @@
     /// Updates a connection's place in the order of eviction, after anything has happened on it.
     pub fn update_eviction_order(&mut self, client: ConnId) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
-        let current = session.eviction_class();
-        let previous = std::mem::replace(&mut session.listed_eviction_class, current);
+        let current = session.evictability();
+        let previous = std::mem::replace(&mut session.listed_evictability, current);
         if previous == current {
             return;
         }
-        if let Some((class, since)) = previous {
-            self.evictable.remove(&(class, since, client));
+        if let Some(previous) = previous {
+            self.evictable.remove(&(previous, client));
         }
-        if let Some((class, since)) = current {
-            self.evictable.insert((class, since, client));
+        if let Some(current) = current {
+            self.evictable.insert((current, client));
         }
     }
 
     /// Removes a connection.
     pub fn remove(&mut self, client: ConnId) -> Option<Session> {
         let session = self.sessions.remove(&client)?;
-        if let Some((class, since)) = session.listed_eviction_class {
-            self.evictable.remove(&(class, since, client));
+        if let Some(listed) = session.listed_evictability {
+            self.evictable.remove(&(listed, client));
         }
         Some(session)
     }
@@ -128,9 +128,10 @@
             (EvictionClass::PartialCommand, self.timeouts.command / 2),
         ];
         least_ages.into_iter().filter_map(|(class, least_age)| {
-            let mut members = self.evictable.range((class, 0, 0)..=(class, Micros::MAX, ConnId::MAX));
-            let (_, since, client) = *members.next()?;
-            Some(EvictionCandidate { at: since + least_age, client })
+            let first = (Evictability { class, since: 0 }, 0);
+            let last = (Evictability { class, since: Micros::MAX }, ConnId::MAX);
+            let (longest, client) = *self.evictable.range(first..=last).next()?;
+            Some(EvictionCandidate { at: longest.since + least_age, client })
         })
     }
 
--- a/crates/stonevane-core/src/clients/session.rs
+++ b/crates/stonevane-core/src/clients/session.rs
@@ -38,6 +38,15 @@
     PartialCommand,
 }
 
+/// Since when a connection has been in a class. Entries order by class, then by time.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Evictability {
+    /// The class.
+    pub class: EvictionClass,
+    /// Since when.
+    pub since: Micros,
+}
+
 /// Which limit of a connection has passed.
 pub enum SessionTimeout {
     /// An answer could not be written.
@@ -85,8 +94,8 @@
     /// Its last answer is written; what it still sends is discarded.
     pub half_closed: bool,
     last_input_at: Micros,
-    /// Its entry in the order of eviction: the class, and since when.
-    pub listed_eviction_class: Option<(EvictionClass, Micros)>,
+    /// Its entry in the order of eviction.
+    pub listed_evictability: Option<Evictability>,
     /// Whether its pipeline was full when it was looked at last.
     was_full: bool,
     /// Bytes of the first slot's streamed answer within the pending write.
@@ -115,7 +124,7 @@
             closing: false,
             half_closed: false,
             last_input_at: now,
-            listed_eviction_class: None,
+            listed_evictability: None,
             was_full: false,
             streamed_in_write: 0,
             finished_streams: Vec::new(),
@@ -395,20 +404,21 @@
         self.first_slot > 0
     }
 
-    /// Its class of eviction and since when it is in it; `None` where it may not be evicted.
-    pub fn eviction_class(&self) -> Option<(EvictionClass, Micros)> {
+    /// Its place in the order of eviction; `None` where it may not be evicted.
+    pub fn evictability(&self) -> Option<Evictability> {
+        let entry = |class, since| Some(Evictability { class, since });
         if self.closing {
             None
         } else if self.half_closed {
-            Some((EvictionClass::HalfClosed, self.idle_since))
+            entry(EvictionClass::HalfClosed, self.idle_since)
         } else if self.has_pending_answers() || self.input_closed {
             None
         } else if !self.input.is_empty() {
-            Some((EvictionClass::PartialCommand, self.last_input_at))
+            entry(EvictionClass::PartialCommand, self.last_input_at)
         } else if self.has_been_served() {
-            Some((EvictionClass::Idle, self.idle_since))
+            entry(EvictionClass::Idle, self.idle_since)
         } else {
-            Some((EvictionClass::Silent, self.idle_since))
+            entry(EvictionClass::Silent, self.idle_since)
         }
     }
 
--- a/crates/stonevane-core/src/node/attempts.rs
+++ b/crates/stonevane-core/src/node/attempts.rs
@@ -31,7 +31,7 @@
     pub(super) fn send_attempt(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
         let Some(entry) = self.requests.get_mut(id) else { return };
         let number = entry.attempts_made;
-        let key = (id, number);
+        let key = AttemptKey { request: id, number };
         entry.attempts_made += 1;
         entry.attempts_in_flight += 1;
         let is_allowed =
@@ -53,7 +53,7 @@
         let Some(acquired) = acquired else {
             return self.end_attempt(key, AttemptStatus::NotSent);
         };
-        self.timers.push(timeout_at, TimerKind::AttemptTimeout(id, number));
+        self.timers.push(timeout_at, TimerKind::AttemptTimeout(key));
         if acquired.is_open {
             self.write_attempt(key, conn);
         }
@@ -66,7 +66,8 @@
         // While it waited for its connection, its server may have drained or moved, or its client disconnected.
         let address = self.connections.pool.get(id).map(|conn| conn.address);
         let is_wanted = self.endpoints.accepts_requests(server, address);
-        let entry = self.requests.get_open(key.0).filter(|entry| is_wanted && self.now < entry.deadline);
+        let entry =
+            self.requests.get_open(key.request).filter(|entry| is_wanted && self.now < entry.deadline);
         let Some(entry) = entry else {
             self.release_connection(id, server);
             return self.end_attempt(key, AttemptStatus::NotSent);
@@ -157,7 +158,7 @@
         let Some(attempt) = self.attempts.remove(&key) else { return };
         self.trace_outcome(key, &attempt, reply.status);
         self.inject_reply_faults(&mut reply);
-        let (request, number) = key;
+        let AttemptKey { request, number } = key;
         let Some(entry) = self.requests.get_mut(request) else { return };
         entry.attempts_in_flight -= 1;
         if reply.status == AttemptStatus::Miss && self.endpoints.origin_protocol() == Protocol::Store {
@@ -201,7 +202,7 @@
         let name = self.endpoints.name(attempt.server).to_owned();
         let elapsed = self.now - attempt.sent_at;
         let status = status.name();
-        let (request, number) = key;
+        let AttemptKey { request, number } = key;
         self.trace_request(
             request,
             format_args!("attempt {number} at {name} ended: {status} after {elapsed} us"),
--- a/crates/stonevane-core/src/node/mod.rs
+++ b/crates/stonevane-core/src/node/mod.rs
@@ -208,8 +208,8 @@
     fn on_timer(&mut self, kind: TimerKind) {
         match kind {
             TimerKind::Policy(token) => self.notify_policy(Event::Timer(token)),
-            TimerKind::AttemptTimeout(request, number) => {
-                self.give_up_attempt((request, number), AttemptStatus::TimedOut);
+            TimerKind::AttemptTimeout(key) => {
+                self.give_up_attempt(key, AttemptStatus::TimedOut);
                 self.run_policy();
             }
             TimerKind::RequestDeadline(request) => self.on_request_deadline(request),
@@ -256,7 +256,7 @@
         let attempts = &self.attempts;
         let connections = &self.connections;
         let is_stale = |kind| match kind {
-            TimerKind::AttemptTimeout(id, number) => !attempts.contains_key(&(id, number)),
+            TimerKind::AttemptTimeout(key) => !attempts.contains_key(&key),
             TimerKind::RequestDeadline(id) => !requests.contains(id),
             TimerKind::ConnectionLimit(id) => !connections.contains(id),
             _ => false,
--- a/crates/stonevane-core/src/node/policy.rs
+++ b/crates/stonevane-core/src/node/policy.rs
@@ -8,6 +8,7 @@
 use super::config::CoreConfig;
 use crate::faults::{Faults, Mutant};
 use crate::io::{DiscoveryRequest, LogLine, Output};
+use crate::reply::AttemptKey;
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
 
@@ -65,7 +66,8 @@
             }
             Action::Fail(request) => self.answer(request, FinalAnswer::Failed),
             Action::Cancel { request, attempt } => {
-                self.give_up_attempt((request, attempt), AttemptStatus::Cancelled);
+                let key = AttemptKey { request, number: attempt };
+                self.give_up_attempt(key, AttemptStatus::Cancelled);
             }
             Action::Timer { after, token } => {
                 self.timers.push(self.now + after.max(MIN_TIMER_DELAY), TimerKind::Policy(token));
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -9,7 +9,7 @@
 use crate::clients::{self, ClientCommand, READ_CHUNK, Slot};
 use crate::faults::{Faults, Mutant};
 use crate::memory::MemoryReservation;
-use crate::reply::ConnId;
+use crate::reply::{AttemptKey, ConnId};
 use crate::request::{Command, FinalAnswer};
 use crate::timers::TimerKind;
 
@@ -292,7 +292,7 @@
         self.close_request(id);
         self.notify_policy(Event::ClientDisconnected(id));
         for number in 0..attempts_made {
-            self.withdraw_attempt((id, number));
+            self.withdraw_attempt(AttemptKey { request: id, number });
         }
         self.run_policy();
     }
--- a/crates/stonevane-core/src/node/server_io.rs
+++ b/crates/stonevane-core/src/node/server_io.rs
@@ -242,7 +242,7 @@
 
     /// The fault of [`Mutant::AnswerTwice`].
     fn answer_twice(&mut self, key: AttemptKey) {
-        let Some(client) = self.requests.get(key.0).map(|entry| entry.client) else { return };
+        let Some(client) = self.requests.get(key.request).map(|entry| entry.client) else { return };
         if let Some(session) = self.connections.clients.sessions.get_mut(&client) {
             session.push_answer("-ERR failed\r\n");
             self.connections.answered_clients.push_back(client);
--- a/crates/stonevane-core/src/node/streaming.rs
+++ b/crates/stonevane-core/src/node/streaming.rs
@@ -42,7 +42,7 @@
     /// are made, and its deadline does not apply.
     pub(super) fn begin_stream(&mut self, id: ConnId, length: usize) {
         let Some(key) = self.connections.pool.get(id).and_then(|conn| conn.attempt) else { return };
-        let Some(entry) = self.requests.get_open(key.0) else {
+        let Some(entry) = self.requests.get_open(key.request) else {
             self.close_server_connection(id, CloseReason::GivenUp);
             return self.end_attempt(key, AttemptStatus::Cancelled);
         };
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -6,8 +6,14 @@
 /// Names a connection to a client or to a server; never reused.
 pub type ConnId = u64;
 
-/// Names an attempt: the request and the attempt's number within it.
-pub type AttemptKey = (RequestId, u16);
+/// Names an attempt. Keys order by request, then by number.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptKey {
+    /// The request.
+    pub request: RequestId,
+    /// Its number among the request's attempts, from 0 on.
+    pub number: u16,
+}
 
 /// The bytes of a server follow no protocol that is spoken here; its connection can't be used any more.
 #[derive(Debug, PartialEq, Clone, Copy)]
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -5,7 +5,7 @@
 
 use stonevane_policy::{Micros, RequestId};
 
-use crate::reply::ConnId;
+use crate::reply::{AttemptKey, ConnId};
 
 /// What a timer is for. Timers of the same time fire in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -13,7 +13,7 @@
     /// A timer of the decision module.
     Policy(u32),
     /// The time-out of an attempt.
-    AttemptTimeout(RequestId, u16),
+    AttemptTimeout(AttemptKey),
     /// The deadline of a client's request.
     RequestDeadline(RequestId),
     /// A time limit of a connection.
