--- a/crates/stonevane-audit/tests/rules/attempts.rs
+++ b/crates/stonevane-audit/tests/rules/attempts.rs
@@ -6,18 +6,18 @@
 
 #[test]
 pub fn an_attempt_that_differs_from_its_request_is_a_finding() {
-    let asked = || History::new().ask(100, "a", "read");
+    let asked = || History::new().request(100, "a", "read");
     let ended = |day: History| day.answered(900, "a", "failed");
     let read = |day: History, t, node, rest: &str| {
         let rest = format!(r#""effect":"ran"{rest}"#);
         ended(day.sent((t, t), "a", node, "s1", &rest))
     };
-    read(asked(), 200, "n0", "").is(&[]);
-    read(asked(), 200, "n7", "").is(&["wrong-node"]);
-    read(asked(), 99, "n0", "").is(&["too-early"]);
-    read(asked(), 100, "n0", "").is(&[]);
-    History::new().attempt(5, "ghost", "s1", "ran").is(&["unasked"]);
-    History::new().attempt(5, "ghost", "s1", "void").is(&["unasked"]);
+    read(asked(), 200, "n0", "").has_findings(&[]);
+    read(asked(), 200, "n7", "").has_findings(&["wrong-node"]);
+    read(asked(), 99, "n0", "").has_findings(&["too-early"]);
+    read(asked(), 100, "n0", "").has_findings(&[]);
+    History::new().attempt(5, "ghost", "s1", "ran").has_findings(&["unasked"]);
+    History::new().attempt(5, "ghost", "s1", "void").has_findings(&["unasked"]);
     let wrong = |from: &str, to: &str| {
         let day = read(asked(), 200, "n0", "");
         let change = |(t, line): (u64, String)| {
@@ -26,10 +26,10 @@
         };
         History { lines: day.lines.into_iter().map(change).collect(), ..day }
     };
-    wrong(r#""key":"k""#, r#""key":"l""#).is(&["wrong-key"]);
-    wrong(r#""key":"k","#, "").is(&["wrong-key"]);
-    wrong(r#""class":"read""#, r#""class":"edit""#).is(&["wrong-class"]);
-    wrong(r#""effect""#, r#""token":"t","effect""#).is(&["wrong-token"]);
+    wrong(r#""key":"k""#, r#""key":"l""#).has_findings(&["wrong-key"]);
+    wrong(r#""key":"k","#, "").has_findings(&["wrong-key"]);
+    wrong(r#""class":"read""#, r#""class":"edit""#).has_findings(&["wrong-class"]);
+    wrong(r#""effect""#, r#""token":"t","effect""#).has_findings(&["wrong-token"]);
     let edit = |asked: &str, sent: &str| {
         let mut day = History::new();
         day.classes.insert("e".into(), "edit".into());
@@ -39,15 +39,15 @@
         let sent = format!(r#""effect":"ran","token":"t"{sent}"#);
         day.sent((5, 5), "e", "n0", "o", &sent).answered(9, "e", "failed")
     };
-    edit(r#","digest":"d1""#, r#","digest":"d1""#).is(&[]);
-    edit(r#","digest":"d1""#, r#","digest":"d2""#).is(&["wrong-body"]);
-    edit(r#","digest":"d1""#, "").is(&["wrong-body"]);
+    edit(r#","digest":"d1""#, r#","digest":"d1""#).has_findings(&[]);
+    edit(r#","digest":"d1""#, r#","digest":"d2""#).has_findings(&["wrong-body"]);
+    edit(r#","digest":"d1""#, "").has_findings(&["wrong-body"]);
     // An older history tells no digests of what was asked.
-    edit("", r#","digest":"d2""#).is(&[]);
+    edit("", r#","digest":"d2""#).has_findings(&[]);
     // Two requests mixed up: each is sent with the other's key.
     let other = r#""event":"ask","request":"b","node":"n0","class":"read","key":"l","until":1000000"#;
-    let mixed = History::new().ask(1, "a", "read").at(1, other).attempt(5, "b", "s1", "ran");
-    mixed.answered(9, "a", "failed").answered(9, "b", "failed").is(&["wrong-key", "wrong-class"]);
+    let mixed = History::new().request(1, "a", "read").at(1, other).attempt(5, "b", "s1", "ran");
+    mixed.answered(9, "a", "failed").answered(9, "b", "failed").has_findings(&["wrong-key", "wrong-class"]);
 }
 
 #[test]
@@ -55,19 +55,19 @@
     let closed = r#""event":"closed","request":"a","node":"n0","kept":true"#;
     let again =
         r#""event":"ask","request":"a","node":"n1","class":"read","key":"k","until":1000000,"again":true"#;
-    let crossed = History::new().ask(0, "a", "read").at(50, closed).at(60, again);
+    let crossed = History::new().request(0, "a", "read").at(50, closed).at(60, again);
     let sent = |day: History, node| {
         day.sent((70, 70), "a", node, "s1", r#""effect":"ran""#).answered(90, "a", "failed")
     };
-    sent(crossed.clone(), "n1").is(&[]);
-    sent(crossed.clone(), "n0").is(&[]);
-    sent(crossed, "n2").is(&["wrong-node"]);
+    sent(crossed.clone(), "n1").has_findings(&[]);
+    sent(crossed.clone(), "n0").has_findings(&[]);
+    sent(crossed, "n2").has_findings(&["wrong-node"]);
     // The client notes its ask when its write has returned: the server may have read it by then.
     let ask = r#""event":"ask","request":"a","node":"n0","class":"read","key":"k","until":1000000"#;
     let mut early = History::new().between((10, 90), ask);
     early.classes.insert("a".into(), "read".into());
-    early.clone().attempt(10, "a", "s1", "ran").answered(95, "a", "failed").is(&[]);
-    early.attempt(9, "a", "s1", "ran").answered(95, "a", "failed").is(&["too-early"]);
+    early.clone().attempt(10, "a", "s1", "ran").answered(95, "a", "failed").has_findings(&[]);
+    early.attempt(9, "a", "s1", "ran").answered(95, "a", "failed").has_findings(&["too-early"]);
     // A history that breaks off just before the ask was written down.
     let day = History::new().read(0, "a").attempt(50, "b", "s1", "ran").text();
     let whole = day.lines().take(6).collect::<Vec<_>>().join("\n");
@@ -89,7 +89,7 @@
         }
     };
     let tries = |effects: &[&str]| {
-        let day = History::new().ask(0, "a", "read");
+        let day = History::new().request(0, "a", "read");
         let tried =
             effects.iter().zip(1u64..).fold(day, |day, (effect, at)| day.attempt(10 * at, "a", "s1", effect));
         tried.answered(900, "a", "failed")
@@ -106,8 +106,10 @@
 
     let one = r#""second_copies":false"#;
     let copy = |event: &str, t: u64| {
-        let day =
-            History::new().ask(0, "a", "read").attempt(10, "a", "s1", "ran").then(t, "a", "s1", event, "");
+        let day = History::new()
+            .request(0, "a", "read")
+            .attempt(10, "a", "s1", "ran")
+            .then(t, "a", "s1", event, "");
         day.attempt(50, "a", "s2", "ran").answered(900, "a", "failed")
     };
     for ended in ["reply", "over"] {
--- a/crates/stonevane-audit/tests/rules/builder.rs
+++ b/crates/stonevane-audit/tests/rules/builder.rs
@@ -22,7 +22,7 @@
 }
 
 thread_local! {
-    /// The judgement that is left out, and whether a test has missed it.
+    /// The judgement that is left out, and whether a test missed a finding for it.
     pub static MUTANT: Cell<(Option<&'static str>, bool)> = const { Cell::new((None, false)) };
 }
 
@@ -55,7 +55,7 @@
         self
     }
 
-    pub fn ask(mut self, t: u64, r: &str, class: &str) -> Self {
+    pub fn request(mut self, t: u64, r: &str, class: &str) -> Self {
         self.classes.insert(r.into(), class.into());
         let until = t + 1_000 * MS;
         let rest = format!(
@@ -104,14 +104,14 @@
         self.at(t, &format!(r#""event":"answer","request":"{r}","outcome":"{outcome}""#))
     }
 
-    pub fn told(self, t: u64, status: &str, server: &str) -> Self {
+    pub fn notified(self, t: u64, status: &str, server: &str) -> Self {
         self.at(t, &format!(r#""event":"told","node":"n0","server":"{server}","status":"{status}""#))
     }
 
-    /// An honest read: asked, hit, served.
+    /// A read as it is to be: sent, hit, served.
     pub fn read(self, t: u64, r: &str) -> Self {
         let value = format!("v-{r}");
-        self.ask(t, r, "read").attempt(t + 10, r, "s1", "ran").reply(t + 20, r, "s1", &value, 0).served(
+        self.request(t, r, "read").attempt(t + 10, r, "s1", "ran").reply(t + 20, r, "s1", &value, 0).served(
             t + 30,
             r,
             &value,
@@ -134,7 +134,7 @@
     }
 
     #[track_caller]
-    pub fn is(self, codes: &[&str]) {
+    pub fn has_findings(self, codes: &[&str]) {
         self.at_fault(codes, &[]);
     }
 
--- a/crates/stonevane-audit/tests/rules/emulators.rs
+++ b/crates/stonevane-audit/tests/rules/emulators.rs
@@ -24,7 +24,8 @@
     let number = r#""event":"reply","server":"s1","request":"a","number":77,"value":"w""#;
     read.clone().at(25, number).at_fault(&[], &["reply-to-none"]);
     // An answer that comes when its request is long forgotten.
-    let late = History::new().ask(0, "a", "read").attempt(9, "a", "s1", "ran").answered(10, "a", "failed");
+    let late =
+        History::new().request(0, "a", "read").attempt(9, "a", "s1", "ran").answered(10, "a", "failed");
     late.reply(9_000 * MS, "a", "s1", "v", 0).at_fault(&[], &[]);
     let report = read.reply(25, "a", "s1", "v-a", 0).report();
     assert!(
--- a/crates/stonevane-audit/tests/rules/slow_start.rs
+++ b/crates/stonevane-audit/tests/rules/slow_start.rs
@@ -25,13 +25,13 @@
 #[test]
 pub fn a_cold_server_overloaded_by_nodes_that_know_of_its_start_is_a_finding() {
     // In 2 s it can do about 0.87 s of work, so 2.6 s, and a little, is the most it may be sent.
-    pushed(cold(), &["n0"], 50, 60).is(&["cold-server"]);
-    pushed(cold(), &["n0", "n1"], 50, 60).is(&["cold-server"]);
-    pushed(cold(), &["n0"], 50, 30).is(&[]);
-    pushed(cold(), &["n1"], 50, 30).is(&[]);
+    pushed(cold(), &["n0"], 50, 60).has_findings(&["cold-server"]);
+    pushed(cold(), &["n0", "n1"], 50, 60).has_findings(&["cold-server"]);
+    pushed(cold(), &["n0"], 50, 30).has_findings(&[]);
+    pushed(cold(), &["n1"], 50, 30).has_findings(&[]);
     // Nodes that can't know of the start are not to blame, though the server may fall.
-    pushed(cold(), &["n7"], 50, 60).is(&[]);
-    pushed(cold(), &["n0", "n7"], 50, 60).is(&[]);
+    pushed(cold(), &["n7"], 50, 60).has_findings(&[]);
+    pushed(cold(), &["n0", "n7"], 50, 60).has_findings(&[]);
 }
 
 #[test]
@@ -45,7 +45,7 @@
     for i in 0..200u64 {
         let t = 10 * MS + i * 2_000;
         let r = format!("q{i}");
-        day = day.ask(t, &r, "read");
+        day = day.request(t, &r, "read");
         if i < misses {
             day = day.attempt(t, &r, "s1", "miss");
         }
@@ -57,5 +57,5 @@
 
 pub fn an_origin_overloaded_through_misses_at_cold_servers_is_found() {
     // 7.5 s of work in 3 s is the most.
-    fetches(cold(), 90).is(&["origin"]);
+    fetches(cold(), 90).has_findings(&["origin"]);
 }
--- a/crates/stonevane-audit/tests/rules/values.rs
+++ b/crates/stonevane-audit/tests/rules/values.rs
@@ -4,23 +4,23 @@
 
 #[test]
 pub fn a_foreign_made_up_or_stale_value_is_a_finding() {
-    History::new().read(0, "a").ask(40, "b", "read").served(50, "b", "v-a").is(&["value"]);
-    History::new().ask(40, "b", "read").served(50, "b", "made-up").is(&["value"]);
+    History::new().read(0, "a").request(40, "b", "read").served(50, "b", "v-a").has_findings(&["value"]);
+    History::new().request(40, "b", "read").served(50, "b", "made-up").has_findings(&["value"]);
     // A server made one for it, and it was given another's.
-    let other = History::new().read(0, "a").ask(40, "b", "read").attempt(41, "b", "s1", "ran");
-    other.reply(42, "b", "s1", "v-b", 0).served(50, "b", "v-a").is(&["value"]);
+    let other = History::new().read(0, "a").request(40, "b", "read").attempt(41, "b", "s1", "ran");
+    other.reply(42, "b", "s1", "v-b", 0).served(50, "b", "v-a").has_findings(&["value"]);
     let edit = |t: u64| {
-        let day = History::new().ask(t, "e", "edit").attempt(t + 1, "e", "o", "ran");
+        let day = History::new().request(t, "e", "edit").attempt(t + 1, "e", "o", "ran");
         day.reply(t + 2, "e", "o", "receipt", 7).served(t + 3, "e", "receipt")
     };
     let read = |day: History, asked: u64| {
-        let day = day.ask(asked, "r", "read").attempt(asked + 5, "r", "s1", "ran");
+        let day = day.request(asked, "r", "read").attempt(asked + 5, "r", "s1", "ran");
         day.reply(asked + 6, "r", "s1", "old", 6).served(asked + 7, "r", "old")
     };
-    read(edit(0), 4).is(&["stale"]);
+    read(edit(0), 4).has_findings(&["stale"]);
     // Asked before the receipt was there, or with it: either value is right.
-    read(edit(0), 3).is(&[]);
-    read(edit(0), 0).is(&[]);
+    read(edit(0), 3).has_findings(&[]);
+    read(edit(0), 0).has_findings(&[]);
 }
 
 #[test]
@@ -51,7 +51,7 @@
         );
         day.at(t, &ask).served(t + 100, "e", receipt)
     };
-    let read = |day: History, t: u64, value: &str| day.ask(t, "r", "read").served(t + 100, "r", value);
+    let read = |day: History, t: u64, value: &str| day.request(t, "r", "read").served(t + 100, "r", value);
     let two = || stored(stored(History::new(), 10, 1, "one", ""), 50, 2, "two", "t");
     // Both versions are right while the edit is under way, and for two who ask at once.
     codes(&read(edit(two(), 20, "2"), 30, "one"), "", &[]);
