--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -87,6 +87,7 @@
     }
 }
 
+#[expect(clippy::unnecessary_wraps, reason = "compared with answers, which may be missing")]
 fn busy() -> Option<Value> {
     Some(Value::Error(Bytes::from_static(b"BUSY")))
 }
--- a/crates/stonevane-policy/tests/scenarios/slow_start.rs
+++ b/crates/stonevane-policy/tests/scenarios/slow_start.rs
@@ -37,7 +37,7 @@
             node.outcome(id, 0, to.unwrap(), AttemptStatus::Served);
             to
         };
-        let key = (1..).find(|key| serve_read(&mut node, 1000 + key, *key) == Some(2)).unwrap();
+        let key = (1..1_000).find(|key| serve_read(&mut node, 1000 + key, *key) == Some(2)).unwrap();
         for id in 5000..5100 {
             serve_read(&mut node, id, if again { key } else { id });
         }
--- a/crates/stonevane-store/src/sqlite/reader.rs
+++ b/crates/stonevane-store/src/sqlite/reader.rs
@@ -48,7 +48,7 @@
         match job {
             ReadJob::Get(key, answer) => drop(answer.send(get(db, &key).map_err(failed))),
             ReadJob::Changes(after, most, answer) => {
-                drop(answer.send(changes(db, after, most).map_err(failed)))
+                drop(answer.send(changes(db, after, most).map_err(failed)));
             }
             ReadJob::Page(after, most, answer) => drop(answer.send(page(db, &after, most).map_err(failed))),
             ReadJob::Imported(source, answer) => {
