--- a/crates/stonevane-node/tests/node/capacity.rs
+++ b/crates/stonevane-node/tests/node/capacity.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// A client that has been served stays for longer than the test takes; by default it gives way to newcomers after 10 ms, and
--- a/crates/stonevane-node/tests/node/cold_start.rs
+++ b/crates/stonevane-node/tests/node/cold_start.rs
@@ -54,10 +54,10 @@
         )
 }
 
-/// When a stand-in was sent which keys.
+/// When a emulated server was sent which keys.
 type Arrivals = Arc<Mutex<Vec<(Instant, String)>>>;
 
-fn recording_cache() -> (StandIn, Arrivals) {
+fn recording_cache() -> (EmulatedServer, Arrivals) {
     let arrivals = Arrivals::default();
     let seen = arrivals.clone();
     let cache = cache(move |words| {
--- a/crates/stonevane-node/tests/node/crossings/mod.rs
+++ b/crates/stonevane-node/tests/node/crossings/mod.rs
@@ -1,4 +1,4 @@
-//! Two events that cross, on real sockets. No sleep stands for an order: a stand-in holds a byte, a line of the list, a
+//! Two events that cross, on real sockets. No sleep stands for an order: a emulated server holds a byte, a line of the list, a
 //! close or an answer back until the other event has been seen, or the node is stopped while both happen.
 
 mod discovery;
@@ -16,7 +16,7 @@
 
 use rustix::net::sockopt::set_socket_linger;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// A cache server whose machine takes no connections yet: they stay half open until it does.
@@ -141,6 +141,6 @@
 }
 
 /// Says a name, whatever it is asked.
-fn says(name: &'static str) -> StandIn {
+fn says(name: &'static str) -> EmulatedServer {
     cache(move |_| Act::Say(hit(name)))
 }
--- a/crates/stonevane-node/tests/node/endpoint_list.rs
+++ b/crates/stonevane-node/tests/node/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list: watches on it, and servers that drain or move.
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 #[test]
--- a/crates/stonevane-node/tests/node/main.rs
+++ b/crates/stonevane-node/tests/node/main.rs
@@ -5,6 +5,7 @@
 mod cold_start;
 mod crossings;
 mod endpoint_list;
+mod harness;
 mod malformed_responses;
 mod origin;
 mod process;
@@ -12,14 +13,13 @@
 mod requests;
 mod server_connections;
 mod service;
-mod stand_in;
 mod subset;
 mod time_left;
 mod upgrade;
 
 use std::net::SocketAddr;
 
-use stand_in::*;
+use harness::*;
 
 /// A whole list of one cache server and an origin.
 pub fn pair(cache: SocketAddr, origin: SocketAddr) -> String {
@@ -32,6 +32,6 @@
     discovery(vec![watch_head()])
 }
 
-pub fn no_origin() -> StandIn {
+pub fn no_origin() -> EmulatedServer {
     origin(|_| Act::Say(http(500, "", "")))
 }
--- a/crates/stonevane-node/tests/node/malformed_responses.rs
+++ b/crates/stonevane-node/tests/node/malformed_responses.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::sync::Mutex;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// Two caches and an origin that gives nothing.
--- a/crates/stonevane-node/tests/node/origin.rs
+++ b/crates/stonevane-node/tests/node/origin.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{pair, quiet};
 
 /// Without it, one of 300 nodes may hardly send anything at its start.
@@ -25,7 +25,7 @@
 }
 
 /// An origin that holds the first answer on each connection back while it is told to.
-fn slow_to_shake_hands(holds: &Arc<AtomicBool>, latch: &Latch) -> StandIn {
+fn slow_to_shake_hands(holds: &Arc<AtomicBool>, latch: &Latch) -> EmulatedServer {
     let (holds, latch, mut carried) = (holds.clone(), latch.clone(), 0);
     origin(move |_| {
         carried += 1;
@@ -37,7 +37,7 @@
 }
 
 /// Fetches one after another until one has gone over a connection that had carried another.
-fn warm_up(client: &mut Client, origin: &StandIn) {
+fn warm_up(client: &mut Client, origin: &EmulatedServer) {
     let mut connections = HashSet::new();
     let kept = (0..1_000).any(|key| {
         assert_eq!(client.ask(&get(&format!("a{key:x}"), &format!("w{key}"))).unwrap(), "quick");
--- a/crates/stonevane-node/tests/node/process.rs
+++ b/crates/stonevane-node/tests/node/process.rs
@@ -7,14 +7,14 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 #[test]
 fn on_sighup_discovery_moves_and_a_file_that_cannot_be_used_changes_nothing() {
     let caches = ["first", "second", "third"].map(|name| cache(move |_| Act::Say(hit(name))));
     let origin = no_origin();
-    let list = |index, server: &StandIn| {
+    let list = |index, server: &EmulatedServer| {
         let entries =
             [entry("s-1", server.address, "std", "active"), entry("o-1", origin.address, "origin", "active")];
         listing(index, true, &entries)
--- a/crates/stonevane-node/tests/node/readiness.rs
+++ b/crates/stonevane-node/tests/node/readiness.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair};
 
 fn ping(node: &Node) -> String {
--- a/crates/stonevane-node/tests/node/server_connections.rs
+++ b/crates/stonevane-node/tests/node/server_connections.rs
@@ -7,7 +7,7 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 #[test]
--- a/crates/stonevane-node/tests/node/service.rs
+++ b/crates/stonevane-node/tests/node/service.rs
@@ -11,11 +11,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// Two caches and an origin.
-fn trio(caches: [&StandIn; 2], origin: &StandIn) -> String {
+fn trio(caches: [&EmulatedServer; 2], origin: &EmulatedServer) -> String {
     let entries = [
         entry("s-1", caches[0].address, "std", "active"),
         entry("s-2", caches[1].address, "std", "active"),
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -1,12 +1,12 @@
-//! Real nodes in two regions, each before the cache servers of its own. The judge is what the stand-ins saw.
+//! Real nodes in two regions, each before the cache servers of its own. The judge is what the emulated servers saw.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::process::Command;
 use std::sync::mpsc::{Receiver, Sender};
 
+use crate::harness::*;
 use crate::no_origin;
-use crate::stand_in::*;
 
 const READS: usize = 120;
 
@@ -90,8 +90,8 @@
 
 /// The cache servers of a site, each of which answers with its name.
 struct Site {
-    caches: BTreeMap<&'static str, (StandIn, &'static str)>,
-    origin: StandIn,
+    caches: BTreeMap<&'static str, (EmulatedServer, &'static str)>,
+    origin: EmulatedServer,
 }
 
 impl Site {
--- a/crates/stonevane-node/tests/node/time_left.rs
+++ b/crates/stonevane-node/tests/node/time_left.rs
@@ -1,7 +1,7 @@
 //! The time that an attempt sends to its server (`d`) is at most what is left to the client at that moment: for cache
 //! servers and the origin, for the first attempt and for each kind of further one.
 //!
-//! No test depends on the machine's speed: a stand-in holds an answer back, and the next attempt may state at most the
+//! No test depends on the machine's speed: a emulated server holds an answer back, and the next attempt may state at most the
 //! client's time less what had passed, as the test itself measured, between the request's arrival and that answer.
 
 use std::io::{BufReader, Write};
@@ -11,12 +11,12 @@
 use std::time::{Duration, Instant};
 
 use crate::crossings::{Shut, slow_to_open};
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// What the test's clients state, in milliseconds.
 const CLIENT_TIME_LEFT: u64 = 8_000;
-/// For how long a stand-in holds its answer back.
+/// For how long a emulated server holds its answer back.
 const HELD_BACK: Duration = Duration::from_millis(300);
 
 /// The time left that a request states, in milliseconds.
@@ -46,7 +46,7 @@
     assert!((1..=most).contains(&stated), "{stated} ms stated, at most {most} were left: {:?}", seen.words);
 }
 
-/// The first request that any of the stand-ins sharing it sees is answered as `first` once the latch is open, the
+/// The first request that any of the emulated servers sharing it sees is answered as `first` once the latch is open, the
 /// others at once as `then`.
 fn first_held(
     latch: &Latch,
@@ -72,8 +72,8 @@
 
 /// Two cache servers that share what they do, and which of them saw a request first.
 struct Caches {
-    first: StandIn,
-    second: StandIn,
+    first: EmulatedServer,
+    second: EmulatedServer,
 }
 
 impl Caches {
--- a/crates/stonevane-node/tests/node/upgrade.rs
+++ b/crates/stonevane-node/tests/node/upgrade.rs
@@ -7,7 +7,7 @@
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
-use crate::stand_in::*;
+use crate::harness::*;
 use crate::{no_origin, pair, quiet};
 
 /// Another process of the node, of the released version: the files that it writes, and the lock that it holds.
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -2,8 +2,8 @@
 #![allow(missing_docs)]
 
 #[allow(dead_code, unused_imports)]
-#[path = "node/stand_in.rs"]
-mod stand_in;
+#[path = "node/harness/mod.rs"]
+mod harness;
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use stand_in::*;
+use harness::*;
 use stonevane_emulators::postgres::{PgFault, Postgres as Server};
 use stonevane_store::sqlite::Options;
 use stonevane_store::{Edit, Postgres, Sqlite, Store, postgres};
