--- a/crates/stonevane-node/src/discovery/call.rs
+++ b/crates/stonevane-node/src/discovery/call.rs
@@ -94,7 +94,7 @@
         Ok(PendingCall { stream, received: BytesMut::new(), traffic: context.traffic.clone() })
     }
 
-    /// The head of the response. What has arrived of it is kept where the wait is given up.
+    /// The head of the response. What has arrived of it stays in the buffer where the wait is given up.
     pub async fn head(
         &mut self,
         context: &CallContext,
--- a/crates/stonevane-node/src/discovery/mod.rs
+++ b/crates/stonevane-node/src/discovery/mod.rs
@@ -53,7 +53,7 @@
 }
 
 impl Discovery {
-    /// No calls yet; `list_version` is kept at the version of the list in use.
+    /// No calls yet; `list_version` always has the version of the list in use.
     pub fn new(list_version: Arc<AtomicU64>, sink: InputSink) -> Self {
         Discovery {
             list_version,
--- a/crates/stonevane-node/src/discovery/watch.rs
+++ b/crates/stonevane-node/src/discovery/watch.rs
@@ -31,8 +31,8 @@
 
     /// Takes the call, if it was made in this epoch of discovery.
     fn take(&self, epoch: DiscoveryEpoch) -> Option<PendingCall> {
-        let kept = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
-        kept.filter(|(of, _)| *of == epoch).map(|(_, call)| call)
+        let stored = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
+        stored.filter(|(of, _)| *of == epoch).map(|(_, call)| call)
     }
 
     /// Ends the call.
--- a/crates/stonevane-node/src/driver/mod.rs
+++ b/crates/stonevane-node/src/driver/mod.rs
@@ -143,7 +143,7 @@
         self.lock().discovery = Some(Discovery::new(self.list_version.clone(), sink));
     }
 
-    /// Has the store tell the core when it is unavailable.
+    /// Has the store notify the core when it is unavailable.
     fn connect_store(self: &Arc<Self>) {
         let Some(store) = &self.store else { return };
         let driver = Arc::downgrade(self);
--- a/crates/stonevane-node/src/driver/reading.rs
+++ b/crates/stonevane-node/src/driver/reading.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Whether a connection exists and has no unread input. The core is told of the input or the end that it has.
+    /// Whether a connection exists and has no unread input. Its input or its end is brought to the core.
     pub(super) fn has_no_input(&self, state: &mut State, id: ConnId, check: InputCheck) -> bool {
         let Some(stream) = state.stream(id) else { return false };
         let buffer = &mut state.read_buffer[..UNEXPECTED_INPUT_BYTES];
--- a/crates/stonevane-node/src/driver/writing.rs
+++ b/crates/stonevane-node/src/driver/writing.rs
@@ -10,7 +10,7 @@
 use super::{Driver, State};
 
 impl Driver {
-    /// Writes to a connection; the core is told when all is written.
+    /// Writes to a connection; the core is notified when all is written.
     pub(super) fn write(self: &Arc<Self>, state: &mut State, id: ConnId, mut bytes: Bytes) {
         let Some(connection) = state.connections.get_mut(&id) else { return };
         let Some(stream) = connection.stream.clone() else { return };
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -1,4 +1,4 @@
-//! Handover between two processes of this node while one replaces the other: files in a folder of `$TMPDIR` tell each
+//! Handover between two processes of this node while one replaces the other: files in a folder of `$TMPDIR` show each
 //! process the status of the others. `stonevane_core::handover` decides how they divide the node's capacity.
 //!
 //! A process holds the lock of `STARTED-PID.lock` for as long as it lives, and publishes its status in `STARTED-PID`,
--- a/crates/stonevane-node/src/process.rs
+++ b/crates/stonevane-node/src/process.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// Runs membership, and tells the core how many nodes share the fleet's limits.
+/// Runs membership, and notifies the core of how many nodes share the fleet's limits.
 fn spawn_membership(membership: Arc<Membership>, driver: Arc<Driver>) {
     tokio::spawn(membership.run(move |nodes| driver.input(Input::NodeCount(nodes))));
 }
--- a/crates/stonevane-node/src/signals.rs
+++ b/crates/stonevane-node/src/signals.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// What is told that the node drains.
+/// What is notified that the node drains.
 pub struct Termination {
     /// Polls the other processes of the node.
     pub handover: Option<HandoverPoller>,
--- a/crates/stonevane-node/src/store/circuit_breaker.rs
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -1,5 +1,5 @@
-//! The circuit breaker in front of the store: while the store does not answer, calls fail at once, and the policy is told
-//! for how long they will.
+//! The circuit breaker in front of the store: while the store does not answer, calls fail at once, and the policy is
+//! notified for how long they will.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -104,7 +104,7 @@
         })
     }
 
-    /// Takes the outcome of the call into account, and tells the policy when the store becomes available or unavailable.
+    /// Takes the outcome of the call into account, and notifies the policy when the store becomes available or unavailable.
     pub fn complete<T>(mut self, result: &Result<T, StoreError>) {
         self.is_probe = false;
         let outage = result.as_ref().err().filter(|error| self.is_outage(error));
--- a/crates/stonevane-node/src/store/fetches.rs
+++ b/crates/stonevane-node/src/store/fetches.rs
@@ -136,7 +136,7 @@
     Ok(Waiter { inner: inner.clone(), joiner })
 }
 
-/// Queries the store and tells all who wait.
+/// Queries the store and sends the result to all who wait.
 async fn run_fetch(inner: Arc<Inner>, flight: FlightId, key: String) {
     let fetched = query(&inner, &key).await;
     let mut fetches = inner.fetches();
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -24,7 +24,7 @@
 use fetches::FetchTable;
 use own_edits::{ChangeOrigin, OwnEdits};
 
-/// Told for how long calls will fail, in microseconds; 0: the store answers again.
+/// Notified for how long calls will fail, in microseconds; 0: the store answers again.
 pub type OnUnavailable = Box<dyn Fn(Micros) + Send + Sync>;
 
 /// The store, shared by all calls.
@@ -176,7 +176,7 @@
     async fn settle(&self, key: String, version: u64) {
         self.counters.settled.increment();
         if let Some(updater) = self.cache_updater.get() {
-            // Nobody waits for it.
+            // No receipt waits for it.
             drop(updater.invalidate(key, version).await);
         }
     }
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -32,11 +32,11 @@
 pub struct Environment {
     /// The program of a worker, and its arguments: it is to call [`crate::worker::run`].
     pub worker: (PathBuf, Vec<String>),
-    /// Memory that all processes of the run may take together, bytes.
+    /// Memory that all processes of the run may take together, in bytes.
     pub memory_limit: u64,
     /// Descriptors that a process may have.
     pub descriptors: u64,
-    /// What a fleet is held to need before it starts.
+    /// The estimate of what a fleet needs, for the check before it starts.
     pub costs: MemoryCosts,
     /// Ends the run before its time.
     pub interrupt: Interrupt,
@@ -94,7 +94,7 @@
 /// Checks that a fleet can be run here, without starting anything.
 ///
 /// # Errors
-/// Why it can't.
+/// It cannot.
 pub fn check(plan: &Plan, environment: &Environment) -> Result<Layout, RunError> {
     let layout = plan.layout().map_err(RunError::Layout)?;
     limits::check(&layout, &environment.costs, environment.memory_limit, environment.descriptors)
@@ -102,17 +102,17 @@
     Ok(layout)
 }
 
-/// Runs the fleet of a plan to its end, and tells each step; no process is left when this returns.
+/// Runs the fleet of a plan to its end, and reports each step; no process is left when this returns.
 ///
 /// The figures have no value for what was not reached in the time that the plan gives to each phase; the budget's
 /// verdict is not in them yet.
 ///
 /// # Errors
-/// Why there are no figures.
+/// The run gave no figures.
 pub fn run(
     plan: &Plan,
     environment: &Environment,
-    tell: &mut dyn FnMut(String),
+    report: &mut dyn FnMut(String),
 ) -> Result<Figures, RunError> {
     let layout = check(plan, environment)?;
     let discovery = DiscoveryService::start(plan)?;
@@ -122,7 +122,7 @@
     for worker in 0..layout.workers() {
         let nodes = layout.worker_nodes(worker);
         let process = processes.id(worker as usize);
-        tell(format!("worker process {process}: nodes {} to {}", nodes.start, nodes.end - 1));
+        report(format!("worker process {process}: nodes {} to {}", nodes.start, nodes.end - 1));
     }
     let progress = vec![Progress::default(); layout.workers() as usize];
     let (checked, peak) = (Instant::now(), 0);
@@ -135,8 +135,8 @@
         seed: plan.seed,
         ..Figures::default()
     };
-    fleet.measure(&discovery, &mut figures, tell)?;
-    tell(format!("all processes had {} MiB of memory at the most", fleet.peak / limits::MIB));
+    fleet.measure(&discovery, &mut figures, report)?;
+    report(format!("all processes had {} MiB of memory at the most", fleet.peak / limits::MIB));
     Ok(figures)
 }
 
@@ -171,24 +171,24 @@
         &mut self,
         discovery: &DiscoveryService,
         figures: &mut Figures,
-        tell: &mut dyn FnMut(String),
+        report: &mut dyn FnMut(String),
     ) -> Result<(), RunError> {
         let peers = self.bind()?;
         let begun = Mono::now();
         self.processes.send_all(&Command::Start { peers, discovery: discovery.address() })?;
 
         figures.converged_s = self.until_all(|progress| progress.complete)?.map(|at| seconds(begun, at));
-        tell(reached("all know of all", figures.converged_s));
+        report(reached("all know of all", figures.converged_s));
         if figures.converged_s.is_some() {
             figures.rested_s = self.until_all(|progress| progress.rested)?.map(|at| seconds(begun, at));
-            tell(reached("all are at rest", figures.rested_s));
+            report(reached("all are at rest", figures.rested_s));
         }
         if figures.rested_s.is_some() {
             self.sample_window(figures)?;
             let number = self.plan.victim();
-            tell(format!("node {number} is killed"));
+            report(format!("node {number} is killed"));
             figures.death_known_s = self.kill(number)?;
-            tell(reached("all hold it dead", figures.death_known_s));
+            report(reached("all hold it dead", figures.death_known_s));
         }
         let ended = self.sample()?;
         figures.false_deaths = ended.iter().map(|sample| sample.false_deaths).sum();
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -22,7 +22,7 @@
     pub tcp_bytes: u64,
     /// Wake-ups of the membership machine that were late by more than half of its period.
     pub stalls: u64,
-    /// Times that a node held another one dead which was not.
+    /// Times that a node took a living one for dead.
     pub false_deaths: u64,
 }
 
@@ -67,7 +67,7 @@
     pub workers: u32,
     /// The seed.
     pub seed: u64,
-    /// Seconds from the start of the nodes until all knew of all and held the list of cache servers.
+    /// Seconds from the start of the nodes until all knew of all and had the endpoint list.
     pub converged_s: Option<f64>,
     /// Seconds until all were at rest, without updates and in full health: the window of the rates begins then.
     pub rested_s: Option<f64>,
@@ -81,9 +81,9 @@
     pub cpu_us_s: Option<f64>,
     /// Resident memory of the workers a node, bytes.
     pub memory_bytes: Option<u64>,
-    /// Seconds from a node's death until all others of its domain held it dead.
+    /// Seconds from a node's death until it was dead to all others of its domain.
     pub death_known_s: Option<f64>,
-    /// Times that a node held a living one dead, in the whole run.
+    /// Times that a node took a living one for dead, in the whole run.
     pub false_deaths: u64,
     /// Wake-ups that came late by more than half of the period, in the whole run: the machine was too busy.
     pub stalls: u64,
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -55,11 +55,11 @@
 /// Which limit a run exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LimitError {
-    /// More memory is asked for than a run may have.
-    #[error("--memory-mb is {}; half of this machine's memory is {}", mib(*asked), most / MIB)]
+    /// More memory is requested for than a run may have.
+    #[error("--memory-mb is {}; half of this machine's memory is {}", mib(*requested), most / MIB)]
     AboveHalf {
         /// Asked for, bytes.
-        asked: u64,
+        requested: u64,
         /// What it may have, bytes.
         most: u64,
     },
@@ -100,15 +100,15 @@
     bytes.div_ceil(MIB)
 }
 
-/// The memory that a run may have: half of the machine's, or less where less is asked for.
+/// The memory that a run may have: half of the machine's, or less where less is requested for.
 ///
 /// # Errors
-/// More is asked for.
-pub fn memory_limit(host: &Host, asked: Option<u64>) -> Result<u64, LimitError> {
+/// More is requested for.
+pub fn memory_limit(host: &Host, requested: Option<u64>) -> Result<u64, LimitError> {
     let most = host.memory / MEMORY_DIVISOR;
-    match asked {
-        Some(asked) if asked > most => Err(LimitError::AboveHalf { asked, most }),
-        Some(asked) => Ok(asked),
+    match requested {
+        Some(requested) if requested > most => Err(LimitError::AboveHalf { requested, most }),
+        Some(requested) => Ok(requested),
         None => Ok(most),
     }
 }
--- a/crates/stonevane-scale/tests/limits.rs
+++ b/crates/stonevane-scale/tests/limits.rs
@@ -13,7 +13,7 @@
     assert_eq!(memory_limit(&HOST, Some(MIB)), Ok(MIB));
     assert_eq!(memory_limit(&HOST, Some(500 * MIB)), Ok(500 * MIB));
     let (asked, most) = (500 * MIB + 1, 500 * MIB);
-    assert_eq!(memory_limit(&HOST, Some(asked)), Err(LimitError::AboveHalf { asked, most }));
+    assert_eq!(memory_limit(&HOST, Some(asked)), Err(LimitError::AboveHalf { requested: asked, most }));
 }
 
 #[test]
