--- a/crates/stonevane/src/fleet/simulate.rs
+++ b/crates/stonevane/src/fleet/simulate.rs
@@ -80,8 +80,8 @@
         let plan = match (&self.plan, self.members) {
             (Some(file), _) => MemberPlan::parse(&read_file(file)?)
                 .map_err(|error| CommandError::unusable_file(file, error))?,
-            (None, Some(members)) => MemberPlan::sized(seed, members as usize),
-            (None, None) => MemberPlan::draw(seed),
+            (None, Some(members)) => MemberPlan::generate_sized(seed, members as usize),
+            (None, None) => MemberPlan::generate(seed),
         };
         Ok(MemberPlan { heeds_health: !self.without_health, ..plan })
     }
@@ -91,16 +91,17 @@
         if let Some((small, code)) = shrink_members(&plan, options, MAX_SHRINK_RUNS) {
             let (left, all) = (small.faults.len(), plan.faults.len());
             warn!("{code}: {left} of {all} faults, {} members", small.members);
-            say!("{}", small.text());
+            say!("{}", small.to_json());
         }
         Ok(())
     }
 }
 
 fn print_failure(seed: u64, verdict: &MemberVerdict) {
-    let Some((at_us, breach)) = verdict.breaches.first() else { return };
+    let Some(first) = verdict.breaches.first() else { return };
+    let breach = &first.breach;
     let (observer, member) = (breach.observer, breach.member);
-    let at_s = *at_us as f64 / 1e6;
+    let at_s = first.at_us as f64 / 1e6;
     say!(
         "seed {seed} fails: {} at {at_s:.1} s, n{member} in n{observer}'s view: {}",
         breach.code,
