--- a/crates/stonevane/src/fleet/simulate.rs
+++ b/crates/stonevane/src/fleet/simulate.rs
@@ -98,10 +98,10 @@
 }
 
 fn print_failure(seed: u64, verdict: &MemberVerdict) {
-    let Some(timed) = verdict.breaches.first() else { return };
-    let breach = &timed.breach;
+    let Some(first) = verdict.breaches.first() else { return };
+    let breach = &first.breach;
     let (observer, member) = (breach.observer, breach.member);
-    let at_s = timed.at_us as f64 / 1e6;
+    let at_s = first.at_us as f64 / 1e6;
     say!(
         "seed {seed} fails: {} at {at_s:.1} s, n{member} in n{observer}'s view: {}",
         breach.code,
