--- a/crates/stonevane-core/src/io.rs
+++ b/crates/stonevane-core/src/io.rs
@@ -120,7 +120,7 @@
 pub enum LogLine {
     /// For information.
     Info(String),
-    /// An internal error of the decision module.
+    /// An internal error of the policy.
     Error(String),
 }
 
--- a/crates/stonevane-core/src/metrics.rs
+++ b/crates/stonevane-core/src/metrics.rs
@@ -14,7 +14,7 @@
     pub accepted: u64,
     /// Answered with what a server made for them.
     pub served: u64,
-    /// Rejected without being run.
+    /// Rejected; a retry by the client is harmless.
     pub rejected: u64,
     /// Answered with an error.
     pub failed: u64,
@@ -32,7 +32,7 @@
     pub reloads_ok: u64,
     /// Settings files not applied at SIGHUP.
     pub reloads_failed: u64,
-    /// Rejections, failures, backoffs, retries and hedged requests by their reason.
+    /// Rejections, failures, backoffs, retries and hedged requests by their reason; a request may add several.
     pub decisions: BTreeMap<&'static str, u64>,
     /// Connections closed by this process, by the reason.
     pub closes: BTreeMap<&'static str, u64>,
@@ -101,13 +101,13 @@
     pub in_flight: usize,
     /// Cache servers in the list.
     pub cache_servers_known: usize,
-    /// Of these, those that the decision module avoids now.
+    /// Of these, those excluded by an operator or ejected.
     pub cache_servers_excluded: usize,
     /// Settings files applied at SIGHUP.
     pub reloads_ok: u64,
     /// Settings files not applied at SIGHUP.
     pub reloads_failed: u64,
-    /// Rejections, failures, backoffs, retries and hedged requests by their reason.
+    /// Rejections, failures, backoffs, retries and hedged requests by their reason; a request may add several.
     pub decisions: &'a BTreeMap<&'static str, u64>,
     /// Connections closed by this process, by the reason.
     pub closes: &'a BTreeMap<&'static str, u64>,
--- a/crates/stonevane-core/src/node/attempts.rs
+++ b/crates/stonevane-core/src/node/attempts.rs
@@ -153,7 +153,7 @@
         self.end_attempt_with(key, Reply::of_status(status, false));
     }
 
-    /// Ends an attempt: the first one that serves answers the client, and the decision module gets the outcome.
+    /// Ends an attempt: the first one that serves answers the client, and the policy gets the outcome.
     pub(super) fn end_attempt_with(&mut self, key: AttemptKey, mut reply: Reply) {
         let Some(attempt) = self.attempts.remove(&key) else { return };
         self.trace_outcome(key, &attempt, reply.status);
--- a/crates/stonevane-core/src/node/connections.rs
+++ b/crates/stonevane-core/src/node/connections.rs
@@ -44,13 +44,17 @@
     /// Either side.
     pub per_side: usize,
     /// Places for clients that are reserved for rejections.
-    pub for_rejections: usize,
+    pub reserved_for_rejections: usize,
 }
 
 impl ConnectionLimits {
     pub fn new(total: usize) -> ConnectionLimits {
         let per_side = total * 2 / 3;
-        ConnectionLimits { total, per_side, for_rejections: (per_side / REJECTION_PLACES_DIVISOR).max(1) }
+        ConnectionLimits {
+            total,
+            per_side,
+            reserved_for_rejections: (per_side / REJECTION_PLACES_DIVISOR).max(1),
+        }
     }
 
     fn of_config(config: &CoreConfig) -> ConnectionLimits {
@@ -141,8 +145,8 @@
     }
 
     /// Whether only the places for rejections are left to clients.
-    pub fn is_crowded(&self) -> bool {
-        self.free_for_clients() < self.limits.for_rejections
+    pub fn only_reserved_left(&self) -> bool {
+        self.free_for_clients() < self.limits.reserved_for_rejections
     }
 
     /// Whether no more server connection may be opened. One place is for the next client.
@@ -155,7 +159,7 @@
     fn surplus_idle(&self) -> Option<ConnId> {
         let free = self.free();
         let servers_own = self.limits.total - self.limits.per_side;
-        let is_short = free < self.limits.for_rejections && self.pool.len() > servers_own;
+        let is_short = free < self.limits.reserved_for_rejections && self.pool.len() > servers_own;
         if free == 0 || is_short { self.pool.longest_idle() } else { None }
     }
 
@@ -216,7 +220,7 @@
     /// half of the table on, so that a load balancer whose table fills with the same idle connections keeps some free.
     pub(super) fn evict_for_accepted(&mut self, accepted: ConnId) {
         let is_half_full = self.connections.clients.len() > self.connections.limits.per_side / 2;
-        if !self.connections.is_crowded() && !is_half_full {
+        if !self.connections.only_reserved_left() && !is_half_full {
             return;
         }
         let connect_timeout = self.deployment.connect_timeout;
@@ -224,14 +228,17 @@
             self.evict(client);
         }
         // The places for rejections must be free too, or this client could only be rejected.
-        let missing =
-            self.connections.limits.for_rejections.saturating_sub(self.connections.free_for_clients());
+        let missing = self
+            .connections
+            .limits
+            .reserved_for_rejections
+            .saturating_sub(self.connections.free_for_clients());
         for _ in 1..missing {
             let candidate = self.connections.clients.next_eviction_candidate(connect_timeout);
             let Some(candidate) = candidate.filter(|candidate| candidate.at <= self.now) else { break };
             self.evict(candidate.client);
         }
-        let over_capacity = self.connections.is_crowded();
+        let over_capacity = self.connections.only_reserved_left();
         if let Some(session) = self.connections.clients.sessions.get_mut(&accepted) {
             session.over_capacity = over_capacity;
         }
--- a/crates/stonevane-core/src/node/drain.rs
+++ b/crates/stonevane-core/src/node/drain.rs
@@ -1,7 +1,8 @@
 //! Graceful shutdown, and the handover to another process of the same node.
 //!
-//! After SIGTERM connections are still accepted for a moment. Then client connections are closed between requests, and
-//! the process ends when the last one is, or when its time is up.
+//! After SIGTERM connections are accepted for 450 ms more, or not at all if a newer process has taken over. Then client
+//! connections are closed between requests. The process ends when every request is answered and every client is gone, at
+//! the latest min(longest deadline, 3 s) + 550 ms after SIGTERM.
 
 use stonevane_policy::{Event, Micros};
 
@@ -31,7 +32,7 @@
 pub(super) enum Phase {
     /// It has no ready server yet.
     Starting,
-    /// It serves.
+    /// It serves, also for the moment after SIGTERM in which connections are still accepted.
     Ready,
     /// It closes connections between requests.
     Draining,
--- a/crates/stonevane-core/src/node/endpoints.rs
+++ b/crates/stonevane-core/src/node/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, the servers that operators exclude, and the subset that the decision module knows.
+//! The endpoint list, the servers that operators exclude, and the subset that the policy knows.
 
 use std::net::SocketAddr;
 
@@ -63,7 +63,7 @@
     since_ms: u64,
     address: SocketAddr,
     protocol: Protocol,
-    /// Its entry for the decision module.
+    /// Its entry for the policy.
     entry: ServerEntry,
     /// When it last replied.
     last_heard: Micros,
@@ -74,7 +74,7 @@
     servers: HashMap<ServerId, ListedEndpoint>,
     /// Names of the servers that operators have excluded.
     excluded: HashMap<ServerId, String>,
-    /// Which servers the decision module knows; `None`: all.
+    /// Which servers the policy knows; `None`: all.
     subset: Option<EndpointSubset>,
     origin_protocol: Protocol,
     /// The caches that were announced to the driver, where it notifies them of writes.
@@ -314,13 +314,13 @@
         self.close_idle_connections(id);
     }
 
-    /// Gives the decision module a list or a delta: these entries, or what the subset makes of the full list.
+    /// Gives the policy a list or a delta: these entries, or what the subset makes of the full list.
     fn notify_servers(&mut self, kind: ListUpdate, entries: Vec<ServerEntry>) {
         let servers = self.update_subset(kind).unwrap_or(entries);
         self.notify_policy(Event::ServerList { kind, servers });
     }
 
-    /// Selects the subset anew; returns the entries for the decision module, where there is a subset.
+    /// Selects the subset anew; returns the entries for the policy, where there is a subset.
     fn update_subset(&mut self, kind: ListUpdate) -> Option<Vec<ServerEntry>> {
         let mut subset = self.endpoints.subset.take()?;
         let listed = self.endpoints.servers.iter().map(|(id, server)| ListedServer {
@@ -394,7 +394,7 @@
         }
         self.notify_policy(Event::Exclude { server, excluded });
         if let Some(subset) = self.endpoints.subset.as_mut().filter(|_| !excluded) {
-            subset.on_readmitted(server, self.now);
+            subset.on_reinstated(server, self.now);
         }
         self.refresh_subset();
         self.withdraw_unwanted_attempts();
--- a/crates/stonevane-core/src/node/mod.rs
+++ b/crates/stonevane-core/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! The core: it composes the parts of a node, dispatches inputs and timers to them, and runs the decision module.
+//! The core: it composes the parts of a node, dispatches inputs and timers to them, and runs the policy.
 //!
-//! The decision module decides; where the limit on sockets, the memory budget or an invalid input leaves no choice, a
+//! The policy decides; where the limit on sockets, the memory budget or an invalid input leaves no choice, a
 //! comment says so. Each module here owns the state of one part:
 //!
 //! - [`requests`]: requests from their arrival to their final answer
--- a/crates/stonevane-core/src/node/policy.rs
+++ b/crates/stonevane-core/src/node/policy.rs
@@ -1,4 +1,4 @@
-//! Runs the decision module: events go in, its actions are carried out.
+//! Runs the policy: events go in, its actions are carried out.
 
 use std::collections::VecDeque;
 
@@ -12,10 +12,10 @@
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
 
-/// The shortest delay of a timer of the decision module.
+/// The shortest delay of a timer of the policy.
 const MIN_TIMER_DELAY: Micros = 1;
 
-/// The decision module and what it has not seen yet.
+/// The policy and what it has not seen yet.
 pub(super) struct PolicyRunner {
     pub policy: Policy,
     pub events: VecDeque<Event>,
@@ -34,13 +34,13 @@
 }
 
 impl<F: Faults> Core<F> {
-    /// Gives the decision module an event, and carries out what follows from it.
+    /// Gives the policy an event, and carries out what follows from it.
     pub(super) fn notify_policy(&mut self, event: Event) {
         self.policy.events.push_back(event);
         self.run_policy();
     }
 
-    /// Gives the decision module all queued events, those included that its actions cause.
+    /// Gives the policy all queued events, those included that its actions cause.
     pub(super) fn run_policy(&mut self) {
         while let Some(event) = self.policy.events.pop_front() {
             let mut actions = std::mem::take(&mut self.policy.actions);
--- a/crates/stonevane-core/src/node/reload.rs
+++ b/crates/stonevane-core/src/node/reload.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Gives the decision module the settings. `tenants`: the previous position of each tenant.
+    /// Gives the policy the settings. `tenants`: the previous position of each tenant.
     pub(super) fn notify_settings(&mut self, tenants: Vec<Option<usize>>) {
         let settings = Box::new(self.settings_in_force());
         self.notify_policy(Event::Settings { settings, tenants });
--- a/crates/stonevane-core/src/node/reports.rs
+++ b/crates/stonevane-core/src/node/reports.rs
@@ -90,7 +90,7 @@
             attempts: metrics.attempts,
             in_flight: self.requests.unanswered,
             cache_servers_known: self.endpoints.cache_count(),
-            cache_servers_excluded: self.policy.policy.avoided_server_count(),
+            cache_servers_excluded: self.policy.policy.excluded_or_ejected_count(),
             reloads_ok: metrics.reloads_ok,
             reloads_failed: metrics.reloads_failed,
             decisions: &metrics.decisions,
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -85,11 +85,11 @@
     }
 }
 
-/// Why a command is answered without asking the decision module.
+/// Why a command is answered without asking the policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ArrivalError {
     /// Only the connections reserved for rejections are left: this one is rejected and closed.
-    TableFull,
+    ConnectionTableFull,
     /// A request of the same id is pending.
     DuplicateId,
     /// Too many requests are pending, or there is no memory for another.
@@ -100,7 +100,7 @@
     /// Its name among the decisions and in the trace.
     fn name(self) -> &'static str {
         match self {
-            ArrivalError::TableFull => "table-full",
+            ArrivalError::ConnectionTableFull => "table-full",
             ArrivalError::DuplicateId => "id-open",
             ArrivalError::TooManyPending => "too-much-open",
         }
@@ -108,7 +108,7 @@
 
     fn answer(self) -> &'static str {
         match self {
-            ArrivalError::TableFull | ArrivalError::TooManyPending => "-BUSY\r\n",
+            ArrivalError::ConnectionTableFull | ArrivalError::TooManyPending => "-BUSY\r\n",
             ArrivalError::DuplicateId => "-ERR a request with this id is open\r\n",
         }
     }
@@ -125,7 +125,7 @@
                 Phase::Ready | Phase::Draining => "+PONG\r\n",
             }),
             Ok(ClientCommand::Request(command)) => self.on_request(client, command),
-            // The decision module knows requests of the settings' classes alone.
+            // Not passed to the policy: its class or a parameter is unknown.
             Err(error) => session.push_answer(format!("-ERR {error}\r\n")),
         }
     }
@@ -139,16 +139,16 @@
         }
     }
 
-    /// Checks the limits that the decision module does not know, and reserves the memory of a request.
+    /// Checks the limits that the policy does not know, and reserves the memory of a request.
     fn check_arrival(
         &mut self,
         client: ConnId,
         command: &Command,
     ) -> Result<MemoryReservation, ArrivalError> {
-        let is_crowded = self.connections.is_crowded();
+        let only_reserved_left = self.connections.only_reserved_left();
         if let Some(session) = self.connections.clients.sessions.get_mut(&client) {
-            if session.over_capacity && is_crowded {
-                return Err(ArrivalError::TableFull);
+            if session.over_capacity && only_reserved_left {
+                return Err(ArrivalError::ConnectionTableFull);
             }
             session.over_capacity = false;
         }
@@ -167,11 +167,11 @@
     fn reject_arrival(&mut self, client: ConnId, command: &Command, class_slot: usize, error: ArrivalError) {
         let counts = self.reporter.metrics.class_mut(class_slot);
         match error {
-            ArrivalError::TableFull | ArrivalError::TooManyPending => counts.rejected += 1,
+            ArrivalError::ConnectionTableFull | ArrivalError::TooManyPending => counts.rejected += 1,
             ArrivalError::DuplicateId => counts.failed += 1,
         }
         if let Some(session) = self.connections.clients.sessions.get_mut(&client) {
-            session.input_closed |= error == ArrivalError::TableFull;
+            session.input_closed |= error == ArrivalError::ConnectionTableFull;
             session.push_answer(error.answer());
         }
         self.reporter.count_decision(error.name());
@@ -223,7 +223,7 @@
         self.notify_policy(Event::Request(request));
     }
 
-    /// The decision module ends a request before its deadline; should it fail to, the client still gets an answer.
+    /// The policy ends a request before its deadline; should it fail to, the client still gets an answer.
     pub(super) fn on_request_deadline(&mut self, id: RequestId) {
         if self.requests.get_open(id).is_some() && !self.faults.injects(Mutant::ForgetRefusal) {
             self.answer(id, FinalAnswer::Failed);
@@ -256,7 +256,7 @@
         if let Some(client_id) = session.answer(slot, clients::encode(&answer), reservation) {
             self.connections.clients.pending_ids.remove(&client_id);
             self.requests.unanswered -= 1;
-            // Written once the decision module is done: it must not get this client's next request meanwhile.
+            // Written once the policy is done: it must not get this client's next request meanwhile.
             self.connections.answered_clients.push_back(client);
         }
     }
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -41,14 +41,14 @@
     pub time_left: Micros,
     /// Whether the client sends it again after an earlier attempt of its own.
     pub is_retry: bool,
-    /// Expected cost, where the client states it.
+    /// Expected service time, microseconds, where the client states it.
     pub cost: Option<Micros>,
     /// Size of the value, 0 where the client does not state it.
     pub size: f32,
 }
 
 impl Command {
-    /// The key as the decision module knows it, the same at every node.
+    /// The key as the policy knows it, the same at every node.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok().filter(|text| text.len() == HASHED_KEY_DIGITS);
         let hex = text.and_then(|text| u64::from_str_radix(text, 16).ok());
@@ -78,9 +78,9 @@
 pub enum FinalAnswer {
     /// The value or the receipt that a server made for this request.
     Served(Bytes),
-    /// Not run: the client may safely send it again.
+    /// Rejected: a retry is harmless. Nothing ran, or the class is idempotent.
     Rejected {
-        /// When sending it again makes sense; 0: no advice.
+        /// How long the client is to wait, microseconds; 0: no advice.
         retry_after: Micros,
     },
     /// It may or may not have run.
--- a/crates/stonevane-core/src/subset.rs
+++ b/crates/stonevane-core/src/subset.rs
@@ -1,4 +1,4 @@
-//! The endpoint subset: which of the listed servers the decision module knows, which are the origin and the cache
+//! The endpoint subset: which of the listed servers the policy knows, which are the origin and the cache
 //! servers of the regions in use.
 //!
 //! The core keeps the whole list, so that a fallback to another region needs no call to discovery, and a server that
@@ -17,7 +17,7 @@
 
 /// A listed server, as far as its membership goes.
 pub struct ListedServer<'a> {
-    /// Its entry for the decision module.
+    /// Its entry for the policy.
     pub entry: &'a ServerEntry,
     /// Name of its zone.
     pub zone: &'a str,
@@ -33,9 +33,9 @@
     }
 }
 
-/// When a server is warm at the latest; `readmitted`: when an operator put it back, if one did.
-fn warm_at(entry: &ServerEntry, readmitted: Option<&Micros>, warm_up: Micros) -> Micros {
-    match entry.started.max(readmitted.copied().unwrap_or(0)) {
+/// When a server is warm at the latest; `reinstated`: when an operator reinstated it, if one did.
+fn warm_at(entry: &ServerEntry, reinstated: Option<&Micros>, warm_up: Micros) -> Micros {
+    match entry.started.max(reinstated.copied().unwrap_or(0)) {
         0 => 0,
         started => started.saturating_add(warm_up),
     }
@@ -43,7 +43,7 @@
 
 /// The effect of a change on the subset.
 pub struct SubsetUpdate {
-    /// Entries to send to the decision module.
+    /// Entries to send to the policy.
     pub entries: Vec<ServerEntry>,
     /// Servers that are still listed and have left the subset.
     pub removed: Vec<ServerId>,
@@ -51,13 +51,13 @@
     pub log_line: Option<String>,
 }
 
-/// The servers that the decision module knows.
+/// The servers that the policy knows.
 pub struct EndpointSubset {
     selector: RegionSelector,
     home: String,
     /// Nodes in this node's region.
     home_nodes: u32,
-    /// The entry of each server in the subset, as the decision module has it.
+    /// The entry of each server in the subset, as the policy has it.
     entries: HashMap<ServerId, ServerEntry>,
     /// Weight of all usable cache servers, those outside the subset included.
     cache_weight: f64,
@@ -68,7 +68,7 @@
     /// How often another region was taken into use.
     fallbacks: u64,
     /// When operators put servers back: they may have been restarted meanwhile, and the list may report that late.
-    readmitted: HashMap<ServerId, Micros>,
+    reinstated: HashMap<ServerId, Micros>,
     /// During a fallback, when the next server will be warm.
     next_warm: Option<Micros>,
     /// The refresh timer that was requested last.
@@ -89,7 +89,7 @@
             unchanged_since: now,
             has_list: false,
             fallbacks: 0,
-            readmitted: HashMap::new(),
+            reinstated: HashMap::new(),
             next_warm: None,
             refresh_timer: None,
         }
@@ -106,8 +106,8 @@
     }
 
     /// An operator has put a server back.
-    pub fn on_readmitted(&mut self, server: ServerId, now: Micros) {
-        self.readmitted.insert(server, now);
+    pub fn on_reinstated(&mut self, server: ServerId, now: Micros) {
+        self.reinstated.insert(server, now);
     }
 
     /// When a refresh timer is to be set, unless one is already.
@@ -120,7 +120,7 @@
         self.refresh_timer
     }
 
-    /// Takes all listed servers, and returns what the decision module is to know: all of the subset, or for a delta
+    /// Takes all listed servers, and returns what the policy is to know: all of the subset, or for a delta
     /// what has changed in it.
     pub fn update(
         &mut self,
@@ -170,11 +170,11 @@
         listed: &[ListedServer<'_>],
         warm_up: Micros,
     ) -> Option<String> {
-        self.readmitted.retain(|_, at| *at + warm_up > now);
+        self.reinstated.retain(|_, at| *at + warm_up > now);
         let mut next_warm: Option<Micros> = None;
         let mut caches = Vec::with_capacity(listed.len());
         for server in listed.iter().filter(|server| server.is_cache) {
-            let warm_at = warm_at(server.entry, self.readmitted.get(&server.entry.id), warm_up);
+            let warm_at = warm_at(server.entry, self.reinstated.get(&server.entry.id), warm_up);
             let usable = server.is_usable();
             let warm = warm_at <= now;
             if usable && !warm {
@@ -217,7 +217,7 @@
         format!("{home_has}, too few with at least {least} wanted: also used is {}", others.join(", "))
     }
 
-    /// The entry of a server for the decision module; `None` outside the subset.
+    /// The entry of a server for the policy; `None` outside the subset.
     fn subset_entry(&self, server: &ListedServer<'_>, nodes: u32) -> Option<ServerEntry> {
         let sharing_nodes = match self.selector.membership(server.zone) {
             _ if !server.is_cache => 0,
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -10,7 +10,7 @@
 /// What a timer is for. Timers of the same time fire in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
-    /// A timer of the decision module.
+    /// A timer of the policy.
     Policy(u32),
     /// The time-out of an attempt.
     AttemptTimeout(AttemptKey),
--- a/crates/stonevane-node/src/driver/operator_calls.rs
+++ b/crates/stonevane-node/src/driver/operator_calls.rs
@@ -33,10 +33,10 @@
         }
     }
 
-    /// Excludes a server or readmits it. Persisted before it takes effect, so that it outlives this process.
+    /// Excludes a server or reinstates it. Persisted before it takes effect, so that it outlives this process.
     fn set_excluded(self: &Arc<Self>, state: &mut State, name: String, excluded: bool) -> Answer {
         let persisted =
-            if excluded { self.exclusions.exclude(&name) } else { self.exclusions.readmit(&name) };
+            if excluded { self.exclusions.exclude(&name) } else { self.exclusions.reinstate(&name) };
         if let Err(error) = persisted {
             return Answer::line(503, format!("it can't be kept, and is not done: {error}"));
         }
--- a/crates/stonevane-node/src/exclusions.rs
+++ b/crates/stonevane-node/src/exclusions.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// The file cannot be removed.
-    pub fn readmit(&self, name: &str) -> std::io::Result<()> {
+    pub fn reinstate(&self, name: &str) -> std::io::Result<()> {
         let Some(folder) = &self.folder else { return Ok(()) };
         match std::fs::remove_file(folder.join(encode_file_name(name))) {
             Err(error) if error.kind() != ErrorKind::NotFound => Err(error),
--- a/crates/stonevane-node/src/exclusions/tests.rs
+++ b/crates/stonevane-node/src/exclusions/tests.rs
@@ -14,8 +14,8 @@
     }
     let other = Exclusions::new(Some(folder.clone()));
     assert_eq!(other.excluded(), ["../odd name", "s-1"]);
-    other.readmit("s-1").unwrap();
-    other.readmit("s-1").unwrap();
+    other.reinstate("s-1").unwrap();
+    other.reinstate("s-1").unwrap();
     assert_eq!(exclusions.excluded(), ["../odd name"]);
     std::fs::remove_dir_all(&folder).unwrap();
     assert!(Exclusions::new(None).exclude("s-1").is_ok());
@@ -32,7 +32,7 @@
     assert_eq!(exclusions.excluded(), ["s-1"]);
     exclusions.exclude("a/b \u{e9}").unwrap();
     assert_eq!(std::fs::read(folder.join("612f6220c3a9")).unwrap(), b"");
-    exclusions.readmit("s-1").unwrap();
+    exclusions.reinstate("s-1").unwrap();
     let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
     assert_eq!(left, ["612f6220c3a9"]);
     std::fs::remove_dir_all(&tmpdir).unwrap();
--- a/crates/stonevane-node/src/process.rs
+++ b/crates/stonevane-node/src/process.rs
@@ -110,7 +110,7 @@
     inherits_listener: bool,
 ) -> CoreConfig {
     let mut deployment = config.deployment;
-    // A process that takes over the clients of another meets no crowd that has waited for it.
+    // A process that takes over from another gets its clients gradually, and needs no start-up limit.
     deployment.settings.startup_attempts_per_server =
         if inherits_listener { 0.0 } else { config.operator.start.each };
     deployment.settings.coalesce_fetches = store.is_some_and(OriginStore::coalesces_fetches);
--- a/crates/stonevane-policy/src/action.rs
+++ b/crates/stonevane-policy/src/action.rs
@@ -38,9 +38,9 @@
         /// Returned with the event.
         token: u32,
     },
-    /// Subscribe to the changes of the server list, or unsubscribe.
+    /// Subscribe to the changes of the endpoint list, or unsubscribe.
     Subscribe(bool),
-    /// Request the whole server list once.
+    /// Request the whole endpoint list once.
     FetchList,
     /// Send a health check to a server.
     HealthCheck(ServerId),
@@ -54,6 +54,7 @@
         bytes: Vec<u8>,
     },
     /// Why a request is answered so, waits, or is resent by the action beside this one: for logs and counts.
+    /// A request may have several: each backoff, retry and hedged request, and its final answer.
     Explain {
         /// The request.
         request: RequestId,
@@ -79,7 +80,7 @@
     ShuttingDown,
     /// This process has just started and has as many attempts in flight as it may.
     StartupLimit,
-    /// No server may be sent it: none is known, or those known have no capacity left.
+    /// No server may be sent it: none is listed, all were tried or are full, or slow start allows none.
     NoServer,
     /// The origin is known to have stopped.
     OriginUnavailable,
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -123,7 +123,7 @@
 }
 
 /// A read that looks for a server.
-pub struct Read<'a> {
+pub struct ReadCandidate<'a> {
     pub request: RequestId,
     /// Key and recency, for slow start as well.
     pub slow_start: SlowStartRead,
@@ -147,7 +147,7 @@
 
 impl Balancing<'_> {
     /// The first server in the key's order within the load bound, else the first; none where that is full.
-    pub fn choose(&self, read: &Read<'_>) -> Option<ServerId> {
+    pub fn choose(&self, read: &ReadCandidate<'_>) -> Option<ServerId> {
         let order = ServerOrder {
             candidates: self.pool.candidates(),
             hasher: KeyHasher::new(read.slow_start.key),
@@ -164,12 +164,16 @@
 
     /// Examines a part of an order and keeps the first of the best rank; returns whether no later one can be
     /// better.
-    fn examine(&self, read: &Read<'_>, places: &[Place], best: &mut Option<(Rank, ServerId)>) -> bool {
+    fn examine(
+        &self,
+        read: &ReadCandidate<'_>,
+        places: &[Place],
+        best: &mut Option<(Rank, ServerId)>,
+    ) -> bool {
         let load_bound = self.load_bound();
         for place in places {
             let Some(server) = self.pool.get(place.server) else { continue };
-            // Without this a reinstated server that no key of its own comes by for long would get none, and
-            // nothing could be learned of it.
+            // Guards against a reinstated server that gets no read because its keys are rarely requested.
             let awaited = server.reinstated_at != 0 && self.now >= server.reinstated_at + REINSTATED_WAIT;
             if read.tried.contains(&place.server)
                 || !self.slow_start.allows_read(&read.slow_start, server, awaited)
@@ -179,7 +183,7 @@
             let rank = Rank {
                 // Last, not left out: when most are ejected the cause is shared, and there is no better
                 // place.
-                ejected: server.outlier.is_avoided(self.now, server.in_flight),
+                ejected: server.outlier.ranks_last(self.now, server.in_flight),
                 full: self.exceeds_bound(server, load_bound)
                     || self.pool.queue_estimate(read.request, server) > read.time_left as f64 * FULL_QUEUE,
                 not_awaited: !awaited,
@@ -195,7 +199,7 @@
     }
 
     /// Whether the wait at a server takes too much of the time left.
-    fn is_full(&self, read: &Read<'_>, server: ServerId) -> bool {
+    fn is_full(&self, read: &ReadCandidate<'_>, server: ServerId) -> bool {
         self.pool.get(server).is_some_and(|server| {
             let backlog = if self.shedding { server.backlog(self.now, self.longest_objective) } else { 0.0 };
             let wait = self.pool.queue_estimate(read.request, server).max(backlog);
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -8,7 +8,7 @@
 /// Something that happened at this node.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The server list, or a change of it.
+    /// The endpoint list, or a change of it.
     ServerList {
         /// How it relates to the list in force.
         kind: ListUpdate,
--- a/crates/stonevane-policy/src/key_history.rs
+++ b/crates/stonevane-policy/src/key_history.rs
@@ -30,7 +30,8 @@
 pub struct Recency {
     /// It was requested among the latest requests.
     pub popular: bool,
-    /// It was not requested since then; 0: as far back as the history goes.
+    /// When it was last requested, or the start of the history where that is not known; 0: no request has
+    /// left the history yet.
     pub unseen_since: Micros,
 }
 
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -10,7 +10,7 @@
 //! let mut policy = Policy::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The node starts at some clock value (microseconds) with its cached server list.
+//! // The node starts at some clock value (microseconds) with its cached endpoint list.
 //! let servers = vec![
 //!     ServerEntry { id: 7, condition: Condition::Ready, ..ServerEntry::default() },
 //!     ServerEntry { id: 9, condition: Condition::Ready, ..ServerEntry::default() },
@@ -26,7 +26,7 @@
 //! # Layout
 //!
 //! - `policy` dispatches events and timers; the files below it carry requests, attempts, outcomes, calls to
-//!   the origin and the server list through the rules.
+//!   the origin and the endpoint list through the rules.
 //! - A module for each rule, with its inputs, units and reason: `admission`, `balancing`, `coalescing`,
 //!   `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`, `slow_start`,
 //!   `startup`.
--- a/crates/stonevane-policy/src/log_message.rs
+++ b/crates/stonevane-policy/src/log_message.rs
@@ -28,6 +28,8 @@
     DiscoveryFailed,
 }
 
+// A server's number is a hash of its name: `server_id` in the core's `node/endpoints.rs`.
+
 impl fmt::Display for LogMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/stonevane-policy/src/outlier.rs
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: a server that fails several times in a row is ejected for a while.
+//! Outlier detection: a server whose failures outnumber its answers by a few is ejected for a while.
 //!
 //! Inputs: the outcomes of attempts at one server, the longest latency objective (microseconds). An ejected
 //! server is still chosen where nothing better is left; the first attempt after its ejection time is a trial:
@@ -6,9 +6,9 @@
 
 use crate::ids::Micros;
 
-/// Failures in a row, with no answer between them, from which a server is ejected.
-const CONSECUTIVE_FAILURES: u32 = 3;
-/// A server with fewer failures in a row is taken for sound when a connection breaks or a response is
+/// Failure count from which a server is ejected: each failure adds one, each answer takes one off.
+const EJECTION_FAILURE_COUNT: u32 = 3;
+/// A server with a lower failure count is taken for sound when a connection breaks or a response is
 /// malformed.
 const ISOLATED_FAILURES: u32 = 2;
 /// The first ejection time, as a multiple of the longest latency objective.
@@ -19,7 +19,7 @@
 /// What outlier detection knows of one server.
 #[derive(Default)]
 pub struct OutlierRecord {
-    consecutive_failures: u32,
+    failure_count: u32,
     /// Whether the last failure was one to connect.
     connect_failed: bool,
     ejection: Option<Ejection>,
@@ -41,10 +41,10 @@
 impl OutlierRecord {
     /// Counts a failure, and returns whether the server is ejected for it.
     pub fn record_failure(&mut self, now: Micros, longest_objective: Micros) -> bool {
-        self.consecutive_failures += 1;
+        self.failure_count += 1;
         let ejected = match self.ejection {
             Some(ejection) => now >= ejection.until,
-            None => self.consecutive_failures >= CONSECUTIVE_FAILURES,
+            None => self.failure_count >= EJECTION_FAILURE_COUNT,
         };
         if ejected {
             let previous = self.ejection.map_or(0, |ejection| ejection.duration);
@@ -65,14 +65,14 @@
 
     /// Counts an answer; it admits an ejected server again.
     pub fn record_answer(&mut self) -> Option<Readmission> {
-        self.consecutive_failures = self.consecutive_failures.saturating_sub(1);
+        self.failure_count = self.failure_count.saturating_sub(1);
         self.ejection.take()?;
         Some(Readmission { restarted: std::mem::take(&mut self.connect_failed) })
     }
 
     /// Forgets failures of a process that has been replaced.
     pub fn clear_failures(&mut self) {
-        self.consecutive_failures = 0;
+        self.failure_count = 0;
         self.ejection = None;
     }
 
@@ -82,12 +82,12 @@
     }
 
     /// Whether other servers are to be preferred: during the ejection, and while a trial is in flight.
-    pub fn is_avoided(&self, now: Micros, in_flight: u32) -> bool {
+    pub fn ranks_last(&self, now: Micros, in_flight: u32) -> bool {
         self.ejection.is_some_and(|ejection| now < ejection.until || in_flight > 0)
     }
 
     /// Whether its failures are too few to say much of the server.
     pub fn failures_are_isolated(&self) -> bool {
-        self.consecutive_failures < ISOLATED_FAILURES && self.ejection.is_none()
+        self.failure_count < ISOLATED_FAILURES && self.ejection.is_none()
     }
 }
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -40,7 +40,7 @@
         let slow_after = (latency_objective as f64 * SLOW_ATTEMPT) as Micros;
         let lost_after = (LOST_RESPONSE_MULTIPLE * target.response_time.value()) as Micros + 1;
         let timeout = if kind == CallKind::CacheRead { slow_after } else { lost_after.max(slow_after) };
-        self.set_timer(timeout, Timer::AttemptTimeout(attempt));
+        self.set_timer(timeout, Timer::AttemptSlow(attempt));
         self.count_sent(attempt, kind, key);
         let sent = Attempt { server, kind, key, sent_at: self.now, latency_objective, slow_after };
         self.attempts.insert(attempt, sent);
@@ -72,7 +72,7 @@
     }
 
     /// An attempt has had no response for long.
-    pub(super) fn on_attempt_timeout(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
+    pub(super) fn on_attempt_slow(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(&attempt) = self.attempts.get(&id) else { return };
         let lost = retry::response_is_lost(&attempt, self.servers.get(attempt.server), self.now);
         if lost {
@@ -82,7 +82,7 @@
             return;
         }
         let age = attempt.age(self.now);
-        // Timeouts come after one and after two times this.
+        // Timers fire after 0.4, 0.8 and 1.2 latency objectives; the third counts a failure.
         let next_timeout = attempt.slow_after + 1;
         let just_slow = age < next_timeout * 3 / 2;
         let late = age >= attempt.latency_objective;
@@ -95,7 +95,7 @@
             self.hedge(id.request, attempt.server, actions);
         }
         if !late {
-            return self.set_timer(next_timeout, Timer::AttemptTimeout(id));
+            return self.set_timer(next_timeout, Timer::AttemptSlow(id));
         }
         // One failure for one attempt: a single slow request is no sign of a faulty server.
         if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
@@ -131,7 +131,7 @@
             .servers
             .get(slow_server)
             .is_some_and(|server| hedging::is_well_known(server, self.now, self.latency.longest));
-        // Under the start-up limit a request waits for the crowd of the start: no sign of a slow server.
+        // Under the start-up limit slowness shows the load of the start, not a slow server.
         let allowed = self.startup_allows_attempt() && !is_well_known;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if !allowed || !hedging::may_hedge(pending, &self.retry_budget, &self.settings) {
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -166,7 +166,7 @@
             match timer {
                 Timer::Deadline(request) => self.on_deadline(request, actions),
                 Timer::Retry { request, .. } => self.next_attempt(request, actions),
-                Timer::AttemptTimeout(attempt) => self.on_attempt_timeout(attempt, actions),
+                Timer::AttemptSlow(attempt) => self.on_attempt_slow(attempt, actions),
                 Timer::PollDiscovery if self.settings.poll_discovery => actions.push(Action::Subscribe(true)),
                 Timer::PollDiscovery => {}
                 Timer::Review => self.review(actions),
@@ -181,7 +181,7 @@
             Timer::Retry { request, backoff } => {
                 requests.get(&request).is_none_or(|pending| pending.backoff != backoff)
             }
-            Timer::AttemptTimeout(attempt) => !attempts.contains_key(&attempt),
+            Timer::AttemptSlow(attempt) => !attempts.contains_key(&attempt),
             Timer::PollDiscovery | Timer::Review => false,
         })
     }
@@ -219,7 +219,7 @@
     }
 
     /// How many of the cache servers that are listed are avoided now, excluded by an operator or ejected.
-    pub fn avoided_server_count(&self) -> usize {
+    pub fn excluded_or_ejected_count(&self) -> usize {
         self.servers.avoided_count()
     }
 
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -24,6 +24,7 @@
             // Servers that fetch for themselves take writes too.
             None => self.choose_server(id),
         };
+        // Counted as limited: the origin may be listed again before the retry.
         let Some(server) = server else { return self.back_off(id, actions) };
         let allowed = kind == CallKind::JoinedFetch || available && self.acquire_origin_call(kind);
         if !allowed {
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -4,7 +4,7 @@
 use crate::action::{Action, Reason};
 use crate::admission::Admittance;
 use crate::attempt::{AttemptId, CallKind};
-use crate::balancing::Read;
+use crate::balancing::ReadCandidate;
 use crate::event::Request;
 use crate::ids::{RequestId, ServerId};
 use crate::origin_limits::backoff;
@@ -106,7 +106,7 @@
             unseen_for: pending.unseen_for,
         };
         let time_left = pending.useful_until().saturating_sub(self.now);
-        self.balancing().choose(&Read { request: id, slow_start, tried: &pending.tried, time_left })
+        self.balancing().choose(&ReadCandidate { request: id, slow_start, tried: &pending.tried, time_left })
     }
 
     /// The deadline of a request has come, or the end of its latency objective, where a late answer earns
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The one place that gives a final answer: a rejection where a retry is harmless, else a failure.
+    /// The policy's one place for a final answer: a rejection where a retry is harmless, else a failure.
     pub(super) fn finish(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         actions.push(Action::Explain { request: id, reason });
--- a/crates/stonevane-policy/src/policy/server_list.rs
+++ b/crates/stonevane-policy/src/policy/server_list.rs
@@ -1,4 +1,4 @@
-//! The server list, discovery and operators' exclusions.
+//! The endpoint list, discovery and operators' exclusions.
 
 use super::Policy;
 use crate::action::Action;
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -1,4 +1,4 @@
-//! One server: its line in the server list and what this node has learned of it.
+//! One server: its line in the endpoint list and what this node has learned of it.
 
 use crate::hash::{self, unit_hash};
 use crate::ids::Micros;
--- a/crates/stonevane-policy/src/server_entry.rs
+++ b/crates/stonevane-policy/src/server_entry.rs
@@ -1,8 +1,8 @@
-//! Lines of the server list and how a list relates to the one before it.
+//! Lines of the endpoint list and how a list relates to the one before it.
 
 use crate::ids::{Micros, ServerId};
 
-/// One line of the server list.
+/// One line of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
     /// The server.
@@ -50,7 +50,7 @@
     Gone,
 }
 
-/// How a server list relates to the one in force.
+/// How a endpoint list relates to the one in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdate {
     /// The whole list; a server not in it is gone.
--- a/crates/stonevane-policy/src/server_pool.rs
+++ b/crates/stonevane-policy/src/server_pool.rs
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Takes lines of the server list; in a whole list, a server that is not in it is gone.
+    /// Takes lines of the endpoint list; in a whole list, a server that is not in it is gone.
     pub fn update(&mut self, whole: bool, entries: Vec<ServerEntry>, settings: &Settings, now: Micros) {
         if whole {
             for server in self.servers.values_mut() {
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -19,11 +19,11 @@
     pub classes: Vec<RequestClass>,
     /// The tenants; empty where a deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Whether the server list must be requested (subscription or whole list) or comes by itself.
+    /// Whether the endpoint list must be requested (subscription or whole list) or comes by itself.
     pub poll_discovery: bool,
     /// Without a subscription, the node counts as notified of changes this long after they happened.
     pub list_staleness_limit: Micros,
-    /// Machine kind of the origin in the server list; `None` where cache servers fetch for themselves.
+    /// Machine kind of the origin in the endpoint list; `None` where cache servers fetch for themselves.
     pub origin_kind: Option<u16>,
     /// Whether weights in the list are the sizes of the servers.
     pub weights_are_sizes: bool,
@@ -46,9 +46,10 @@
     pub startup_attempts_per_server: f64,
     /// Weight of all cache servers, where this node is notified of a subset only; 0: it is notified of all.
     pub total_cache_weight: f64,
-    /// Price of the connections to all servers that one node in a hundred keeps open ...
+    /// Price of one node's open connections to all servers in a fleet of 100 nodes, as in the settings'
+    /// `prices`.
     pub connection_price: f64,
-    /// ... and of opening one for each request.
+    /// Price of opening a connection for each request; as the settings' `prices`.
     pub handshake_price: f64,
     /// The longest Retry-After that clients honour; 0 where they honour none.
     pub max_retry_after: Micros,
@@ -58,9 +59,10 @@
     pub initial_capacity: f64,
     /// Time after its start by which a server has warmed up.
     pub slow_start_duration: Micros,
-    /// A cold server fails under more than this multiple of its present capacity ...
+    /// A server in slow start fails under more than this multiple of its present capacity for
+    /// `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long a server in slow start bears more than `overload_multiple` of its capacity.
     pub overload_window: Micros,
     /// Sends to a draining or gone server must stop within this time.
     pub drain_grace: Micros,
--- a/crates/stonevane-policy/src/timers.rs
+++ b/crates/stonevane-policy/src/timers.rs
@@ -15,7 +15,7 @@
     /// The end of a request's backoff, by the backoff's number.
     Retry { request: RequestId, backoff: u32 },
     /// An attempt is slow, nearly late or lost.
-    AttemptTimeout(AttemptId),
+    AttemptSlow(AttemptId),
     /// Discovery is to be polled.
     PollDiscovery,
     /// The periodic review of the overload signal.
--- a/crates/stonevane-policy/tests/operations.rs
+++ b/crates/stonevane-policy/tests/operations.rs
@@ -30,7 +30,7 @@
     assert!(reads(&mut node, 1, 100, 2) > 0);
     exclude(&mut node, 2, true);
     exclude(&mut node, 2, true);
-    assert_eq!(node.policy.avoided_server_count(), 1);
+    assert_eq!(node.policy.excluded_or_ejected_count(), 1);
     assert_eq!(reads(&mut node, 1_000, 200, 2), 0);
     let all = || (1..=4).map(server).chain([origin()]).collect::<Vec<_>>();
     let gone = vec![ServerEntry { condition: Condition::Gone, ..server(2) }];
@@ -50,7 +50,7 @@
         exclude(&mut node, id, false);
     }
     exclude(&mut node, 2, false);
-    assert_eq!(node.policy.avoided_server_count(), 0);
+    assert_eq!(node.policy.excluded_or_ejected_count(), 0);
     assert!(reads(&mut node, 10_000, 200, 2) > 0, "one call back undoes both calls out");
 }
 
