--- a/crates/stonevane-node/tests/node/capacity.rs
+++ b/crates/stonevane-node/tests/node/capacity.rs
@@ -103,18 +103,11 @@
     let cache = cache(|_| Act::Hang);
     let origin = no_origin();
     let (discovery, _say, _calls) = quiet();
-    let known = pair(cache.address, origin.address);
-    let node = Node::start_with(discovery, &known, 64, "export SPARDEAL_TRACE=1;");
+    let node = Node::start_with(discovery, &pair(cache.address, origin.address), 64, "");
     let minute = |id: &str| command(&["OBJ.GET", "aa", id, "c=read,t=acme,d=60000"]);
-    let busy_client = |id: usize| {
-        let mut client = node.client();
-        client.send(&minute(&id.to_string()));
-        // A client whose request is not read yet is idle to the node, and would make room for the next.
-        node.until_logged(&format!("request {id} ("));
-        client
-    };
     // More than there are places that are not for refusals.
-    let _busy: Vec<_> = (0..28).map(busy_client).collect();
+    let mut busy: Vec<_> = (0..28).map(|_| node.client()).collect();
+    busy.iter_mut().enumerate().for_each(|(id, client)| client.send(&minute(&id.to_string())));
     for _ in 0..20 {
         let mut late = node.client();
         assert_eq!(late.ask(&minute("late")).unwrap(), "-BUSY");
--- a/crates/stonevane-node/tests/node/harness/node_process.rs
+++ b/crates/stonevane-node/tests/node/harness/node_process.rs
@@ -217,16 +217,6 @@
         self.kill("HUP");
     }
 
-    /// Waits until a line of the log contains a text.
-    pub fn until_logged(&self, wanted: &str) {
-        loop {
-            let line = self.log.recv_timeout(LONG);
-            if line.unwrap_or_else(|_| panic!("no {wanted:?} in the log")).contains(wanted) {
-                return;
-            }
-        }
-    }
-
     /// Connects a client.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
