--- a/crates/stonevane-codec/src/http.rs
+++ b/crates/stonevane-codec/src/http.rs
@@ -1,43 +1,44 @@
-//! HTTP/1.1: heads of requests and responses, and chunked bodies (RFC 9112).
+//! HTTP/1.1 (RFC 9112): decoders of request heads, response heads and chunked bodies.
 
 use bytes::{Buf, BytesMut};
 
-/// Invalid input.
+/// Error of invalid input, after which the connection is unusable.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct Malformed;
 
-/// The longest head, and the longest line that states a chunk's size, in bytes.
-const MAX_HEAD: usize = 16 * 1024;
-/// The most headers in a head.
+/// Maximum length of a head, and of a chunk-size line, in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 48;
-/// The end of a line.
-const LINE_END: &[u8] = b"\r\n";
+/// Line terminator.
+const CRLF: &[u8] = b"\r\n";
 
 /// The head of a response.
 #[derive(Debug, Default, PartialEq)]
 pub struct Head {
-    /// Its length, in bytes.
+    /// Length of the head, in bytes, including the empty line after it.
     pub length: usize,
-    /// Its status code.
+    /// Status code; 0 if the parser gives none.
     pub status: u16,
-    /// The stated length of the body, in bytes.
+    /// Value of `Content-Length`: length of the body, in bytes.
     pub content_length: Option<usize>,
-    /// Whether the body is chunked.
+    /// Whether the body has the chunked transfer coding.
     pub chunked: bool,
-    /// Whether the connection ends after this response.
+    /// Whether the server closes the connection after this response.
     pub close: bool,
-    /// Whether the server states that it did not run the request (`X-Unprocessed: 1`).
+    /// Whether the server states that it did not process the request (`X-Unprocessed: 1`).
     pub unprocessed: bool,
-    /// The load report (`X-Backend-Load`).
+    /// Load report of the server (`X-Backend-Load`), undecoded.
     pub load: Option<String>,
-    /// The result of a read's lookup (`X-Lookup`).
+    /// Result of the cache lookup of a read (`X-Lookup`).
     pub lookup: Option<String>,
 }
 
-/// Parses the head of a response at the front of a buffer; `None` while it is incomplete.
+/// Parses the response head at the front of a buffer. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] for what is no head, is too long, or states its body's length in two ways (RFC 9112, 6.3).
+/// [`Malformed`] if the input is not a response head, if the head is too long, or if it states the length of
+/// its body in two ways (RFC 9112, 6.3).
 pub fn head(buffer: &[u8]) -> Result<Option<Head>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -68,20 +69,21 @@
     Ok(Some(head))
 }
 
-/// The length of a head by the parser's result; `None` while it is incomplete.
+/// Converts the parser's result to the length of the head, in bytes; `None` while the head is incomplete.
 fn head_length(
     parsed: Result<httparse::Status<usize>, httparse::Error>,
     buffer: &[u8],
 ) -> Result<Option<usize>, Malformed> {
     match parsed {
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
-        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD => Ok(None),
+        Ok(httparse::Status::Partial) if buffer.len() <= MAX_HEAD_BYTES => Ok(None),
         _ => Err(Malformed),
     }
 }
 
-/// Parses a stated length of digits alone that agrees with an earlier one: readers that took signs or differing lengths
-/// in different ways would disagree on where the message ends (RFC 9112, 6.3).
+/// Parses a `Content-Length`, which must consist of digits and equal an earlier one in the same head. If two
+/// peers treat signs or differing lengths differently, they disagree on where the message ends (RFC 9112,
+/// 6.3).
 fn parse_content_length(value: &str, earlier: Option<usize>) -> Result<usize, Malformed> {
     let is_number = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_digit());
     let length = value.parse().ok().filter(|_| is_number).ok_or(Malformed)?;
@@ -91,30 +93,30 @@
 /// The head of a request.
 #[derive(Debug, Default, PartialEq)]
 pub struct RequestHead {
-    /// Its length, in bytes.
+    /// Length of the head, in bytes, including the empty line after it.
     pub length: usize,
-    /// The method, as it was written.
+    /// Method, as received.
     pub method: String,
-    /// The target, as it was written.
+    /// Request target, as received.
     pub target: String,
-    /// Names in lower case, and values.
+    /// Header names in lower case with their values, in the order received.
     pub headers: Vec<(String, String)>,
-    /// The stated length of the body, in bytes.
+    /// Value of `Content-Length`: length of the body, in bytes.
     pub content_length: Option<usize>,
 }
 
 impl RequestHead {
-    /// The first header of a name that is given in lower case.
+    /// Returns the value of the first header with a name, which must be given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|(header, _)| header == name).map(|(_, value)| value.as_str())
     }
 }
 
-/// Parses the head of a request at the front of a buffer; `None` while it is incomplete.
+/// Parses the request head at the front of a buffer. Returns `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] for what is no head, is too long, or states its body's length in two ways (RFC 9112, 6.3).
-/// Chunked bodies are not supported.
+/// [`Malformed`] if the input is not a request head, if the head is too long, if it states the length of its
+/// body in two ways (RFC 9112, 6.3), or if the body has a transfer coding, which is not supported.
 pub fn request_head(buffer: &[u8]) -> Result<Option<RequestHead>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -137,21 +139,21 @@
     Ok(Some(head))
 }
 
-/// Decodes a chunked body as it arrives.
+/// Incremental decoder of a chunked body.
 #[derive(Default)]
 pub struct Chunks {
-    /// Bytes of the current chunk that have not arrived.
+    /// Bytes of the current chunk that have not been received.
     remaining: usize,
-    /// Whether the line end after a chunk's content has not arrived.
+    /// Whether the line end after a chunk's content is the next input.
     awaits_line_end: bool,
     ended: bool,
 }
 
 impl Chunks {
-    /// Moves what has arrived of the body's content from one buffer to the other; `true` at the body's end.
+    /// Moves the received content of the body from `from` to `to`. Returns `true` at the end of the body.
     ///
     /// # Errors
-    /// [`Malformed`] for what is no chunked body.
+    /// [`Malformed`] if the input is not a chunked body.
     pub fn take(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> Result<bool, Malformed> {
         while !self.ended {
             if !self.take_content(from, to) || !self.take_line_end(from)? || !self.take_size(from)? {
@@ -161,7 +163,7 @@
         Ok(true)
     }
 
-    /// Moves what has arrived of the current chunk; returns whether that is all of it.
+    /// Moves the received content of the current chunk. Returns whether the chunk is complete.
     fn take_content(&mut self, from: &mut BytesMut, to: &mut BytesMut) -> bool {
         if self.remaining == 0 {
             return true;
@@ -174,33 +176,33 @@
         self.awaits_line_end
     }
 
-    /// Takes the line end after a chunk's content; `false` while it is incomplete.
+    /// Consumes the line end after a chunk's content. Returns `false` while it is incomplete.
     fn take_line_end(&mut self, from: &mut BytesMut) -> Result<bool, Malformed> {
         if !self.awaits_line_end {
             return Ok(true);
         }
-        if from.len() < LINE_END.len() {
+        if from.len() < CRLF.len() {
             return Ok(false);
         }
-        if !from.starts_with(LINE_END) {
+        if !from.starts_with(CRLF) {
             return Err(Malformed);
         }
-        from.advance(LINE_END.len());
+        from.advance(CRLF.len());
         self.awaits_line_end = false;
         Ok(true)
     }
 
-    /// Takes the line that states the size of the next chunk; `false` while it is incomplete.
+    /// Consumes the size line of the next chunk. Returns `false` while it is incomplete.
     fn take_size(&mut self, from: &mut BytesMut) -> Result<bool, Malformed> {
         match httparse::parse_chunk_size(from) {
             Ok(httparse::Status::Complete((length, size))) => {
                 from.advance(length);
                 self.remaining = usize::try_from(size).map_err(|_| Malformed)?;
-                // Trailers are not read: the connection can't be used after the last chunk.
+                // Trailers are not read, so the connection cannot be reused after the last chunk.
                 self.ended = size == 0;
                 Ok(true)
             }
-            Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD => Ok(false),
+            Ok(httparse::Status::Partial) if from.len() <= MAX_HEAD_BYTES => Ok(false),
             _ => Err(Malformed),
         }
     }
--- a/crates/stonevane-codec/src/lib.rs
+++ b/crates/stonevane-codec/src/lib.rs
@@ -1,7 +1,8 @@
-//! Codecs of the protocols that stonevane speaks, without I/O.
+//! Codecs of the protocols that stonevane uses, without I/O.
 //!
-//! Each decoder takes complete messages off the front of a buffer, returns `None` while one is incomplete, and bounds
-//! what a peer can make it buffer: lengths, counts, depth and lines.
+//! Each decoder removes complete messages from the front of a buffer and returns `None` while the first one
+//! is incomplete. It limits lengths, counts, nesting depth and line lengths, and so the memory that a peer
+//! can make it use.
 
 pub mod http;
 pub mod lines;
--- a/crates/stonevane-codec/src/lines.rs
+++ b/crates/stonevane-codec/src/lines.rs
@@ -1,23 +1,26 @@
-//! JSON objects that arrive in pieces: one a line, or each indented over several lines.
+//! Decoder of a stream of JSON objects, each on one line or indented over several lines.
 
 use bytes::BytesMut;
 
-/// Takes objects off the front of a growing buffer. Each byte is examined once, however small the pieces are.
+/// Splits objects off the front of a growing buffer. Each byte is examined once, even if input arrives in
+/// small pieces.
 ///
-/// An indented object begins with a line of `{` alone and ends with one of `}` alone, at the same indent. An empty line
-/// between the two, or another beginning, shows that it was truncated: the fragment is returned then.
+/// An indented object begins with a line that holds only `{` and ends with a line that holds only `}` at the
+/// same indent. An empty line or another `{` at that indent before its end means that the object was
+/// truncated; the fragment is then returned.
 #[derive(Debug, Default)]
 pub struct ObjectReader {
-    /// Where the incomplete line begins.
+    /// Offset of the start of the incomplete line.
     line_start: usize,
-    /// Up to where line ends have been searched.
+    /// Offset up to which the buffer has been searched for line ends.
     searched: usize,
-    /// Indent of the current object, if it is an indented one.
+    /// Indent of the current object; `None` outside an indented object.
     indent: Option<Vec<u8>>,
 }
 
 impl ObjectReader {
-    /// The next object, or an empty line; `None` while it is incomplete. Between calls the buffer may only grow.
+    /// Returns the next object or empty line, or `None` while it is incomplete. Between calls the buffer may
+    /// only grow.
     pub fn take(&mut self, buffer: &mut BytesMut) -> Option<BytesMut> {
         loop {
             let line_end = self.line_end(buffer)?;
@@ -30,7 +33,7 @@
         }
     }
 
-    /// Where the line that begins at `line_start` ends, its line end included.
+    /// Returns the end offset of the line that begins at `line_start`, including its line end.
     fn line_end(&mut self, buffer: &[u8]) -> Option<usize> {
         let found = buffer[self.searched..].iter().position(|byte| *byte == b'\n');
         let Some(offset) = found else {
@@ -40,7 +43,8 @@
         Some(self.searched + offset + 1)
     }
 
-    /// Where the object ends, if this line, which ends at `line_end`, is its last one.
+    /// Returns the end offset of the object if `line`, which ends at offset `line_end`, completes or
+    /// truncates it.
     fn object_end(&mut self, line: &[u8], line_end: usize) -> Option<usize> {
         let line = line.trim_ascii_end();
         let Some(indent) = &self.indent else {
@@ -49,7 +53,8 @@
             self.indent = Some(indent.to_vec());
             return None;
         };
-        let begins_with = |mark| line.strip_prefix(&indent[..]).is_some_and(|rest| rest.starts_with(mark));
+        let begins_with =
+            |prefix| line.strip_prefix(&indent[..]).is_some_and(|rest| rest.starts_with(prefix));
         if begins_with(b"}") {
             return Some(line_end);
         }
--- a/crates/stonevane-codec/src/resp.rs
+++ b/crates/stonevane-codec/src/resp.rs
@@ -1,41 +1,42 @@
-//! RESP2, both directions.
+//! RESP2: decoders of commands and replies, and an encoder of commands.
 //!
-//! The available decoders recurse without a bound and reserve whatever length is stated; here what a peer sends can
-//! neither overflow the stack nor reserve memory.
+//! Other RESP decoders recurse without a limit and reserve as much memory as a length states. These decoders
+//! limit the nesting depth and reserve no stated length, so input of a peer can neither overflow the stack
+//! nor exhaust memory.
 
 use std::fmt::Write;
 
 use bytes::{BufMut, Bytes, BytesMut};
 
-/// The longest value that clients send, in bytes.
+/// Maximum length of a value or other argument of a command, in bytes.
 pub const MAX_VALUE: usize = 64 * 1024;
-/// The most words in a command, and elements in an array of a reply.
-const MAX_WORDS: usize = 16;
-/// Commands up to this length, in bytes, are copied as one.
-const SHORT_COMMAND: usize = 1024;
-/// The longest line that states a length, in bytes.
-const MAX_LENGTH_LINE: usize = 24;
-/// The longest simple or error line of a reply, in bytes.
-const MAX_LINE: usize = 4096;
-/// How deep arrays of a reply may be nested.
+/// Maximum number of arguments of a command, and of elements of an array in a reply.
+const MAX_ARRAY_ITEMS: usize = 16;
+/// Length up to which the arguments of a command are copied into one shared allocation, in bytes.
+const SHORT_COMMAND_BYTES: usize = 1024;
+/// Maximum length of a line that states a length, in bytes.
+const MAX_LENGTH_LINE_BYTES: usize = 24;
+/// Maximum length of a simple string, error or integer line in a reply, in bytes.
+const MAX_LINE_BYTES: usize = 4096;
+/// Maximum nesting depth of arrays in a reply.
 const MAX_DEPTH: u8 = 3;
-/// Elements of a served reply: value, lookup result, load report.
-const SERVED_ITEMS: usize = 3;
-/// Elements that are reserved for an array at once.
-const RESERVED_ITEMS: usize = 4;
-/// Space for the framing of a word, in bytes.
-const WORD_FRAMING: usize = 16;
+/// Number of elements of a served reply: value, lookup result, load report.
+const SERVED_REPLY_ITEMS: usize = 3;
+/// Maximum initial capacity of an array, in elements.
+const MAX_INITIAL_CAPACITY: usize = 4;
+/// Space reserved for the framing of an argument or of the array around them, in bytes.
+const ARG_FRAMING_BYTES: usize = 16;
 
-/// Invalid input: from here on its framing is lost.
+/// Error of invalid input, with its cause. The framing is lost, so the connection is unusable.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct Malformed(pub &'static str);
 
-/// A reply of a cache server.
+/// A reply, or an element of an array in one.
 #[derive(Debug, PartialEq, Clone)]
 pub enum Value {
-    /// A bulk string, or null.
+    /// A bulk string; `None` for null.
     Bulk(Option<Bytes>),
-    /// An array; null counts as empty.
+    /// An array; a null array is decoded as an empty one.
     Array(Vec<Value>),
     /// A simple string.
     Line(Bytes),
@@ -45,87 +46,91 @@
     Number(i64),
 }
 
-/// Takes one complete command, an array of bulk strings, off the front; `None` while it is incomplete.
+/// Removes one complete command, an array of bulk strings, from the front of the buffer. Returns its
+/// arguments, or `None` while it is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] for anything else, and for a command that exceeds a limit.
+/// [`Malformed`] if the input is not a command or exceeds a limit.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, Malformed> {
-    let mut scan = Scan::new(buffer, MAX_VALUE);
-    let mut words = [Span::default(); MAX_WORDS];
-    let Some(count) = scan.command(&mut words)? else { return Ok(None) };
-    let end = scan.position;
+    let mut scanner = Scanner::new(buffer, MAX_VALUE);
+    let mut args = [Span::default(); MAX_ARRAY_ITEMS];
+    let Some(count) = scanner.command(&mut args)? else { return Ok(None) };
+    let end = scanner.position;
     let command = buffer.split_to(end);
-    let words = words[..count].iter();
-    // Copied, or a word would keep the whole buffer alive. Words of a long command are copied each by itself, so that
-    // none keeps another's memory.
-    Ok(Some(if command.len() <= SHORT_COMMAND {
+    let args = args[..count].iter();
+    // Arguments are copied, because a slice would keep the whole buffer allocated. Each argument of a long
+    // command gets its own allocation, so that a short one does not keep the memory of a long one.
+    Ok(Some(if command.len() <= SHORT_COMMAND_BYTES {
         let copy = Bytes::copy_from_slice(&command);
-        words.map(|word| copy.slice(word.start..word.end)).collect()
+        args.map(|arg| copy.slice(arg.start..arg.end)).collect()
     } else {
-        words.map(|word| Bytes::copy_from_slice(&command[word.start..word.end])).collect()
+        args.map(|arg| Bytes::copy_from_slice(&command[arg.start..arg.end])).collect()
     }))
 }
 
-/// Takes one complete reply off the front, no string in it longer than a limit; `None` while it is incomplete.
+/// Removes one complete reply from the front of the buffer; `max_bulk_bytes` is the maximum length of a bulk
+/// string in it, in bytes. Returns `None` while the reply is incomplete.
 ///
 /// # Errors
-/// [`Malformed`] for what is no reply, and for one that exceeds a limit.
-pub fn take_value(buffer: &mut BytesMut, longest: usize) -> Result<Option<Value>, Malformed> {
-    let mut scan = Scan::new(buffer, longest);
-    let Some(value) = scan.value(0)? else { return Ok(None) };
-    let end = scan.position;
+/// [`Malformed`] if the input is not a reply or exceeds a limit.
+pub fn take_value(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Value>, Malformed> {
+    let mut scanner = Scanner::new(buffer, max_bulk_bytes);
+    let Some(value) = scanner.value(0)? else { return Ok(None) };
+    let end = scanner.position;
     let _ = buffer.split_to(end);
     Ok(Some(value))
 }
 
-/// The length that a reply states for its value, once it has.
+/// Returns the length, in bytes, that a reply states for the bulk string at the start of its array; `None` if
+/// that is incomplete, null or of another type.
 pub fn stated_length(buffer: &[u8]) -> Option<usize> {
-    let mut scan = Scan::new(buffer, usize::MAX);
-    scan.length(b'*', MAX_WORDS).ok()??;
-    scan.length(b'$', usize::MAX).ok()??.stated()
+    let mut scanner = Scanner::new(buffer, usize::MAX);
+    scanner.length(b'*', MAX_ARRAY_ITEMS).ok()??;
+    scanner.length(b'$', usize::MAX).ok()??.stated()
 }
 
-/// Where a value stands in a buffer.
+/// Position of the value of a served reply in a buffer.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub struct ValueHead {
-    /// Where it starts.
+    /// Offset of its first byte.
     pub start: usize,
-    /// Its stated length, in bytes.
+    /// Stated length, in bytes; the buffer may hold less.
     pub length: usize,
 }
 
-/// The value of a served reply, an array of three that begins with a bulk string; `None` while its head is incomplete,
-/// and for any other reply.
+/// Returns the position of the value of a served reply, which is an array of three elements that begins with
+/// a bulk string. Returns `None` while the lines before the value are incomplete, and for any other reply.
 pub fn value_head(buffer: &[u8]) -> Option<ValueHead> {
-    let mut scan = Scan::new(buffer, usize::MAX);
-    let count = scan.length(b'*', MAX_WORDS).ok()??.stated()?;
-    let length = scan.length(b'$', usize::MAX).ok()??.stated()?;
-    (count == SERVED_ITEMS).then_some(ValueHead { start: scan.position, length })
+    let mut scanner = Scanner::new(buffer, usize::MAX);
+    let count = scanner.length(b'*', MAX_ARRAY_ITEMS).ok()??.stated()?;
+    let length = scanner.length(b'$', usize::MAX).ok()??.stated()?;
+    (count == SERVED_REPLY_ITEMS).then_some(ValueHead { start: scanner.position, length })
 }
 
-/// The length of what follows the value in such a reply; `None` while that is incomplete.
+/// Returns the length, in bytes, of the rest of a served reply, where `buffer` starts directly after the
+/// value; `None` while it is incomplete. `max_bulk_bytes` is the maximum length of a bulk string, in bytes.
 ///
 /// # Errors
-/// [`Malformed`] where it is no such reply.
-pub fn reply_end(buffer: &[u8], longest: usize) -> Result<Option<usize>, Malformed> {
-    let mut scan = Scan::new(buffer, longest);
+/// [`Malformed`] if the input is not the rest of a served reply.
+pub fn reply_end(buffer: &[u8], max_bulk_bytes: usize) -> Result<Option<usize>, Malformed> {
+    let mut scanner = Scanner::new(buffer, max_bulk_bytes);
     match buffer.get(..2) {
         None => return Ok(None),
-        Some(b"\r\n") => scan.position = 2,
+        Some(b"\r\n") => scanner.position = 2,
         Some(_) => return Err(Malformed("bulk string not ended")),
     }
-    for _ in 1..SERVED_ITEMS {
-        if scan.bulk()?.is_none() {
+    for _ in 1..SERVED_REPLY_ITEMS {
+        if scanner.bulk()?.is_none() {
             return Ok(None);
         }
     }
-    Ok(Some(scan.position))
+    Ok(Some(scanner.position))
 }
 
-/// A stated length.
+/// A stated length of a bulk string, in bytes, or of an array, in elements.
 #[derive(Debug, Clone, Copy)]
 enum Length {
-    /// That of a null.
+    /// Length of a null: -1.
     Null,
     Stated(usize),
 }
@@ -139,66 +144,66 @@
     }
 }
 
-/// Where a part of the input starts and ends.
+/// Byte range of the input; `end` is exclusive.
 #[derive(Debug, Clone, Copy, Default)]
 struct Span {
     start: usize,
     end: usize,
 }
 
-/// A bulk string of the input.
+/// A decoded bulk string, with the range of its content.
 #[derive(Debug, Clone, Copy)]
 enum Bulk {
     Null,
     Content(Span),
 }
 
-/// Reads forward through a buffer. `Ok(None)` says that more input is needed.
-struct Scan<'a> {
+/// Forward scanner of a buffer. Its methods return `Ok(None)` if more input is needed.
+struct Scanner<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// The longest bulk string, in bytes.
-    longest: usize,
+    /// Maximum length of a bulk string, in bytes.
+    max_bulk_bytes: usize,
 }
 
-impl<'a> Scan<'a> {
-    fn new(bytes: &'a [u8], longest: usize) -> Scan<'a> {
-        Scan { bytes, position: 0, longest }
+impl<'a> Scanner<'a> {
+    fn new(bytes: &'a [u8], max_bulk_bytes: usize) -> Scanner<'a> {
+        Scanner { bytes, position: 0, max_bulk_bytes }
     }
 
-    fn line(&mut self, longest: usize) -> Result<Option<&'a [u8]>, Malformed> {
+    fn line(&mut self, max_bytes: usize) -> Result<Option<&'a [u8]>, Malformed> {
         let rest = &self.bytes[self.position..];
-        match rest.windows(2).take(longest + 1).position(|pair| pair == b"\r\n") {
+        match rest.windows(2).take(max_bytes + 1).position(|pair| pair == b"\r\n") {
             Some(end) => {
                 self.position += end + 2;
                 Ok(Some(&rest[..end]))
             }
-            None if rest.len() > longest + 1 => Err(Malformed("line too long")),
+            None if rest.len() > max_bytes + 1 => Err(Malformed("line too long")),
             None => Ok(None),
         }
     }
 
-    /// A line of a type mark and a length.
-    fn length(&mut self, mark: u8, most: usize) -> Result<Option<Length>, Malformed> {
+    /// Scans a line of a type byte and a length of at most `max_length`.
+    fn length(&mut self, type_byte: u8, max_length: usize) -> Result<Option<Length>, Malformed> {
         match self.bytes.get(self.position) {
             None => return Ok(None),
-            Some(found) if *found != mark => return Err(Malformed("unexpected type")),
+            Some(found) if *found != type_byte => return Err(Malformed("unexpected type")),
             Some(_) => {}
         }
-        let Some(line) = self.line(MAX_LENGTH_LINE)? else { return Ok(None) };
+        let Some(line) = self.line(MAX_LENGTH_LINE_BYTES)? else { return Ok(None) };
         let digits = &line[1..];
         if digits == b"-1" {
             return Ok(Some(Length::Null));
         }
         let length = parse_length(digits).ok_or(Malformed("invalid length"))?;
-        if length > most {
+        if length > max_length {
             return Err(Malformed("value or command too long"));
         }
         Ok(Some(Length::Stated(length)))
     }
 
     fn bulk(&mut self) -> Result<Option<Bulk>, Malformed> {
-        let length = match self.length(b'$', self.longest)? {
+        let length = match self.length(b'$', self.max_bulk_bytes)? {
             None => return Ok(None),
             Some(Length::Null) => return Ok(Some(Bulk::Null)),
             Some(Length::Stated(length)) => length,
@@ -212,30 +217,30 @@
         Ok(Some(Bulk::Content(content)))
     }
 
-    /// Finds the words of a command; returns how many there are.
-    fn command(&mut self, words: &mut [Span; MAX_WORDS]) -> Result<Option<usize>, Malformed> {
-        let count = match self.length(b'*', MAX_WORDS)? {
+    /// Finds the arguments of a command and returns their number.
+    fn command(&mut self, args: &mut [Span; MAX_ARRAY_ITEMS]) -> Result<Option<usize>, Malformed> {
+        let count = match self.length(b'*', MAX_ARRAY_ITEMS)? {
             None => return Ok(None),
-            // Empty commands would be a cheap flood.
+            // A peer could flood the decoder with empty commands at little cost.
             Some(Length::Null | Length::Stated(0)) => return Err(Malformed("empty command")),
             Some(Length::Stated(count)) => count,
         };
-        for word in &mut words[..count] {
+        for arg in &mut args[..count] {
             match self.bulk()? {
                 None => return Ok(None),
                 Some(Bulk::Null) => return Err(Malformed("null in a command")),
-                Some(Bulk::Content(content)) => *word = content,
+                Some(Bulk::Content(content)) => *arg = content,
             }
         }
         Ok(Some(count))
     }
 
     fn value(&mut self, depth: u8) -> Result<Option<Value>, Malformed> {
-        let Some(mark) = self.bytes.get(self.position) else { return Ok(None) };
-        match mark {
+        let Some(type_byte) = self.bytes.get(self.position) else { return Ok(None) };
+        match type_byte {
             b'$' => Ok(self.bulk()?.map(|bulk| Value::Bulk(self.copy(bulk)))),
             b'*' if depth < MAX_DEPTH => self.array(depth),
-            b'+' | b'-' | b':' => self.line_value(*mark),
+            b'+' | b'-' | b':' => self.line_value(*type_byte),
             _ => Err(Malformed("unexpected type")),
         }
     }
@@ -248,9 +253,9 @@
     }
 
     fn array(&mut self, depth: u8) -> Result<Option<Value>, Malformed> {
-        let Some(length) = self.length(b'*', MAX_WORDS)? else { return Ok(None) };
+        let Some(length) = self.length(b'*', MAX_ARRAY_ITEMS)? else { return Ok(None) };
         let count = length.stated().unwrap_or(0);
-        let mut items = Vec::with_capacity(count.min(RESERVED_ITEMS));
+        let mut items = Vec::with_capacity(count.min(MAX_INITIAL_CAPACITY));
         for _ in 0..count {
             match self.value(depth + 1)? {
                 None => return Ok(None),
@@ -260,10 +265,10 @@
         Ok(Some(Value::Array(items)))
     }
 
-    fn line_value(&mut self, mark: u8) -> Result<Option<Value>, Malformed> {
-        let Some(line) = self.line(MAX_LINE)? else { return Ok(None) };
+    fn line_value(&mut self, type_byte: u8) -> Result<Option<Value>, Malformed> {
+        let Some(line) = self.line(MAX_LINE_BYTES)? else { return Ok(None) };
         let text = &line[1..];
-        Ok(Some(match mark {
+        Ok(Some(match type_byte {
             b'+' => Value::Line(Bytes::copy_from_slice(text)),
             b'-' => Value::Error(Bytes::copy_from_slice(text)),
             _ => {
@@ -274,7 +279,7 @@
     }
 }
 
-/// Parses a length of digits alone: `parse` would accept a sign.
+/// Parses a length that consists of digits: `parse` alone would accept a sign.
 fn parse_length(digits: &[u8]) -> Option<usize> {
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return None;
@@ -282,25 +287,25 @@
     std::str::from_utf8(digits).ok()?.parse().ok()
 }
 
-fn put_length(out: &mut BytesMut, mark: char, length: usize) {
-    // Writing to a growing buffer does not fail.
-    let _ = write!(out, "{mark}{length}\r\n");
+fn put_length(out: &mut BytesMut, type_byte: char, length: usize) {
+    // Writing to a growable buffer does not fail.
+    let _ = write!(out, "{type_byte}{length}\r\n");
 }
 
-/// Appends a bulk string.
+/// Appends an encoded bulk string to `out`.
 pub fn put_bulk(out: &mut BytesMut, value: &[u8]) {
     put_length(out, '$', value.len());
     out.put_slice(value);
     out.put_slice(b"\r\n");
 }
 
-/// Encodes a command of some words.
-pub fn command(words: &[&[u8]]) -> Bytes {
-    let size = words.iter().map(|word| word.len() + WORD_FRAMING).sum::<usize>() + WORD_FRAMING;
+/// Encodes a command with its arguments, the name first.
+pub fn command(args: &[&[u8]]) -> Bytes {
+    let size = args.iter().map(|arg| arg.len() + ARG_FRAMING_BYTES).sum::<usize>() + ARG_FRAMING_BYTES;
     let mut out = BytesMut::with_capacity(size);
-    put_length(&mut out, '*', words.len());
-    for word in words {
-        put_bulk(&mut out, word);
+    put_length(&mut out, '*', args.len());
+    for arg in args {
+        put_bulk(&mut out, arg);
     }
     out.freeze()
 }
--- a/crates/stonevane-codec/src/resp/tests.rs
+++ b/crates/stonevane-codec/src/resp/tests.rs
@@ -1,25 +1,25 @@
-//! RESP2, both directions.
+//! Tests of the decoders of commands and replies.
 
 use super::*;
 
 #[test]
-fn a_command_is_taken_only_when_it_is_complete() {
-    let whole = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
-    for cut in 0..whole.len() {
-        let mut part = BytesMut::from(&whole[..cut]);
+fn a_command_is_decoded_only_once_it_is_complete() {
+    let encoded = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
+    for cut in 0..encoded.len() {
+        let mut part = BytesMut::from(&encoded[..cut]);
         assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
         assert_eq!(part.len(), cut);
     }
-    let mut twice = BytesMut::from(&[&whole[..], &whole[..]].concat()[..]);
+    let mut twice = BytesMut::from(&[&encoded[..], &encoded[..]].concat()[..]);
     for _ in 0..2 {
-        let words = take_command(&mut twice).unwrap().unwrap();
-        assert_eq!(words, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
+        let args = take_command(&mut twice).unwrap().unwrap();
+        assert_eq!(args, [&b"OBJ.GET"[..], b"k", b"i", b"c=read"]);
     }
     assert!(twice.is_empty());
 }
 
 #[test]
-fn malformed_or_too_long_commands_are_rejected_at_once() {
+fn malformed_and_too_long_commands_are_rejected_without_more_input() {
     for bad in [
         "GET k\r\n",
         "*17\r\n",
@@ -37,12 +37,12 @@
 
 #[test]
 fn replies_are_decoded_and_deep_nesting_is_rejected() {
-    let mut answer = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
+    let mut replies = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
     let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
     let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(array)));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(Some(Value::Number(7))));
-    assert_eq!(take_value(&mut answer, MAX_VALUE), Ok(None));
+    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(array)));
+    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
+    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(Value::Number(7))));
+    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(None));
     assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE).is_err());
 }
--- a/crates/stonevane-wire-adapter/src/codec.rs
+++ b/crates/stonevane-wire-adapter/src/codec.rs
@@ -1,6 +1,7 @@
 //! Frames of the simulator's wire: batches of event records in, replies of action records out.
 //!
-//! The wire's own names (roster change, census) appear in error messages alone.
+//! Error messages use the protocol's names of events (`census`: definition of a server list, `roster_change`:
+//! list update), so that they can be found on the protocol page.
 
 mod actions;
 mod events;
@@ -8,37 +9,37 @@
 mod tests;
 
 pub use actions::Reply;
-pub use events::{BATCH_HEADER_SIZE, BatchHeader, Record, read_record};
+pub use events::{BATCH_HEADER_BYTES, BatchHeader, Record, read_record};
 
-/// Why a frame can't be read.
+/// Error of decoding a frame.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// A batch has more records than its length holds.
+    /// The records of a batch need more bytes than its header states.
     #[error("batch {batch}: records exceed the frame's length")]
     RecordsExceedFrame {
         /// Number of the batch.
         batch: u32,
     },
-    /// An event record has an unknown code.
+    /// Unknown code of an event record.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// A list update has an unknown kind.
-    #[error("roster_change of unknown kind {0}")]
+    /// Unknown kind of a list update.
+    #[error("roster_change of unknown kind {0}, expected 0 to 3")]
     UnknownListKind(u8),
-    /// A server entry has an unknown condition.
-    #[error("census line with unknown condition {0}")]
+    /// Unknown condition of a server entry.
+    #[error("census entry with unknown condition {0}, expected 0 to 2")]
     UnknownCondition(u8),
-    /// An outcome has an unknown status.
-    #[error("unknown outcome {0}")]
+    /// Unknown status of an outcome.
+    #[error("unknown outcome status {0}")]
     UnknownOutcome(u16),
-    /// A record refers to bytes behind the end of its frame.
+    /// A record refers to bytes beyond the end of its frame.
     #[error("event code {code}: tail offset {offset} and count {count} leave the frame")]
     OutsideFrame {
         /// Code of the event record.
         code: u8,
-        /// Offset of the part in the tail.
+        /// Offset in the tail, in bytes.
         offset: usize,
-        /// Number of its items.
+        /// Number of items from the offset on.
         count: usize,
     },
 }
--- a/crates/stonevane-wire-adapter/src/codec/actions.rs
+++ b/crates/stonevane-wire-adapter/src/codec/actions.rs
@@ -1,10 +1,11 @@
-//! Action records: what the simulator is sent. Offsets are those of the protocol page.
+//! Encoder of action records, which the adapter sends to the simulator. Byte offsets follow the protocol
+//! page.
 
 use stonevane_policy::{Action, Micros};
 
-/// Size of an action record.
-pub const ACTION_SIZE: usize = 24;
-/// The recipient of a message to all peers.
+/// Size of an action record, in bytes.
+pub const ACTION_RECORD_BYTES: usize = 24;
+/// Recipient number that addresses all peers.
 const ALL_PEERS: u32 = u32::MAX;
 
 /// Codes of action records.
@@ -24,23 +25,23 @@
 }
 
 /// An action record under construction.
-struct ActionRecord([u8; ACTION_SIZE]);
+struct ActionRecord([u8; ACTION_RECORD_BYTES]);
 
 impl ActionRecord {
     fn new(code: u8, node: u16) -> Self {
-        let mut record = ActionRecord([0; ACTION_SIZE]);
+        let mut record = ActionRecord([0; ACTION_RECORD_BYTES]);
         record.0[0] = code;
         record.with(1, &node.to_le_bytes())
     }
 
-    /// The same with a field at an offset.
+    /// Returns the record with `field` written at byte offset `at`.
     fn with(mut self, at: usize, field: &[u8]) -> Self {
         self.0[at..at + field.len()].copy_from_slice(field);
         self
     }
 }
 
-/// A reply under construction; its buffers are reused from batch to batch.
+/// Builder of the reply to a batch. Its buffers are reused for the next batch.
 #[derive(Debug, Default)]
 pub struct Reply {
     records: Vec<u8>,
@@ -49,51 +50,51 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends the record of an action of instance `node`. Skips actions that the protocol lacks.
     pub fn push(&mut self, node: u16, action: &Action) {
-        let new = |code| ActionRecord::new(code, node);
+        let new_record = |code| ActionRecord::new(code, node);
         let record = match action {
-            Action::Send { request, server, give_up_after } => new(code::SEND)
+            Action::Send { request, server, give_up_after } => new_record(code::SEND)
                 .with(3, &request.to_le_bytes())
                 .with(11, &server.to_le_bytes())
-                .with(15, &span(*give_up_after)),
-            Action::Reject { request, retry_after } => {
-                new(code::REJECT).with(3, &request.to_le_bytes()).with(11, &span(*retry_after))
-            }
-            Action::Fail(request) => new(code::FAIL).with(3, &request.to_le_bytes()),
+                .with(15, &duration_field(*give_up_after)),
+            Action::Reject { request, retry_after } => new_record(code::REJECT)
+                .with(3, &request.to_le_bytes())
+                .with(11, &duration_field(*retry_after)),
+            Action::Fail(request) => new_record(code::FAIL).with(3, &request.to_le_bytes()),
             Action::Cancel { request, attempt } => {
-                new(code::CANCEL).with(3, &request.to_le_bytes()).with(11, &attempt.to_le_bytes())
+                new_record(code::CANCEL).with(3, &request.to_le_bytes()).with(11, &attempt.to_le_bytes())
             }
             Action::Timer { after, token } => {
-                new(code::TIMER).with(3, &span(*after)).with(7, &token.to_le_bytes())
+                new_record(code::TIMER).with(3, &duration_field(*after)).with(7, &token.to_le_bytes())
             }
-            Action::HealthCheck(server) => new(code::HEALTH_CHECK).with(3, &server.to_le_bytes()),
-            Action::CloseIdle(server) => new(code::CLOSE_IDLE).with(3, &server.to_le_bytes()),
+            Action::HealthCheck(server) => new_record(code::HEALTH_CHECK).with(3, &server.to_le_bytes()),
+            Action::CloseIdle(server) => new_record(code::CLOSE_IDLE).with(3, &server.to_le_bytes()),
             Action::SendToPeer { to, bytes } => {
                 let to = to.unwrap_or(ALL_PEERS);
-                new(code::SEND_TO_PEER).with(3, &to.to_le_bytes()).with(7, &self.push_tail(bytes))
+                new_record(code::SEND_TO_PEER).with(3, &to.to_le_bytes()).with(7, &self.push_tail(bytes))
             }
-            // Not part of the simulator's wire.
+            // The simulator's protocol has no record for an explanation.
             Action::Explain { .. } => return,
-            Action::Log(text) => new(code::LOG).with(3, &self.push_tail(text.as_bytes())),
-            Action::Fault(text) => new(code::FAULT).with(3, &self.push_tail(text.as_bytes())),
-            Action::Subscribe(on) => new(code::SUBSCRIBE).with(3, &[u8::from(*on)]),
-            Action::FetchList => new(code::FETCH_LIST),
+            Action::Log(text) => new_record(code::LOG).with(3, &self.push_tail(text.as_bytes())),
+            Action::Fault(text) => new_record(code::FAULT).with(3, &self.push_tail(text.as_bytes())),
+            Action::Subscribe(on) => new_record(code::SUBSCRIBE).with(3, &[u8::from(*on)]),
+            Action::FetchList => new_record(code::FETCH_LIST),
         };
         self.records.extend_from_slice(&record.0);
         self.count += 1;
     }
 
-    /// Adds bytes to the tail; their offset and length, as the record names them.
+    /// Appends bytes to the tail. Returns their offset and length in the tail, as the record encodes them.
     fn push_tail(&mut self, bytes: &[u8]) -> [u8; 8] {
-        let mut part = [0; 8];
-        part[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
-        part[4..].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
+        let mut range = [0; 8];
+        range[..4].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
+        range[4..].copy_from_slice(&(bytes.len() as u32).to_le_bytes());
         self.tail.extend_from_slice(bytes);
-        part
+        range
     }
 
-    /// Writes the reply to batch `number` into `frame` and empties itself for the next.
+    /// Writes the reply to batch `number` into `frame` and clears the builder for the next batch.
     pub fn finish(&mut self, number: u32, frame: &mut Vec<u8>) {
         frame.clear();
         frame.extend_from_slice(&self.count.to_le_bytes());
@@ -107,7 +108,8 @@
     }
 }
 
-/// Times of actions are signed 32-bit on the wire; longer ones are cut to the longest.
-fn span(time: Micros) -> [u8; 4] {
+/// Encodes a duration in microseconds. The wire has signed 32-bit durations, so longer ones are clamped to
+/// `i32::MAX`.
+fn duration_field(time: Micros) -> [u8; 4] {
     u32::try_from(time).unwrap_or(u32::MAX).min(i32::MAX as u32).to_le_bytes()
 }
--- a/crates/stonevane-wire-adapter/src/codec/events.rs
+++ b/crates/stonevane-wire-adapter/src/codec/events.rs
@@ -1,4 +1,4 @@
-//! Event records: what the simulator sends. Offsets are those of the protocol page.
+//! Decoder of event records, which the simulator sends. Byte offsets follow the protocol page.
 
 use stonevane_policy::{
     AttemptStatus, CacheStatus, Condition, Event, ListUpdate, LoadReport, Micros, Outcome, Request,
@@ -7,16 +7,16 @@
 
 use super::{CodecError, f32_at, u16_at, u32_at, u64_at};
 
-/// Size of a batch header.
-pub const BATCH_HEADER_SIZE: usize = 20;
-/// Size of an event record.
-pub const EVENT_SIZE: usize = 48;
-/// Size of a server entry in the tail of a frame.
-const ENTRY_SIZE: usize = 22;
-/// Status of a health check that succeeded.
-const HEALTHY: u16 = 200;
-/// Figures of a load report.
-const LOAD_VALUES: u8 = 4;
+/// Size of a batch header, in bytes.
+pub const BATCH_HEADER_BYTES: usize = 20;
+/// Size of an event record, in bytes.
+pub const EVENT_RECORD_BYTES: usize = 48;
+/// Size of a server entry in the tail of a frame, in bytes.
+const SERVER_ENTRY_BYTES: usize = 22;
+/// Status of a successful health check; any other status is a failure.
+const HEALTH_CHECK_OK: u16 = 200;
+/// Largest number of values in a load report.
+const MAX_LOAD_VALUES: u8 = 4;
 
 /// Codes of event records.
 mod code {
@@ -43,70 +43,70 @@
 /// The header of a batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchHeader {
-    /// The clock, microseconds.
+    /// Time of the batch on the simulator's clock, in microseconds.
     pub now: Micros,
-    /// Bytes that follow the header.
+    /// Length of the body that follows the header, in bytes.
     pub length: usize,
-    /// Event records among them.
+    /// Number of event records at the start of the body; the tail follows them.
     pub records: usize,
-    /// Number of the batch.
+    /// Number of the batch, repeated in its reply.
     pub number: u32,
 }
 
 impl BatchHeader {
-    /// Reads a header and checks that its records fit its length.
-    pub fn read(bytes: &[u8; BATCH_HEADER_SIZE]) -> Result<Self, CodecError> {
+    /// Decodes a header and checks that its records fit its length.
+    pub fn read(bytes: &[u8; BATCH_HEADER_BYTES]) -> Result<Self, CodecError> {
         let header = BatchHeader {
             now: u64_at(bytes, 0),
             length: u32_at(bytes, 8) as usize,
             records: u32_at(bytes, 12) as usize,
             number: u32_at(bytes, 16),
         };
-        if header.records.saturating_mul(EVENT_SIZE) > header.length {
+        if header.records.saturating_mul(EVENT_RECORD_BYTES) > header.length {
             return Err(CodecError::RecordsExceedFrame { batch: header.number });
         }
         Ok(header)
     }
 }
 
-/// An event record, resolved as far as its own frame allows.
+/// A decoded event record. References into the tail of the frame are resolved, list numbers are not.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record<'a> {
-    /// An instance starts with a seed and a settings text.
+    /// Start of an instance.
     Start {
-        /// The instance.
+        /// Number of the instance.
         node: u16,
-        /// Its seed.
+        /// Seed of its random generator.
         seed: u64,
-        /// Its settings.
+        /// Settings text in JSON.
         settings: &'a [u8],
     },
-    /// A numbered server list for later records.
+    /// Definition of a numbered server list that later records refer to.
     List {
         /// Number of the list.
         number: u16,
-        /// Its entries.
+        /// Entries of the list.
         entries: Vec<ServerEntry>,
     },
-    /// An instance is killed.
+    /// Stop of an instance, without a graceful shutdown.
     Stop(u16),
-    /// An instance is notified of a list by its number.
+    /// Notification of an instance that refers to a list by its number.
     ListUpdate {
-        /// The instance.
+        /// Number of the instance.
         node: u16,
-        /// How the list relates to the one in force.
+        /// Kind of the update: how the list relates to the one in use.
         kind: ListUpdate,
         /// Number of the list.
         number: u16,
     },
-    /// Any other event of an instance.
+    /// Any other event, with the number of its instance.
     Event(u16, Event),
 }
 
-/// Reads event record `index` of the body of a frame with `records` records.
+/// Decodes event record `index` of a body that starts with `records` records.
 pub fn read_record(body: &[u8], records: usize, index: usize) -> Result<Record<'_>, CodecError> {
-    let record = &body[index * EVENT_SIZE..(index + 1) * EVENT_SIZE];
-    let tail = &body[records * EVENT_SIZE..];
+    let record = &body[index * EVENT_RECORD_BYTES..(index + 1) * EVENT_RECORD_BYTES];
+    let tail = &body[records * EVENT_RECORD_BYTES..];
     let node = u16_at(record, 1);
     match record[0] {
         code::START => {
@@ -115,7 +115,7 @@
         }
         code::STOP => Ok(Record::Stop(node)),
         code::LIST => {
-            let entries = tail_part(tail, record, 3, ENTRY_SIZE)?.chunks_exact(ENTRY_SIZE);
+            let entries = tail_part(tail, record, 3, SERVER_ENTRY_BYTES)?.chunks_exact(SERVER_ENTRY_BYTES);
             Ok(Record::List { number: node, entries: entries.map(server_entry).collect::<Result<_, _>>()? })
         }
         code::LIST_UPDATE => {
@@ -133,7 +133,7 @@
         code::OUTCOME => Event::Outcome(outcome(record)?),
         code::REQUEST => Event::Request(request(record)),
         code::HEALTH_CHECK => Event::HealthCheckFinished {
-            ok: u16_at(record, 3) == HEALTHY,
+            ok: u16_at(record, 3) == HEALTH_CHECK_OK,
             took: u32_at(record, 5).into(),
             server: u32_at(record, 9),
             load: load_report(record, 13),
@@ -183,7 +183,7 @@
         status: attempt_status(u16_at(record, 22))?,
         server: u32_at(record, 24),
         load: load_report(record, 28),
-        // Not part of the simulator's wire.
+        // The simulator's protocol does not state it.
         first_on_connection: false,
     })
 }
@@ -203,8 +203,8 @@
     })
 }
 
-fn cache_status(note: u32) -> CacheStatus {
-    match note {
+fn cache_status(code: u32) -> CacheStatus {
+    match code {
         1 => CacheStatus::Hit,
         2 => CacheStatus::Miss,
         3 => CacheStatus::MissBeingFetched,
@@ -214,7 +214,7 @@
 
 fn load_report(record: &[u8], at: usize) -> LoadReport {
     let values = std::array::from_fn(|i| f32_at(record, at + 1 + 4 * i));
-    LoadReport { count: record[at].min(LOAD_VALUES), values }
+    LoadReport { count: record[at].min(MAX_LOAD_VALUES), values }
 }
 
 fn server_entry(entry: &[u8]) -> Result<ServerEntry, CodecError> {
@@ -236,7 +236,8 @@
     })
 }
 
-/// The part of the tail that the field at `at` names: an offset and a count of items of `size` bytes.
+/// Returns the part of the tail that the field at byte offset `at` of a record refers to: an offset in the
+/// tail and a count of items of `size` bytes.
 fn tail_part<'a>(tail: &'a [u8], record: &[u8], at: usize, size: usize) -> Result<&'a [u8], CodecError> {
     let (offset, count) = (u32_at(record, at) as usize, u32_at(record, at + 4) as usize);
     let end = count.checked_mul(size).and_then(|length| length.checked_add(offset));
--- a/crates/stonevane-wire-adapter/src/codec/tests.rs
+++ b/crates/stonevane-wire-adapter/src/codec/tests.rs
@@ -1,11 +1,11 @@
-//! The codec byte by byte.
+//! Byte-level tests of action and event records.
 
-use super::actions::ACTION_SIZE;
-use super::events::EVENT_SIZE;
+use super::actions::ACTION_RECORD_BYTES;
+use super::events::EVENT_RECORD_BYTES;
 use super::*;
 use stonevane_policy::*;
 
-fn encoded(action: &Action) -> (Vec<u8>, Vec<u8>) {
+fn encode(action: &Action) -> (Vec<u8>, Vec<u8>) {
     let (mut reply, mut frame) = (Reply::default(), Vec::new());
     reply.push(3, action);
     reply.finish(12, &mut frame);
@@ -15,8 +15,8 @@
     (frame[12..36].to_vec(), frame[36..].to_vec())
 }
 
-fn record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
-    let mut record = vec![0; ACTION_SIZE];
+fn expected_record(code: u8, fields: &[(usize, &[u8])]) -> Vec<u8> {
+    let mut record = vec![0; ACTION_RECORD_BYTES];
     (record[0], record[1]) = (code, 3);
     for (at, bytes) in fields {
         record[*at..at + bytes.len()].copy_from_slice(bytes);
@@ -25,54 +25,60 @@
 }
 
 #[test]
-fn every_action_has_its_code_and_its_fields_in_their_places() {
-    let (id, server, tail) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
+fn each_action_is_encoded_with_its_code_and_its_fields_at_their_offsets() {
+    let (id, server, tail_range) = (0x0002_dd71_5d3a_91c4u64, 0x0312_4a07u32, vec![0, 0, 0, 0, 2, 0, 0, 0]);
     let (id_bytes, server_bytes) = (id.to_le_bytes(), server.to_le_bytes());
     let cases = [
         (
             Action::Send { request: id, server, give_up_after: 80_000 },
-            record(1, &[(3, &id_bytes), (11, &server_bytes), (15, &80_000u32.to_le_bytes())]),
+            expected_record(1, &[(3, &id_bytes), (11, &server_bytes), (15, &80_000u32.to_le_bytes())]),
         ),
         (
             Action::Reject { request: id, retry_after: 7 },
-            record(2, &[(3, &id_bytes), (11, &7u32.to_le_bytes())]),
+            expected_record(2, &[(3, &id_bytes), (11, &7u32.to_le_bytes())]),
         ),
-        (Action::Fail(id), record(3, &[(3, &id_bytes)])),
-        (Action::Cancel { request: id, attempt: 2 }, record(4, &[(3, &id_bytes), (11, &[2])])),
+        (Action::Fail(id), expected_record(3, &[(3, &id_bytes)])),
+        (Action::Cancel { request: id, attempt: 2 }, expected_record(4, &[(3, &id_bytes), (11, &[2])])),
         (
             Action::Timer { after: 500_000, token: 77 },
-            record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
+            expected_record(5, &[(3, &500_000u32.to_le_bytes()), (7, &[77])]),
         ),
-        (Action::HealthCheck(server), record(6, &[(3, &server_bytes)])),
-        (Action::CloseIdle(server), record(7, &[(3, &server_bytes)])),
-        (Action::SendToPeer { to: None, bytes: b"hi".to_vec() }, record(8, &[(3, &[0xff; 4]), (7, &tail)])),
-        (Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() }, record(8, &[(3, &[4]), (7, &tail)])),
-        (Action::Log("hi".into()), record(9, &[(3, &tail)])),
-        (Action::Fault("hi".into()), record(10, &[(3, &tail)])),
-        (Action::Subscribe(true), record(11, &[(3, &[1])])),
-        (Action::Subscribe(false), record(11, &[])),
-        (Action::FetchList, record(12, &[])),
+        (Action::HealthCheck(server), expected_record(6, &[(3, &server_bytes)])),
+        (Action::CloseIdle(server), expected_record(7, &[(3, &server_bytes)])),
+        (
+            Action::SendToPeer { to: None, bytes: b"hi".to_vec() },
+            expected_record(8, &[(3, &[0xff; 4]), (7, &tail_range)]),
+        ),
+        (
+            Action::SendToPeer { to: Some(4), bytes: b"hi".to_vec() },
+            expected_record(8, &[(3, &[4]), (7, &tail_range)]),
+        ),
+        (Action::Log("hi".into()), expected_record(9, &[(3, &tail_range)])),
+        (Action::Fault("hi".into()), expected_record(10, &[(3, &tail_range)])),
+        (Action::Subscribe(true), expected_record(11, &[(3, &[1])])),
+        (Action::Subscribe(false), expected_record(11, &[])),
+        (Action::FetchList, expected_record(12, &[])),
     ];
     for (action, expected) in cases {
-        let (got, rest) = encoded(&action);
+        let (got, tail) = encode(&action);
         assert_eq!(got, expected, "{action:?}");
-        let text = matches!(action, Action::SendToPeer { .. } | Action::Log(_) | Action::Fault(_));
-        assert_eq!(rest, if text { b"hi".to_vec() } else { Vec::new() });
+        let has_tail = matches!(action, Action::SendToPeer { .. } | Action::Log(_) | Action::Fault(_));
+        assert_eq!(tail, if has_tail { b"hi".to_vec() } else { Vec::new() });
     }
 }
 
 #[test]
-fn a_request_and_an_outcome_are_read_from_their_places() {
-    let mut body = vec![0u8; 2 * EVENT_SIZE];
+fn request_and_outcome_records_are_decoded_from_their_offsets() {
+    let mut body = vec![0u8; 2 * EVENT_RECORD_BYTES];
     body[0] = 4;
     body[3] = 9; // id
     body[11] = 1; // tenant
-    body[13] = 7; // cost hint valid, a repeat, a write
+    body[13] = 7; // flags: has cost, is retry, write
     body[14] = 2; // class
     body[15] = 50; // cost
     body[19] = 5; // key
-    body[32] = 1; // time budget 256
-    let second = EVENT_SIZE;
+    body[32] = 1; // time left: 256 us
+    let second = EVENT_RECORD_BYTES;
     (body[second], body[second + 3], body[second + 11], body[second + 15], body[second + 19]) =
         (3, 9, 3, 40, 1);
     body[second + 21] = 1;
--- a/crates/stonevane-wire-adapter/src/host.rs
+++ b/crates/stonevane-wire-adapter/src/host.rs
@@ -1,4 +1,6 @@
-//! Instances of the policy by their numbers, and the server lists that records refer to.
+//! Host of policy instances: applies the records of a batch in order and collects the actions for the reply.
+//!
+//! Owns the instances and the numbered server lists that records refer to.
 
 use std::collections::HashMap;
 
@@ -7,59 +9,59 @@
 
 use crate::codec::{self, BatchHeader, CodecError, Record, Reply};
 
-/// Numbered lists run from 0 to this, exclusive.
-const LISTS: usize = 16;
+/// Number of server lists that can be defined; their numbers start at 0.
+const MAX_LISTS: usize = 16;
 
-/// Why a batch can't be processed.
+/// Error of processing a batch.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// One of its records can't be read.
+    /// A record cannot be decoded.
     #[error("batch {batch}, record {index}: {error}")]
     Record {
-        /// Number of the batch.
+        /// Number of the batch, from its header.
         batch: u32,
-        /// Position of the record in it.
+        /// Position of the record in the batch, from 0.
         index: usize,
-        /// Why.
+        /// Cause.
         error: CodecError,
     },
-    /// One of its records does not fit those before it.
+    /// A record contradicts the records before it.
     #[error("batch {batch}: {error}")]
     State {
-        /// Number of the batch.
+        /// Number of the batch, from its header.
         batch: u32,
-        /// Why.
+        /// Cause.
         error: StateError,
     },
 }
 
-/// Why a record does not fit those before it.
+/// Error of a record that contradicts the records before it.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
-    /// The settings of an instance are refused.
+    /// The settings of an instance are rejected.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// An instance is killed that does not run.
+    /// Stop of an instance that is not running.
     #[error("shutdown of unknown instance {0}")]
     StopOfUnknownInstance(u16),
-    /// An event is for an instance that does not run.
+    /// Event for an instance that is not running.
     #[error("event for unknown instance {0}")]
     UnknownInstance(u16),
-    /// A list has a number that no list may have.
-    #[error("census with list number {0} out of range")]
+    /// Definition of a list whose number is out of range.
+    #[error("census with list number {0} out of range, expected 0 to 15")]
     ListOutOfRange(u16),
-    /// An instance is notified of a list that was not sent.
+    /// List update that refers to a list that was not defined.
     #[error("roster_change names unknown list {0}")]
     UnknownList(u16),
-    /// A request has a class that the settings lack.
+    /// Request of a class that the settings lack.
     #[error("request of class {0} that the settings do not have")]
     UnknownClass(usize),
-    /// A request has a tenant that the settings lack.
+    /// Request of a tenant that the settings lack.
     #[error("request of tenant {0} that the settings do not have")]
     UnknownTenant(usize),
 }
 
-/// A policy that runs under an instance number.
+/// A running policy, with the counts that its requests are validated against.
 struct Instance {
     policy: Policy,
     classes: usize,
@@ -67,7 +69,7 @@
 }
 
 impl Instance {
-    fn check(&self, request: &Request) -> Result<(), StateError> {
+    fn validate(&self, request: &Request) -> Result<(), StateError> {
         if request.class >= self.classes {
             return Err(StateError::UnknownClass(request.class));
         }
@@ -78,17 +80,17 @@
     }
 }
 
-/// All instances, and the reply to the present batch.
+/// All running instances and defined lists, and the reply to the current batch.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u16, Instance>,
-    lists: [Option<Vec<ServerEntry>>; LISTS],
+    lists: [Option<Vec<ServerEntry>>; MAX_LISTS],
     actions: Vec<Action>,
     reply: Reply,
 }
 
 impl Host {
-    /// Processes a batch and writes its reply into `frame`.
+    /// Processes a batch and writes its reply into `frame`. Stops at the first record that fails.
     pub fn process(
         &mut self,
         header: BatchHeader,
@@ -133,7 +135,7 @@
         Ok(())
     }
 
-    /// The list that an update refers to; none for a failure.
+    /// Returns the list that an update refers to; an empty one for a failure.
     fn list(&self, kind: ListUpdate, number: u16) -> Result<Vec<ServerEntry>, StateError> {
         match kind {
             ListUpdate::Failed | ListUpdate::TimedOut { .. } => Ok(Vec::new()),
@@ -147,7 +149,7 @@
     fn handle(&mut self, now: Micros, node: u16, event: Event) -> Result<(), StateError> {
         let instance = self.instances.get_mut(&node).ok_or(StateError::UnknownInstance(node))?;
         if let Event::Request(request) = &event {
-            instance.check(request)?;
+            instance.validate(request)?;
         }
         instance.policy.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
--- a/crates/stonevane-wire-adapter/src/main.rs
+++ b/crates/stonevane-wire-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts instances of the policy on the simulator's wire. It translates and decides nothing.
+//! Hosts instances of the policy for the simulator, which writes batches to standard input and reads replies
+//! from standard output. The adapter translates records and makes no decision itself.
 
 mod codec;
 mod host;
@@ -6,19 +7,19 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use codec::{BATCH_HEADER_SIZE, BatchHeader, CodecError};
+use codec::{BATCH_HEADER_BYTES, BatchHeader, CodecError};
 use host::{BatchError, Host};
 
-/// Why the adapter ends before its input.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error("reading the input failed: {0}")]
     Read(io::Error),
-    #[error("writing failed: {0}")]
+    #[error("writing the output failed: {0}")]
     Write(io::Error),
-    #[error("truncated frame: input ended within it")]
+    #[error("truncated frame: input ended within a batch header")]
     TruncatedHeader,
-    #[error("truncated frame: batch {batch} ended after {received} bytes")]
+    #[error("truncated frame: body of batch {batch} ended after {received} bytes")]
     TruncatedBody { batch: u32, received: usize },
     #[error(transparent)]
     Header(#[from] CodecError),
@@ -26,7 +27,7 @@
     Batch(#[from] BatchError),
 }
 
-/// Fills `buffer`; `false` where the input ended before its first byte.
+/// Fills `buffer` from the input. Returns `false` if the input ended before its first byte.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, RunError> {
     let mut filled = 0;
     while filled < buffer.len() {
@@ -41,7 +42,8 @@
     Ok(true)
 }
 
-/// Reads the body of a batch, through `take`, so that a false length does not reserve memory that never fills.
+/// Reads the body of a batch. Reads through `take` so that a wrong length in the header does not reserve
+/// memory for bytes that never arrive.
 fn read_body(input: &mut impl Read, header: BatchHeader, body: &mut Vec<u8>) -> Result<(), RunError> {
     body.clear();
     let received = input.take(header.length as u64).read_to_end(body).map_err(RunError::Read)?;
@@ -53,7 +55,7 @@
 
 fn run(input: &mut impl Read, output: &mut impl Write) -> Result<(), RunError> {
     let mut host = Host::default();
-    let mut header_bytes = [0u8; BATCH_HEADER_SIZE];
+    let mut header_bytes = [0u8; BATCH_HEADER_BYTES];
     let (mut body, mut frame) = (Vec::new(), Vec::new());
     while fill(input, &mut header_bytes)? {
         let header = BatchHeader::read(&header_bytes)?;
