--- a/crates/stonevane-policy/tests/behavior_digest.rs
+++ b/crates/stonevane-policy/tests/behavior_digest.rs
@@ -1,7 +1,7 @@
-//! Guards against a refactoring that changes a decision: the actions of fixed event sequences, as one number.
+//! Guards against unintended changes of decisions: digests of the actions that fixed event sequences produce.
 //!
-//! A change of behavior on purpose changes the digests; the commit that does so says why. Texts of log lines are not
-//! part of them.
+//! An intended change of behavior changes the digests, and its commit states the reason. Texts of log lines
+//! are not part of the digests.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
@@ -13,7 +13,7 @@
 const SERVERS: u32 = 9;
 const STEPS: usize = 6_000;
 
-/// A linear congruential generator: the same sequence on every machine.
+/// Linear congruential generator, which gives the same sequence on every machine.
 struct Sequence(u64);
 
 impl Sequence {
@@ -28,7 +28,7 @@
     now: Micros,
     sequence: Sequence,
     timers: Vec<Micros>,
-    /// Attempts in flight, with their servers, in the order of sending.
+    /// Attempts in flight as request, attempt number and server, in the order sent.
     in_flight: Vec<(RequestId, u16, ServerId)>,
     attempts: BTreeMap<RequestId, u16>,
     digest: Xxh3,
@@ -79,7 +79,7 @@
 
 impl Run {
     fn new(variant: u64) -> Run {
-        let mut run = Run {
+        let mut state = Run {
             policy: Policy::new(settings(variant), 1_000 + variant),
             now: 60_000_000,
             sequence: Sequence(variant),
@@ -91,24 +91,24 @@
             rejections: 0,
         };
         let servers = (1..=SERVERS).map(|id| entry(id, Condition::Ready, 0)).collect();
-        run.event(Event::ServerList { kind: ListUpdate::Cached, servers });
-        run
+        state.event(Event::ServerList { kind: ListUpdate::Cached, servers });
+        state
     }
 
     fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.action(action);
+            self.digest_action(action);
         }
     }
 
-    fn number(&mut self, number: u64) {
+    fn digest_number(&mut self, number: u64) {
         self.digest.update(&number.to_le_bytes());
     }
 
-    fn action(&mut self, action: &Action) {
-        self.number(self.now);
+    fn digest_action(&mut self, action: &Action) {
+        self.digest_number(self.now);
         let fields: [u64; 4] = match action {
             Action::Send { request, server, give_up_after } => {
                 let number = self.attempts.entry(*request).or_default();
@@ -140,19 +140,19 @@
             Action::Fault(_) => [13, 0, 0, 0],
         };
         for field in fields {
-            self.number(field);
+            self.digest_number(field);
         }
     }
 
-    /// Lets time pass, with the timers that come due.
+    /// Advances the clock by `time` and fires the timers that come due.
     fn advance(&mut self, time: Micros) {
         let end = self.now + time;
         while let Some(first) = self.timers.iter().copied().enumerate().min_by_key(|(_, due)| *due) {
-            let (position, due) = first;
+            let (index, due) = first;
             if due > end {
                 break;
             }
-            self.timers.swap_remove(position);
+            self.timers.swap_remove(index);
             self.now = due;
             self.event(Event::Timer(0));
         }
@@ -177,9 +177,9 @@
         if self.in_flight.is_empty() {
             return;
         }
-        let oldest = self.in_flight.len().min(6) as u64;
-        let position = self.sequence.below(oldest) as usize;
-        let (request, attempt, server) = self.in_flight.remove(position);
+        let candidates = self.in_flight.len().min(6) as u64;
+        let index = self.sequence.below(candidates) as usize;
+        let (request, attempt, server) = self.in_flight.remove(index);
         let is_origin = server == SERVERS;
         let status = match self.sequence.below(20) {
             11..=13 if !is_origin => AttemptStatus::Miss,
@@ -204,7 +204,7 @@
         }));
     }
 
-    fn list(&mut self) {
+    fn server_list(&mut self) {
         let id = 1 + self.sequence.below(u64::from(SERVERS)) as ServerId;
         let (kind, servers) = match self.sequence.below(6) {
             0 => (ListUpdate::Failed, Vec::new()),
@@ -217,7 +217,7 @@
         self.event(Event::ServerList { kind, servers });
     }
 
-    fn administration(&mut self, variant: u64) {
+    fn operator_event(&mut self, variant: u64) {
         let server = 1 + self.sequence.below(u64::from(SERVERS)) as ServerId;
         match self.sequence.below(6) {
             0 => self.event(Event::Exclude { server, excluded: true }),
@@ -236,7 +236,7 @@
         }
     }
 
-    fn play(mut self, variant: u64) -> (u64, usize, usize) {
+    fn run(mut self, variant: u64) -> (u64, usize, usize) {
         let tenants = variant % 4;
         for step in 0..STEPS {
             match self.sequence.below(100) {
@@ -253,8 +253,8 @@
                     }
                 }
                 97 => self.event(Event::ClientDisconnected(step as RequestId)),
-                98 => self.list(),
-                _ => self.administration(variant),
+                98 => self.server_list(),
+                _ => self.operator_event(variant),
             }
         }
         self.event(Event::ShuttingDown);
@@ -264,16 +264,16 @@
 }
 
 #[test]
-fn actions_of_fixed_event_sequences_stay_the_same() {
-    let results: Vec<_> = (0..12).map(|variant| Run::new(variant).play(variant)).collect();
+fn digests_of_fixed_event_sequences_are_unchanged() {
+    let results: Vec<_> = (0..12).map(|variant| Run::new(variant).run(variant)).collect();
     let digests: Vec<_> = results.iter().map(|(digest, ..)| format!("{digest:016x}")).collect();
     let sends: usize = results.iter().map(|(_, sends, _)| sends).sum();
     let rejections: usize = results.iter().map(|(.., rejections)| rejections).sum();
     assert!(sends > 5_000 && rejections > 1_000, "{sends} attempts, {rejections} rejections");
-    assert_eq!(digests, EXPECTED, "{sends} attempts, {rejections} rejections");
+    assert_eq!(digests, EXPECTED_DIGESTS, "{sends} attempts, {rejections} rejections");
 }
 
-const EXPECTED: [&str; 12] = [
+const EXPECTED_DIGESTS: [&str; 12] = [
     "aa2bbaadb94dccfb",
     "143ceaa904f3522c",
     "2f2a03798c608d33",
--- a/crates/stonevane-policy/tests/common/mod.rs
+++ b/crates/stonevane-policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small node: drives a policy event by event and records its actions.
+//! Test node: drives a policy event by event on a simulated clock and records its actions.
 #![allow(dead_code, missing_docs)]
 
 use stonevane_policy::*;
@@ -24,7 +24,7 @@
         idempotency: keyed,
         ..RequestClass::default()
     };
-    let once = RequestClass {
+    let non_idempotent = RequestClass {
         latency_objective: 300 * MS,
         deadline: SECOND,
         idempotency: Idempotency::NonIdempotent,
@@ -32,7 +32,7 @@
         ..RequestClass::default()
     };
     Settings {
-        classes: vec![read, write, once],
+        classes: vec![read, write, non_idempotent],
         origin_kind: Some(ORIGIN_KIND),
         max_attempts: 4,
         ..Settings::default()
@@ -56,29 +56,30 @@
 }
 
 impl Node {
-    /// A node that has run for some time without load.
+    /// Returns a node that has run for ten seconds without load, so that its start-up limits are over.
     pub fn new(settings: Settings, servers: u32) -> Self {
         let mut node = Node::just_started(settings, servers);
-        node.pass(10 * SECOND);
+        node.advance(10 * SECOND);
         node
     }
 
-    /// A node with cache servers 1 to `servers` and an origin, a minute after their start.
+    /// Returns a node that has just started, with cache servers 1 to `servers` and an origin that started a
+    /// minute ago.
     pub fn just_started(settings: Settings, servers: u32) -> Self {
         Node::seeded(settings, servers, 7)
     }
 
-    /// The same with any seed of its random numbers.
+    /// Like [`Node::just_started`], with the seed of its random generator.
     pub fn seeded(settings: Settings, servers: u32, seed: u64) -> Self {
         let policy = Policy::new(settings, seed);
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
-        let mut lines: Vec<_> = (1..=servers).map(server).collect();
-        lines.push(origin());
-        node.list(ListUpdate::Cached, lines);
+        let mut entries: Vec<_> = (1..=servers).map(server).collect();
+        entries.push(origin());
+        node.list(ListUpdate::Cached, entries);
         node
     }
 
-    /// Handles an event and returns the actions that it called for.
+    /// Handles an event and returns the resulting actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.policy.handle(self.now, event, &mut out);
@@ -109,7 +110,7 @@
         self.outcome_on(request, attempt, server, status, false)
     }
 
-    /// The same, where it matters whether the request was the first on its connection.
+    /// Like [`Node::outcome`], with whether the request was the first on its connection.
     pub fn outcome_on(
         &mut self,
         request: RequestId,
@@ -122,8 +123,8 @@
         self.event(Event::Outcome(outcome))
     }
 
-    /// Lets time pass, with the timers that come due, and returns the actions of the policy meanwhile.
-    pub fn pass(&mut self, time: Micros) -> Vec<Action> {
+    /// Advances the clock by `time`, fires the timers that come due, and returns the resulting actions.
+    pub fn advance(&mut self, time: Micros) -> Vec<Action> {
         let end = self.now + time;
         let from = self.actions.len();
         while let Some(due) = take_due(&mut self.timers, end) {
@@ -135,7 +136,7 @@
     }
 }
 
-/// The end of an attempt; the request has its answer where it was served.
+/// Returns the outcome of an attempt. The request is finished if the attempt was served.
 pub fn outcome(request: RequestId, attempt: u16, server: ServerId, status: AttemptStatus) -> Outcome {
     Outcome {
         request,
@@ -150,7 +151,7 @@
     }
 }
 
-/// Where the first attempt among these actions goes.
+/// Returns the server of the first attempt among the actions.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -158,11 +159,11 @@
     })
 }
 
-pub fn sends(actions: &[Action]) -> usize {
+pub fn send_count(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Send { .. })).count()
 }
 
-pub fn refused(actions: &[Action], id: RequestId) -> bool {
+pub fn rejected(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { request, .. } if *request == id))
 }
 
@@ -170,8 +171,8 @@
     actions.contains(&Action::Fail(id))
 }
 
-/// Takes out the first of the timers that is due by a time.
+/// Removes and returns the earliest timer that is due by `end`.
 pub fn take_due(timers: &mut Vec<Micros>, end: Micros) -> Option<Micros> {
-    let (at, due) = timers.iter().copied().enumerate().min_by_key(|(_, due)| *due)?;
-    (due <= end).then(|| timers.swap_remove(at))
+    let (index, due) = timers.iter().copied().enumerate().min_by_key(|(_, due)| *due)?;
+    (due <= end).then(|| timers.swap_remove(index))
 }
--- a/crates/stonevane-policy/tests/fleet/discovery.rs
+++ b/crates/stonevane-policy/tests/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! A fleet whose watches of discovery break at once.
+//! Guards against a fleet that overloads discovery after all its watches break at the same time.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,46 +7,50 @@
 
 use crate::common::*;
 
-/// Discovery as one service that answers calls in turn, those too that nobody waits for any more, and rejects
-/// only behind a long queue: each of six nodes or more gets one call answered in [`Discovery::ALL`].
+/// Discovery as a single events. It also answers calls whose caller has timed out, and rejects calls only if
+/// the queue is long. With six or more nodes, answering one call of each takes
+/// [`Discovery::TIME_FOR_ALL_NODES`].
 struct Discovery {
-    takes: Micros,
+    /// Service time of a call.
+    service_time: Micros,
+    /// Time at which the queue is empty.
     free_at: Micros,
 }
 
 impl Discovery {
-    const ALL: Micros = 8 * SECOND;
+    const TIME_FOR_ALL_NODES: Micros = 8 * SECOND;
     const TIMEOUT: Micros = 3 * SECOND;
 
-    /// When a call has its turn; `None` where it is rejected.
+    /// Returns the time at which a call is answered; `None` if it is rejected.
     fn call(&mut self, now: Micros) -> Option<Micros> {
         if self.free_at > now + 4 * Self::TIMEOUT {
             return None;
         }
-        self.free_at = self.free_at.max(now) + self.takes;
+        self.free_at = self.free_at.max(now) + self.service_time;
         Some(self.free_at)
     }
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum DueEvent {
     Timer,
     Rejected,
-    /// A call of this number is not answered in time.
-    Unanswered(usize),
+    /// Timeout of the call with this number.
+    TimedOut(usize),
     Answered(usize),
 }
 
-/// When each of so many nodes has a list again, all of whose watches break at once, and how many calls they
-/// make. A call that is not answered in time keeps its turn until another one has not been answered either.
-fn lists_again(count: u64) -> (Vec<Micros>, usize) {
-    let config = Settings { poll_discovery: true, nodes: count as u32, ..settings() };
-    let mut discovery = Discovery { takes: Discovery::ALL / count.max(6), free_at: 0 };
-    let mut nodes: Vec<Policy> = (0..count).map(|seed| Policy::new(config.clone(), seed + 1)).collect();
+/// Breaks the watches of `count` nodes at the same time. Returns the sorted times after which nodes have a
+/// list again, and the number of calls they make. A call that has timed out stays in the queue, and its
+/// answer counts until a later call has timed out too.
+fn restore_lists(count: u64) -> (Vec<Micros>, usize) {
+    let settings = Settings { poll_discovery: true, nodes: count as u32, ..settings() };
+    let mut discovery = Discovery { service_time: Discovery::TIME_FOR_ALL_NODES / count.max(6), free_at: 0 };
+    let mut nodes: Vec<Policy> = (0..count).map(|seed| Policy::new(settings.clone(), seed + 1)).collect();
     let mut lists = vec![Micros::MAX; nodes.len()];
     let mut calls = vec![0; nodes.len()];
-    let mut waits_from = calls.clone();
-    let mut due = BinaryHeap::new();
+    let mut first_valid_call = calls.clone();
+    let mut events = BinaryHeap::new();
     let notify = |policy: &mut Policy, now, kind| {
         let mut out = Vec::new();
         policy.handle(now, Event::ServerList { kind, servers: vec![server(1), origin()] }, &mut out);
@@ -55,42 +59,43 @@
     let begin = 60 * SECOND;
     for (id, policy) in nodes.iter_mut().enumerate() {
         for action in notify(policy, begin, ListUpdate::Full) {
-            // The watch of the start is established already.
+            // The first watch is already established.
             if let Action::Timer { after, .. } = action {
-                due.push(Reverse((begin + after, id, Due::Timer)));
+                events.push(Reverse((begin + after, id, DueEvent::Timer)));
             }
         }
-        due.push(Reverse((begin + SECOND, id, Due::Rejected)));
+        events.push(Reverse((begin + SECOND, id, DueEvent::Rejected)));
     }
-    while let Some(Reverse((now, id, what))) = due.pop() {
+    while let Some(Reverse((now, id, event))) = events.pop() {
         if now > begin + 60 * SECOND || lists[id] != Micros::MAX {
             continue;
         }
         let mut out = Vec::new();
-        match what {
-            Due::Timer => nodes[id].handle(now, Event::Timer(0), &mut out),
-            Due::Rejected => out = notify(&mut nodes[id], now, ListUpdate::Failed),
-            Due::Unanswered(call) => {
-                waits_from[id] = call;
-                let silent = ListUpdate::TimedOut { silent_for: Discovery::TIMEOUT, was_established: false };
-                out = notify(&mut nodes[id], now, silent);
+        match event {
+            DueEvent::Timer => nodes[id].handle(now, Event::Timer(0), &mut out),
+            DueEvent::Rejected => out = notify(&mut nodes[id], now, ListUpdate::Failed),
+            DueEvent::TimedOut(call) => {
+                first_valid_call[id] = call;
+                let timed_out =
+                    ListUpdate::TimedOut { silent_for: Discovery::TIMEOUT, was_established: false };
+                out = notify(&mut nodes[id], now, timed_out);
             }
-            Due::Answered(call) if call >= waits_from[id] => lists[id] = now - begin - SECOND,
-            Due::Answered(_) => {}
+            DueEvent::Answered(call) if call >= first_valid_call[id] => lists[id] = now - begin - SECOND,
+            DueEvent::Answered(_) => {}
         }
         for action in out {
             match action {
-                Action::Timer { after, .. } => due.push(Reverse((now + after, id, Due::Timer))),
+                Action::Timer { after, .. } => events.push(Reverse((now + after, id, DueEvent::Timer))),
                 Action::Subscribe(true) => {
                     calls[id] += 1;
-                    let Some(turn) = discovery.call(now) else {
-                        due.push(Reverse((now, id, Due::Rejected)));
+                    let Some(answered_at) = discovery.call(now) else {
+                        events.push(Reverse((now, id, DueEvent::Rejected)));
                         continue;
                     };
-                    due.push(Reverse((turn, id, Due::Answered(calls[id]))));
-                    let given_up = now + Discovery::TIMEOUT;
-                    if given_up < turn {
-                        due.push(Reverse((given_up, id, Due::Unanswered(calls[id]))));
+                    events.push(Reverse((answered_at, id, DueEvent::Answered(calls[id]))));
+                    let times_out_at = now + Discovery::TIMEOUT;
+                    if times_out_at < answered_at {
+                        events.push(Reverse((times_out_at, id, DueEvent::TimedOut(calls[id]))));
                     }
                 }
                 _ => {}
@@ -102,17 +107,21 @@
 }
 
 #[test]
-fn watches_that_break_all_at_once_are_all_restored_soon() {
+fn watches_that_break_at_the_same_time_are_restored_soon() {
     for count in [1, 6, 30, 100, 300] {
-        let (lists, calls) = lists_again(count);
-        let at = |part: f64| lists[(((count - 1) as f64) * part) as usize] as f64 / 1e6;
+        let (lists, calls) = restore_lists(count);
+        let restored_at = |quantile: f64| lists[(((count - 1) as f64) * quantile) as usize] as f64 / 1e6;
         println!(
-            "{count} nodes: lists again after {:.1} s, {:.1} s, {:.1} s, with {calls} calls",
-            at(0.5),
-            at(0.9),
-            at(1.0)
+            "{count} nodes: lists restored after {:.1} s (50%), {:.1} s (90%), {:.1} s (100%), {calls} calls",
+            restored_at(0.5),
+            restored_at(0.9),
+            restored_at(1.0)
+        );
+        assert!(
+            restored_at(0.9) <= 12.0,
+            "{count} nodes: 90% have a list again after {} s",
+            restored_at(0.9)
         );
-        assert!(at(0.9) <= 12.0, "{count} nodes: nine in ten have a list again after {} s", at(0.9));
         assert!(calls as u64 <= count * 3 / 2, "{count} nodes: {calls} calls");
     }
 }
--- a/crates/stonevane-policy/tests/fleet/main.rs
+++ b/crates/stonevane-policy/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Many nodes that share nothing before what all of them share: sums over the fleet.
+//! Fleet tests: many independent nodes in front of shared servers, with assertions on the sums over all
+//! nodes.
 #![allow(missing_docs)]
 
 #[path = "../common/mod.rs"]
--- a/crates/stonevane-policy/tests/fleet/origin.rs
+++ b/crates/stonevane-policy/tests/fleet/origin.rs
@@ -1,4 +1,4 @@
-//! Writes of a fleet beside more misses than its origin can answer.
+//! Guards against writes that miss their deadline because cache misses take the whole capacity of the origin.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -9,18 +9,21 @@
 
 const BEGIN: Micros = 60 * SECOND;
 const CACHE_SERVERS: u32 = 12;
-/// Calls that the origin processes at once, and the time of each.
-const ORIGIN_PLACES: usize = 6;
-const ORIGIN_TIME: Micros = 60 * MS;
-const CACHE_TIME: Micros = 10 * MS;
-/// Requests come at this interval; one in so many is a write.
+/// Calls that the origin processes concurrently.
+const ORIGIN_CONCURRENCY: usize = 6;
+/// Service time of a call at the origin.
+const ORIGIN_SERVICE_TIME: Micros = 60 * MS;
+/// Response time of a cache server.
+const CACHE_RESPONSE_TIME: Micros = 10 * MS;
+/// Interval between requests of the whole fleet.
 const REQUEST_INTERVAL: Micros = 6_250;
 const REQUESTS: u64 = 1_600;
+/// One in this number of requests is a write, the others are reads that miss.
 const REQUESTS_PER_WRITE: u64 = 8;
-/// A write is in time within this.
+/// Time from its arrival within which a write is in time.
 const WRITE_DEADLINE: Micros = 300 * MS;
 
-/// An event that is due at a node: the answer of a server, or a timer where the server is 0.
+/// A scheduled event of a node: a response of a server, or a timer if the server is 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Micros,
@@ -30,14 +33,15 @@
     server: ServerId,
 }
 
-/// The nodes, and an origin that processes what it was sent in turn, also when nobody waits any more.
+/// The nodes and an origin, which processes calls in the order of arrival, including those whose client has
+/// timed out.
 struct Simulation {
     nodes: Vec<Policy>,
-    /// When each place of the origin is free.
-    places: [Micros; ORIGIN_PLACES],
+    /// Time at which each worker of the origin is free.
+    origin_workers: [Micros; ORIGIN_CONCURRENCY],
     due: BinaryHeap<Reverse<Due>>,
     attempts: HashMap<RequestId, u16>,
-    /// When each write came.
+    /// Arrival time of each write.
     writes: HashMap<RequestId, Micros>,
     writes_in_time: usize,
     fetched_reads: usize,
@@ -55,7 +59,7 @@
         }
         Simulation {
             nodes,
-            places: [BEGIN; ORIGIN_PLACES],
+            origin_workers: [BEGIN; ORIGIN_CONCURRENCY],
             due: BinaryHeap::new(),
             attempts: HashMap::new(),
             writes: HashMap::new(),
@@ -83,11 +87,11 @@
         let attempt = self.attempts.entry(request).or_default();
         let at = match server {
             ORIGIN => {
-                let place = self.places.iter_mut().min().unwrap();
-                *place = (*place).max(now) + ORIGIN_TIME;
-                *place
+                let worker = self.origin_workers.iter_mut().min().unwrap();
+                *worker = (*worker).max(now) + ORIGIN_SERVICE_TIME;
+                *worker
             }
-            _ => now + CACHE_TIME,
+            _ => now + CACHE_RESPONSE_TIME,
         };
         self.due.push(Reverse(Due { at, node, request, attempt: *attempt, server }));
         *attempt += 1;
@@ -99,7 +103,7 @@
             let event = match due.server {
                 0 => Event::Timer(0),
                 ORIGIN => {
-                    self.count_answer(due);
+                    self.count_response(due);
                     Event::Outcome(outcome(due.request, due.attempt, ORIGIN, AttemptStatus::Served))
                 }
                 server => Event::Outcome(outcome(due.request, due.attempt, server, AttemptStatus::Miss)),
@@ -108,40 +112,41 @@
         }
     }
 
-    fn count_answer(&mut self, answer: Due) {
-        match self.writes.get(&answer.request) {
-            Some(came) => self.writes_in_time += usize::from(answer.at <= came + WRITE_DEADLINE),
+    fn count_response(&mut self, response: Due) {
+        match self.writes.get(&response.request) {
+            Some(arrival) => self.writes_in_time += usize::from(response.at <= arrival + WRITE_DEADLINE),
             None => self.fetched_reads += 1,
         }
     }
 }
 
-/// Of the writes, 20 a second for ten seconds, those that have their answer in time, while so many nodes
-/// together miss 140 reads a second and the origin answers 100; and the reads that it answered.
-fn writes_with_misses(count: u64) -> (f64, usize) {
+/// Runs `count` nodes for ten seconds with 20 writes and 140 missed reads per second in total, of which the
+/// origin can answer 100. Returns the share of writes answered in time, and the number of reads fetched from
+/// the origin.
+fn run_writes_with_misses(count: u64) -> (f64, usize) {
     let mut simulation = Simulation::new(count);
-    for turn in 0..REQUESTS {
-        let now = BEGIN + turn * REQUEST_INTERVAL;
+    for index in 0..REQUESTS {
+        let now = BEGIN + index * REQUEST_INTERVAL;
         simulation.run_until(now);
-        let id = turn + 1;
-        let request = if turn % REQUESTS_PER_WRITE == 0 {
+        let id = index + 1;
+        let request = if index % REQUESTS_PER_WRITE == 0 {
             simulation.writes.insert(id, now);
             Request { key: id, ..write(id, 1) }
         } else {
             read(id, id * 1_000_003)
         };
-        simulation.handle(now, (turn * 7 % count) as usize, Event::Request(request));
+        simulation.handle(now, (index * 7 % count) as usize, Event::Request(request));
     }
     (simulation.writes_in_time as f64 / simulation.writes.len() as f64, simulation.fetched_reads)
 }
 
 #[test]
-fn writes_are_in_time_despite_more_misses_than_the_origin_can_answer() {
-    // Each of 300 nodes has to see a slow answer first, at one in two seconds.
-    for (count, least) in [(4, 0.9), (64, 0.9), (300, 0.6)] {
-        let (in_time, reads) = writes_with_misses(count);
-        println!("{count} lives: {in_time:.3} of the edits in time, {reads} misses fetched in ten seconds");
-        assert!(in_time >= least, "{count} lives: {in_time:.3} of the edits in time");
-        assert!(reads >= 550, "{count} lives: {reads} misses fetched, of 1,000 that the origin can answer");
+fn writes_meet_their_deadline_despite_more_misses_than_the_origin_can_answer() {
+    // Each of 300 nodes must first see a slow response itself, and gets one request in two seconds.
+    for (count, min_in_time) in [(4, 0.9), (64, 0.9), (300, 0.6)] {
+        let (in_time, reads) = run_writes_with_misses(count);
+        println!("{count} nodes: {in_time:.3} of the writes in time, {reads} misses fetched in ten seconds");
+        assert!(in_time >= min_in_time, "{count} nodes: {in_time:.3} of the writes in time");
+        assert!(reads >= 550, "{count} nodes: {reads} misses fetched, of 1,000 that the origin can answer");
     }
 }
--- a/crates/stonevane-policy/tests/fleet/startup.rs
+++ b/crates/stonevane-policy/tests/fleet/startup.rs
@@ -1,4 +1,4 @@
-//! Processes that all start at one moment before cache servers of limited capacity.
+//! Guards against nodes that start at the same time and together overload the cache servers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,15 +9,18 @@
 
 const BEGIN: Micros = 60 * SECOND;
 const CACHE_SERVERS: u32 = 12;
-/// Cores of a cache server, and the time that one takes for a request.
+/// Cores of a cache server.
 const CORES: usize = 5;
+/// Time that a core takes for a request.
 const SERVICE_TIME: Micros = 110 * MS;
-/// Reads that wait for the fleet to start; the others come at this interval.
+/// Reads that arrive all at once when the fleet starts.
 const WAITING_READS: u64 = 2_400;
+/// Interval between the reads after them.
 const READ_INTERVAL: Micros = 2_381;
+/// Number of all reads.
 const READS: u64 = 2_820;
 
-/// An event that is due at a node: the answer of a server, or a timer where the server is 0.
+/// A scheduled event of a node: a response of a server, or a timer if the server is 0.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     at: Micros,
@@ -30,7 +33,7 @@
     fn event(self) -> Event {
         match self.server {
             0 => Event::Timer(0),
-            // The attempt's number does not matter where nothing is hedged.
+            // Requests are not hedged or retried here, so every attempt has number 0.
             server => Event::Outcome(outcome(self.request, 0, server, AttemptStatus::Served)),
         }
     }
@@ -38,11 +41,11 @@
 
 struct Simulation {
     nodes: Vec<Policy>,
-    /// When each core of each server is free.
+    /// Time at which each core of each server is free.
     cores: Vec<[Micros; CORES]>,
     due: BinaryHeap<Reverse<Due>>,
     sent_at_once: usize,
-    longest_wait: Micros,
+    longest_queue_time: Micros,
     sent_in_first_second: usize,
 }
 
@@ -66,7 +69,7 @@
             cores: vec![[BEGIN; CORES]; CACHE_SERVERS as usize + 1],
             due: BinaryHeap::new(),
             sent_at_once: 0,
-            longest_wait: 0,
+            longest_queue_time: 0,
             sent_in_first_second: 0,
         }
     }
@@ -91,7 +94,7 @@
         self.sent_at_once += usize::from(now == BEGIN);
         self.sent_in_first_second += usize::from(now < BEGIN + SECOND);
         let core = self.cores[server as usize].iter_mut().min().unwrap();
-        self.longest_wait = self.longest_wait.max(core.saturating_sub(now));
+        self.longest_queue_time = self.longest_queue_time.max(core.saturating_sub(now));
         *core = (*core).max(now) + SERVICE_TIME;
         self.due.push(Reverse(Due { at: *core, node, request, server }));
     }
@@ -104,8 +107,8 @@
     }
 }
 
-/// What so many processes that start at one moment have in flight of 2,400 reads that come at once, before
-/// any is answered; how long the longest waited at a server, and how many were sent in the first second.
+/// Starts `count` nodes at the same time with 2,400 waiting reads. Returns the reads sent before any is
+/// answered, the longest time in the queue of a server, and the reads sent in the first second.
 fn start_together(count: u64, startup_attempts_per_server: f64) -> (usize, Micros, usize) {
     let mut simulation = Simulation::new(count, startup_attempts_per_server);
     for id in 1..=READS {
@@ -113,27 +116,30 @@
         simulation.run_until(now);
         simulation.handle(now, (id * 7 % count) as usize, Event::Request(read(id, id * 1_000_003)));
     }
-    (simulation.sent_at_once, simulation.longest_wait, simulation.sent_in_first_second)
+    (simulation.sent_at_once, simulation.longest_queue_time, simulation.sent_in_first_second)
 }
 
 #[test]
-fn processes_that_start_together_send_no_more_at_once_however_many_they_are() {
+fn nodes_that_start_together_share_one_startup_limit() {
     for count in [1, 4, 64, 300] {
-        let (first, longest, sent) = start_together(count, 8.0);
-        let (unheld, waited, _) = start_together(count, 0.0);
+        let (at_once, longest, sent) = start_together(count, 8.0);
+        let (unlimited, unlimited_longest, _) = start_together(count, 0.0);
         println!(
-            "{count} lives: {first} out at once, {longest} us at most in a queue, {sent} sent in a second"
+            "{count} nodes: {at_once} sent at once, {sent} in the first second, {longest} us longest queue"
         );
-        println!("    not held back: {unheld}, {waited}");
-        // 8 at each of 12, and one at most that chance gives each process.
-        assert!(first as u64 <= 96 + count, "{count} lives: {first} at once");
-        assert!(longest < 400 * MS, "{count} lives: {longest} us in a queue");
-        // The capacity is 545 a second; a single process knows by itself what it has at each.
-        assert!(sent >= 250, "{count} lives: {sent} sent in the first second");
+        println!(
+            "    without the limit: {unlimited} sent at once, {unlimited_longest} us longest queue time"
+        );
+        // The limit is 8 at each of 12 servers, plus at most one per node from random rounding.
+        assert!(at_once as u64 <= 96 + count, "{count} nodes: {at_once} sent at once");
+        assert!(longest < 400 * MS, "{count} nodes: {longest} us in a queue");
+        // The capacity of the servers is 545 reads per second. A single node knows all attempts in flight at
+        // each server.
+        assert!(sent >= 250, "{count} nodes: {sent} sent in the first second");
         if count >= 64 {
             assert!(
-                unheld > 600 && waited > SECOND,
-                "without it there is nothing to show: {unheld}, {waited}"
+                unlimited > 600 && unlimited_longest > SECOND,
+                "no overload without the limit: {unlimited}, {unlimited_longest} us"
             );
         }
     }
--- a/crates/stonevane-policy/tests/hash.rs
+++ b/crates/stonevane-policy/tests/hash.rs
@@ -1,4 +1,4 @@
-//! The quick hash of one key with many servers gives the same numbers as the hash itself.
+//! Guards against a `KeyHasher`, which hashes one key with many servers, that differs from `unit_hash`.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
@@ -6,9 +6,9 @@
 
 proptest! {
     #[test]
-    fn the_key_hasher_gives_the_same_hashes(key: u64, server: u32) {
-        let draw = KeyHasher::new(key).of(server);
-        prop_assert_eq!(draw, unit_hash(key, server, 0));
-        prop_assert!(0.0 < draw && draw < 1.0);
+    fn the_key_hasher_equals_the_unit_hash(key: u64, server: u32) {
+        let hash = KeyHasher::new(key).of(server);
+        prop_assert_eq!(hash, unit_hash(key, server, 0));
+        prop_assert!(0.0 < hash && hash < 1.0);
     }
 }
--- a/crates/stonevane-policy/tests/properties.rs
+++ b/crates/stonevane-policy/tests/properties.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences (a fixed seed), and the rules that events and actions alone can show.
+//! Property test: random valid event sequences from a fixed seed, and invariants that can be checked from
+//! events and actions.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,7 +11,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use stonevane_policy::*;
 
-/// How attempts end, those that are likely twice.
+/// Statuses of ended attempts. The likely ones are listed twice.
 const STATUSES: [AttemptStatus; 9] = [
     AttemptStatus::Served,
     AttemptStatus::Miss,
@@ -25,14 +26,14 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Wait(u64),
+    Advance(u64),
     Request { class: usize, tenant: usize, key: Key, write: bool, time_left: u64 },
-    EndAttempt { which: usize, status: usize },
-    StartResponse { which: usize },
-    Disconnect { which: usize },
-    ListDelta { which: usize, condition: u8, restarted: bool },
-    WholeList { mask: u32 },
-    DiscoveryFailed,
+    EndAttempt { index: usize, status: usize },
+    StartResponse { index: usize },
+    Disconnect { index: usize },
+    ListDelta { index: usize, condition: u8, restarted: bool },
+    FullList { mask: u32 },
+    DiscoveryFailure,
     PeerMessage { from: u32, bytes: Vec<u8> },
     Restart,
 }
@@ -40,33 +41,33 @@
 fn step() -> impl Strategy<Value = Step> {
     let request = (0..3usize, 0..3usize, 0..12u64, any::<bool>(), 0..900_000u64);
     prop_oneof![
-        6 => (0..60_000u64).prop_map(Step::Wait),
-        1 => (0..3_000_000u64).prop_map(Step::Wait),
+        6 => (0..60_000u64).prop_map(Step::Advance),
+        1 => (0..3_000_000u64).prop_map(Step::Advance),
         10 => request.prop_map(|(class, tenant, key, write, time_left)| {
             Step::Request { class, tenant, key, write, time_left }
         }),
-        10 => (any::<usize>(), 0..9usize).prop_map(|(which, status)| Step::EndAttempt { which, status }),
-        1 => any::<usize>().prop_map(|which| Step::StartResponse { which }),
-        1 => any::<usize>().prop_map(|which| Step::Disconnect { which }),
+        10 => (any::<usize>(), 0..9usize).prop_map(|(index, status)| Step::EndAttempt { index, status }),
+        1 => any::<usize>().prop_map(|index| Step::StartResponse { index }),
+        1 => any::<usize>().prop_map(|index| Step::Disconnect { index }),
         2 => (any::<usize>(), 0..3u8, any::<bool>())
-            .prop_map(|(which, condition, restarted)| Step::ListDelta { which, condition, restarted }),
-        1 => any::<u32>().prop_map(|mask| Step::WholeList { mask }),
-        1 => Just(Step::DiscoveryFailed),
+            .prop_map(|(index, condition, restarted)| Step::ListDelta { index, condition, restarted }),
+        1 => any::<u32>().prop_map(|mask| Step::FullList { mask }),
+        1 => Just(Step::DiscoveryFailure),
         1 => (0..4u32, proptest::collection::vec(any::<u8>(), 0..40))
             .prop_map(|(from, bytes)| Step::PeerMessage { from, bytes }),
         1 => Just(Step::Restart),
     ]
 }
 
-fn config() -> impl Strategy<Value = Settings> {
+fn random_settings() -> impl Strategy<Value = Settings> {
     let flags = (any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>(), any::<bool>());
     (flags, 1..5u32, 1..5u32, 0..4usize, 0..3u8, 0.0..1.0f64).prop_map(
         |((origin, duplicate, poll, peers, sizes), max_attempts, nodes, tenants, scope, initial_capacity)| {
             let scope = [DedupScope::All, DedupScope::Zone, DedupScope::Cell][usize::from(scope)];
-            let class = |effect| RequestClass {
+            let class = |idempotency| RequestClass {
                 latency_objective: 200_000,
                 deadline: 900_000,
-                idempotency: effect,
+                idempotency,
                 ..RequestClass::default()
             };
             Settings {
@@ -106,15 +107,16 @@
     may_have_run: bool,
 }
 
-/// What surrounds one node: it knows what was promised and checks every action against it.
+/// Environment of one node: tracks its pending requests and attempts, and checks every action against the
+/// invariants.
 struct Checker {
     settings: Settings,
     policy: Policy,
     now: u64,
-    next: RequestId,
-    lines: BTreeMap<ServerId, ServerEntry>,
+    next_request: RequestId,
+    entries: BTreeMap<ServerId, ServerEntry>,
     pending: BTreeMap<RequestId, PendingRequest>,
-    /// Attempts in flight: request, number, server.
+    /// Attempts in flight as request, attempt number and server.
     in_flight: Vec<(RequestId, u16, ServerId)>,
     timers: Vec<u64>,
     log: Vec<Action>,
@@ -123,7 +125,7 @@
 impl Checker {
     fn new(settings: Settings) -> Self {
         let policy = Policy::new(settings.clone(), 3);
-        let line = |id: ServerId| ServerEntry {
+        let entry = |id: ServerId| ServerEntry {
             id,
             zone: (id % 2) as u8,
             cell: (id % 3) as u16,
@@ -135,8 +137,8 @@
             settings,
             policy,
             now: 50_000_000,
-            next: 0,
-            lines: (0..8).map(|id| (id, line(id))).collect(),
+            next_request: 0,
+            entries: (0..8).map(|id| (id, entry(id))).collect(),
             pending: BTreeMap::new(),
             in_flight: Vec::new(),
             timers: Vec::new(),
@@ -147,7 +149,8 @@
     }
 
     fn notify(&mut self, kind: ListUpdate) {
-        let servers = self.lines.values().filter(|line| line.condition != Condition::Gone).cloned().collect();
+        let servers =
+            self.entries.values().filter(|entry| entry.condition != Condition::Gone).cloned().collect();
         self.event(Event::ServerList { kind, servers });
     }
 
@@ -163,30 +166,33 @@
     fn check(&mut self, action: &Action) {
         match action {
             Action::Send { request, server, .. } => {
-                let pending = self.pending.get(request).expect("a send for a request that has ended");
-                let line = &self.lines[server];
-                assert_eq!(line.condition, Condition::Ready, "a send to a draining or gone server");
+                let pending = self.pending.get(request).expect("an attempt for a request that has ended");
+                let entry = &self.entries[server];
+                assert_eq!(entry.condition, Condition::Ready, "an attempt at a draining or removed server");
                 assert!(pending.sent.len() < self.settings.max_attempts as usize, "too many attempts");
-                assert!(self.now < pending.deadline, "a send after the request's time");
+                assert!(self.now < pending.deadline, "an attempt after the request's deadline");
                 assert!(
                     self.settings.may_duplicate || pending.sent.iter().all(|attempt| !attempt.in_flight),
-                    "two copies out"
+                    "two attempts in flight"
                 );
-                let running: Vec<_> = pending.sent.iter().filter(|attempt| attempt.may_have_run).collect();
+                let may_have_run: Vec<_> =
+                    pending.sent.iter().filter(|attempt| attempt.may_have_run).collect();
                 match self.settings.classes[pending.class].idempotency {
                     Idempotency::Idempotent => {}
-                    Idempotency::NonIdempotent => assert!(running.is_empty(), "an unsafe request sent twice"),
-                    Idempotency::WithKey { scope: group, window } => {
-                        for attempt in running {
-                            let first = &self.lines[&attempt.server];
-                            let same = match group {
+                    Idempotency::NonIdempotent => {
+                        assert!(may_have_run.is_empty(), "a non-idempotent request sent twice");
+                    }
+                    Idempotency::WithKey { scope, window } => {
+                        for attempt in may_have_run {
+                            let first = &self.entries[&attempt.server];
+                            let in_scope = match scope {
                                 DedupScope::All => true,
-                                DedupScope::Zone => first.zone == line.zone,
-                                DedupScope::Cell => first.cell == line.cell,
+                                DedupScope::Zone => first.zone == entry.zone,
+                                DedupScope::Cell => first.cell == entry.cell,
                             };
                             assert!(
-                                same && self.now < attempt.sent_at + window,
-                                "a keyed request outside its group"
+                                in_scope && self.now < attempt.sent_at + window,
+                                "a request with an idempotency key resent outside its scope or window"
                             );
                         }
                     }
@@ -198,26 +204,28 @@
                 pending.sent.push(attempt);
             }
             Action::Reject { request, .. } => {
-                let pending = self.pending.remove(request).expect("a second final answer");
-                let safe = self.settings.classes[pending.class].idempotency == Idempotency::Idempotent;
+                let pending = self.pending.remove(request).expect("a second final response");
+                let idempotent = self.settings.classes[pending.class].idempotency == Idempotency::Idempotent;
                 assert!(
-                    safe || pending.sent.iter().all(|attempt| !attempt.may_have_run),
-                    "a refusal of what may have run"
+                    idempotent || pending.sent.iter().all(|attempt| !attempt.may_have_run),
+                    "a rejection of a request that may have run"
                 );
             }
             Action::Fail(request) => {
-                self.pending.remove(request).expect("a second final answer");
+                self.pending.remove(request).expect("a second final response");
             }
             Action::Timer { after, .. } => self.timers.push(self.now + (*after).max(1)),
             Action::SendToPeer { bytes, .. } => {
                 assert!(self.settings.may_message_peers && bytes.len() <= 256);
             }
-            Action::HealthCheck(_) | Action::Cancel { .. } => panic!("not allowed here"),
+            Action::HealthCheck(_) | Action::Cancel { .. } => {
+                panic!("an action that these settings do not allow")
+            }
             _ => {}
         }
     }
 
-    fn pass(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         let end = self.now + time;
         while let Some(due) = take_due(&mut self.timers, end) {
             self.now = due;
@@ -225,41 +233,41 @@
             let now = self.now;
             assert!(
                 self.pending.values().all(|request| now < request.deadline),
-                "a request without an answer at its end"
+                "a request without a response at its deadline"
             );
         }
         self.now = end;
         let now = self.now;
         assert!(
             self.pending.values().all(|request| now <= request.deadline),
-            "a request without an answer at its end"
+            "a request without a response at its deadline"
         );
     }
 
     fn step(&mut self, step: &Step) {
         match step {
-            Step::Wait(time) => self.pass(*time),
+            Step::Advance(time) => self.advance(*time),
             Step::Request { class, tenant, key, write, time_left } => {
                 self.request(*class, *tenant, *key, *write, *time_left);
             }
-            Step::EndAttempt { which, status } if !self.in_flight.is_empty() => {
-                self.end_attempt(*which, *status);
+            Step::EndAttempt { index, status } if !self.in_flight.is_empty() => {
+                self.end_attempt(*index, *status);
             }
-            Step::StartResponse { which } if !self.in_flight.is_empty() => {
-                let (request, attempt, _) = self.in_flight[which % self.in_flight.len()];
+            Step::StartResponse { index } if !self.in_flight.is_empty() => {
+                let (request, attempt, _) = self.in_flight[index % self.in_flight.len()];
                 self.pending.remove(&request);
                 self.event(Event::ResponseStarted { request, attempt });
             }
-            Step::Disconnect { which } if !self.pending.is_empty() => {
-                let id = *self.pending.keys().nth(which % self.pending.len()).unwrap();
+            Step::Disconnect { index } if !self.pending.is_empty() => {
+                let id = *self.pending.keys().nth(index % self.pending.len()).unwrap();
                 self.pending.remove(&id);
                 self.event(Event::ClientDisconnected(id));
             }
-            Step::ListDelta { which, condition, restarted } => {
-                self.list_delta(*which, *condition, *restarted);
+            Step::ListDelta { index, condition, restarted } => {
+                self.list_delta(*index, *condition, *restarted);
             }
-            Step::WholeList { mask } => self.whole_list(*mask),
-            Step::DiscoveryFailed => {
+            Step::FullList { mask } => self.full_list(*mask),
+            Step::DiscoveryFailure => {
                 self.event(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
             }
             Step::PeerMessage { from, bytes } => {
@@ -272,15 +280,15 @@
 
     fn request(&mut self, class: usize, tenant: usize, key: Key, write: bool, time_left: u64) {
         let tenant = tenant % self.settings.tenants.len().max(1);
-        let id = self.next;
+        let id = self.next_request;
         let request = Request { id, class, tenant, key, write, time_left, ..Request::default() };
         self.pending.insert(id, PendingRequest { class, deadline: self.now + time_left, sent: Vec::new() });
-        self.next += 1;
+        self.next_request += 1;
         self.event(Event::Request(request));
     }
 
-    fn end_attempt(&mut self, which: usize, status: usize) {
-        let (request, attempt, server) = self.in_flight.swap_remove(which % self.in_flight.len());
+    fn end_attempt(&mut self, index: usize, status: usize) {
+        let (request, attempt, server) = self.in_flight.swap_remove(index % self.in_flight.len());
         let status = STATUSES[status];
         if let Some(pending) = self.pending.get_mut(&request) {
             let ended = &mut pending.sent[usize::from(attempt)];
@@ -295,19 +303,19 @@
         self.event(Event::Outcome(Outcome { request_finished, elapsed: 1, ..outcome }));
     }
 
-    fn list_delta(&mut self, which: usize, condition: u8, restarted: bool) {
-        let id = (which % self.lines.len()) as ServerId;
-        let line = self.lines.get_mut(&id).unwrap();
-        line.condition = [Condition::Ready, Condition::Draining, Condition::Gone][usize::from(condition)];
-        line.started = if restarted { self.now } else { line.started };
-        let servers = vec![line.clone()];
+    fn list_delta(&mut self, index: usize, condition: u8, restarted: bool) {
+        let id = (index % self.entries.len()) as ServerId;
+        let entry = self.entries.get_mut(&id).unwrap();
+        entry.condition = [Condition::Ready, Condition::Draining, Condition::Gone][usize::from(condition)];
+        entry.started = if restarted { self.now } else { entry.started };
+        let servers = vec![entry.clone()];
         self.event(Event::ServerList { kind: ListUpdate::Delta, servers });
     }
 
-    fn whole_list(&mut self, mask: u32) {
-        for (id, line) in &mut self.lines {
-            let there = mask >> id & 1 == 1;
-            line.condition = if there { Condition::Ready } else { Condition::Gone };
+    fn full_list(&mut self, mask: u32) {
+        for (id, entry) in &mut self.entries {
+            let listed = mask >> id & 1 == 1;
+            entry.condition = if listed { Condition::Ready } else { Condition::Gone };
         }
         self.notify(ListUpdate::Full);
     }
@@ -322,22 +330,22 @@
 }
 
 #[test]
-fn the_rules_hold_over_random_events_and_the_same_events_give_the_same_actions() {
-    let config_of_runs = Config { cases: 400, failure_persistence: None, ..Config::default() };
+fn invariants_hold_for_random_events_and_equal_events_give_equal_actions() {
+    let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
-    let mut runner = TestRunner::new_with_rng(config_of_runs, rng);
-    let strategy = (config(), proptest::collection::vec(step(), 1..150));
+    let mut runner = TestRunner::new_with_rng(config, rng);
+    let strategy = (random_settings(), proptest::collection::vec(step(), 1..150));
     let result = runner.run(&strategy, |(settings, steps)| {
-        let play = || {
+        let run = || {
             let mut checker = Checker::new(settings.clone());
             for step in &steps {
                 checker.step(step);
             }
-            checker.pass(2_000_000);
-            assert!(checker.pending.is_empty(), "everything is answered in the end");
+            checker.advance(2_000_000);
+            assert!(checker.pending.is_empty(), "a request without a final response");
             checker.log
         };
-        prop_assert_eq!(play(), play());
+        prop_assert_eq!(run(), run());
         Ok(())
     });
     result.unwrap();
--- a/crates/stonevane-policy/tests/scenarios/balancing.rs
+++ b/crates/stonevane-policy/tests/scenarios/balancing.rs
@@ -1,4 +1,4 @@
-//! Which cache server a read goes to: the consistent order of a key, the load bound, full servers.
+//! Choice of the cache server of a read: rendezvous hashing, bounded load, full servers.
 
 use stonevane_policy::*;
 
@@ -6,22 +6,22 @@
 
 #[test]
 fn a_key_has_one_order_at_every_node_and_few_keys_move_when_a_server_leaves() {
-    let place = |servers: &[u32], key: Key, seed: u64| {
+    let first_server = |servers: &[u32], key: Key, seed: u64| {
         let mut policy = Policy::new(settings(), seed);
-        let lines = servers.iter().map(|id| server(*id)).collect();
+        let entries = servers.iter().map(|id| server(*id)).collect();
         let mut out = Vec::new();
-        policy.handle(SECOND, Event::ServerList { kind: ListUpdate::Cached, servers: lines }, &mut out);
+        policy.handle(SECOND, Event::ServerList { kind: ListUpdate::Cached, servers: entries }, &mut out);
         policy.handle(SECOND, Event::Request(read(1, key)), &mut out);
-        sent_to(&out).expect("sent")
+        sent_to(&out).expect("the read is sent")
     };
     let all: Vec<u32> = (1..=10).collect();
     let without: Vec<u32> = (1..=9).collect();
     let mut moved = 0;
     for key in 1..=500 {
-        let first = place(&all, key, 1);
-        assert_eq!(first, place(&all, key, 2), "another balancer, another seed, the same server");
-        let now = place(&without, key, 1);
-        assert!(now == first || first == 10, "only keys of the server that went move");
+        let first = first_server(&all, key, 1);
+        assert_eq!(first, first_server(&all, key, 2), "the first server depends on the seed of the node");
+        let now = first_server(&without, key, 1);
+        assert!(now == first || first == 10, "a key of a remaining server moved");
         moved += usize::from(now != first);
     }
     assert!((20..=90).contains(&moved), "{moved} of 500 keys moved");
@@ -31,57 +31,57 @@
 fn a_server_over_the_load_bound_is_skipped_and_the_next_in_the_order_is_used() {
     let mut node = Node::new(settings(), 4);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    let mut seen = vec![first];
+    let mut targets = vec![first];
     for id in 2..=12 {
-        seen.push(sent_to(&node.request(read(id, 9))).unwrap());
+        targets.push(sent_to(&node.request(read(id, 9))).unwrap());
     }
-    assert_eq!(&seen[..4], [first; 4], "within the floor the order holds");
-    // Guards against a whole floor from one node: the busiest server had seven times the mean.
-    assert_ne!(seen[4], first, "over the bound the next server is used");
+    assert_eq!(&targets[..4], [first; 4], "within the floor of the bound the order holds");
+    // Guards against a floor that one node uses alone: the busiest server then gets seven times the mean.
+    assert_ne!(targets[4], first, "over the bound the next server is used");
 }
 
 #[test]
-fn a_slow_server_is_skipped_sooner_than_a_quick_one_whatever_its_listed_size() {
-    // Guards against an equal load on servers of equal weight of which half are six times slower.
-    let within = |slow_ms: Micros| {
+fn a_slow_server_is_skipped_sooner_than_a_fast_one_of_equal_weight() {
+    // Guards against equal load on servers of equal weight if half of them are six times slower.
+    let sent_before_skip = |slow_ms: Micros| {
         let mut node = Node::new(settings(), 4);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
-        node.pass(slow_ms * MS);
+        node.advance(slow_ms * MS);
         node.outcome(1, 0, first, AttemptStatus::Served);
         let mut id = 1;
         for key in (10..80).filter(|key| key % 2 == 0) {
             id += 1;
             let server = sent_to(&node.request(read(id, key))).unwrap();
-            node.pass(if server == first { slow_ms } else { 50 } * MS);
+            node.advance(if server == first { slow_ms } else { 50 } * MS);
             node.outcome(id, 0, server, AttemptStatus::Served);
         }
-        node.pass(SECOND);
+        node.advance(SECOND);
         (101..=120).take_while(|id| sent_to(&node.request(read(*id, 9))) == Some(first)).count()
     };
-    let (even, slow) = (within(50), within(250));
-    assert_eq!(even, 4, "one that is as quick as the others keeps the floor");
-    assert!(slow < even, "{slow} of {even} in flight at one that is slow");
+    let (even, slow) = (sent_before_skip(50), sent_before_skip(250));
+    assert_eq!(even, 4, "a server as fast as the others does not get the whole floor");
+    assert!(slow < even, "{slow} in flight at a slow server, {even} at one as fast as the others");
 }
 
 #[test]
 fn fewer_servers_are_skipped_while_the_origin_limits_are_saturated() {
-    // Guards against queues at few servers while the origin has capacity, and blocked fetches while it has
+    // Guards against queues at a few servers while the origin has capacity, and blocked fetches while it has
     // none.
-    let taken = |pressed: bool| {
+    let sent_before_skip = |saturated: bool| {
         let mut node = Node::new(Settings { nodes: 8, ..settings() }, 4);
-        for id in (1..=30).filter(|_| pressed) {
+        for id in (1..=30).filter(|_| saturated) {
             node.request(write(id, 1));
         }
-        node.pass(20 * MS);
+        node.advance(20 * MS);
         let first = sent_to(&node.request(read(101, 9))).unwrap();
         (102..=106).take_while(|id| sent_to(&node.request(read(*id, 9))) == Some(first)).count()
     };
-    assert_eq!(taken(false), 0, "the second request of eight nodes' fleet already goes on");
-    assert_eq!(taken(true), 2, "the bound is three times the mean");
+    assert_eq!(sent_before_skip(false), 0, "with eight nodes the second request already skips the server");
+    assert_eq!(sent_before_skip(true), 2, "the bound is three times the mean");
 }
 
 #[test]
-fn nothing_new_goes_to_a_server_that_is_draining_gone_or_unlisted() {
+fn a_draining_removed_or_unlisted_server_gets_no_new_requests() {
     for (kind, condition) in [
         (ListUpdate::Delta, Condition::Draining),
         (ListUpdate::Delta, Condition::Gone),
@@ -89,11 +89,11 @@
     ] {
         let mut node = Node::new(settings(), 3);
         let first = sent_to(&node.request(read(1, 9))).unwrap();
-        let lines = match kind {
+        let entries = match kind {
             ListUpdate::Full => (1..=3).filter(|id| *id != first).map(server).chain([origin()]).collect(),
             _ => vec![ServerEntry { condition, ..server(first) }],
         };
-        node.list(kind, lines);
+        node.list(kind, entries);
         for id in 2..=40 {
             assert_ne!(sent_to(&node.request(read(id, id))), Some(first));
         }
@@ -101,51 +101,52 @@
 }
 
 #[test]
-fn under_overload_a_request_is_rejected_when_its_server_is_full_and_otherwise_it_is_not() {
-    // Guards against a bound relative to the mean alone, which lets every queue grow at once.
+fn under_overload_a_request_is_rejected_if_its_server_is_full() {
+    // Guards against a bound relative to the mean only, which lets all queues grow together.
     let mut node = Node::just_started(settings(), 2);
     let mut sent = 0;
     for id in 1..=40 {
-        sent += sends(&node.request(read(id, id)));
+        sent += send_count(&node.request(read(id, id)));
     }
-    assert!(sent < 12, "{sent} requests in flight at two servers that have answered nothing");
-    assert!(refused(&node.actions, 40));
-    let mut quiet = Node::new(settings(), 2);
-    let sent = (1..=10).map(|id| sends(&quiet.request(read(id, id)))).sum::<usize>();
-    assert_eq!(sent, 10, "a burst at an idle fleet is served");
+    assert!(sent < 12, "{sent} requests in flight at two servers that have not responded");
+    assert!(rejected(&node.actions, 40));
+    let mut idle = Node::new(settings(), 2);
+    let sent = (1..=10).map(|id| send_count(&idle.request(read(id, id)))).sum::<usize>();
+    assert_eq!(sent, 10, "a burst to idle servers was rejected");
 }
 
 #[test]
-fn a_full_server_does_not_spill_its_keys_down_the_order() {
-    // Guards against keys that scatter from full servers and evict what the next ones cache.
+fn keys_of_a_full_server_do_not_spill_over_to_the_next_servers() {
+    // Guards against keys of full servers that spread over the next servers and evict their cached values.
     let mut node = Node::just_started(settings(), 12);
     let mut used = std::collections::BTreeSet::new();
     for id in 1..=60 {
         used.extend(sent_to(&node.request(read(id, 9))));
     }
-    assert!(used.len() <= 4, "one key at {} of 12 servers", used.len());
-    assert!(refused(&node.actions, 60));
+    assert!(used.len() <= 4, "one key was sent to {} of 12 servers", used.len());
+    assert!(rejected(&node.actions, 60));
 }
 
 #[test]
-fn a_server_that_all_nodes_have_filled_is_skipped_by_its_live_weight() {
-    // Guards against queues of twelve per core, of which each node sees one request of its own.
+fn a_server_filled_by_other_nodes_is_skipped_by_its_live_weight() {
+    // Guards against queues of twelve requests per core, of which each node sees only one of its own.
     let config = Settings { weights_are_live: true, may_duplicate: false, ..settings() };
     let mut node = Node::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
-    node.pass(200 * MS);
-    node.outcome(1, 0, first, AttemptStatus::Served); // 0.2 s for one request without a queue
+    node.advance(200 * MS);
+    node.outcome(1, 0, first, AttemptStatus::Served); // Service time without a queue: 0.2 s.
     node.list(ListUpdate::Delta, vec![ServerEntry { weight: 0.1, ..server(first) }]);
-    let next = sent_to(&node.request(read(2, 9))).expect("another has room");
-    assert_ne!(next, first, "nine requests a core wait there");
+    let next = sent_to(&node.request(read(2, 9))).expect("another server has capacity");
+    assert_ne!(next, first, "nine requests per core are queued there");
     let all = (1..=3).map(|id| ServerEntry { weight: 0.1, ..server(id) }).collect();
     node.list(ListUpdate::Delta, all);
-    assert!(refused(&node.request(read(3, 9)), 3), "all are full");
+    assert!(rejected(&node.request(read(3, 9)), 3), "all servers are full");
 }
 
 #[test]
-fn idle_connections_are_closed_where_so_many_nodes_make_them_dearer_than_handshakes() {
-    // Guards against full connection tables: four in five attempts of 413 nodes got no connection.
+fn idle_connections_are_closed_if_many_nodes_make_them_cost_more_than_handshakes() {
+    // Guards against full connection tables of servers: with 413 nodes four in five attempts got no
+    // connection.
     let closes = |nodes| {
         let prices = Settings { connection_price: 0.03, handshake_price: 0.03, ..settings() };
         let mut node = Node::new(Settings { nodes, ..prices }, 3);
@@ -156,12 +157,12 @@
 }
 
 #[test]
-fn requests_are_answered_without_servers_or_an_origin_and_sent_once_there_are_some() {
+fn requests_are_rejected_without_servers_or_an_origin_and_sent_once_they_are_listed() {
     let mut node = Node::new(settings(), 2);
     node.list(ListUpdate::Full, Vec::new());
-    assert!(refused(&node.request(read(1, 9)), 1));
+    assert!(rejected(&node.request(read(1, 9)), 1));
     node.request(write(2, 1));
-    assert!(refused(&node.pass(SECOND), 2), "no origin: postponed, then refused");
+    assert!(rejected(&node.advance(SECOND), 2), "without an origin a write is postponed, then rejected");
     node.list(ListUpdate::Full, vec![server(1), origin()]);
     assert_eq!(sent_to(&node.request(read(3, 9))), Some(1));
 }
--- a/crates/stonevane-policy/tests/scenarios/coalescing.rs
+++ b/crates/stonevane-policy/tests/scenarios/coalescing.rs
@@ -1,13 +1,13 @@
-//! Fetches of one key that share a call to the origin.
+//! Coalesced fetches: misses of one key that share a call to the origin.
 
 use stonevane_policy::*;
 
 use crate::common::*;
 
-/// A node with 200 misses of one key, and how many of them called the origin.
-fn stampede(shares_fetches: bool) -> (Node, usize) {
+/// Returns a node after 200 misses of one key, and the number of those that were fetched from the origin.
+fn stampede(coalesce_fetches: bool) -> (Node, usize) {
     let tenants = vec![Tenant { quota_per_s: 300.0 }];
-    let mut node = Node::new(Settings { coalesce_fetches: shares_fetches, tenants, ..settings() }, 40);
+    let mut node = Node::new(Settings { coalesce_fetches, tenants, ..settings() }, 40);
     let first: Vec<_> = (1..=200).map(|id| sent_to(&node.request(read(id, 9))).unwrap()).collect();
     let fetched = first
         .iter()
@@ -18,42 +18,43 @@
 }
 
 #[test]
-fn two_hundred_misses_of_one_key_that_share_a_fetch_count_as_one_call() {
-    assert!(stampede(false).1 < 20, "each is a call, and the gate shuts");
+fn two_hundred_coalesced_misses_of_one_key_count_as_one_call() {
+    assert!(stampede(false).1 < 20, "each miss counts as a call, and the origin limits block most");
     let (mut node, fetched) = stampede(true);
     assert_eq!(fetched, 200);
-    // One call is in flight: fetches of other keys still pass, as many as before less one.
-    let mut through = 0;
+    // One call is in flight, so the limit allows one fetch less of other keys.
+    let mut sent = 0;
     for id in 301..=330 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
-        through += sends(&node.outcome(id, 0, first, AttemptStatus::Miss));
+        sent += send_count(&node.outcome(id, 0, first, AttemptStatus::Miss));
     }
-    assert_eq!(through, 6, "seven in ten of half of the cap of twenty, less the one");
-    // The outcomes of joined fetches say nothing of the origin, and release nothing that they never acquired.
+    assert_eq!(sent, 6, "0.7 of half of the limit of twenty, less the call in flight");
+    // Outcomes of fetches that joined a call are no evidence about the origin, and release no part of the
+    // concurrency limit, because they never acquired one.
     for id in 2..=200 {
         node.outcome(id, 1, ORIGIN, AttemptStatus::Served);
     }
-    assert_eq!(sends(&node.pass(20 * MS)), 0, "the gate is as full as before");
+    assert_eq!(send_count(&node.advance(20 * MS)), 0, "a joined fetch has released a part of the limit");
     node.outcome(1, 1, ORIGIN, AttemptStatus::Served);
-    assert_eq!(sends(&node.pass(60 * MS)), 1, "the one call has made room for one");
+    assert_eq!(send_count(&node.advance(60 * MS)), 1, "the end of the call allows one more");
 }
 
 #[test]
-fn nothing_joins_a_fetch_that_has_ended_or_is_older_than_a_write_of_its_key() {
+fn no_miss_joins_a_fetch_that_has_ended_or_started_before_a_write_of_its_key() {
     let (mut node, _) = stampede(true);
     node.outcome(1, 1, ORIGIN, AttemptStatus::Served);
-    let again = |node: &mut Node, id| {
+    let fetch = |node: &mut Node, id| {
         let first = sent_to(&node.request(read(id, 9))).unwrap();
-        sends(&node.outcome(id, 0, first, AttemptStatus::Miss))
+        send_count(&node.outcome(id, 0, first, AttemptStatus::Miss))
     };
-    // The limit of seven fetches at once shows whether a call was counted.
-    assert_eq!(again(&mut node, 401), 1, "a new call");
-    let wrote = Request { key: 9, ..write(402, 1) };
-    assert_eq!(sent_to(&node.request(wrote)), Some(ORIGIN));
+    // The limit of seven concurrent fetches shows whether a call was counted.
+    assert_eq!(fetch(&mut node, 401), 1, "a new call");
+    let write_request = Request { key: 9, ..write(402, 1) };
+    assert_eq!(sent_to(&node.request(write_request)), Some(ORIGIN));
     node.outcome(402, 0, ORIGIN, AttemptStatus::Served);
     for id in 403..=408 {
-        assert_eq!(again(&mut node, id), 1);
+        assert_eq!(fetch(&mut node, id), 1);
     }
     node.outcome(401, 1, ORIGIN, AttemptStatus::Served);
-    assert_eq!(again(&mut node, 409), 1, "the end of the older call does not end what joined the newer");
+    assert_eq!(fetch(&mut node, 409), 1, "the end of the older call ended the newer one");
 }
--- a/crates/stonevane-policy/tests/scenarios/main.rs
+++ b/crates/stonevane-policy/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! The policy of one node, event by event: one test for each behavior and each failure found.
+//! Tests of the policy of one node, event by event: one test per behavior and per failure found.
 #![allow(missing_docs)]
 
 #[path = "../common/mod.rs"]
--- a/crates/stonevane-policy/tests/source_layout.rs
+++ b/crates/stonevane-policy/tests/source_layout.rs
@@ -1,4 +1,4 @@
-//! The layout of the package's sources: the width of lines, and imports that go one way only.
+//! Layout of the package's sources: line width, and no import cycles between modules.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,8 @@
 
 const MAX_COLUMNS: usize = 110;
 
-/// A module at the root of the package, and the others that it names. A folder belongs to its module.
+/// Modules at the root of the package, each with the other root modules that it names. Files in a folder
+/// count as the module of that name.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
 fn sources(folder: &Path) -> Vec<PathBuf> {
@@ -21,8 +22,8 @@
 fn imports() -> Imports {
     let mut imports = Imports::new();
     for path in sources(&source_folder()) {
-        let inside = path.strip_prefix(source_folder()).unwrap();
-        let first = Path::new(inside.components().next().unwrap().as_os_str());
+        let relative = path.strip_prefix(source_folder()).unwrap();
+        let first = Path::new(relative.components().next().unwrap().as_os_str());
         let module = first.file_stem().unwrap().to_string_lossy().into_owned();
         if module == "lib" {
             continue;
@@ -30,14 +31,15 @@
         let text = std::fs::read_to_string(&path).unwrap();
         let is_name = |c: &char| c.is_ascii_alphanumeric() || *c == '_';
         let named = text.split("crate::").skip(1).map(|rest| rest.chars().take_while(is_name).collect());
-        let others = named.filter(|name: &String| !name.is_empty() && *name != module).collect::<Vec<_>>();
-        imports.entry(module).or_default().extend(others);
+        let imported = named.filter(|name: &String| !name.is_empty() && *name != module).collect::<Vec<_>>();
+        imports.entry(module).or_default().extend(imported);
     }
     imports
 }
 
-/// What is left when modules that import none of the others are taken away, again and again.
-fn circles(mut imports: Imports) -> Vec<String> {
+/// Returns the modules that are on an import cycle or import one: repeatedly removes modules that import none
+/// of the others.
+fn import_cycles(mut imports: Imports) -> Vec<String> {
     loop {
         let before = imports.len();
         let names: BTreeSet<String> = imports.keys().cloned().collect();
@@ -49,9 +51,9 @@
 }
 
 #[test]
-fn every_source_keeps_to_its_columns() {
+fn no_source_line_is_too_wide() {
     let paths = sources(&source_folder());
-    assert!(paths.len() > 20, "the sources were read: {paths:?}");
+    assert!(paths.len() > 20, "too few sources found: {paths:?}");
     for path in paths {
         for (number, line) in std::fs::read_to_string(&path).unwrap().lines().enumerate() {
             let columns = line.chars().count();
@@ -61,12 +63,12 @@
 }
 
 #[test]
-fn modules_import_each_other_one_way_only() {
+fn modules_have_no_import_cycles() {
     let mut imports = imports();
-    assert!(imports["policy"].contains("admission"), "the imports were read: {imports:?}");
-    assert_eq!(circles(imports.clone()), Vec::<String>::new(), "{imports:?}");
-    // A circle is seen.
+    assert!(imports["policy"].contains("admission"), "imports not found: {imports:?}");
+    assert_eq!(import_cycles(imports.clone()), Vec::<String>::new(), "{imports:?}");
+    // An added cycle is detected.
     imports.get_mut("admission").unwrap().insert("policy".into());
-    let seen = circles(imports);
-    assert!(seen.contains(&"policy".into()) && seen.contains(&"admission".into()), "{seen:?}");
+    let detected = import_cycles(imports);
+    assert!(detected.contains(&"policy".into()) && detected.contains(&"admission".into()), "{detected:?}");
 }
