--- a/crates/stonevane-codec/src/resp.rs
+++ b/crates/stonevane-codec/src/resp.rs
@@ -1,8 +1,8 @@
 //! RESP2: decoders of commands and replies, and an encoder of commands.
 //!
 //! Other RESP decoders recurse without a limit and reserve as much memory as a length states. These decoders
-//! limit the nesting depth and reserve no stated length, so input of a peer can neither overflow the stack
-//! nor exhaust memory.
+//! limit the nesting depth and never reserve a stated length, so input of a peer can neither overflow the
+//! stack nor exhaust memory.
 
 use std::fmt::Write;
 
--- a/crates/stonevane-policy/tests/fleet/discovery.rs
+++ b/crates/stonevane-policy/tests/fleet/discovery.rs
@@ -7,7 +7,7 @@
 
 use crate::common::*;
 
-/// Discovery as a single events. It also answers calls whose caller has timed out, and rejects calls only if
+/// Discovery as a single queue. It also answers calls whose caller has timed out, and rejects calls only if
 /// the queue is long. With six or more nodes, answering one call of each takes
 /// [`Discovery::TIME_FOR_ALL_NODES`].
 struct Discovery {
--- a/crates/stonevane-policy/tests/scenarios/admission.rs
+++ b/crates/stonevane-policy/tests/scenarios/admission.rs
@@ -33,8 +33,8 @@
 
 #[test]
 fn far_too_slow_servers_get_well_under_half_of_the_quotas() {
-    // Guards against an admission floor of 0.6 of the quotas, which keeps servers overloaded that have become
-    // eight times slower.
+    // Guards against an admission floor of 0.6 of the quotas: it keeps servers overloaded after they have
+    // become eight times slower.
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut node = Node::new(settings, 300);
--- a/crates/stonevane-policy/tests/slow_start_budget.rs
+++ b/crates/stonevane-policy/tests/slow_start_budget.rs
@@ -15,7 +15,7 @@
 const SERVER_START: Micros = 100 * SECOND;
 /// Default duration of the requests after that.
 const DURATION_AFTER_START: Micros = 12 * SECOND;
-/// Number of keys.
+/// Number of distinct keys in the requests.
 const KEYS: u64 = 100_000;
 /// Offset added to each rank in Zipf's law, which flattens the popularity of the first keys.
 const ZIPF_OFFSET: f64 = 10.0;
