--- a/crates/stonevane-policy/src/action.rs
+++ b/crates/stonevane-policy/src/action.rs
@@ -1,105 +1,108 @@
-//! Actions: what the policy wants its node to do, and why.
+//! Actions that the policy requests from its node, and the reasons for them.
 
 use crate::ids::{Micros, RequestId, ServerId};
 use crate::outcome::AttemptStatus;
 
-/// Something that the node is to do, in the order given.
+/// One step for the node to carry out. The node executes the actions of an event in the order given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt of a request to a server.
+    /// Sends one attempt of a request to a server.
     Send {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The server.
+        /// Destination of the attempt: a cache server or the origin.
         server: ServerId,
-        /// Give the attempt up after this time; 0 for the client's own limit.
+        /// Timeout of the attempt, in microseconds from sending; 0 for the client's own limit.
         give_up_after: Micros,
     },
-    /// Final answer: rejected, a retry by the client is harmless.
+    /// Gives the client its final answer: rejected. A retry by the client is safe, because the request is
+    /// idempotent or did not run.
     Reject {
-        /// The request.
+        /// Request that is answered.
         request: RequestId,
-        /// Retry-After hint for the client; 0 for none.
+        /// Retry-After hint for the client, in microseconds; 0 for none.
         retry_after: Micros,
     },
-    /// Final answer: failed, with no promise.
+    /// Gives the client its final answer: failed. The request may have run, so a retry may repeat its effect.
     Fail(RequestId),
-    /// Stop waiting for an attempt.
+    /// Cancels an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request, from 0.
         attempt: u16,
     },
-    /// Call back with [`Event::Timer`](crate::Event::Timer) after a time.
+    /// Requests an [`Event::Timer`](crate::Event::Timer) after a delay.
     Timer {
-        /// The time from now.
+        /// Delay from now, in microseconds.
         after: Micros,
-        /// Returned with the event.
+        /// Value returned with the event.
         token: u32,
     },
-    /// Subscribe to the changes of the endpoint list, or unsubscribe.
+    /// Subscribes to changes of the endpoint list (`true`), or unsubscribes (`false`).
     Subscribe(bool),
-    /// Request the whole endpoint list once.
+    /// Fetches the full endpoint list once.
     FetchList,
     /// Send a health check to a server.
     HealthCheck(ServerId),
-    /// Close idle connections to a server.
+    /// Closes the idle connections to a server.
     CloseIdle(ServerId),
-    /// Send at most 256 bytes to one node, or to all.
+    /// Sends a message of at most 256 bytes to one node, or to all.
     SendToPeer {
-        /// Index of the node; `None` for every peer.
+        /// Index of the receiving node; `None` for every peer.
         to: Option<u32>,
-        /// The bytes.
+        /// Message body.
         bytes: Vec<u8>,
     },
-    /// Why a request is answered so, waits, or is resent by the action beside this one: for logs and counts.
-    /// A request may have several: each backoff, retry and hedged request, and its final answer.
+    /// Reports why a request is answered, delayed or resent by the action beside this one, for logs and
+    /// metrics. A request may have several reports: one for each backoff, retry and hedged request, and one
+    /// for its final answer.
     Explain {
-        /// The request.
+        /// Request that the reason applies to.
         request: RequestId,
-        /// Why.
+        /// Reason for the action beside this one.
         reason: Reason,
     },
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
-    /// The policy cannot go on.
+    /// Reports that the policy cannot continue; the text names the cause.
     Fault(String),
 }
 
-/// Why a request is rejected, fails, waits, or is resent.
+/// Reason for the rejection, failure, backoff or further attempt of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Its tenant is over its quota.
+    /// The tenant is over its quota.
     OverQuota,
-    /// Its deadline has passed, or its latency objective where a late answer earns nothing.
+    /// The deadline has passed, or the latency objective if late answers of the class earn nothing.
     DeadlineExceeded,
-    /// It has made all attempts that it may.
+    /// The request has made all its allowed attempts.
     AttemptsExhausted,
-    /// This process is shutting down.
+    /// The process is shutting down.
     ShuttingDown,
-    /// This process has just started and has as many attempts in flight as it may.
+    /// The process has just started and its attempts in flight have reached the start-up limit.
     StartupLimit,
-    /// No server may be sent it: none is listed, all were tried or are full, or slow start allows none.
+    /// No server can take the request: none is listed, all were tried or are overloaded, or slow start allows
+    /// none.
     NoServer,
-    /// The origin is known to have stopped.
+    /// The origin is known to be unavailable.
     OriginUnavailable,
     /// The concurrency or rate limit of the origin is reached.
     OriginLimited,
-    /// An attempt may have run, and may not be resent.
+    /// An attempt may have run, and sending the request again could repeat its effect.
     MayHaveRun,
-    /// The retry budget is used up.
+    /// The retry budget has too few tokens for a retry.
     RetryBudgetExhausted,
-    /// Resent after an attempt that ended so.
+    /// Retry after an attempt that ended with this status.
     Retry(AttemptStatus),
-    /// Hedged: sent to a second server while the first is slow.
+    /// Hedged request: sent to a second server while the first one is slow.
     Hedged,
-    /// Resent: the response to an attempt is lost.
+    /// Attempt repeated because the response to an earlier one was lost.
     ResponseLost,
 }
 
 impl Reason {
-    /// Its name in logs and counts.
+    /// Returns the reason's name in logs and metrics, which is part of the node's external interface.
     pub fn name(self) -> &'static str {
         match self {
             Reason::OverQuota => "over-quota",
--- a/crates/stonevane-policy/src/admission.rs
+++ b/crates/stonevane-policy/src/admission.rs
@@ -1,10 +1,11 @@
-//! Admission: tenant quotas, enforced only as far as the servers show overload (load shedding).
+//! Admission: decides whether a request is admitted or rejected on arrival. Tenant quotas are enforced only
+//! as far as the servers show overload (load shedding).
 //!
-//! Inputs: the tenants' quotas (requests a second over all nodes), the overload signal of the attempts at
-//! cache servers. Each tenant's token bucket fills with this node's part of its quota, times the admission
-//! level, so that those furthest over their quotas are rejected first. At the highest level nobody is
-//! rejected. A measured rate in place of a quota would reject those within their quotas too: one of many
-//! nodes sees a handful of requests.
+//! Inputs: the tenants' quotas (requests per second over all nodes), the overload signal of the attempts at
+//! cache servers. Each tenant's token bucket fills with this node's share of the quota, multiplied by the
+//! admission level, so that the tenants furthest over their quotas are rejected first. At the highest level
+//! no request is rejected. Measured request rates cannot replace the quotas: one of many nodes sees only a
+//! handful of requests, and such a limit would also reject tenants within their quotas.
 
 use crate::ids::Micros;
 use crate::log_message::{Change, LogMessage};
@@ -12,57 +13,61 @@
 use crate::statistics::{EventRate, FadingRatio};
 use crate::token_bucket::TokenBucket;
 
-/// Overload signal from which tenants are limited to their quotas.
+/// Overload signal above which tenants are limited to their quotas.
 const OVERLOAD_SIGNAL: f64 = 0.06;
-/// Overload signal from which they are limited to less.
+/// Overload signal above which tenants are limited to less than their quotas.
 const SEVERE_OVERLOAD_SIGNAL: f64 = 0.55;
-/// Admission level at the start: the quotas themselves.
+/// Admission level at which tenants get exactly their quotas; the initial level.
 const QUOTA_LEVEL: f64 = 1.0;
-/// The lowest admission level: overloaded servers recover at a fraction of their load.
+/// Lowest admission level. Overloaded servers need a fraction of their load to recover.
 const MIN_LEVEL: f64 = 0.25;
-/// The highest admission level, from which nobody is rejected.
+/// Highest admission level, at which no request is rejected.
 const MAX_LEVEL: f64 = 4.0;
-/// Factor on the level at a review under overload.
+/// Factor on the level for a full step down.
 const LEVEL_DECREASE: f64 = 0.92;
-/// Factor on the level at any other review.
+/// Factor on the level for a full step up.
 const LEVEL_INCREASE: f64 = 1.04;
-/// Attempts judged from which a review takes a whole step: one of many nodes sees few.
+/// Number of attempts since the last review from which a review takes a full step. One of many nodes sees few
+/// attempts, and a smaller number gives a smaller step.
 const FULL_STEP_ATTEMPTS: f64 = 5.0;
-/// Tokens that a bucket holds beyond one latency objective's worth: which node a request reaches is chance.
+/// Tokens that a bucket holds in addition to those earned during one latency objective, because requests
+/// reach the nodes at random.
 const BURST_TOKENS: f64 = 5.0;
-/// The least burst at a low level.
+/// Smallest burst at a low level.
 const MIN_BURST_TOKENS: f64 = 1.0;
-/// Part of the quotas that tenants may use in common: those within their quotas leave about the rest unused.
+/// Fraction of all quotas that fills the shared bucket: tenants within their quotas leave about the rest
+/// unused.
 const SHARED_QUOTA: f64 = 0.8;
 
-/// The overload signal of a rejected attempt.
+/// Overload signal of a rejected attempt.
 pub const SIGN_OF_OVERLOAD: f64 = 1.0;
-/// The overload signal of a slow attempt; one that is nearly late gives it once more.
+/// Overload signal of a slow attempt. An attempt that becomes nearly late adds it a second time.
 pub const SIGN_OF_SLOWNESS: f64 = 0.5;
 
-/// Admission of requests at one node.
+/// Admission state of one node.
 pub struct Admission {
-    /// Multiple of the quotas that fills the buckets.
+    /// Multiple of the quotas with which the buckets fill.
     level: f64,
     overload: FadingRatio,
     tenants: Vec<TokenBucket>,
     shared: TokenBucket,
-    /// This node's equal part of all quotas, requests a second; 0 where there are none.
+    /// This node's equal share of all quotas, in requests per second; 0 without quotas.
     quota_share: f64,
     admitted: EventRate,
 }
 
-/// Whether a request is admitted.
+/// Decision on a request that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admittance {
-    /// It is, and charged to the tenant, if that is known.
+    /// The request is admitted. `charged_tenant` is the position of the tenant that it was charged to, or
+    /// `None` for an unknown tenant.
     Admitted { charged_tenant: Option<usize> },
-    /// Its tenant is over its quota.
+    /// The request is rejected because its tenant is over its quota.
     OverQuota,
 }
 
 impl Admission {
-    /// Admission of a node that has seen nothing yet.
+    /// Creates the admission state of a node that has seen no requests.
     pub fn new() -> Self {
         Admission {
             level: QUOTA_LEVEL,
@@ -74,8 +79,8 @@
         }
     }
 
-    /// Takes new quotas. `previous_positions`: where each tenant was in the settings before; its bucket goes
-    /// with it.
+    /// Applies new quotas. `previous_positions` holds the position of each tenant in the previous settings; a
+    /// tenant keeps its bucket.
     pub fn apply_settings(&mut self, settings: &Settings, previous_positions: &[Option<usize>]) {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         self.quota_share = quotas / f64::from(settings.nodes.max(1));
@@ -87,7 +92,8 @@
         self.tenants = (0..settings.tenants.len().max(1)).map(bucket).collect();
     }
 
-    /// Decides on a request that has arrived.
+    /// Decides on a request that has arrived, and charges it to its tenant if it is admitted. It is admitted
+    /// if its tenant's bucket or the shared bucket has a token, or at the highest level.
     pub fn admit(
         &mut self,
         tenant: usize,
@@ -98,9 +104,10 @@
         let Some(bucket) = self.tenants.get_mut(tenant) else {
             return Admittance::Admitted { charged_tenant: None };
         };
-        // A falling level empties the buckets too: saved tokens of many nodes would prolong an overload.
+        // The burst shrinks with the level, since tokens saved at many nodes would prolong an overload.
         let burst = (BURST_TOKENS * self.level).clamp(MIN_BURST_TOKENS, BURST_TOKENS);
-        // While all tenants together are within their quotas, chance in a small bucket rejects none.
+        // While all tenants together are within their quotas, chance fluctuations in a tenant's small bucket
+        // reject nothing.
         let shared_open = self.shared.refill(now, SHARED_QUOTA * self.quota_share * self.level, burst);
         let quota = settings.tenants.get(tenant).map_or(f64::INFINITY, |tenant| tenant.quota_per_s);
         let rate = self.level * quota / f64::from(settings.nodes.max(1));
@@ -114,13 +121,13 @@
         Admittance::Admitted { charged_tenant: Some(tenant) }
     }
 
-    /// Counts a request that is to be served.
+    /// Counts a request that will be served.
     pub fn count_admitted(&mut self) {
         self.admitted.count();
     }
 
-    /// A request was not served: quotas are of answers. Below the quotas nothing is returned, else the
-    /// overload would last.
+    /// Returns the token of a request that was not served, because quotas count answers. Below the quota
+    /// level nothing is returned, otherwise the overload would last.
     pub fn refund(&mut self, tenant: usize) {
         if self.level >= QUOTA_LEVEL
             && let Some(bucket) = self.tenants.get_mut(tenant)
@@ -129,30 +136,31 @@
         }
     }
 
-    /// Requests a second that are this node's to serve.
+    /// Returns the requests per second that this node has to serve: its share of the quotas, or the measured
+    /// rate of admitted requests without quotas.
     pub fn request_rate(&self) -> f64 {
         if self.quota_share > 0.0 { self.quota_share } else { self.admitted.per_second() }
     }
 
-    /// Whether quotas are enforced at all.
+    /// Returns whether the node sheds load, so that requests may be rejected over quotas.
     pub fn is_shedding(&self) -> bool {
         self.level < MAX_LEVEL
     }
 
-    /// Counts signs of overload, and among how many attempts.
+    /// Adds to the overload signal: `signs` of overload among `attempts` judged attempts.
     pub fn record_overload(&mut self, signs: f64, attempts: f64) {
         self.overload.add(signs, attempts);
     }
 
-    /// Moves the admission level by the overload signal of the last reviews. `idle`: no attempt at a cache
-    /// server is in flight.
+    /// Adjusts the admission level to the overload signal of the recent reviews. `idle` means that no attempt
+    /// at a cache server is in flight. Returns a log message if load shedding begins or ends.
     pub fn review(&mut self, period: Micros, idle: bool) -> Option<LogMessage> {
         let before = self.level;
         let signal = self.overload.value();
         let severe = signal > SEVERE_OVERLOAD_SIGNAL;
         let overloaded = !severe && signal > OVERLOAD_SIGNAL;
-        // Whole steps under severe overload, which feeds itself, and where few or no attempts are left to
-        // judge by.
+        // Severe overload needs full steps because it reinforces itself. Below the quota level and on an idle
+        // node too few attempts are left to scale the step by.
         let whole_step = severe || before < QUOTA_LEVEL || (idle && signal <= 0.0);
         let step =
             if whole_step { 1.0 } else { (self.overload.recent_count() / FULL_STEP_ATTEMPTS).min(1.0) };
--- a/crates/stonevane-policy/src/attempt.rs
+++ b/crates/stonevane-policy/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Attempts: single calls to a server on behalf of a request.
+//! Attempts: single calls to a cache server or the origin on behalf of a request.
 
 use crate::ids::{Key, Micros, RequestId, ServerId};
 
-/// Names an attempt.
+/// Identifies an attempt at this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     pub request: RequestId,
@@ -10,7 +10,7 @@
     pub number: u16,
 }
 
-/// What an attempt calls for.
+/// Operation that an attempt performs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallKind {
     /// A read from a cache server.
@@ -19,30 +19,30 @@
     Fetch,
     /// A write at the origin.
     Write,
-    /// A fetch that shares the origin call of another.
+    /// A fetch that waits for the origin call of another fetch of the same key.
     JoinedFetch,
 }
 
-/// An attempt without outcome yet; it may outlive its request.
+/// An attempt without an outcome. It may outlive its request.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
     pub server: ServerId,
     pub kind: CallKind,
     pub key: Key,
     pub sent_at: Micros,
-    /// Latency objective of its request's class.
+    /// Latency objective of the request's class.
     pub latency_objective: Micros,
-    /// It is slow once it has been in flight for this long.
+    /// Time in flight from which the attempt is slow.
     pub slow_after: Micros,
 }
 
 impl Attempt {
-    /// How long it has been in flight.
+    /// Returns the time that the attempt has been in flight.
     pub fn age(&self, now: Micros) -> Micros {
         now - self.sent_at
     }
 
-    /// Whether it has been in flight for so short that it is not slow yet.
+    /// Returns whether the attempt has not yet been in flight for `slow_after`.
     pub fn is_timely(&self, now: Micros) -> bool {
         self.age(now) < self.slow_after
     }
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -1,12 +1,13 @@
-//! Balancing: which cache server a read goes to.
+//! Balancing: decides which cache server a read goes to.
 //!
-//! Each key has a consistent order of the servers, the same at every node (weighted rendezvous hashing), and
-//! a read goes to the first one within the load bound (consistent hashing with bounded loads). Inputs: the
-//! key, the available servers with their weights, this node's attempts in flight, the request's time left
-//! (microseconds).
+//! Inputs: the key, the available servers with their weights, this node's attempts in flight, the learned
+//! state of the servers, and the request's time left (microseconds).
 //!
-//! The hashes of thousands of servers are computed in one pass over a dense table; only the few that come
-//! first are examined further, and the whole order is sorted only where none of those will do.
+//! Weighted rendezvous hashing gives each key a consistent order of the servers that is the same at every
+//! node. A read goes to the first server within the load bound (consistent hashing with bounded loads), so that a key stays in few caches while no server gets too much of the load.
+//!
+//! The hashes of thousands of servers are computed in one pass over a dense table. Only the first [`HEAD`]
+//! servers of the order are examined further; the full order is sorted only if none of them is suitable.
 
 use crate::hash::KeyHasher;
 use crate::ids::{Micros, RequestId, ServerId};
@@ -15,47 +16,51 @@
 use crate::settings::Settings;
 use crate::slow_start::{SlowStart, SlowStartRead};
 
-/// Load bound while the origin has capacity for the fetch that a skip costs: multiple of a server's part of
-/// this node's attempts in flight from which it is skipped.
+/// Load bound while the origin has capacity for the fetch that skipping a server costs: multiple of the
+/// server's share of this node's attempts in flight from which it is skipped.
 const LOAD_BOUND: f64 = 1.25;
-/// Load bound while the limits of the origin are saturated.
+/// Load bound, as the same multiple, while the origin limits are saturated.
 const LOAD_BOUND_SATURATED: f64 = 3.0;
-/// Part of the origin calls that find a limit reached from which the limits are saturated.
+/// Fraction of the origin calls blocked by a limit from which the origin limits count as saturated.
 const SATURATED: f64 = 0.05;
-/// A node's part of this many attempts at one server is within the bound: a quiet node would scatter its
-/// keys.
+/// Attempts at one server that are within the bound at any load, summed over the nodes that share the server.
+/// Without this floor a node with few requests would scatter its keys.
 const LOAD_BOUND_FLOOR: f64 = 8.0;
-/// The floor is divided among this many nodes at least: one alone must not use all of it.
+/// Smallest number of nodes among which the floor is divided, so that a single node does not use all of it.
 const MIN_SHARING_NODES: u32 = 2;
-/// The floor of a server that is quicker than the others is at most this multiple.
+/// Largest multiple of the floor for a server that responds faster than the others.
 const MAX_FLOOR_MULTIPLE: f64 = 2.0;
-/// A server whose queue takes longer than this part of the time left is full.
+/// Fraction of a request's time left from which the wait at a server is too long.
 const FULL_QUEUE: f64 = 0.5;
-/// A reinstated server that none of its keys has come by for this long gets the next read.
+/// Time in microseconds after which a reinstated server without an attempt gets the next read, whatever its
+/// key.
 const REINSTATED_WAIT: Micros = 1_000_000;
-/// Servers at the head of a key's order that the first pass collects.
+/// Number of servers at the head of a key's order that the first pass collects.
 const HEAD: usize = 16;
 
-/// A server's place in a key's order: the smaller, the earlier; ties by id.
+/// A server with its score for one key. Lower scores come first in the key's order; ties are ordered by id.
 #[derive(Clone, Copy, Default, PartialEq, PartialOrd)]
 struct Place {
     score: f64,
     server: ServerId,
 }
 
-/// How good a choice is apart from its place, the smaller the better: compared field by field in this order.
+/// Suitability of a server apart from its position in the key's order, compared field by field. Lower is
+/// better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
+    /// Outlier detection prefers other servers.
     ejected: bool,
+    /// The server exceeds the load bound, or the wait there is too long.
     full: bool,
-    /// It is not a reinstated server that waits for a read.
+    /// The server is not a reinstated one that is due for its first read.
     not_awaited: bool,
 }
 
-/// What an ordinary server reaches at best.
+/// Best rank of a server that is not due for a first read after its reinstatement.
 const BEST_ORDINARY: Rank = Rank { ejected: false, full: false, not_awaited: true };
 
-/// The first places of an order, sorted.
+/// The first [`HEAD`] servers of a key's order, sorted.
 #[derive(Default)]
 struct Head {
     places: [Place; HEAD],
@@ -67,7 +72,7 @@
         &self.places[..self.length]
     }
 
-    /// The score that a place must not exceed to be among them.
+    /// Returns the score that a server must not exceed to be inserted.
     fn worst_score(&self) -> f64 {
         if self.length < HEAD { f64::INFINITY } else { self.places[HEAD - 1].score }
     }
@@ -83,7 +88,7 @@
     }
 }
 
-/// The order of all candidates for a key, computed as far as it is needed.
+/// The order of all candidates for a key, computed only as far as needed.
 struct ServerOrder<'a> {
     candidates: &'a [Candidate],
     hasher: KeyHasher,
@@ -92,12 +97,12 @@
 
 impl ServerOrder<'_> {
     fn place(&self, candidate: &Candidate, draw: f64) -> Place {
-        // The same order without the logarithm where all have the same weight.
+        // With equal weights the logarithm is not needed for the same order.
         let score = if self.weighted { -draw.ln() / candidate.weight } else { -draw };
         Place { score, server: candidate.id }
     }
 
-    /// A lower bound of a server's score that costs no logarithm.
+    /// Returns a lower bound of a server's score that needs no logarithm.
     fn min_score(&self, candidate: &Candidate, draw: f64) -> f64 {
         if self.weighted { (1.0 - draw) / candidate.weight } else { -draw }
     }
@@ -113,7 +118,7 @@
         head
     }
 
-    /// The places behind the head.
+    /// Returns the servers after the head, sorted.
     fn rest(&self) -> Vec<Place> {
         let place = |candidate: &Candidate| self.place(candidate, self.hasher.of(candidate.id));
         let mut places: Vec<Place> = self.candidates.iter().map(place).collect();
@@ -122,31 +127,33 @@
     }
 }
 
-/// A read that looks for a server.
+/// A read for which a server is chosen.
 pub struct ReadCandidate<'a> {
     pub request: RequestId,
-    /// Key and recency, for slow start as well.
+    /// Key and recency, which the slow-start rule uses as well.
     pub slow_start: SlowStartRead,
-    /// Servers not to be tried again.
+    /// Servers that must not be tried again.
     pub tried: &'a [ServerId],
     pub time_left: Micros,
 }
 
-/// The rule with its inputs at one moment.
+/// The balancing rule with its inputs at one moment.
 pub struct Balancing<'a> {
     pub settings: &'a Settings,
     pub pool: &'a ServerPool,
     pub slow_start: SlowStart<'a>,
     pub now: Micros,
     pub longest_objective: Micros,
-    /// Part of the calls to the origin that find a limit reached.
+    /// Fraction of the origin calls blocked by a limit.
     pub origin_saturation: f64,
-    /// Whether load is shed.
+    /// Whether the node sheds load.
     pub shedding: bool,
 }
 
 impl Balancing<'_> {
-    /// The first server in the key's order within the load bound, else the first; none where that is full.
+    /// Returns the server with the best rank, the first one in the key's order among equals. Regularly this
+    /// is the first server within the load bound; if none is within it, the first server that is not ejected.
+    /// Returns `None` if no server is allowed or the wait at the chosen one is too long.
     pub fn choose(&self, read: &ReadCandidate<'_>) -> Option<ServerId> {
         let order = ServerOrder {
             candidates: self.pool.candidates(),
@@ -158,12 +165,13 @@
         if !settled && order.candidates.len() > HEAD {
             self.examine(read, &order.rest(), &mut best);
         }
-        // Passing over a full server for one far down the order would scatter the keys and empty the caches.
+        // No other server replaces one with too long a wait: the next suitable one may be far down the order,
+        // which would scatter the keys and lower the hit ratio of the caches.
         best.map(|(_, server)| server).filter(|server| !self.is_full(read, *server))
     }
 
-    /// Examines a part of an order and keeps the first of the best rank; returns whether no later one can be
-    /// better.
+    /// Examines a part of the order and keeps the first server of the best rank in `best`. Returns whether no
+    /// later server can be better.
     fn examine(
         &self,
         read: &ReadCandidate<'_>,
@@ -173,7 +181,8 @@
         let load_bound = self.load_bound();
         for place in places {
             let Some(server) = self.pool.get(place.server) else { continue };
-            // Guards against a reinstated server that gets no read because its keys are rarely requested.
+            // A reinstated server whose keys are rarely requested would otherwise get no read for a long
+            // time.
             let awaited = server.reinstated_at != 0 && self.now >= server.reinstated_at + REINSTATED_WAIT;
             if read.tried.contains(&place.server)
                 || !self.slow_start.allows_read(&read.slow_start, server, awaited)
@@ -181,8 +190,8 @@
                 continue;
             }
             let rank = Rank {
-                // Last, not left out: when most are ejected the cause is shared, and there is no better
-                // place.
+                // Ejected servers rank last and are not left out: if most servers are ejected the cause is
+                // shared, and no better server exists.
                 ejected: server.outlier.ranks_last(self.now, server.in_flight),
                 full: self.exceeds_bound(server, load_bound)
                     || self.pool.queue_estimate(read.request, server) > read.time_left as f64 * FULL_QUEUE,
@@ -198,7 +207,8 @@
         false
     }
 
-    /// Whether the wait at a server takes too much of the time left.
+    /// Returns whether the wait at a server exceeds its fraction of the request's time left. Under load
+    /// shedding the wait includes this node's own backlog there.
     fn is_full(&self, read: &ReadCandidate<'_>, server: ServerId) -> bool {
         self.pool.get(server).is_some_and(|server| {
             let backlog = if self.shedding { server.backlog(self.now, self.longest_objective) } else { 0.0 };
@@ -207,7 +217,9 @@
         })
     }
 
-    /// Attempts in flight per weight from which a server is skipped.
+    /// Returns the number of attempts in flight per unit of weight from which a server is skipped. It rises
+    /// from `LOAD_BOUND` to `LOAD_BOUND_SATURATED` with the saturation of the origin limits, because skipping
+    /// a server costs a fetch.
     fn load_bound(&self) -> f64 {
         let saturation = (self.origin_saturation / SATURATED).min(1.0);
         let multiple = LOAD_BOUND + (LOAD_BOUND_SATURATED - LOAD_BOUND) * saturation;
@@ -217,7 +229,8 @@
     fn exceeds_bound(&self, server: &Server, load_bound: f64) -> bool {
         let sharing_nodes = server.sharing_nodes(self.settings).max(MIN_SHARING_NODES);
         let floor = LOAD_BOUND_FLOOR / f64::from(sharing_nodes);
-        // Weights may hide how slow a server is: the floor is lower at a slow server, higher at a quick one.
+        // Weights may not show how slow a server is, so the floor is lower for a slow server and higher for a
+        // fast one.
         let floor = match server.response_time.known() {
             Some(time) => floor * (self.pool.cache_response_time() / time).min(MAX_FLOOR_MULTIPLE),
             None => floor,
--- a/crates/stonevane-policy/src/coalescing.rs
+++ b/crates/stonevane-policy/src/coalescing.rs
@@ -1,31 +1,32 @@
-//! Coalescing: concurrent fetches of one key share a call to the origin, where the node's store shares them.
+//! Coalescing: decides whether a fetch joins the origin call of another fetch of the same key.
 //!
-//! Inputs: the calls in flight by key. A fetch that joins another costs the origin nothing, and its limits
-//! neither.
+//! Input: the fetches in flight by key. It applies only if the node's store shares calls (setting
+//! `coalesce_fetches`). A joined fetch causes no origin call, so the origin limits do not count it.
 
 use std::collections::BTreeMap;
 
 use crate::attempt::{Attempt, AttemptId, CallKind};
 use crate::ids::Key;
 
-/// The calls that other fetches may join.
+/// Origin calls in flight that other fetches may join, by key.
 #[derive(Default)]
 pub struct SharedFetches {
     calls: BTreeMap<Key, AttemptId>,
 }
 
 impl SharedFetches {
-    /// Whether a fetch of a key may join a call in flight.
+    /// Returns whether a fetch of this key may join a call in flight.
     pub fn can_join(&self, key: Key) -> bool {
         self.calls.contains_key(&key)
     }
 
-    /// Others may join this call from now on.
+    /// Registers a call that other fetches of the key may join from now on.
     pub fn share(&mut self, key: Key, call: AttemptId) {
         self.calls.insert(key, call);
     }
 
-    /// A call has ended: nothing joins it any more, nor a fetch older than a write of its key.
+    /// Handles the end of a call. Nothing joins a call that has ended, and nothing joins a fetch that was
+    /// sent before a write of its key ended: it may return the value from before the write.
     pub fn end(&mut self, id: AttemptId, call: &Attempt) {
         let shared = self.calls.get(&call.key) == Some(&id);
         if shared || call.kind == CallKind::Write {
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -1,77 +1,77 @@
-//! Events: what happens at a node.
+//! Events that a node reports to its policy.
 
 use crate::ids::{Key, Micros, RequestId, ServerId};
 use crate::outcome::{LoadReport, Outcome};
 use crate::server_entry::{ListUpdate, ServerEntry};
 use crate::settings::Settings;
 
-/// Something that happened at this node.
+/// One occurrence at this node, reported by [`Policy::handle`](crate::Policy::handle).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The endpoint list, or a change of it.
+    /// The endpoint list or a change of it arrived, or a call to discovery failed.
     ServerList {
-        /// How it relates to the list in force.
+        /// Relation of these entries to the list in force.
         kind: ListUpdate,
-        /// Its lines.
+        /// Entries of the list; ignored after a failed call.
         servers: Vec<ServerEntry>,
     },
-    /// A client's request arrived; one final answer is due from now on.
+    /// A client's request arrived. The policy owes it exactly one final answer.
     Request(Request),
     /// An attempt ended.
     Outcome(Outcome),
-    /// A streamed response began; the attempt belongs to the client now.
+    /// A streamed response began. From here on the node owns the attempt, and the policy owes no answer.
     ResponseStarted {
-        /// Its request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt whose response began.
+        /// Number of the attempt whose response began, from 0.
         attempt: u16,
     },
-    /// The client disconnected, or the request ended otherwise; no answer is due any more.
+    /// The client disconnected, or the request ended otherwise. The policy no longer owes an answer.
     ClientDisconnected(RequestId),
-    /// A timer set by [`Action::Timer`](crate::Action::Timer) is due.
+    /// A timer set by [`Action::Timer`](crate::Action::Timer) is due; holds its token.
     Timer(u32),
-    /// New settings apply from now on. A pending request keeps the class that it arrived with; what was
-    /// learned of servers, and what is in flight, stays.
+    /// New settings apply from now on. A pending request keeps the class with which it arrived; learned
+    /// server state and attempts in flight are kept.
     Settings {
-        /// All of them.
+        /// Complete new settings.
         settings: Box<Settings>,
-        /// For each tenant of these, its position in the previous ones, if it had one.
+        /// For each tenant of the new settings, its position in the previous ones; `None` for a new tenant.
         tenants: Vec<Option<usize>>,
     },
-    /// This process's part of the node's quota of the origin and of servers in slow start: 1, except while
-    /// another process of the same node has the rest.
+    /// Fraction of the node's quota of the origin and of servers in slow start that belongs to this process,
+    /// from 0 to 1. It is 1 unless another process of the same node has the rest.
     ProcessShare(f64),
-    /// The node is shutting down: pending requests are to be answered now.
+    /// The node is shutting down: the policy answers all pending requests at once.
     ShuttingDown,
-    /// An operator excludes a cache server, or reinstates it. Repeats are not counted: excluded twice and
-    /// reinstated once is reinstated.
+    /// An operator excludes a cache server or reinstates it. Exclusions are not counted: a server excluded
+    /// twice and reinstated once is reinstated.
     Exclude {
-        /// The server, listed or not.
+        /// Server to exclude or reinstate, whether or not the list contains it.
         server: ServerId,
-        /// Whether it is excluded from now on.
+        /// `true` to exclude the server, `false` to reinstate it.
         excluded: bool,
     },
-    /// The origin has stopped answering: no call to it is of use for a time.
+    /// The origin has stopped answering, so that calls to it would fail for some time.
     OriginUnavailable {
-        /// The time from now; 0: it answers again.
+        /// Expected time until it answers again, in microseconds from now; 0 if it answers again already.
         duration: Micros,
     },
-    /// The end of a health check.
+    /// A health check ended.
     HealthCheckFinished {
-        /// The server checked.
+        /// Server that was checked.
         server: ServerId,
-        /// Whether it succeeded.
+        /// Whether the check succeeded.
         ok: bool,
-        /// Time from sending to this end.
+        /// Time from sending the check to its end, in microseconds.
         took: Micros,
-        /// Load report of the server, if the response carried one.
+        /// Load report of the server; empty if the response carried none.
         load: LoadReport,
     },
-    /// A message of another node.
+    /// A message from another node arrived.
     PeerMessage {
-        /// Index of the sender.
+        /// Index of the sending node.
         from: u32,
-        /// Its bytes.
+        /// Message body.
         bytes: Vec<u8>,
     },
 }
@@ -79,22 +79,22 @@
 /// A client's request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Request {
-    /// Its id.
+    /// Identifier, unique at this node.
     pub id: RequestId,
-    /// Position of its class in [`Settings::classes`].
+    /// Position of the request's class in [`Settings::classes`].
     pub class: usize,
-    /// Position of its tenant in [`Settings::tenants`]; 0 where there are none.
+    /// Position of the request's tenant in [`Settings::tenants`]; 0 if there are no tenants.
     pub tenant: usize,
-    /// Its key, 0 for none.
+    /// Key that the request reads or writes; 0 for none.
     pub key: Key,
-    /// Whether it writes (and so goes to the origin).
+    /// Whether the request writes. Writes go to the origin.
     pub write: bool,
-    /// Whether the client said that it retries an earlier request.
+    /// Whether the client marked the request as a retry of an earlier one.
     pub is_retry: bool,
-    /// Time until the client gives up.
+    /// Time until the client gives up, in microseconds.
     pub time_left: Micros,
-    /// Expected work, where known.
+    /// Expected work of the request in microseconds, if known.
     pub cost: Option<Micros>,
-    /// Size of the value in bytes, 0 where unknown.
+    /// Size of the value in bytes; 0 if unknown.
     pub size: f32,
 }
--- a/crates/stonevane-policy/src/hedging.rs
+++ b/crates/stonevane-policy/src/hedging.rs
@@ -1,8 +1,7 @@
-//! Hedging: a read that waits long is sent to the next server too.
+//! Hedging: decides whether a slow read is also sent to the next server.
 //!
-//! Inputs: the request, the recent answers of the server it waits for, the retry budget. One of many nodes
-//! sees too little of a slow or silent server to avoid it. Where it sees enough, a hedged request would only
-//! add a fetch.
+//! Inputs: the request, the recent responses of the slow server, the retry budget. One of many nodes sees too
+//! few responses of a slow or silent server to avoid it in time, so it hedges. A node with enough recent responses avoids such a server, and its hedged requests would only add fetches from the origin.
 
 use crate::ids::Micros;
 use crate::pending_request::PendingRequest;
@@ -10,7 +9,9 @@
 use crate::server::{ANSWER_CREDIT, Server};
 use crate::settings::{Idempotency, Settings};
 
-/// Whether a request whose only attempt is slow may be hedged.
+/// Returns whether the hedging rule allows a second attempt for a request whose only attempt is slow. It
+/// requires that the request is idempotent and has had no miss, that duplicates are allowed, and that the
+/// retry budget has a token for the attempt.
 pub fn may_hedge(request: &PendingRequest, budget: &RetryBudget, settings: &Settings) -> bool {
     request.in_flight == 1
         && !request.missed
@@ -19,7 +20,7 @@
         && budget.allows_attempt()
 }
 
-/// Whether enough was seen of a server lately to judge it.
+/// Returns whether a server has enough recent responses for other rules to judge it.
 pub fn is_well_known(server: &Server, now: Micros, longest_objective: Micros) -> bool {
     server.recent_answers(now, longest_objective) >= ANSWER_CREDIT
 }
--- a/crates/stonevane-policy/src/ids.rs
+++ b/crates/stonevane-policy/src/ids.rs
@@ -1,12 +1,12 @@
 //! Identifiers and the unit of time.
 //!
-//! Times are microseconds of the node's own clock, which may start anywhere and only advances.
+//! Times are microseconds of the node's own clock. It may start at any value and never goes back.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
-/// Names one client request at this node; never used twice.
+/// Identifies one client request at this node; never reused.
 pub type RequestId = u64;
-/// Names a server or the origin; stays the same over restarts of its process.
+/// Identifies a cache server or the origin. It stays the same when the server's process restarts.
 pub type ServerId = u32;
-/// The key of a request; 0 means that it names none.
+/// Key of a request; 0 stands for no key.
 pub type Key = u64;
--- a/crates/stonevane-policy/src/key_history.rs
+++ b/crates/stonevane-policy/src/key_history.rs
@@ -1,23 +1,23 @@
-//! When keys were last requested at this node.
+//! Recent requests by key at this node. Slow start uses them to recognize popular keys, which a server in slow start does not get, and to estimate how rarely a key is requested.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::ids::{Key, Micros};
 
-/// Requests whose keys are remembered.
+/// Number of requests that the history holds.
 const REMEMBERED_REQUESTS: usize = 8_192;
-/// A key requested twice within so many requests is popular.
+/// A key is popular if its previous request is fewer than this many requests back.
 const POPULAR_WITHIN_REQUESTS: u64 = 64;
 
-/// The keys of the latest requests.
+/// The keys of the most recent requests and when they were requested.
 #[derive(Default)]
 pub struct KeyHistory {
-    /// Keys in the order of their requests, and when these arrived.
+    /// Keys and arrival times of the remembered requests, oldest first.
     requests: VecDeque<(Key, Micros)>,
     last_requests: HashMap<Key, LastRequest>,
-    /// Requests so far.
+    /// Number of requests with a key since the process started.
     count: u64,
-    /// Since when all requests are remembered.
+    /// Time from which the history contains every request; 0 until the first request is evicted.
     complete_since: Micros,
 }
 
@@ -26,17 +26,18 @@
     at: Micros,
 }
 
-/// What was known of a key before a request for it.
+/// State of a key before the request that is being recorded.
 pub struct Recency {
-    /// It was requested among the latest requests.
+    /// Whether the key's previous request is fewer than `POPULAR_WITHIN_REQUESTS` requests back.
     pub popular: bool,
-    /// When it was last requested, or the start of the history where that is not known; 0: no request has
-    /// left the history yet.
+    /// Time of the key's previous request, or the start of the history if that request is not in it. 0 if it
+    /// is not in the history and nothing has been evicted yet.
     pub unseen_since: Micros,
 }
 
 impl KeyHistory {
-    /// Records a request for a key, and returns what was known of the key before it. Key 0 names none.
+    /// Records a request for a key and returns the key's state before it. Key 0 stands for no key and is not
+    /// recorded.
     pub fn record(&mut self, key: Key, now: Micros) -> Recency {
         if key == 0 {
             return Recency { popular: false, unseen_since: self.complete_since };
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -1,7 +1,6 @@
-//! Decisions of a router in front of fleets of cache servers, as a pure and deterministic state machine.
+//! Decision module of a caching router in front of fleets of cache servers: a pure, deterministic state machine.
 //!
-//! A [`Policy`] decides for one node. It is notified of what happens ([`Event`]) and when, and returns what
-//! to do ([`Action`]). It has no clock, no threads and no I/O: the node that embeds it owns the sockets.
+//! A [`Policy`] makes the decisions of one node. Its inputs are events ([`Event`]) with the time at which they happened, in microseconds; its outputs are actions ([`Action`]) for the node to carry out. It has no clock, no threads and no I/O: the embedding node owns the sockets.
 //!
 //! ```
 //! use stonevane_policy::{Action, Condition, Event, ListUpdate, Policy, Request, ServerEntry, Settings};
@@ -25,14 +24,13 @@
 //!
 //! # Layout
 //!
-//! - `policy` dispatches events and timers; the files below it carry requests, attempts, outcomes, calls to
-//!   the origin and the endpoint list through the rules.
-//! - A module for each rule, with its inputs, units and reason: `admission`, `balancing`, `coalescing`,
+//! - `policy` dispatches events and timers. Its submodules carry requests, attempts, outcomes, calls to the origin and the endpoint list through the rules.
+//! - One module per rule, which documents its decision, inputs, units and reason: `admission`, `balancing`, `coalescing`,
 //!   `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`, `slow_start`,
 //!   `startup`.
-//! - What the rules are about: `pending_request`, `attempt`, `server`, `server_pool`, `key_history`.
-//! - The interface: `event`, `outcome`, `server_entry`, `action`, [`settings`], `ids`.
-//! - Tools without decisions: `timers`, `token_bucket`, `statistics`, `random`, [`hash`], `log_message`.
+//! - State that the rules work on: `pending_request`, `attempt`, `server`, `server_pool`, `key_history`.
+//! - Interface: `event`, `outcome`, `server_entry`, `action`, [`settings`], `ids`.
+//! - Utilities that decide nothing: `timers`, `token_bucket`, `statistics`, `random`, [`hash`], `log_message`.
 
 mod action;
 mod admission;
--- a/crates/stonevane-policy/src/log_message.rs
+++ b/crates/stonevane-policy/src/log_message.rs
@@ -1,34 +1,35 @@
-//! Log lines of the policy. Their texts cross the simulator's wire and stay as they are.
+//! Log messages of the policy. [`Action::Log`] carries their texts out of the process, also over the
+//! simulator's wire.
 
 use std::fmt;
 
 use crate::action::Action;
 use crate::ids::ServerId;
 
-/// A line for the log.
+/// An event that the policy logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogMessage {
-    /// The outlier rule has ejected a server.
+    /// Outlier detection has ejected a server.
     ServerEjected(ServerId),
-    /// An ejected server has answered and is admitted again.
+    /// An ejected server has responded and is readmitted.
     ServerReadmitted(ServerId),
-    /// The origin is known to have stopped.
+    /// The origin is known to be unavailable for a time.
     OriginStopped,
-    /// The origin is known to answer again.
+    /// The origin is known to be available again.
     OriginRestored,
-    /// The concurrency limit of the origin has fallen low.
+    /// The concurrency limit of the origin has fallen below the threshold for logging.
     OriginLimitLowered,
-    /// The concurrency limit of the origin has risen again.
+    /// The concurrency limit of the origin has risen to the threshold for logging again.
     OriginLimitRestored,
     /// Load shedding has begun.
     SheddingBegan,
     /// Load shedding has ended.
     SheddingEnded,
-    /// A call to discovery failed.
+    /// A call to discovery has failed, or the subscription was lost.
     DiscoveryFailed,
 }
 
-// A server's number is a hash of its name: `server_id` in the core's `node/endpoints.rs`.
+// Server numbers in the texts are hashes of server names: `server_id` in the core's `node/endpoints.rs`.
 
 impl fmt::Display for LogMessage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -54,7 +55,7 @@
     }
 }
 
-/// A figure before and after a change.
+/// A value before and after a change.
 #[derive(Clone, Copy)]
 pub struct Change {
     pub before: f64,
@@ -62,7 +63,7 @@
 }
 
 impl Change {
-    /// One message where the figure fell below a threshold, another where it rose to it again.
+    /// Returns `fell` if the value fell below a threshold, and `rose` if it rose to it again.
     pub fn crossing(self, threshold: f64, fell: LogMessage, rose: LogMessage) -> Option<LogMessage> {
         match (self.before < threshold, self.after < threshold) {
             (false, true) => Some(fell),
--- a/crates/stonevane-policy/src/origin_limits.rs
+++ b/crates/stonevane-policy/src/origin_limits.rs
@@ -1,12 +1,16 @@
-//! Limits of this node's calls to the origin: a concurrency limit, a rate limit over a window, and the
-//! backoff of a call that they block.
+//! Origin limits: decide whether this node may send one more call to the origin, and how long a blocked call
+//! backs off.
 //!
-//! Inputs: the node's request rate, the process's part of it, the latency objectives (microseconds), the
-//! outcomes of calls. Every node limits its own calls and shares nothing; the limits of all add up to what
-//! the origin can take. Both have a ceiling from the node's request rate. The concurrency limit is lowered on
-//! signs of congestion, once for all calls that were in flight together, and recovers with good answers
-//! (additive increase, multiplicative decrease). Fetches have sub-limits, so that writes keep a part for
-//! themselves, and are paced below one at a time where many nodes share a slow origin.
+//! Inputs: the node's request rate (per second), the process's share of it, the latency objectives
+//! (microseconds), the outcomes of calls. Every node limits its own calls without communicating with others;
+//! the limits of all nodes add up to the capacity of the origin.
+//!
+//! Two limits apply to all calls: a concurrency limit (calls in flight) and a rate limit (calls per window).
+//! Both have a ceiling proportional to the node's request rate. The concurrency limit follows additive
+//! increase, multiplicative decrease: timely responses raise it, and a sign of congestion lowers it once for
+//! all calls that were in flight together. Fetches may use only a fraction of both limits, so that capacity
+//! remains for writes. If many nodes share a slow origin, fetches are also paced below one at a time per
+//! node.
 
 use crate::attempt::{Attempt, CallKind};
 use crate::ids::Micros;
@@ -15,71 +19,73 @@
 use crate::random::Random;
 use crate::statistics::FadingRatio;
 
-/// The least ceiling of the concurrency limit, calls.
+/// Smallest ceiling of the concurrency limit, in calls.
 const MIN_CONCURRENCY_CEILING: f64 = 20.0;
-/// Ceiling of the concurrency limit for each request a second of the node: the origin's latency, seconds
-/// (Little's law).
+/// Ceiling of the concurrency limit, in calls for each request per second of the node. By Little's law this
+/// is the latency of the origin in seconds.
 const CONCURRENCY_PER_REQUEST_RATE: f64 = 0.06;
-/// Part of its ceiling at which the concurrency limit starts: calls of an earlier process may still run.
+/// Initial concurrency limit as a fraction of its ceiling: calls of an earlier process may still be running.
 const INITIAL_CONCURRENCY: f64 = 0.5;
-/// The least rate limit, calls a second.
+/// Smallest rate limit, in calls per second.
 const MIN_RATE: f64 = 30.0;
-/// Calls a second for each request a second of the node.
+/// Rate limit in calls per second, for each request per second of the node.
 const CALLS_PER_REQUEST: f64 = 1.0;
-/// Window of the rate limit, as a part of the longest latency objective: what bursts over it can still wait.
+/// Window of the rate limit as a fraction of the longest latency objective. It is short, so that a call
+/// blocked in one window can still wait for the next.
 const RATE_WINDOW: f64 = 0.25;
-/// Part of both limits that fetches may use.
+/// Fraction of both limits that fetches may use.
 const FETCH_PART: f64 = 0.7;
 /// Factor on the concurrency limit at a sign of congestion.
 const CONGESTION_DECREASE: f64 = 0.8;
-/// Floor of the concurrency limit, as a part of its ceiling.
+/// Smallest concurrency limit, as a fraction of its ceiling.
 const CONCURRENCY_FLOOR: f64 = 0.1;
-/// Part of its ceiling at which a fall of the concurrency limit is logged.
+/// Concurrency limit, as a fraction of its ceiling, below which the node logs that it is lowered.
 const LOGGED_LIMIT: f64 = 0.25;
-/// Fetches of all nodes together that stay in flight however slow the origin is.
+/// Fetches of all nodes together that pacing leaves in flight, even if the origin is very slow.
 const MIN_SHARED_FETCHES: f64 = 8.0;
-/// Nodes for each multiple by which an answer changes the pace of fetches: one of many sees few answers.
+/// Number of nodes for each multiple by which one response changes the pace of fetches: one of many nodes
+/// sees few responses.
 const NODES_PER_PACE_STEP: f64 = 32.0;
-/// The least multiple by which an answer changes the pace of fetches.
+/// Smallest multiple by which one response changes the pace of fetches.
 const MIN_PACE_STEP: f64 = 2.0;
-/// The longest pause between paced fetches, as a multiple of the longest latency objective.
+/// Longest pause between paced fetches, as a multiple of the longest latency objective.
 const MAX_PAUSE_OBJECTIVES: Micros = 8;
-/// For this multiple of the longest latency objective an answer on a reused connection shows the origin's
-/// latency.
+/// Time for which a response on a reused connection shows the origin's latency, as a multiple of the longest
+/// latency objective.
 const KNOWN_LATENCY_OBJECTIVES: Micros = 8;
-/// The pause between paced fetches is random, from this part of what the pace calls for.
+/// Smallest random factor on the pause between paced fetches; the largest is this plus 1.
 const MIN_PACE_JITTER: f64 = 0.5;
-/// An answer later than this part of the shortest latency objective is a sign of congestion.
+/// Fraction of the shortest latency objective from which a response of the origin is slow.
 const SLOW_ANSWER: f64 = 0.8;
-/// Backoff of a blocked call: its least part of the request's latency objective.
+/// Shortest backoff of a blocked call, as a fraction of the request's latency objective.
 const MIN_BACKOFF: f64 = 1.0 / 60.0;
-/// Backoff of a blocked call: its greatest part of the request's latency objective.
+/// Longest backoff of a blocked call, as a fraction of the request's latency objective.
 const MAX_BACKOFF: f64 = 3.0 / 60.0;
-/// The least backoff, however short an objective is.
+/// Shortest backoff in microseconds, for short latency objectives.
 const BACKOFF_FLOOR: Micros = 1_000;
 
-/// What the ceilings are computed from.
+/// Inputs for the ceilings of the limits.
 #[derive(Clone, Copy)]
 pub struct OriginShare {
-    /// Requests a second that are this node's to serve.
+    /// Requests per second that this node has to serve.
     pub request_rate: f64,
-    /// This process's part of the node's quota.
+    /// Fraction of the node's quota that belongs to this process.
     pub process_share: f64,
 }
 
 impl OriginShare {
-    /// The ceiling of the concurrency limit.
+    /// Returns the ceiling of the concurrency limit, in calls.
     fn concurrency_ceiling(self) -> f64 {
         (self.request_rate * CONCURRENCY_PER_REQUEST_RATE).max(MIN_CONCURRENCY_CEILING) * self.process_share
     }
 
-    /// Calls that the rate limit admits in a window, microseconds.
+    /// Returns the number of calls that the rate limit allows in a window of this many microseconds.
     fn calls_per_window(self, window: f64) -> f64 {
         (self.request_rate * CALLS_PER_REQUEST).max(MIN_RATE) * self.process_share * window / 1e6
     }
 }
 
-/// What the judgement of an outcome depends on.
+/// Inputs for the evaluation of an outcome.
 #[derive(Clone, Copy)]
 pub struct OutcomeContext {
     pub now: Micros,
@@ -89,7 +95,7 @@
     pub nodes: u32,
 }
 
-/// Calls in flight and in the present window.
+/// Number of calls in flight and in the current window.
 #[derive(Default, Clone, Copy)]
 struct CallCount {
     in_flight: u32,
@@ -97,35 +103,36 @@
 }
 
 impl CallCount {
-    /// Whether one more call is within a part of the limits. One call is always within them.
+    /// Returns whether one more call is within a fraction of both limits. A single call always is.
     fn allows_one_more(self, concurrency: f64, calls_per_window: f64, part: f64) -> bool {
         let within = |count: u32, limit: f64| f64::from(count + 1) <= limit.max(1.0);
         within(self.in_flight, concurrency * part) && within(self.in_window, calls_per_window * part)
     }
 }
 
-/// The limits of this node's calls to the origin.
+/// State of the limits on this node's calls to the origin.
 pub struct OriginLimits {
     concurrency_limit: f64,
     all_calls: CallCount,
     fetches: CallCount,
     window_start: Micros,
-    /// When the concurrency limit was last lowered: signs of calls sent before do not lower it again.
+    /// Time at which the concurrency limit was last lowered. Signs of congestion from calls sent earlier do
+    /// not lower it again.
     lowered_at: Micros,
-    /// The part of one fetch that may be in flight.
+    /// Fraction of one fetch that may be in flight; 1 if fetches are not paced.
     fetch_pace: f64,
-    /// Where that is less than one: when the next fetch may be sent.
+    /// Time from which the next fetch may be sent, while `fetch_pace` is less than 1.
     next_fetch_at: Micros,
-    /// When a request on a connection that had carried others was last answered; 0: never.
+    /// Time of the last response to a request that was not the first on its connection; 0 for never.
     reused_connection_answer_at: Micros,
-    /// The origin is known to be unavailable until then.
+    /// Time until which the origin is known to be unavailable.
     unavailable_until: Micros,
-    /// Calls that found a limit reached, among all tried.
+    /// Calls blocked by a limit, among all calls that were to be sent.
     saturation: FadingRatio,
 }
 
 impl OriginLimits {
-    /// The limits at the start of a process.
+    /// Creates the limits of a process that starts.
     pub fn new(share: OriginShare) -> Self {
         OriginLimits {
             concurrency_limit: share.concurrency_ceiling() * INITIAL_CONCURRENCY,
@@ -141,7 +148,8 @@
         }
     }
 
-    /// Whether the limits allow one more call.
+    /// Returns whether the limits allow one more call, and counts the result in the saturation. A call that
+    /// is then sent must be counted with [`count_sent`](Self::count_sent).
     pub fn try_acquire(
         &mut self,
         kind: CallKind,
@@ -156,7 +164,7 @@
             self.all_calls.in_window = 0;
             self.fetches.in_window = 0;
         }
-        // A part of the share may have become another process's since the limit was found.
+        // The process's share may have shrunk since the limit was last adjusted.
         let concurrency = self.concurrency_limit.min(share.concurrency_ceiling());
         let paced = self.fetch_pace >= 1.0 || (self.fetches.in_flight == 0 && now >= self.next_fetch_at);
         let allowed = self.all_calls.allows_one_more(concurrency, calls_per_window, 1.0)
@@ -180,7 +188,7 @@
         }
     }
 
-    /// The counts that a call is part of.
+    /// Returns the counts that include a call of this kind.
     fn counts(&mut self, kind: CallKind) -> impl Iterator<Item = &mut CallCount> {
         let (all_calls, fetches) = match kind {
             CallKind::Fetch => (Some(&mut self.all_calls), Some(&mut self.fetches)),
@@ -190,7 +198,8 @@
         all_calls.into_iter().chain(fetches)
     }
 
-    /// Takes the outcome of a call into the limits.
+    /// Adjusts the limits after the outcome of a call. Returns a log message if the concurrency limit crosses
+    /// the threshold for logging.
     pub fn record_outcome(
         &mut self,
         call: &Attempt,
@@ -215,8 +224,8 @@
         self.adjust_concurrency(call, outcome.status, slow, answered, context)
     }
 
-    /// Whether the time of a slow answer may be that of a handshake across zones: requests on open
-    /// connections have shown the origin's own time lately.
+    /// Returns whether a slow response may be slow because of a handshake across zones: requests on reused
+    /// connections have recently shown the origin's own latency.
     fn is_handshake(&self, took: Micros, context: OutcomeContext) -> bool {
         let known_until =
             self.reused_connection_answer_at + KNOWN_LATENCY_OBJECTIVES * context.longest_objective;
@@ -224,15 +233,16 @@
         known && took <= context.longest_objective
     }
 
-    /// Slows fetches down below one at a time: single fetches of many nodes would keep the origin's queue so
-    /// long that writes are late.
+    /// Adjusts the pace of fetches, if needed to below one at a time. If each of many nodes kept one fetch in
+    /// flight at a slow origin, its queue would stay so long that writes are late.
     fn pace_fetches(&mut self, took: Micros, slow: bool, jitter: f64, context: OutcomeContext) {
         let nodes = f64::from(context.nodes.max(1));
         let min_pace = MIN_SHARED_FETCHES / nodes;
         let step = (nodes / NODES_PER_PACE_STEP).max(MIN_PACE_STEP);
         let pace = if slow { self.fetch_pace / step } else { self.fetch_pace * step };
         self.fetch_pace = pace.clamp(min_pace.min(1.0), 1.0);
-        // However many nodes there are, each calls the origin now and then.
+        // The pause is limited so that every node still calls the origin from time to time, whatever the
+        // number of nodes.
         let longest_pause = (MAX_PAUSE_OBJECTIVES * context.longest_objective) as f64;
         let pause = (took as f64 * (1.0 / self.fetch_pace - 1.0)).min(longest_pause);
         self.next_fetch_at = context.now + (pause * (MIN_PACE_JITTER + jitter)) as Micros;
@@ -261,8 +271,9 @@
         change.crossing(logged, LogMessage::OriginLimitLowered, LogMessage::OriginLimitRestored)
     }
 
-    /// The origin is known to be unavailable for a time, or, where that is 0, to answer again. Once the time
-    /// is over the limit rises from a single call, so that blocked calls do not come back in step.
+    /// Records that the origin is unavailable for a time, or available again if `duration` is 0. After the
+    /// outage the concurrency limit rises from a single call, so that blocked calls do not return all at
+    /// once.
     pub fn set_unavailable(&mut self, now: Micros, duration: Micros) -> Option<LogMessage> {
         let was_unavailable = self.is_unavailable(now);
         self.unavailable_until = now + duration;
@@ -277,17 +288,18 @@
         }
     }
 
-    /// Whether the origin is known to be unavailable.
+    /// Returns whether the origin is known to be unavailable.
     pub fn is_unavailable(&self, now: Micros) -> bool {
         now < self.unavailable_until
     }
 
-    /// How long it is known to stay so.
+    /// Returns the time for which the origin is known to stay unavailable, in microseconds; 0 if it is
+    /// available.
     pub fn unavailable_for(&self, now: Micros) -> Micros {
         self.unavailable_until.saturating_sub(now)
     }
 
-    /// Part of the calls that found a limit reached.
+    /// Returns the fraction of recent calls that a limit blocked.
     pub fn saturation(&self) -> f64 {
         self.saturation.value()
     }
@@ -298,7 +310,7 @@
     }
 }
 
-/// The random backoff of a blocked call.
+/// Returns the random backoff of a blocked call, in microseconds.
 pub fn backoff(latency_objective: Micros, random: &mut Random) -> Micros {
     let part = MIN_BACKOFF + (MAX_BACKOFF - MIN_BACKOFF) * random.unit();
     ((latency_objective as f64 * part) as Micros).max(BACKOFF_FLOOR)
--- a/crates/stonevane-policy/src/outcome.rs
+++ b/crates/stonevane-policy/src/outcome.rs
@@ -1,34 +1,35 @@
-//! How attempts end.
+//! Outcomes of attempts: status, cache status, load report and timing.
 
 use crate::ids::{Micros, RequestId, ServerId};
 
-/// How an attempt ended.
+/// Status with which an attempt ended. It determines whether the request may have run, and so whether a retry
+/// can repeat its effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Served.
+    /// The server answered with the value.
     Served,
-    /// The server holds nothing for this key; the request did not run.
+    /// The server has no value for this key; the request did not run.
     Miss,
     /// The server reported an error; the request may have run.
     Error,
-    /// The response can't be parsed; the request may have run.
+    /// The response could not be parsed; the request may have run.
     Malformed,
-    /// Rejected by the server at once; the request did not run.
+    /// The server rejected the attempt at once; the request did not run.
     Rejected,
-    /// No response in time; the request may have run or still run.
+    /// No response arrived in time; the request may have run or may still be running.
     TimedOut,
     /// No connection was established; the request did not run.
     ConnectFailed,
-    /// The connection was lost; the request may have run.
+    /// The connection was lost after it was established; the request may have run.
     Reset,
-    /// Cancelled by this node; the request may have run.
+    /// The node cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never sent: the request had ended or had no attempts left; it did not run.
+    /// The attempt was never sent because the request had ended or had no attempts left; it did not run.
     NotSent,
 }
 
 impl AttemptStatus {
-    /// Whether this outcome proves that the request never ran.
+    /// Returns whether this status proves that the request did not run.
     pub fn proves_not_run(self) -> bool {
         matches!(
             self,
@@ -39,7 +40,7 @@
         )
     }
 
-    /// Its name in traces of single requests, as operators' pages quote it.
+    /// Returns the status name in traces of single requests, which operators' pages quote.
     pub fn name(self) -> &'static str {
         match self {
             AttemptStatus::Served => "Served",
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The name of a retry after this outcome, in logs and counts.
+    /// Returns the name, in logs and metrics, of a retry after this status.
     pub(crate) fn retry_name(self) -> &'static str {
         match self {
             AttemptStatus::Served => "retry-after-served",
@@ -72,49 +73,50 @@
     }
 }
 
-/// What a server said of the key in its response.
+/// Cache status of the key that a server reports in its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum CacheStatus {
-    /// Nothing.
+    /// The response has no cache status.
     #[default]
     None,
     /// The value was cached.
     Hit,
-    /// It was not.
+    /// The value was not cached.
     Miss,
-    /// It was not, and another request is fetching it.
+    /// The value was not cached, and another request is fetching it.
     MissBeingFetched,
 }
 
-/// A load report: figures in the order of
+/// Load metrics of a server, in the order of
 /// [`Deployment::load_metric_names`](crate::settings::Deployment::load_metric_names).
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// How many of `values` are present.
+    /// Number of elements of `values` that are present, at most 4.
     pub count: u8,
-    /// The figures.
+    /// Metric values; their units depend on the deployment.
     pub values: [f32; 4],
 }
 
-/// The end of one attempt.
+/// End of one attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt within its request, from 0, in the order of sending.
     pub attempt: u16,
-    /// Where it had been sent.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Status with which the attempt ended.
     pub status: AttemptStatus,
-    /// Whether the request has its final answer (by this outcome or before).
+    /// Whether the request has its final answer, through this outcome or earlier.
     pub request_finished: bool,
-    /// What the server said of the key.
+    /// Cache status of the key in the response.
     pub cache_status: CacheStatus,
-    /// Time from sending to this end.
+    /// Time from sending the attempt to its end, in microseconds.
     pub elapsed: Micros,
-    /// Load report of the server, if the response carried one.
+    /// Load report of the server; empty if the response carried none.
     pub load: LoadReport,
-    /// Whether it was the first request on its connection, whose response time includes a handshake.
+    /// Whether the attempt was the first request on its connection, so that its response time includes the
+    /// handshake.
     pub first_on_connection: bool,
 }
--- a/crates/stonevane-policy/src/outlier.rs
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -1,26 +1,26 @@
-//! Outlier detection: a server whose failures outnumber its answers by a few is ejected for a while.
+//! Outlier detection: ejects a server whose failures outnumber its responses by [`EJECTION_FAILURE_COUNT`],
+//! for a limited time.
 //!
 //! Inputs: the outcomes of attempts at one server, the longest latency objective (microseconds). An ejected
-//! server is still chosen where nothing better is left; the first attempt after its ejection time is a trial:
-//! an answer admits it again, a failure ejects it for twice as long.
+//! server is still chosen if no better one is left. The first attempt after the ejection time is a trial: a
+//! response readmits the server, a failure ejects it for twice as long.
 
 use crate::ids::Micros;
 
-/// Failure count from which a server is ejected: each failure adds one, each answer takes one off.
+/// Failure count from which a server is ejected. Each failure adds one, each response subtracts one.
 const EJECTION_FAILURE_COUNT: u32 = 3;
-/// A server with a lower failure count is taken for sound when a connection breaks or a response is
-/// malformed.
+/// Failure count below which a broken connection or a malformed response is not attributed to the server.
 const ISOLATED_FAILURES: u32 = 2;
-/// The first ejection time, as a multiple of the longest latency objective.
+/// Shortest ejection time, as a multiple of the longest latency objective.
 const MIN_EJECTION_OBJECTIVES: u64 = 1;
-/// The longest ejection time, as a multiple of the longest latency objective.
+/// Longest ejection time, as a multiple of the longest latency objective.
 const MAX_EJECTION_OBJECTIVES: u64 = 8;
 
-/// What outlier detection knows of one server.
+/// Outlier state of one server.
 #[derive(Default)]
 pub struct OutlierRecord {
     failure_count: u32,
-    /// Whether the last failure was one to connect.
+    /// Whether the last failure was a failure to connect.
     connect_failed: bool,
     ejection: Option<Ejection>,
 }
@@ -31,15 +31,15 @@
     duration: Micros,
 }
 
-/// An ejected server has answered.
+/// Result of the response that readmits an ejected server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Readmission {
-    /// It had refused connections before: its process is a new one.
+    /// Whether the server had refused connections before, so that its process is a new one.
     pub restarted: bool,
 }
 
 impl OutlierRecord {
-    /// Counts a failure, and returns whether the server is ejected for it.
+    /// Counts a failure and returns whether it ejects the server.
     pub fn record_failure(&mut self, now: Micros, longest_objective: Micros) -> bool {
         self.failure_count += 1;
         let ejected = match self.ejection {
@@ -57,36 +57,38 @@
         ejected
     }
 
-    /// Notes whether the latest failure was one to connect: a process that is gone accepts no connections,
-    /// while connections to a sound one break for many reasons.
+    /// Records whether the latest failure was a failure to connect. A stopped process accepts no connections,
+    /// whereas connections to a running one break for many reasons.
     pub fn note_connect_failed(&mut self, connect_failed: bool) {
         self.connect_failed = connect_failed;
     }
 
-    /// Counts an answer; it admits an ejected server again.
+    /// Counts a response, which readmits an ejected server.
     pub fn record_answer(&mut self) -> Option<Readmission> {
         self.failure_count = self.failure_count.saturating_sub(1);
         self.ejection.take()?;
         Some(Readmission { restarted: std::mem::take(&mut self.connect_failed) })
     }
 
-    /// Forgets failures of a process that has been replaced.
+    /// Clears the failures of a process that has been replaced.
     pub fn clear_failures(&mut self) {
         self.failure_count = 0;
         self.ejection = None;
     }
 
-    /// Whether the server is ejected, or on trial after it.
+    /// Returns whether the server is ejected, or on trial after an ejection.
     pub fn is_ejected(&self) -> bool {
         self.ejection.is_some()
     }
 
-    /// Whether other servers are to be preferred: during the ejection, and while a trial is in flight.
+    /// Returns whether balancing must prefer other servers: during the ejection, and afterwards while a trial
+    /// is in flight.
     pub fn ranks_last(&self, now: Micros, in_flight: u32) -> bool {
         self.ejection.is_some_and(|ejection| now < ejection.until || in_flight > 0)
     }
 
-    /// Whether its failures are too few to say much of the server.
+    /// Returns whether the server has too few failures for a broken connection or a malformed response to
+    /// count against it.
     pub fn failures_are_isolated(&self) -> bool {
         self.failure_count < ISOLATED_FAILURES && self.ejection.is_none()
     }
--- a/crates/stonevane-policy/src/pending_request.rs
+++ b/crates/stonevane-policy/src/pending_request.rs
@@ -1,40 +1,41 @@
-//! Requests that wait for their final answer.
+//! Pending requests: requests without a final answer, and the account of their attempts.
 
 use crate::ids::{Key, Micros, ServerId};
 use crate::settings::{RequestClass, Settings};
 
-/// A request that waits for its final answer.
+/// A request without a final answer.
 #[derive(Default)]
 pub struct PendingRequest {
-    /// Its class as it was when it arrived.
+    /// Class of the request, as the settings defined it on arrival.
     pub class: RequestClass,
-    /// The attempts it may make, as the settings were when it arrived.
+    /// Limit on attempts, as the settings defined it on arrival.
     pub max_attempts: u32,
     pub key: Key,
-    /// Whether its key was requested among the latest requests here.
+    /// Whether the key was popular at this node before this request.
     pub popular: bool,
-    /// For how long its key was not requested here.
+    /// Time since the key was last requested at this node, in microseconds; a lower bound if the history does
+    /// not reach back to that request.
     pub unseen_for: Micros,
     pub write: bool,
     /// Whether a cache server has answered with a miss.
     pub missed: bool,
-    /// The tenant whose quota it was charged to.
+    /// Position of the tenant whose quota was charged; `None` if none was.
     pub charged_tenant: Option<usize>,
-    /// The least Retry-After of its rejection.
+    /// Lower bound of the Retry-After hint if the request is rejected, in microseconds.
     pub min_retry_after: Micros,
-    /// When its latency objective is over.
+    /// End of the latency objective, less a margin.
     pub objective_at: Micros,
-    /// When its client gives up, less a margin.
+    /// Time at which the client gives up, less a margin.
     pub deadline: Micros,
-    /// Attempts sent so far.
+    /// Number of attempts sent.
     pub attempts: u16,
-    /// Attempts without outcome.
+    /// Number of attempts without an outcome.
     pub in_flight: u16,
-    /// Attempts that run or may have run, oldest first.
+    /// Attempts that are running or may have run, oldest first.
     pub may_have_run: Vec<PossibleRun>,
-    /// Cache servers not to be tried again.
+    /// Cache servers that must not be tried again.
     pub tried: Vec<ServerId>,
-    /// Number of its present backoff; a retry timer of an older one is stale.
+    /// Number of the current backoff; retry timers with a lower number are stale.
     pub backoff: u32,
 }
 
@@ -46,12 +47,13 @@
 }
 
 impl PendingRequest {
-    /// Until when an answer still earns something.
+    /// Returns the time until which an answer still earns something: the deadline if the class has a
+    /// `late_weight` above 0, else the end of the latency objective.
     pub fn useful_until(&self) -> Micros {
         if self.class.late_weight > 0.0 { self.deadline } else { self.objective_at.min(self.deadline) }
     }
 
-    /// Counts an attempt that is sent, and returns its number.
+    /// Counts an attempt that is being sent and returns its number.
     pub fn record_attempt(&mut self, server: ServerId, now: Micros) -> u16 {
         let attempt = self.attempts;
         self.attempts += 1;
@@ -60,7 +62,7 @@
         attempt
     }
 
-    /// Counts the end of an attempt.
+    /// Counts the end of an attempt. One that did not run no longer restricts retries.
     pub fn record_end(&mut self, attempt: u16, proves_not_run: bool) {
         self.in_flight -= 1;
         if proves_not_run {
@@ -68,7 +70,8 @@
         }
     }
 
-    /// Whether it has made all attempts that it may: no more than when it arrived, nor than now.
+    /// Returns whether the request has made all its allowed attempts. The limit is the lower of the one on
+    /// arrival and the current one.
     pub fn attempts_exhausted(&self, settings: &Settings) -> bool {
         u32::from(self.attempts) >= self.max_attempts.min(settings.max_attempts)
     }
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -1,5 +1,5 @@
-//! Sending attempts, and what happens to one that is slow: a hedged request, a new attempt for a lost
-//! response, a failure counted against its server.
+//! Sending of attempts and handling of slow ones: hedged requests, repeated attempts for lost responses, and
+//! failures counted against the server.
 
 use super::Policy;
 use crate::action::{Action, Reason};
@@ -11,11 +11,13 @@
 use crate::retry::{self, LOST_RESPONSE_MULTIPLE};
 use crate::timers::Timer;
 
-/// An attempt without response for this part of its latency objective is slow, for twice this nearly late.
+/// Fraction of the latency objective after which an attempt without a response is slow. After twice this
+/// fraction it is nearly late.
 const SLOW_ATTEMPT: f64 = 0.4;
 
 impl Policy {
-    /// The one place that sends. Returns whether the rules allow the attempt.
+    /// Sends an attempt if the rules allow it, and returns whether it was sent. Every attempt of the policy
+    /// is sent here.
     pub(super) fn send(
         &mut self,
         id: RequestId,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// An attempt has had no response for long.
+    /// Handles the timer of an attempt that is slow, nearly late or late.
     pub(super) fn on_attempt_slow(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(&attempt) = self.attempts.get(&id) else { return };
         let lost = retry::response_is_lost(&attempt, self.servers.get(attempt.server), self.now);
@@ -82,11 +84,12 @@
             return;
         }
         let age = attempt.age(self.now);
-        // Timers fire after 0.4, 0.8 and 1.2 latency objectives; the third counts a failure.
+        // Timers fire after 0.4, 0.8 and 1.2 latency objectives; the third one counts a failure.
         let next_timeout = attempt.slow_after + 1;
         let just_slow = age < next_timeout * 3 / 2;
         let late = age >= attempt.latency_objective;
-        // Half a sign when it becomes slow, and is counted, and half when nearly late: slow is not yet lost.
+        // A slow attempt is counted with half of the overload signal when it becomes slow and half when it is
+        // nearly late, because a slow response is not yet a lost one.
         self.admission.record_overload(
             if late || lost { 0.0 } else { SIGN_OF_SLOWNESS },
             if just_slow { 1.0 } else { 0.0 },
@@ -97,13 +100,14 @@
         if !late {
             return self.set_timer(next_timeout, Timer::AttemptSlow(id));
         }
-        // One failure for one attempt: a single slow request is no sign of a faulty server.
+        // A server that has responded since the attempt was sent gets no failure: a single slow request does
+        // not indicate a faulty server.
         if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
             self.record_failure(attempt.server, actions);
         }
     }
 
-    /// Counts a failure against a server.
+    /// Counts a failure against a server and logs the ejection that it causes.
     pub(super) fn record_failure(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(id) else { return };
         if server.outlier.record_failure(self.now, self.latency.longest) {
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Resends a request whose response is lost, to the same server, within the retry budget and the origin's
-    /// limits: otherwise it would wait until its deadline.
+    /// Sends a request whose response is lost to the same server again, within the retry budget and the
+    /// origin limits. Without this the request would wait until its deadline.
     fn resend_lost(&mut self, id: RequestId, lost: &Attempt, actions: &mut Vec<Action>) {
         let is_only_attempt = self.requests.get(&id).is_some_and(|pending| pending.in_flight == 1);
         let kind = retry::resend_kind(lost.kind);
@@ -125,13 +129,14 @@
         }
     }
 
-    /// Sends a slow read to the next server too, if the hedging rule allows it.
+    /// Sends a slow read to the next server as well, if the hedging rule allows it.
     fn hedge(&mut self, id: RequestId, slow_server: ServerId, actions: &mut Vec<Action>) {
         let is_well_known = self
             .servers
             .get(slow_server)
             .is_some_and(|server| hedging::is_well_known(server, self.now, self.latency.longest));
-        // Under the start-up limit slowness shows the load of the start, not a slow server.
+        // While the start-up limit is reached, slowness results from the load of the start and not from a
+        // slow server.
         let allowed = self.startup_allows_attempt() && !is_well_known;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if !allowed || !hedging::may_hedge(pending, &self.retry_budget, &self.settings) {
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -1,12 +1,12 @@
-//! The policy of one node: dispatches events and timers to the parts that decide.
+//! Policy of one node: dispatches events and timers to the rules.
 //!
-//! Ordinary path: a read goes to the first server in its key's order that is within the load bound; after a
-//! miss the value is fetched from the origin, and a write goes straight there, through the limits of the
-//! origin; a call that they block is retried after a random backoff. All else is a departure from it for a
-//! fault that the code names.
+//! On the regular path a read goes to the first server in its key's order that is within the load bound.
+//! After a miss the value is fetched from the origin; a write goes to the origin directly. Both pass the
+//! origin limits, and a call that they block is retried after a random backoff. Every deviation from this
+//! path handles a fault that the code names.
 //!
-//! Each rule has a module of its own beside this one, which owns its state. The modules below carry requests
-//! and attempts through the rules.
+//! Each rule has a module of its own beside this one, which owns the rule's state. The submodules carry
+//! requests and attempts through the rules.
 
 mod attempts;
 mod origin_calls;
@@ -39,16 +39,16 @@
 use crate::startup::{StartupInputs, StartupLimit};
 use crate::timers::{Timer, TimerQueue};
 
-/// Latency objective where no class has one.
+/// Latency objective in microseconds if the settings have no class.
 const DEFAULT_OBJECTIVE: Micros = 1_000_000;
-/// The least part of the node's quota that a process has.
+/// Smallest fraction of the node's quota that a process has.
 const MIN_PROCESS_SHARE: f64 = 0.05;
-/// Reviews in the longest latency objective.
+/// Number of reviews during the longest latency objective.
 const REVIEWS_PER_OBJECTIVE: Micros = 8;
-/// The least time between two reviews, however short an objective is.
+/// Shortest time between two reviews, in microseconds, for short latency objectives.
 const MIN_REVIEW_PERIOD: Micros = 5_000;
 
-/// The policy of one node: its settings, what it has learned, and the requests that wait for an answer.
+/// Policy of one node: its settings, the learned state of servers, and the pending requests.
 pub struct Policy {
     settings: Settings,
     random: Random,
@@ -65,21 +65,21 @@
     retry_budget: RetryBudget,
     startup: StartupLimit,
     discovery_backoff: DiscoveryBackoff,
-    /// This process's part of the node's quota.
+    /// Fraction of the node's quota that belongs to this process.
     process_share: f64,
     shutting_down: bool,
-    /// Whether idle connections to servers are closed.
+    /// Whether the node closes idle connections to servers.
     closes_idle_connections: bool,
-    /// Makes draws by a request's number differ between nodes.
+    /// Makes draws that depend on a request's number differ between nodes.
     node_salt: u64,
 }
 
-/// Latency objectives over all classes.
+/// Latency objectives over all classes, in microseconds.
 #[derive(Clone, Copy)]
 struct LatencyObjectives {
-    /// The unit of most time spans of the rules; never 0.
+    /// Unit of most time spans in the rules; never 0.
     longest: Micros,
-    /// What the origin's answers are measured by.
+    /// Reference for slow responses of the origin.
     shortest: Micros,
 }
 
@@ -94,7 +94,8 @@
 }
 
 impl Policy {
-    /// The policy of a node that knows its settings and nothing else yet.
+    /// Creates the policy of a node that knows its settings and no servers. `seed` determines all random
+    /// draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut admission = Admission::new();
         admission.apply_settings(&settings, &[]);
@@ -128,7 +129,8 @@
         }
     }
 
-    /// Takes one event at a clock value and adds the actions that it calls for.
+    /// Handles one event at a clock value (microseconds, never decreasing), runs the timers that are due, and
+    /// appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
         self.startup.note_time(now);
@@ -145,7 +147,8 @@
             Event::ServerList { kind, servers } => self.on_server_list(kind, servers),
             Event::Request(request) => self.on_request(&request, actions),
             Event::Outcome(outcome) => self.on_outcome(&outcome, actions),
-            // A streamed response belongs to the client from here on: no answer is due, and no deadline runs.
+            // A streamed response belongs to the client from here on: no answer is pending, and no deadline
+            // applies.
             Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
                 self.requests.remove(&request);
             }
@@ -186,8 +189,8 @@
         })
     }
 
-    /// Takes new settings. `previous_positions`: where each tenant was in those before. What requests have
-    /// been charged goes with their tenants; all else that was learned stays.
+    /// Applies new settings. `previous_positions` holds the position of each tenant in the previous settings.
+    /// Charges of pending requests move with their tenants; all other learned state is kept.
     fn apply_settings(&mut self, settings: Settings, previous_positions: &[Option<usize>]) {
         self.latency = LatencyObjectives::of(&settings);
         self.admission.apply_settings(&settings, previous_positions);
@@ -200,7 +203,7 @@
         self.settings = settings;
     }
 
-    /// Answers all pending requests; new ones are rejected.
+    /// Answers all pending requests. New requests are rejected from now on.
     fn shut_down(&mut self, actions: &mut Vec<Action>) {
         self.shutting_down = true;
         let pending: Vec<RequestId> = self.requests.keys().copied().collect();
@@ -218,7 +221,8 @@
         self.set_timer(period, Timer::Review);
     }
 
-    /// How many of the cache servers that are listed are avoided now, excluded by an operator or ejected.
+    /// Returns the number of listed cache servers that balancing avoids at present, because an operator has
+    /// excluded them or because they are ejected.
     pub fn excluded_or_ejected_count(&self) -> usize {
         self.servers.avoided_count()
     }
@@ -227,12 +231,12 @@
         self.timers.set(self.now + after, timer);
     }
 
-    /// The inputs of the origin's limits.
+    /// Returns the inputs for the ceilings of the origin limits.
     fn origin_share(&self) -> OriginShare {
         OriginShare { request_rate: self.admission.request_rate(), process_share: self.process_share }
     }
 
-    /// The slow-start rule at this moment.
+    /// Returns the slow-start rule with its current inputs.
     fn slow_start(&self) -> SlowStart<'_> {
         SlowStart {
             settings: &self.settings,
@@ -245,7 +249,7 @@
         }
     }
 
-    /// The balancing rule at this moment.
+    /// Returns the balancing rule with its current inputs.
     fn balancing(&self) -> Balancing<'_> {
         Balancing {
             settings: &self.settings,
@@ -258,7 +262,7 @@
         }
     }
 
-    /// Whether the start-up limit allows one more attempt at a cache server.
+    /// Returns whether the start-up limit allows one more attempt at a cache server.
     fn startup_allows_attempt(&self) -> bool {
         self.startup.allows(&StartupInputs {
             settings: &self.settings,
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the origin: fetches after a miss, and writes.
+//! Calls to the origin: fetches after a cache miss, and writes.
 
 use super::Policy;
 use crate::action::{Action, Reason};
@@ -8,7 +8,7 @@
 use crate::timers::Timer;
 
 impl Policy {
-    /// Calls the origin for a request, joins a call in flight, or backs off where the limits are reached.
+    /// Calls the origin for a request, joins a fetch in flight, or backs off if a limit is reached.
     pub(super) fn call_origin(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let available = !self.origin_limits.is_unavailable(self.now);
@@ -21,10 +21,10 @@
         };
         let server = match self.settings.origin_kind {
             Some(_) => self.servers.origin(),
-            // Servers that fetch for themselves take writes too.
+            // Without an origin in the list, cache servers fetch for themselves and also take writes.
             None => self.choose_server(id),
         };
-        // Counted as limited: the origin may be listed again before the retry.
+        // Reported as limited, because the origin may be listed again before the retry.
         let Some(server) = server else { return self.back_off(id, actions) };
         let allowed = kind == CallKind::JoinedFetch || available && self.acquire_origin_call(kind);
         if !allowed {
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Whether the origin's limits allow one more call.
+    /// Returns whether the origin limits allow one more call.
     pub(super) fn acquire_origin_call(&mut self, kind: CallKind) -> bool {
         let share = self.origin_share();
         self.origin_limits.try_acquire(kind, self.now, share, self.latency.longest)
     }
 
-    /// Retries a blocked call after a random backoff, while its answer can still earn something. Behind an
-    /// unavailable origin none waits: the client is notified at once when to come back.
+    /// Retries a blocked call after a random backoff, if an answer at that time still earns something. While
+    /// the origin is unavailable no request waits: the client gets a Retry-After hint at once.
     pub(super) fn back_off(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let delay = backoff(pending.class.latency_objective, &mut self.random);
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -1,4 +1,5 @@
-//! The end of an attempt: what is learned of its server, and what becomes of its request.
+//! Handling of attempt outcomes: updates the state of the server or of the origin limits, then completes or
+//! retries the request.
 
 use super::{Policy, log};
 use crate::action::{Action, Reason};
@@ -10,7 +11,7 @@
 use crate::retry;
 
 impl Policy {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = AttemptId { request: outcome.request, number: outcome.attempt };
         let Some(attempt) = self.attempts.remove(&id) else { return };
@@ -23,10 +24,10 @@
         self.continue_request(&attempt, outcome, actions);
     }
 
-    /// Takes an ended attempt into the account of its request.
+    /// Updates the request's account of attempts after an outcome.
     fn settle_attempt(&mut self, attempt: &Attempt, outcome: &Outcome) {
-        // A broken connection or a malformed response says little of a sound server, which still caches the
-        // key; the next in the order would have to fetch it.
+        // A single broken connection or malformed response says little about a working server. That server
+        // still caches the key, whereas the next one in the key's order would have to fetch it.
         let is_isolated = matches!(outcome.status, AttemptStatus::Malformed | AttemptStatus::Reset)
             && self.servers.get(attempt.server).is_some_and(|server| server.outlier.failures_are_isolated());
         let Some(pending) = self.requests.get_mut(&outcome.request) else { return };
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Ends a request that is answered, and retries one that is not.
+    /// Ends a request that has its answer, and retries one that has not.
     fn continue_request(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&outcome.request) else { return };
         if outcome.request_finished || outcome.status == AttemptStatus::Served {
@@ -58,10 +59,11 @@
         self.retry(outcome, actions);
     }
 
-    /// Takes a retry from the budget, where it may add work for the servers.
+    /// Charges a retry to the retry budget if it may add work for the servers. Returns the reason if the
+    /// retry is not allowed.
     fn pay_for_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
         let Some(pending) = self.requests.get(&outcome.request) else { return Ok(()) };
-        // Where each attempt opens a connection, a rejected one has cost the server work all the same.
+        // If each attempt opens a connection, a rejected attempt has cost the server work as well.
         let is_costly = self.closes_idle_connections
             && attempt.kind == CallKind::CacheRead
             && outcome.status != AttemptStatus::Miss;
@@ -85,7 +87,7 @@
         }
     }
 
-    /// Takes an outcome into what is known of its server and of the load on all, or of the origin.
+    /// Updates the state of the server from an outcome, and with it the overload signal or the origin limits.
     fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
@@ -101,7 +103,8 @@
         }
     }
 
-    /// A late attempt was counted when it became slow: waiting for its end would lag behind the overload.
+    /// Counts a timely attempt in the overload signal. A slow one was counted when it became slow, since
+    /// waiting for its end would delay the reaction to overload.
     fn learn_overload(&mut self, attempt: &Attempt, status: AttemptStatus) {
         if attempt.is_timely(self.now) {
             let signs = if status == AttemptStatus::Rejected { SIGN_OF_OVERLOAD } else { 0.0 };
@@ -112,7 +115,8 @@
     fn learn_cache_server(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         match status {
-            // A server that fails each request at once looks idle and would draw ever more of them.
+            // A server that fails every request at once has few attempts in flight and would attract more of
+            // them.
             AttemptStatus::ConnectFailed
             | AttemptStatus::Reset
             | AttemptStatus::Error
@@ -133,7 +137,7 @@
         let service_time = attempt.age(self.now) as f64 / (1.0 + server.requests_per_core());
         server.count_answer(self.now, attempt.latency_objective);
         if let Some(readmission) = server.outlier.record_answer() {
-            // A server that had refused connections and answers is a new process, which the list may show
+            // A server that refused connections and responds now is a new process, which the list may show
             // late.
             if readmission.restarted {
                 server.presume_restarted(self.now);
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: arrival, its next attempt, its final answer.
+//! Life cycle of a request: arrival, choice of the next attempt, final answer.
 
 use super::Policy;
 use crate::action::{Action, Reason};
@@ -14,11 +14,12 @@
 use crate::startup;
 use crate::timers::Timer;
 
-/// Ticks before its deadline at which a request ends, so that the answer is in time when a call comes late.
+/// Number of ticks before its deadline at which a request ends, so that the answer is in time if the node
+/// calls the policy late.
 const DEADLINE_MARGIN_TICKS: u64 = 2;
 
 impl Policy {
-    /// A request has arrived.
+    /// Handles the arrival of a request: admits or rejects it, then makes its first attempt.
     pub(super) fn on_request(&mut self, request: &Request, actions: &mut Vec<Action>) {
         let mut pending = self.pending_request(request);
         self.retry_budget.record_request();
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Why a request that has just arrived is rejected, if it is.
+    /// Returns the reason for which a new request is rejected, if there is one.
     fn rejection_on_arrival(&mut self, pending: &mut PendingRequest, tenant: usize) -> Option<Reason> {
         match self.admission.admit(tenant, self.now, self.latency.longest, &self.settings) {
             Admittance::OverQuota => return Some(Reason::OverQuota),
@@ -64,7 +65,7 @@
         self.shutting_down.then_some(Reason::ShuttingDown)
     }
 
-    /// Chooses and makes the next call of a request that has none in flight.
+    /// Chooses and makes the next attempt of a request that has none in flight.
     pub(super) fn next_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if self.now >= pending.useful_until() {
@@ -95,12 +96,12 @@
         self.finish(id, Reason::StartupLimit, actions);
     }
 
-    /// The cache server that a request goes to next.
+    /// Returns the cache server for the next attempt of a request.
     pub(super) fn choose_server(&self, id: RequestId) -> Option<ServerId> {
         let pending = self.requests.get(&id)?;
         let slow_start = SlowStartRead {
             request: id,
-            // A request without a key may go anywhere.
+            // A request without a key may go to any server, so its own number determines the order.
             key: if pending.key == 0 { id } else { pending.key },
             popular: pending.popular,
             unseen_for: pending.unseen_for,
@@ -109,9 +110,9 @@
         self.balancing().choose(&ReadCandidate { request: id, slow_start, tried: &pending.tried, time_left })
     }
 
-    /// The deadline of a request has come, or the end of its latency objective, where a late answer earns
-    /// nothing: an attempt at a cache server then only takes capacity from requests that can still be in
-    /// time. A call to the origin runs on, and its answer fills the cache.
+    /// Handles the deadline of a request, or the end of its latency objective if a late answer earns nothing.
+    /// In the latter case an attempt at a cache server only takes capacity from requests that can still be in
+    /// time, so the request ends. A call to the origin continues, because its response fills the cache.
     pub(super) fn on_deadline(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let calls_origin = |number| {
@@ -123,7 +124,8 @@
         }
     }
 
-    /// The policy's one place for a final answer: a rejection where a retry is harmless, else a failure.
+    /// Gives a request its final answer: a rejection if a retry by the client is safe, else a failure. Every
+    /// final answer of the policy is given here.
     pub(super) fn finish(&mut self, id: RequestId, reason: Reason, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         actions.push(Action::Explain { request: id, reason });
@@ -137,8 +139,8 @@
                 true => self.origin_limits.unavailable_for(self.now),
                 false => 0,
             };
-            // No longer than a blocked call waits, or clients retry too late and displace others; but not
-            // before an unavailable origin may be called again.
+            // The hint is no longer than the backoff of a blocked call, otherwise clients retry too late and
+            // displace other requests. It does not end before an unavailable origin may be called again.
             let delay = backoff(pending.class.latency_objective, &mut self.random);
             let retry_after = unavailable_for + delay.max(pending.min_retry_after);
             let retry_after = retry_after.min(self.settings.max_retry_after);
@@ -150,7 +152,7 @@
         self.requests.remove(&id);
     }
 
-    /// Cancels the attempts of a request that is answered: they would only delay others.
+    /// Cancels the attempts of a request that has its answer: they would only delay other requests.
     pub(super) fn cancel_attempts(&self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if pending.in_flight == 0 || !self.settings.may_cancel {
--- a/crates/stonevane-policy/src/policy/server_list.rs
+++ b/crates/stonevane-policy/src/policy/server_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, discovery and operators' exclusions.
+//! Endpoint list, failed calls to discovery, and exclusions by operators.
 
 use super::Policy;
 use crate::action::Action;
@@ -8,7 +8,7 @@
 use crate::timers::Timer;
 
 impl Policy {
-    /// A list or a change of it has arrived.
+    /// Applies a full list or a change of it.
     pub(super) fn on_server_list(&mut self, kind: ListUpdate, entries: Vec<ServerEntry>) {
         if kind != ListUpdate::Cached {
             self.discovery_backoff.reset();
@@ -17,8 +17,8 @@
         self.servers.update(whole, entries, &self.settings, self.now);
     }
 
-    /// Discovery has been silent for too long. A subscription that was established is no sign that discovery
-    /// is overloaded: its backoff starts anew.
+    /// Handles a silence of discovery that exceeded its limit. The loss of an established subscription does
+    /// not indicate that discovery is overloaded, so the backoff starts again from its first step.
     pub(super) fn on_discovery_timed_out(
         &mut self,
         silent_for: Micros,
@@ -31,7 +31,8 @@
         self.on_discovery_failed(silent_for, actions);
     }
 
-    /// A call to discovery has failed, behind a silence: it is made again after a backoff.
+    /// Schedules the next call to discovery after a backoff. `silent_for` is the time in microseconds since
+    /// discovery's last message.
     pub(super) fn on_discovery_failed(&mut self, silent_for: Micros, actions: &mut Vec<Action>) {
         let staleness_limit = self.settings.list_staleness_limit;
         let delay = self.discovery_backoff.next_delay(silent_for, staleness_limit, &mut self.random);
@@ -39,7 +40,7 @@
         actions.push(LogMessage::DiscoveryFailed.into());
     }
 
-    /// An operator excludes a server or reinstates it.
+    /// Excludes a server on behalf of an operator, or reinstates it.
     pub(super) fn on_exclude(&mut self, server: ServerId, excluded: bool, actions: &mut Vec<Action>) {
         let changed = self.servers.set_excluded(server, excluded, &self.settings, self.now);
         if changed && excluded {
--- a/crates/stonevane-policy/src/random.rs
+++ b/crates/stonevane-policy/src/random.rs
@@ -1,17 +1,17 @@
-//! Random numbers that depend on the seed alone, so that a run can be repeated.
+//! Random numbers that depend only on the seed, so that runs are reproducible.
 
 use oorandom::Rand64;
 
-/// A source of random numbers.
+/// A seeded random number generator.
 pub struct Random(Rand64);
 
 impl Random {
-    /// A source with a seed.
+    /// Creates a generator with a seed.
     pub fn new(seed: u64) -> Self {
         Random(Rand64::new(seed.into()))
     }
 
-    /// A number from 0 to below 1.
+    /// Returns a random number in the range from 0 (inclusive) to 1 (exclusive).
     pub fn unit(&mut self) -> f64 {
         self.0.rand_float()
     }
--- a/crates/stonevane-policy/src/retry.rs
+++ b/crates/stonevane-policy/src/retry.rs
@@ -1,8 +1,9 @@
-//! Retries: what may be resent, and the budget for it.
+//! Retries: decides whether a request may be sent again after an outcome, where and until when, and what it
+//! costs of the retry budget.
 //!
-//! Inputs: the idempotency of the request, what became of its attempts, the tick and the time of sending
-//! (microseconds). Resending what may still run adds work just when the servers are slow, so that retries and
-//! hedged requests share one budget, a small part of the requests.
+//! Inputs: the idempotency of the request, the outcomes of its attempts, the tick and the send times
+//! (microseconds). Sending again what may still be running adds work just when the servers are slow, so
+//! retries and hedged requests share one budget, a small fraction of the requests.
 
 use crate::attempt::{Attempt, CallKind};
 use crate::ids::Micros;
@@ -14,50 +15,50 @@
 
 /// Tokens that each request adds to the budget.
 const TOKENS_PER_REQUEST: f64 = 0.05;
-/// Tokens at the start of a process: many may start together.
+/// Tokens at the start of a process; few, because many processes may start together.
 const INITIAL_TOKENS: f64 = 1.0;
-/// Tokens that the budget holds.
+/// Capacity of the budget, in tokens.
 const MAX_TOKENS: f64 = 5.0;
-/// Tokens of a resent or hedged attempt.
+/// Tokens for a hedged request or for a retry of an attempt that may still be running.
 const ATTEMPT_COST: f64 = 1.0;
-/// Tokens of a retry after an error that came in time: the server is done with the request.
+/// Tokens for a retry after a timely error. It costs less because the server no longer works on the request.
 const TIMELY_ERROR_COST: f64 = 0.2;
-/// A response is lost that takes this multiple of its server's response time, while later attempts were
-/// answered.
+/// Multiple of the server's response time after which a response counts as lost, if later attempts were
+/// served.
 pub const LOST_RESPONSE_MULTIPLE: f64 = 6.0;
-/// A duplicate is sent no later than this part of the deduplication window before its end: the last byte must
-/// arrive within it, on a new connection perhaps.
+/// Part of the deduplication window (the window divided by this) that a duplicate must leave, because its
+/// last byte must arrive within the window, possibly on a new connection.
 const WINDOW_MARGIN_DIVISOR: Micros = 8;
-/// Ticks by which it is sent earlier still: the node may send late.
+/// Ticks that a duplicate must leave in addition, because the node may send late.
 const WINDOW_MARGIN_TICKS: Micros = 2;
 
-/// The budget of retries and hedged requests of one node.
+/// Budget of one node for retries and hedged requests, in tokens.
 pub struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// The budget of a process that starts.
+    /// Creates the budget of a process that starts.
     pub fn new() -> Self {
         RetryBudget { tokens: INITIAL_TOKENS }
     }
 
-    /// A request has arrived.
+    /// Adds the tokens for a request that has arrived.
     pub fn record_request(&mut self) {
         self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether an attempt may be sent beside one that may still run.
+    /// Returns whether the budget allows an attempt in addition to one that may still be running.
     pub fn allows_attempt(&self) -> bool {
         self.tokens >= ATTEMPT_COST
     }
 
-    /// Pays for an attempt that was sent beside one that may still run.
+    /// Charges an attempt that was sent in addition to one that may still be running.
     pub fn spend_attempt(&mut self) {
         self.tokens -= ATTEMPT_COST;
     }
 
-    /// Pays for a retry, if the budget allows it.
+    /// Charges `cost` tokens if the budget has them, and returns whether it did.
     pub fn try_spend(&mut self, cost: f64) -> bool {
         let allowed = self.tokens >= cost;
         if allowed {
@@ -67,20 +68,20 @@
     }
 }
 
-/// What a retry after an outcome costs of the budget.
+/// Returns the tokens that a retry after this outcome costs.
 pub fn retry_cost(status: AttemptStatus, attempt: &Attempt, now: Micros) -> f64 {
     match status {
-        // No signs of overload, and on a day with many the budget would run out; each request has few
+        // These are no signs of overload, and many of them would exhaust the budget. Each request has few
         // attempts anyway.
         AttemptStatus::Malformed | AttemptStatus::Reset => 0.0,
-        // A few servers may fail half of their requests while each node meets them too seldom to eject them.
+        // A few servers may fail half of their requests while each node sends them too few to eject them.
         AttemptStatus::Error if attempt.is_timely(now) => TIMELY_ERROR_COST,
         _ => ATTEMPT_COST,
     }
 }
 
-/// Whether a request that may have run may be resent after an outcome. Where, and until when, is decided on
-/// sending.
+/// Returns whether a request that may have run may be sent again after this outcome. [`may_send`] decides
+/// where and until when.
 pub fn is_retryable(idempotency: Idempotency, status: AttemptStatus) -> bool {
     match idempotency {
         Idempotency::Idempotent => true,
@@ -91,8 +92,9 @@
     }
 }
 
-/// Whether a request may be sent to a server: no effect may happen twice. What may have run is sent only
-/// where, and while, duplicates are dropped.
+/// Returns whether a request may be sent to a server without the risk of a second effect. A request that may
+/// have run and has an idempotency key is sent only to servers that drop its duplicates, and only within
+/// their deduplication window.
 pub fn may_send(
     request: &PendingRequest,
     server: &Server,
@@ -113,8 +115,8 @@
     }
 }
 
-/// Whether the response to an attempt will not come, though its server is sound: its connection has fallen
-/// silent.
+/// Returns whether the response to an attempt will not arrive although its server works, because the
+/// connection has stopped delivering: the attempt is overdue, and the server has served a later one.
 pub fn response_is_lost(attempt: &Attempt, server: Option<&Server>, now: Micros) -> bool {
     server.is_some_and(|server| {
         let response_time = server.response_time.value();
@@ -123,7 +125,8 @@
     })
 }
 
-/// The kind of call by which a lost response is requested again: one that joined another makes its own call.
+/// Returns the kind of call that requests a lost response again. A joined fetch makes an origin call of its
+/// own.
 pub fn resend_kind(kind: CallKind) -> CallKind {
     if kind == CallKind::JoinedFetch { CallKind::Fetch } else { kind }
 }
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -1,4 +1,5 @@
-//! One server: its line in the endpoint list and what this node has learned of it.
+//! State of one server: its entry in the endpoint list and what this node has learned from its attempts
+//! there.
 
 use crate::hash::{self, unit_hash};
 use crate::ids::Micros;
@@ -8,83 +9,85 @@
 use crate::statistics::MovingAverage;
 use crate::token_bucket::SpentTokens;
 
-/// Answers that a server is credited with before any were seen: an idle server may get a few attempts.
+/// Responses credited to a server in addition to the recent ones, so that an idle server may get a few
+/// attempts.
 pub const ANSWER_CREDIT: f64 = 2.0;
-/// The least weight that the number of requests per core is computed from.
+/// Smallest live weight used as a divisor.
 const MIN_LIVE_WEIGHT: f32 = 1e-3;
 
-/// A server of the list, and what this node has learned of it.
+/// A server of the list and its learned state.
 #[derive(Default)]
 pub struct Server {
     pub entry: ServerEntry,
     pub is_origin: bool,
-    /// An operator has excluded it.
+    /// Whether an operator has excluded the server.
     pub excluded: bool,
-    /// When an operator reinstated it, until an attempt is sent there; 0 otherwise.
+    /// Time at which an operator reinstated the server, until the next attempt is sent there; 0 otherwise.
     pub reinstated_at: Micros,
-    /// The highest weight seen; where weights fall with load, that of the idle server.
+    /// Highest weight seen. With live weights, which fall with load, it is the weight of the idle server.
     pub idle_weight: f32,
     pub in_flight: u32,
     pub last_answer_at: Micros,
-    /// When the latest of the attempts that it has answered was sent.
+    /// Send time of the latest attempt that the server has served.
     pub latest_answered_sent_at: Micros,
     pub response_time: MovingAverage,
-    /// Its answers, fading with the time since the last one.
+    /// Responses of the server, decayed to the time of the last one.
     pub answers: f64,
     pub outlier: OutlierRecord,
-    /// Attempts of its slow-start budget that are spent and not yet earned back.
+    /// Attempts of the slow-start budget that are spent and not yet earned back.
     pub slow_start_spent: SpentTokens,
 }
 
 impl Server {
-    /// Whether the list and the operators allow attempts there.
+    /// Returns whether the endpoint list and the operators allow attempts at the server.
     pub fn is_available(&self) -> bool {
         self.entry.condition == Condition::Ready && !self.excluded
     }
 
-    /// Counts an attempt that is sent there. `slow_start_spent`: what it leaves spent of the slow-start
-    /// budget.
+    /// Counts an attempt that is being sent. `slow_start_spent` is the spent slow-start budget after it.
     pub fn record_attempt(&mut self, slow_start_spent: SpentTokens) {
         self.in_flight += 1;
         self.slow_start_spent = slow_start_spent;
         self.reinstated_at = 0;
     }
 
-    /// Its recent answers: they fade over a time span.
+    /// Returns the number of recent responses, decayed exponentially with the time constant `span`
+    /// (microseconds).
     pub fn recent_answers(&self, now: Micros, span: Micros) -> f64 {
         self.answers * (-((now - self.last_answer_at) as f64) / span as f64).exp()
     }
 
-    /// Counts an answer.
+    /// Counts a response.
     pub fn count_answer(&mut self, now: Micros, span: Micros) {
         self.answers = 1.0 + self.recent_answers(now, span);
         self.last_answer_at = now;
     }
 
-    /// Requests per core that all nodes have there, as far as its live weight shows.
+    /// Returns the requests per core that all nodes together have at the server, derived from its live
+    /// weight.
     pub fn requests_per_core(&self) -> f64 {
         f64::from(self.idle_weight / self.entry.weight.max(MIN_LIVE_WEIGHT) - 1.0).max(0.0)
     }
 
-    /// Time until it has answered what this node has in flight there, at the rate of its recent answers
-    /// (Little's law).
+    /// Returns the time in microseconds until the server has answered this node's attempts in flight there,
+    /// at the rate of its recent responses (Little's law).
     pub fn backlog(&self, now: Micros, longest_objective: Micros) -> f64 {
         let answers = self.recent_answers(now, longest_objective) + ANSWER_CREDIT;
         f64::from(self.in_flight) * longest_objective as f64 / answers
     }
 
-    /// Nodes among which its capacity is divided.
+    /// Returns the number of nodes among which the server's capacity is divided.
     pub fn sharing_nodes(&self, settings: &Settings) -> u32 {
         if self.entry.sharing_nodes == 0 { settings.nodes } else { self.entry.sharing_nodes }
     }
 
-    /// This node's part of its capacity, as a multiple of an equal part of all nodes.
+    /// Returns this node's share of the server's capacity, as a multiple of an equal share among all nodes.
     pub fn node_share(&self, settings: &Settings) -> f64 {
         f64::from(settings.nodes.max(1)) / f64::from(self.sharing_nodes(settings).max(1))
     }
 
-    /// Whether the two servers drop duplicates of each other's requests. The origin is a group of its own:
-    /// cache servers do not know what it has seen.
+    /// Returns whether the two servers drop duplicates of each other's requests. The origin forms a group of
+    /// its own, because cache servers do not know which requests it has seen.
     pub fn shares_dedup_group(&self, other: &Server, scope: DedupScope) -> bool {
         match scope {
             _ if self.is_origin || other.is_origin => self.entry.id == other.entry.id,
@@ -94,11 +97,12 @@
         }
     }
 
-    /// Takes a new line of the list. A new process starts with a clean record.
+    /// Applies a new entry of the list. A restarted process starts without failures.
     pub fn update(&mut self, entry: &ServerEntry, settings: &Settings, now: Micros) {
         let restarted = entry.started > self.entry.started;
-        // Where the parts of a server are unequal, the sum of first attempts would overload a cold one: each
-        // node waits for its first until its own part is earned.
+        // With unequal shares, the first attempts of all nodes together would overload a server in slow
+        // start. Each node therefore starts at a random phase and waits until its own share has earned an
+        // attempt.
         if entry.sharing_nodes != 0 && (restarted || entry.sharing_nodes != self.entry.sharing_nodes) {
             let spent = unit_hash(u64::from(settings.node_index), entry.id, hash::purpose::SLOW_START_PHASE);
             self.slow_start_spent = SpentTokens::new(spent, now);
@@ -108,12 +112,13 @@
         }
         self.idle_weight =
             if settings.weights_are_live { self.idle_weight.max(entry.weight) } else { entry.weight };
-        // A server presumed restarted stays so until the list knows.
+        // A server presumed restarted keeps that start time until the list shows a later one.
         let started = if entry.started == 0 { 0 } else { entry.started.max(self.entry.started) };
         self.entry = ServerEntry { started, ..*entry };
     }
 
-    /// It is known to run a new process, which the list may show late: it starts cold.
+    /// Records that the server runs a new process, which the list may show late. The server is in slow start
+    /// from now on.
     pub fn presume_restarted(&mut self, now: Micros) {
         self.entry.started = self.entry.started.max(now);
     }
--- a/crates/stonevane-policy/src/server_entry.rs
+++ b/crates/stonevane-policy/src/server_entry.rs
@@ -1,26 +1,30 @@
-//! Lines of the endpoint list and how a list relates to the one before it.
+//! Entries of the endpoint list, and the relation of a list to the one in force.
 
 use crate::ids::{Micros, ServerId};
 
-/// One line of the endpoint list.
+/// Entry of one server in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// Identifier of the server.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone of the server, as a position in [`Deployment::zones`](crate::settings::Deployment::zones).
     pub zone: u8,
-    /// Its cell, a small group that shares which requests with an idempotency key it has seen.
+    /// Cell of the server: a small group of servers that share which requests with an idempotency key they
+    /// have seen.
     pub cell: u16,
-    /// Its machine kind.
+    /// Machine kind of the server, as a position in
+    /// [`Deployment::machine_types`](crate::settings::Deployment::machine_types).
     pub kind: u16,
-    /// Its weight.
+    /// Weight of the server; its meaning depends on
+    /// [`Settings::weights_are_sizes`](crate::Settings::weights_are_sizes) and
+    /// [`Settings::weights_are_live`](crate::Settings::weights_are_live).
     pub weight: f32,
-    /// When its process last started; 0 for long ago.
+    /// Time at which the server's process last started; 0 for long ago.
     pub started: Micros,
-    /// Whether it is ready, draining or gone.
+    /// Whether the server is ready, draining or gone.
     pub condition: Condition,
-    /// Number of nodes among which the capacity of this server is divided: for its slow start, for their
-    /// start-up limit and for the least load bound; 0: all nodes.
+    /// Number of nodes among which the server's capacity is divided, for slow start, the start-up limit and
+    /// the floor of the load bound; 0 for all nodes.
     pub sharing_nodes: u32,
 }
 
@@ -39,35 +43,35 @@
     }
 }
 
-/// What the list says of a server.
+/// Condition of a server according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Condition {
-    /// It serves requests.
+    /// The server serves requests.
     Ready,
-    /// It completes what it has; nothing new may be sent to it.
+    /// The server completes its requests; no new one may be sent to it.
     Draining,
-    /// It is gone.
+    /// The server has left the fleet.
     Gone,
 }
 
-/// How a endpoint list relates to the one in force.
+/// Relation of an endpoint list to the one in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// The whole list; a server not in it is gone.
+    /// The full list; a server without an entry is gone.
     Full,
-    /// The list cached from before a restart, whole but perhaps stale.
+    /// The full list as cached before a restart; it may be stale.
     Cached,
-    /// Only lines that changed.
+    /// Only the entries that changed.
     Delta,
-    /// A call to discovery failed or the subscription broke; the list in force stays.
+    /// A call to discovery failed or the subscription was lost; the list in force stays.
     Failed,
-    /// The same after a silence: the node counts as notified of changes before long, whether or not they
-    /// come.
+    /// As `Failed`, after a silence of discovery. The node will soon count as notified of changes, whether or
+    /// not they arrive.
     TimedOut {
-        /// How long it had lasted.
+        /// Duration of the silence, in microseconds.
         silent_for: Micros,
-        /// Whether the silence alone ended the subscription, which had brought a line before, be it an empty
-        /// one: discovery had processed the call.
+        /// Whether the silence alone ended a subscription on which a message (possibly an empty one) had
+        /// arrived before, so that discovery had processed the call.
         was_established: bool,
     },
 }
--- a/crates/stonevane-policy/src/server_pool.rs
+++ b/crates/stonevane-policy/src/server_pool.rs
@@ -1,4 +1,4 @@
-//! All servers that this node knows, and what is computed over them.
+//! All servers known to this node, with aggregates over them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,30 +10,29 @@
 use crate::settings::Settings;
 use crate::statistics::{FadingPeak, MovingAverage};
 
-/// The least total weight, where no server is ready.
+/// Smallest total weight, used if no server is ready.
 const MIN_TOTAL_WEIGHT: f64 = 0.01;
-/// In this time the weight that the ready servers once had loses half of its excess, microseconds.
+/// Half-life of the total weight's decaying maximum, in microseconds.
 const PEAK_WEIGHT_HALF_LIFE: f64 = 300e6;
 /// Weight of one sample in a server's response time and in the service time.
 const SERVER_SAMPLE_WEIGHT: f64 = 0.1;
 /// Weight of one sample in the response time of all cache servers.
 const FLEET_SAMPLE_WEIGHT: f64 = 0.02;
-/// The queue estimate of a request is this part of the listed queue at the least, this part and one at the
-/// most.
+/// Smallest random factor on the queue estimate of a request; the largest is this plus 1.
 const MIN_QUEUE_ESTIMATE: f64 = 0.5;
 
-/// A cache server that may be sent reads, in the dense table that balancing scans.
+/// A cache server that may get reads: an entry of the dense table that balancing scans.
 #[derive(Clone, Copy)]
 pub struct Candidate {
     pub id: ServerId,
     pub weight: f64,
 }
 
-/// All servers known, and what is computed over them.
+/// All known servers, with aggregates over them.
 #[derive(Default)]
 pub struct ServerPool {
     servers: BTreeMap<ServerId, Server>,
-    /// Servers that an operator has excluded, listed or not.
+    /// Servers that an operator has excluded, whether or not the list contains them.
     excluded: BTreeSet<ServerId>,
     candidates: Vec<Candidate>,
     origin: Option<ServerId>,
@@ -47,67 +46,67 @@
 }
 
 impl ServerPool {
-    /// A server, if it is known.
+    /// Returns a server, if it is known.
     pub fn get(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// The same, to change what is learned of it.
+    /// Returns a server for updates of its state, if it is known.
     pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
-    /// The cache servers that may be sent reads.
+    /// Returns the cache servers that may get reads.
     pub fn candidates(&self) -> &[Candidate] {
         &self.candidates
     }
 
-    /// The origin, where the list has one that is ready.
+    /// Returns the origin, if the list has one that is ready.
     pub fn origin(&self) -> Option<ServerId> {
         self.origin
     }
 
-    /// The cache servers that are ready, each counted by this node's part of it.
+    /// Returns the number of ready cache servers, each counted by this node's share of its capacity.
     pub fn cache_server_shares(&self) -> f64 {
         self.cache_server_shares
     }
 
-    /// Weight of all cache servers that are ready.
+    /// Returns the weight of all ready cache servers.
     pub fn total_weight(&self) -> f64 {
         self.total_weight
     }
 
-    /// The highest that it was, fading.
+    /// Returns the exponentially decaying maximum of the total weight.
     pub fn peak_weight(&self) -> f64 {
         self.peak_weight.value()
     }
 
-    /// Whether a server was reinstated that nothing has been sent to since.
+    /// Returns whether there is a reinstated server that has had no attempt since.
     pub fn awaits_reinstated(&self) -> bool {
         self.awaits_reinstated
     }
 
-    /// Attempts of this node at cache servers.
+    /// Returns the number of this node's attempts in flight at cache servers.
     pub fn cache_attempts(&self) -> u32 {
         self.cache_attempts
     }
 
-    /// An attempt at a cache server has been sent.
+    /// Counts an attempt at a cache server that is being sent.
     pub fn count_cache_attempt(&mut self) {
         self.cache_attempts += 1;
     }
 
-    /// An attempt at a cache server has ended.
+    /// Counts the end of an attempt at a cache server.
     pub fn end_cache_attempt(&mut self) {
         self.cache_attempts -= 1;
     }
 
-    /// Response time of the cache servers.
+    /// Returns the average response time of the cache servers, in microseconds.
     pub fn cache_response_time(&self) -> f64 {
         self.cache_response_time.value()
     }
 
-    /// Takes in the response time of an attempt that was served.
+    /// Records the response time of an attempt that was served.
     pub fn record_response_time(&mut self, id: ServerId, sent_at: Micros, now: Micros, from_cache: bool) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let took = (now - sent_at) as f64;
@@ -118,13 +117,14 @@
         }
     }
 
-    /// Takes in the time that a cache server took for one request, its queue taken out.
+    /// Records the time in microseconds that a cache server took for one request, without the queue.
     pub fn record_service_time(&mut self, sample: f64) {
         self.service_time.record(sample, SERVER_SAMPLE_WEIGHT);
     }
 
-    /// Wait at a server by the number of requests that all nodes have there. Each request draws its own
-    /// estimate: otherwise all nodes would reject, and be retried, in step.
+    /// Returns the estimated wait at a server in microseconds, from the number of requests that all nodes
+    /// have there. Each request gets a random estimate of its own: with the same one all nodes would reject
+    /// at the same moment, and their clients would retry at the same moment.
     pub fn queue_estimate(&self, request: RequestId, server: &Server) -> f64 {
         let wait = self.service_time.value() * server.requests_per_core();
         if wait > 0.0 {
@@ -134,7 +134,8 @@
         }
     }
 
-    /// Takes lines of the endpoint list; in a whole list, a server that is not in it is gone.
+    /// Applies entries of the endpoint list. With `whole` they are the full list, and a server without an
+    /// entry is gone.
     pub fn update(&mut self, whole: bool, entries: Vec<ServerEntry>, settings: &Settings, now: Micros) {
         if whole {
             for server in self.servers.values_mut() {
@@ -147,12 +148,12 @@
             server.excluded = self.excluded.contains(&entry.id);
             server.update(&entry, settings, now);
         }
-        // Here, not at each review: a walk over all servers is expensive.
+        // Servers are removed here and not at each review, because a pass over all servers is expensive.
         self.servers.retain(|_, server| server.entry.condition != Condition::Gone || server.in_flight > 0);
         self.recompute_weights(settings, now);
     }
 
-    /// New settings may say which servers are the origin, and how much a weight counts.
+    /// Applies new settings, which may change which servers are the origin and whether weights count.
     pub fn apply_settings(&mut self, settings: &Settings, now: Micros) {
         for server in self.servers.values_mut() {
             server.is_origin = settings.origin_kind == Some(server.entry.kind);
@@ -160,14 +161,14 @@
         self.recompute_weights(settings, now);
     }
 
-    /// An operator excludes a server or reinstates it, whatever lists say. Returns whether a known server has
-    /// changed.
+    /// Excludes a server or reinstates it, on behalf of an operator and regardless of the endpoint list.
+    /// Returns whether a known server has changed.
     pub fn set_excluded(&mut self, id: ServerId, excluded: bool, settings: &Settings, now: Micros) -> bool {
         let changed = if excluded { self.excluded.insert(id) } else { self.excluded.remove(&id) };
         let Some(server) = self.servers.get_mut(&id).filter(|_| changed) else { return false };
         server.excluded = excluded;
         if !excluded {
-            // It was excluded to be restarted: what was learned before is of another process.
+            // The server was excluded for a restart, so its outlier state belongs to another process.
             server.outlier = OutlierRecord::default();
             server.reinstated_at = now.max(1);
             server.presume_restarted(now);
@@ -176,7 +177,7 @@
         true
     }
 
-    /// How many of the cache servers that are listed are excluded by an operator or ejected.
+    /// Returns the number of listed cache servers that are excluded by an operator or ejected.
     pub fn avoided_count(&self) -> usize {
         let listed_caches = self
             .servers
@@ -185,7 +186,7 @@
         listed_caches.filter(|server| server.excluded || server.outlier.is_ejected()).count()
     }
 
-    /// Computes anew what depends on which servers are available.
+    /// Recomputes the aggregates that depend on which servers are available.
     fn recompute_weights(&mut self, settings: &Settings, now: Micros) {
         let available = self.servers.values().filter(|server| server.is_available());
         self.origin = available.clone().find(|server| server.is_origin).map(|server| server.entry.id);
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -1,4 +1,4 @@
-//! Typed settings of one node. [`read`] parses the settings text of a deployment.
+//! Typed settings of one node. [`read`] parses them from the settings text of a deployment.
 
 mod wire;
 
@@ -6,73 +6,77 @@
 
 use crate::ids::Micros;
 
-/// The settings of one node.
+/// Settings of one node. Durations are in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of nodes that share the servers.
+    /// Number of nodes that share the servers; at least 1.
     pub nodes: u32,
     /// Index of this node among them, from 0.
     pub node_index: u32,
-    /// The zone of this node.
+    /// Zone of this node, as a position in [`Deployment::zones`].
     pub zone: u8,
-    /// The classes of requests.
+    /// Request classes, in the order to which [`Request::class`](crate::Request::class) refers.
     pub classes: Vec<RequestClass>,
-    /// The tenants; empty where a deployment has none.
+    /// Tenants, in the order to which [`Request::tenant`](crate::Request::tenant) refers; empty if the
+    /// deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Whether the endpoint list must be requested (subscription or whole list) or comes by itself.
+    /// Whether the node must request the endpoint list (by subscription or as a full list); otherwise it
+    /// arrives unrequested.
     pub poll_discovery: bool,
-    /// Without a subscription, the node counts as notified of changes this long after they happened.
+    /// Time after a change at which a node without a subscription counts as notified of it.
     pub list_staleness_limit: Micros,
-    /// Machine kind of the origin in the endpoint list; `None` where cache servers fetch for themselves.
+    /// Machine kind of the origin in the endpoint list; `None` if cache servers fetch for themselves.
     pub origin_kind: Option<u16>,
-    /// Whether weights in the list are the sizes of the servers.
+    /// Whether weights in the list are the sizes of the servers; otherwise balancing weights are equal.
     pub weights_are_sizes: bool,
-    /// Whether weights in the list are size / (1 + requests per core).
+    /// Whether weights in the list are live: size / (1 + requests per core).
     pub weights_are_live: bool,
-    /// Attempts that one request may make.
+    /// Maximum number of attempts of one request; at least 1.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be in flight at once.
+    /// Whether two attempts of one request may be in flight at once, as hedging requires.
     pub may_duplicate: bool,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
     /// Whether health checks may be sent to servers.
     pub may_health_check: bool,
-    /// Whether nodes may send each other messages.
+    /// Whether nodes may send messages to each other.
     pub may_message_peers: bool,
     /// Whether concurrent fetches of a key share one call to the origin.
     pub coalesce_fetches: bool,
-    /// Attempts per cache server that all nodes together may have in flight when they start, before answers
-    /// allow more; 0: no limit.
+    /// Attempts per cache server that all nodes together may have in flight when they start, until timely
+    /// responses allow more; 0 for no limit.
     pub startup_attempts_per_server: f64,
-    /// Weight of all cache servers, where this node is notified of a subset only; 0: it is notified of all.
+    /// Weight of all cache servers if this node is notified of only a subset of them; 0 if it is notified of
+    /// all.
     pub total_cache_weight: f64,
-    /// Price of one node's open connections to all servers in a fleet of 100 nodes, as in the settings'
-    /// `prices`.
+    /// Price of one node's open connections to all servers in a fleet of 100 nodes, in the unit of the
+    /// settings text's `prices`.
     pub connection_price: f64,
-    /// Price of opening a connection for each request; as the settings' `prices`.
+    /// Price of opening a connection for each request, in the same unit.
     pub handshake_price: f64,
-    /// The longest Retry-After that clients honour; 0 where they honour none.
+    /// Longest Retry-After that clients honor; 0 if they honor none.
     pub max_retry_after: Micros,
     /// Shortest time between two calls of the policy.
     pub tick: Micros,
-    /// Part of its capacity that a server has at the least when it starts.
+    /// Fraction of its capacity, from 0 to 1, that a server has at least when it starts.
     pub initial_capacity: f64,
-    /// Time after its start by which a server has warmed up.
+    /// Time after its start at which a server has warmed up.
     pub slow_start_duration: Micros,
-    /// A server in slow start fails under more than this multiple of its present capacity for
-    /// `overload_window`.
+    /// Multiple of its current capacity that a server in slow start can take for less than `overload_window`;
+    /// it fails under more than that for the whole window.
     pub overload_multiple: f64,
-    /// How long a server in slow start bears more than `overload_multiple` of its capacity.
+    /// Time for which a server in slow start withstands more than `overload_multiple` of its capacity.
     pub overload_window: Micros,
-    /// Sends to a draining or gone server must stop within this time.
+    /// Time within which attempts to a draining or gone server must stop.
     pub drain_grace: Micros,
 }
 
-/// The least weight of a server: a weight of 0 would divide by zero.
+/// Smallest weight of a server: a weight of 0 would cause a division by zero.
 const MIN_WEIGHT: f64 = 0.01;
 
 impl Settings {
-    /// The balancing weight of a cache server with a weight in the list.
+    /// Returns the balancing weight of a cache server with this weight in the list: the weight itself if
+    /// weights are sizes, else 1.
     pub fn cache_weight_of(&self, weight: f32) -> f64 {
         if self.weights_are_sizes { f64::from(weight).max(MIN_WEIGHT) } else { 1.0 }
     }
@@ -112,18 +116,18 @@
     }
 }
 
-/// A class of requests.
+/// Class of requests: times, value and idempotency. Durations are in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestClass {
     /// Latency objective: an answer within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// A client waits this long in all.
+    /// Time from sending a request to its client giving up.
     pub deadline: Micros,
-    /// Priority weight of one request.
+    /// Value of one request that is answered within the latency objective.
     pub priority_weight: f64,
-    /// Part of the priority weight that an answer after the latency objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
-    /// What resending such a request does.
+    /// Effect of sending a request of this class again.
     pub idempotency: Idempotency,
 }
 
@@ -140,7 +144,8 @@
 }
 
 impl RequestClass {
-    /// This class, limited to what another allows as well: the stricter idempotency, the shorter deadline.
+    /// Returns this class, limited to what another class also allows: the stricter idempotency and the
+    /// shorter deadline.
     pub fn stricter(&self, other: &RequestClass) -> RequestClass {
         RequestClass {
             idempotency: self.idempotency.stricter(other.idempotency),
@@ -150,19 +155,21 @@
     }
 }
 
-/// What resending a request does.
+/// Effect of sending a request again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Idempotency {
-    /// Nothing: it may be sent any number of times.
+    /// No further effect: the request may be sent any number of times.
     Idempotent,
-    /// Servers of one group drop a duplicate for a while after the first attempt.
+    /// Requests have an idempotency key, by which a group of servers drops duplicates for a limited time
+    /// after the first attempt.
     WithKey {
-        /// Which servers drop a duplicate.
+        /// Servers that drop each other's duplicates.
         scope: DedupScope,
-        /// For how long, from the sending of the earliest attempt that may have run.
+        /// Time in microseconds for which duplicates are dropped, from sending the earliest attempt that may
+        /// have run.
         window: Micros,
     },
-    /// The effect happens again.
+    /// The effect is repeated: a request that may have run must not be sent again.
     NonIdempotent,
 }
 
@@ -181,19 +188,19 @@
     }
 }
 
-/// A group of cache servers that share which requests with an idempotency key they have seen.
+/// Group of cache servers that share which requests with an idempotency key they have seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// Every cache server.
+    /// All cache servers.
     All,
-    /// Those of one zone.
+    /// The cache servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The cache servers of one cell.
     Cell,
 }
 
 impl DedupScope {
-    /// The narrower of two groups: a cell lies in a zone, and a zone among all.
+    /// Returns the narrower of two groups. A cell is part of a zone, and a zone is part of the fleet.
     fn narrower(self, other: DedupScope) -> DedupScope {
         match (self, other) {
             (DedupScope::Cell, _) | (_, DedupScope::Cell) => DedupScope::Cell,
@@ -203,9 +210,9 @@
     }
 }
 
-/// A tenant and its quota.
+/// A tenant's quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its quota, over all nodes together.
+    /// Quota in requests per second, over all nodes together.
     pub quota_per_s: f64,
 }
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -1,57 +1,59 @@
-//! The settings text of a deployment (JSON), as the simulator's first message and a node's configuration hold
-//! it.
+//! Parser of a deployment's settings text (JSON), which the simulator's first message and a node's
+//! configuration contain.
 //!
-//! The field names of the text are part of the protocol; this module alone maps them to [`Settings`].
+//! The field names of the text are part of the protocol. Only this module maps them to [`Settings`].
 
 use serde::Deserialize;
 
 use super::{DedupScope, Idempotency, RequestClass, Settings, Tenant};
 use crate::ids::Micros;
 
-/// Why a settings text is refused; the message is one line.
+/// Reason for which a settings text is rejected. Its message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The text is not JSON, or a field has the wrong type.
     #[error("unreadable settings: {0}")]
     Syntax(#[from] serde_json::Error),
-    /// A figure is outside its bounds: the text is corrupt or in other units.
+    /// A number is outside its bounds, so that the text is corrupt or in other units.
     #[error("unreadable settings: {field} is {value}, and is to be {bounds}")]
     OutOfBounds {
         /// Name of the field in the text.
         field: &'static str,
-        /// Its value.
+        /// Value of the field.
         value: f64,
-        /// What it must be.
+        /// Accepted values.
         bounds: &'static str,
     },
-    /// A class has no name, or two have the same.
+    /// A class has no name, or its name is not unique.
     #[error("unreadable settings: a class without a name, or {0:?} twice")]
     ClassName(String),
-    /// The effect of a class is not known.
+    /// The effect of a class is none of the known ones.
     #[error("unreadable settings: unknown effect {0:?} of a class")]
     UnknownEffect(String),
 }
 
-/// A deployment: the settings of the policy, and what only the node that embeds it needs.
+/// A deployment: the settings of the policy, and settings that only the embedding node needs. Durations are
+/// in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
-    /// The settings of the policy.
+    /// Settings of the policy.
     pub settings: Settings,
     /// Names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones.
+    /// Names of the zones, in the order of [`Settings::zone`].
     pub zones: Vec<String>,
-    /// Names of the machine kinds.
+    /// Names of the machine kinds, in the order of [`Settings::origin_kind`].
     pub machine_types: Vec<String>,
-    /// Names of the figures in a load report, in their order.
+    /// Names of the metrics in a load report, in the order of
+    /// [`LoadReport::values`](crate::LoadReport::values).
     pub load_metric_names: Vec<String>,
-    /// A connection that is not established by then has failed.
+    /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
-    /// Servers close a connection that was idle for this long.
+    /// Idle time after which servers close a connection.
     pub idle_close: Micros,
-    /// Requests that a node may hold open at once.
+    /// Maximum number of requests that a node may hold open at once.
     pub max_open: usize,
 }
 
@@ -217,16 +219,17 @@
     }
 }
 
-/// The longest time in the settings, microseconds: a day. Sums of some of them stay far from overflow.
+/// Longest duration in the settings, in microseconds: one day. Sums of several such durations do not
+/// overflow.
 const MAX_TIME_US: f64 = 86_400e6;
-/// The highest quota of a tenant, requests a second.
+/// Highest quota of a tenant, in requests per second.
 const MAX_QUOTA_PER_S: f64 = 1e9;
 
 fn out_of_bounds(field: &'static str, value: f64, bounds: &'static str) -> Result<(), SettingsError> {
     Err(SettingsError::OutOfBounds { field, value, bounds })
 }
 
-/// Refuses figures that no deployment means.
+/// Rejects numbers outside their bounds.
 fn validate(wire: &WireSettings) -> Result<(), SettingsError> {
     if wire.balancers == 0 {
         return out_of_bounds("balancers", 0.0, "1 at the least");
@@ -290,11 +293,11 @@
     Ok(())
 }
 
-/// Reads a settings text.
+/// Parses a settings text.
 ///
 /// # Errors
 ///
-/// Where the text is not JSON of the expected form, or a figure can't be meant.
+/// Returns an error if the text is not JSON of the expected form, or if a value is outside its bounds.
 pub fn read(text: &[u8]) -> Result<Deployment, SettingsError> {
     let wire: WireSettings = serde_json::from_slice(text)?;
     validate(&wire)?;
@@ -332,7 +335,7 @@
         may_cancel: limits.may_cancel,
         may_health_check: limits.probes,
         may_message_peers: limits.peers,
-        // The next three are not part of the text: the node or its operator sets them.
+        // The next three are not part of the text; the node or its operator sets them.
         coalesce_fetches: defaults.coalesce_fetches,
         startup_attempts_per_server: defaults.startup_attempts_per_server,
         total_cache_weight: defaults.total_cache_weight,
@@ -369,7 +372,7 @@
     })
 }
 
-/// Saturating: a negative figure counts as 0.
+/// Converts to whole microseconds. Negative values become 0.
 fn micros(value: f64) -> Micros {
     value as Micros
 }
--- a/crates/stonevane-policy/src/startup.rs
+++ b/crates/stonevane-policy/src/startup.rs
@@ -1,67 +1,68 @@
-//! Start-up limit: attempts at cache servers that a new process may have in flight.
+//! Start-up limit: decides whether a process that has just started may have one more attempt at cache servers
+//! in flight.
 //!
-//! Inputs: the attempts that all nodes together may have in flight at their start (setting
-//! `startup_attempts_per_server`), the cache servers, the age of the process (in longest latency objectives)
-//! and the timely answers so far. Nodes that all start at once know nothing of the load: their windows add up
-//! to what the servers can take, however many nodes there are. The window doubles in each latency objective,
-//! so that a share below one attempt opens, and a node that was idle is soon unlimited.
+//! Inputs: the attempts per server that all nodes together may have in flight at their start (setting
+//! `startup_attempts_per_server`), the cache servers, the age of the process (in longest latency objectives),
+//! and the timely responses so far. Nodes that all start at once know nothing of the load, so their windows
+//! add up to what the servers can take, whatever the number of nodes. The window doubles in each latency
+//! objective: a share below one attempt grows to a whole one, and a node without requests is soon unlimited.
 
 use crate::hash::{self, unit_hash};
 use crate::ids::Micros;
 use crate::settings::Settings;
 
-/// Attempts added to the window by each timely answer.
+/// Attempts that each timely response adds to the window.
 const WINDOW_PER_ANSWER: f64 = 0.25;
-/// Part of the time left after which a rejected client retries at the latest; spread, since many are rejected
-/// at once.
+/// Upper bound of a rejected client's Retry-After hint, as a fraction of the time left. The hint is random
+/// below it, since many clients are rejected at once.
 const MAX_RETRY_AFTER: f64 = 0.5;
 
-/// The start-up limit of one process.
+/// State of the start-up limit of one process.
 pub struct StartupLimit {
-    /// When the process started; 0 until the first event.
+    /// Time of the first event, at which the process started; 0 before it.
     started_at: Micros,
-    /// Between 0 and 1 attempt, fixed for the node: where shares are below one attempt, some nodes get a
-    /// whole one.
+    /// Offset of the window between 0 and 1 attempt, fixed for the node. If shares are below one attempt, it
+    /// gives some of the nodes a whole one.
     phase: f64,
     timely_answers: f64,
 }
 
-/// What the window is computed from, beside what the limit itself has learned.
+/// Inputs of the start-up limit, apart from its own state.
 pub struct StartupInputs<'a> {
     pub settings: &'a Settings,
     pub now: Micros,
     pub longest_objective: Micros,
-    /// Cache servers, each counted by the part of its capacity that is this node's.
+    /// Number of cache servers, each counted by this node's share of its capacity.
     pub cache_server_shares: f64,
-    /// Attempts of this node at cache servers.
+    /// Attempts of this node in flight at cache servers.
     pub in_flight: u32,
 }
 
 impl StartupLimit {
-    /// The limit of a process that has not started yet.
+    /// Creates the limit of a process that has had no event.
     pub fn new(seed: u64, node_index: u32) -> Self {
         let phase = unit_hash(seed, node_index, hash::purpose::STARTUP_PHASE);
         StartupLimit { started_at: 0, phase, timely_answers: 0.0 }
     }
 
-    /// Notes the time of an event; the first is the start.
+    /// Records the time of an event. The first one is the start of the process.
     pub fn note_time(&mut self, now: Micros) {
         if self.started_at == 0 {
             self.started_at = now;
         }
     }
 
-    /// When the process started.
+    /// Returns the time at which the process started.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 
-    /// A cache server has answered in time.
+    /// Counts a timely response of a cache server.
     pub fn record_timely_answer(&mut self) {
         self.timely_answers += 1.0;
     }
 
-    /// Whether one more attempt at a cache server is within the limit.
+    /// Returns whether one more attempt at a cache server is within the limit.
     pub fn allows(&self, inputs: &StartupInputs<'_>) -> bool {
         let per_server = inputs.settings.startup_attempts_per_server;
         let share = per_server * inputs.cache_server_shares / f64::from(inputs.settings.nodes.max(1));
@@ -71,7 +72,8 @@
     }
 }
 
-/// The Retry-After of a request that the limit rejects, from a random number between 0 and 1.
+/// Returns the Retry-After hint of a request that the limit rejects, in microseconds. `random_unit` is a
+/// random number from 0 to 1.
 pub fn retry_after(time_left: Micros, random_unit: f64) -> Micros {
     (time_left as f64 * MAX_RETRY_AFTER * random_unit) as Micros
 }
--- a/crates/stonevane-policy/src/timers.rs
+++ b/crates/stonevane-policy/src/timers.rs
@@ -1,4 +1,4 @@
-//! The timers of the policy. One timer of the node stands for all of them.
+//! Timers of the policy. A single timer of the node, set for the earliest one, serves all of them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,43 +7,44 @@
 use crate::attempt::AttemptId;
 use crate::ids::{Micros, RequestId};
 
-/// What a timer is for. Timers due at the same time run in this order.
+/// Purpose of a timer. Timers due at the same time run in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The deadline of a request, or the end of its latency objective.
+    /// Deadline of a request, or end of its latency objective.
     Deadline(RequestId),
-    /// The end of a request's backoff, by the backoff's number.
+    /// End of a request's backoff; `backoff` is the number of the backoff within the request.
     Retry { request: RequestId, backoff: u32 },
-    /// An attempt is slow, nearly late or lost.
+    /// An attempt is slow, nearly late or late, or its response may be lost.
     AttemptSlow(AttemptId),
-    /// Discovery is to be polled.
+    /// The next poll of discovery.
     PollDiscovery,
-    /// The periodic review of the overload signal.
+    /// The periodic review of the overload signal and the origin limits.
     Review,
 }
 
-/// Timers in the order of their times.
+/// Timers ordered by due time.
 #[derive(Default)]
 pub struct TimerQueue {
     queue: BinaryHeap<Reverse<(Micros, Timer)>>,
-    /// When the node's timer is due.
+    /// Due time of the node's timer; `None` if it is not set.
     armed: Option<Micros>,
 }
 
 impl TimerQueue {
-    /// Sets a timer.
+    /// Adds a timer that is due at time `at`.
     pub fn set(&mut self, at: Micros, timer: Timer) {
         self.queue.push(Reverse((at, timer)));
     }
 
-    /// The node's timer has fired that was set for a time up to `by`. Where another is armed for later, this
-    /// one had been overtaken, and must not arm a further one: timers would grow in number.
+    /// Records that the node's timer has fired, which was set for a time up to `by`. If a timer for a later
+    /// time is armed it stays so: the fired one had been replaced, and arming another for each of them would
+    /// multiply timers.
     pub fn fired(&mut self, by: Micros) {
         self.armed = self.armed.filter(|armed| *armed > by);
     }
 
-    /// Takes out the next timer that is due; where none is, arms the node's timer for the next. Stale timers
-    /// at the head are dropped.
+    /// Removes and returns the next timer that is due. If none is due, arms the node's timer for the next
+    /// one. Drops stale timers at the head of the queue.
     pub fn next_due(
         &mut self,
         now: Micros,
--- a/crates/stonevane-policy/src/token_bucket.rs
+++ b/crates/stonevane-policy/src/token_bucket.rs
@@ -1,8 +1,8 @@
-//! Token buckets: one that counts what is left, one that counts what is spent.
+//! Token buckets: one that counts the remaining tokens, and one that counts the spent ones.
 
 use crate::ids::Micros;
 
-/// A token bucket.
+/// A token bucket that counts the remaining tokens.
 #[derive(Default, Clone)]
 pub struct TokenBucket {
     tokens: f64,
@@ -10,7 +10,8 @@
 }
 
 impl TokenBucket {
-    /// Fills it at a rate per second up to a capacity, and returns whether it has a token.
+    /// Adds the tokens earned since the last call, at a rate per second and up to a capacity. Returns whether
+    /// the bucket has at least one token.
     pub fn refill(&mut self, now: Micros, per_second: f64, capacity: f64) -> bool {
         let added = per_second.max(0.0) * now.saturating_sub(self.filled_at) as f64 / 1e6;
         self.tokens = if added.is_nan() { self.tokens } else { (self.tokens + added).min(capacity) };
@@ -18,7 +19,7 @@
         self.tokens >= 1.0
     }
 
-    /// Takes a token, or what there is of one.
+    /// Takes one token, or the remaining fraction of one.
     pub fn take(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
@@ -29,7 +30,7 @@
     }
 }
 
-/// Tokens spent and not yet earned back: a bucket whose rate and capacity change between uses.
+/// Tokens that are spent and not yet earned back: a bucket whose rate and capacity may change between uses.
 #[derive(Default, Clone, Copy)]
 pub struct SpentTokens {
     tokens: f64,
@@ -37,12 +38,13 @@
 }
 
 impl SpentTokens {
-    /// So many tokens spent at a time.
+    /// Creates a count of tokens that are spent at time `now`.
     pub fn new(tokens: f64, now: Micros) -> Self {
         SpentTokens { tokens, updated_at: now }
     }
 
-    /// What is still spent, earned back at a rate per microsecond.
+    /// Returns the tokens that are still spent at time `now`, if they are earned back at a rate per
+    /// microsecond.
     pub fn remaining(&self, now: Micros, per_microsecond: f64) -> f64 {
         (self.tokens - per_microsecond * now.saturating_sub(self.updated_at) as f64).max(0.0)
     }
