--- a/crates/stonevane-policy/src/action.rs
+++ b/crates/stonevane-policy/src/action.rs
@@ -43,7 +43,7 @@
     Subscribe(bool),
     /// Fetches the full endpoint list once.
     FetchList,
-    /// Send a health check to a server.
+    /// Sends a health check to a server.
     HealthCheck(ServerId),
     /// Closes the idle connections to a server.
     CloseIdle(ServerId),
--- a/crates/stonevane-policy/src/admission.rs
+++ b/crates/stonevane-policy/src/admission.rs
@@ -8,15 +8,15 @@
 //! handful of requests, and such a limit would also reject tenants within their quotas.
 
 use crate::ids::Micros;
-use crate::log_message::{Change, LogMessage};
+use crate::log_message::{LogMessage, ValueChange};
 use crate::settings::Settings;
-use crate::statistics::{EventRate, FadingRatio};
+use crate::statistics::{DecayingRatio, EventRate};
 use crate::token_bucket::TokenBucket;
 
 /// Overload signal above which tenants are limited to their quotas.
-const OVERLOAD_SIGNAL: f64 = 0.06;
+const OVERLOAD_THRESHOLD: f64 = 0.06;
 /// Overload signal above which tenants are limited to less than their quotas.
-const SEVERE_OVERLOAD_SIGNAL: f64 = 0.55;
+const SEVERE_OVERLOAD_THRESHOLD: f64 = 0.55;
 /// Admission level at which tenants get exactly their quotas; the initial level.
 const QUOTA_LEVEL: f64 = 1.0;
 /// Lowest admission level. Overloaded servers need a fraction of their load to recover.
@@ -24,9 +24,9 @@
 /// Highest admission level, at which no request is rejected.
 const MAX_LEVEL: f64 = 4.0;
 /// Factor on the level for a full step down.
-const LEVEL_DECREASE: f64 = 0.92;
+const LEVEL_DECREASE_FACTOR: f64 = 0.92;
 /// Factor on the level for a full step up.
-const LEVEL_INCREASE: f64 = 1.04;
+const LEVEL_INCREASE_FACTOR: f64 = 1.04;
 /// Number of attempts since the last review from which a review takes a full step. One of many nodes sees few
 /// attempts, and a smaller number gives a smaller step.
 const FULL_STEP_ATTEMPTS: f64 = 5.0;
@@ -37,20 +37,20 @@
 const MIN_BURST_TOKENS: f64 = 1.0;
 /// Fraction of all quotas that fills the shared bucket: tenants within their quotas leave about the rest
 /// unused.
-const SHARED_QUOTA: f64 = 0.8;
+const SHARED_QUOTA_FRACTION: f64 = 0.8;
 
 /// Overload signal of a rejected attempt.
-pub const SIGN_OF_OVERLOAD: f64 = 1.0;
+pub const REJECTED_ATTEMPT_SIGNAL: f64 = 1.0;
 /// Overload signal of a slow attempt. An attempt that becomes nearly late adds it a second time.
-pub const SIGN_OF_SLOWNESS: f64 = 0.5;
+pub const SLOW_ATTEMPT_SIGNAL: f64 = 0.5;
 
 /// Admission state of one node.
 pub struct Admission {
     /// Multiple of the quotas with which the buckets fill.
     level: f64,
-    overload: FadingRatio,
-    tenants: Vec<TokenBucket>,
-    shared: TokenBucket,
+    overload: DecayingRatio,
+    tenant_buckets: Vec<TokenBucket>,
+    shared_bucket: TokenBucket,
     /// This node's equal share of all quotas, in requests per second; 0 without quotas.
     quota_share: f64,
     admitted: EventRate,
@@ -58,7 +58,7 @@
 
 /// Decision on a request that has arrived.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admittance {
+pub enum AdmissionDecision {
     /// The request is admitted. `charged_tenant` is the position of the tenant that it was charged to, or
     /// `None` for an unknown tenant.
     Admitted { charged_tenant: Option<usize> },
@@ -71,9 +71,9 @@
     pub fn new() -> Self {
         Admission {
             level: QUOTA_LEVEL,
-            overload: FadingRatio::default(),
-            tenants: Vec::new(),
-            shared: TokenBucket::default(),
+            overload: DecayingRatio::default(),
+            tenant_buckets: Vec::new(),
+            shared_bucket: TokenBucket::default(),
             quota_share: 0.0,
             admitted: EventRate::default(),
         }
@@ -84,12 +84,12 @@
     pub fn apply_settings(&mut self, settings: &Settings, previous_positions: &[Option<usize>]) {
         let quotas: f64 = settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         self.quota_share = quotas / f64::from(settings.nodes.max(1));
-        let previous = std::mem::take(&mut self.tenants);
+        let previous = std::mem::take(&mut self.tenant_buckets);
         let bucket = |tenant: usize| {
             let position = previous_positions.get(tenant).copied().flatten();
             position.and_then(|position| previous.get(position)).cloned().unwrap_or_default()
         };
-        self.tenants = (0..settings.tenants.len().max(1)).map(bucket).collect();
+        self.tenant_buckets = (0..settings.tenants.len().max(1)).map(bucket).collect();
     }
 
     /// Decides on a request that has arrived, and charges it to its tenant if it is admitted. It is admitted
@@ -100,25 +100,26 @@
         now: Micros,
         longest_objective: Micros,
         settings: &Settings,
-    ) -> Admittance {
-        let Some(bucket) = self.tenants.get_mut(tenant) else {
-            return Admittance::Admitted { charged_tenant: None };
+    ) -> AdmissionDecision {
+        let Some(bucket) = self.tenant_buckets.get_mut(tenant) else {
+            return AdmissionDecision::Admitted { charged_tenant: None };
         };
         // The burst shrinks with the level, since tokens saved at many nodes would prolong an overload.
         let burst = (BURST_TOKENS * self.level).clamp(MIN_BURST_TOKENS, BURST_TOKENS);
         // While all tenants together are within their quotas, chance fluctuations in a tenant's small bucket
         // reject nothing.
-        let shared_open = self.shared.refill(now, SHARED_QUOTA * self.quota_share * self.level, burst);
+        let shared_has_token =
+            self.shared_bucket.refill(now, SHARED_QUOTA_FRACTION * self.quota_share * self.level, burst);
         let quota = settings.tenants.get(tenant).map_or(f64::INFINITY, |tenant| tenant.quota_per_s);
         let rate = self.level * quota / f64::from(settings.nodes.max(1));
         let capacity = burst + rate * longest_objective as f64 / 1e6;
-        let tenant_open = bucket.refill(now, rate, capacity);
-        if !(tenant_open || shared_open || self.level >= MAX_LEVEL) {
-            return Admittance::OverQuota;
+        let tenant_has_token = bucket.refill(now, rate, capacity);
+        if !(tenant_has_token || shared_has_token || self.level >= MAX_LEVEL) {
+            return AdmissionDecision::OverQuota;
         }
         bucket.take();
-        self.shared.take();
-        Admittance::Admitted { charged_tenant: Some(tenant) }
+        self.shared_bucket.take();
+        AdmissionDecision::Admitted { charged_tenant: Some(tenant) }
     }
 
     /// Counts a request that will be served.
@@ -130,7 +131,7 @@
     /// level nothing is returned, otherwise the overload would last.
     pub fn refund(&mut self, tenant: usize) {
         if self.level >= QUOTA_LEVEL
-            && let Some(bucket) = self.tenants.get_mut(tenant)
+            && let Some(bucket) = self.tenant_buckets.get_mut(tenant)
         {
             bucket.refund();
         }
@@ -147,9 +148,9 @@
         self.level < MAX_LEVEL
     }
 
-    /// Adds to the overload signal: `signs` of overload among `attempts` judged attempts.
-    pub fn record_overload(&mut self, signs: f64, attempts: f64) {
-        self.overload.add(signs, attempts);
+    /// Adds to the overload signal: `signal` among `attempts` judged attempts.
+    pub fn record_overload(&mut self, signal: f64, attempts: f64) {
+        self.overload.add(signal, attempts);
     }
 
     /// Adjusts the admission level to the overload signal of the recent reviews. `idle` means that no attempt
@@ -157,23 +158,22 @@
     pub fn review(&mut self, period: Micros, idle: bool) -> Option<LogMessage> {
         let before = self.level;
         let signal = self.overload.value();
-        let severe = signal > SEVERE_OVERLOAD_SIGNAL;
-        let overloaded = !severe && signal > OVERLOAD_SIGNAL;
+        let severe = signal > SEVERE_OVERLOAD_THRESHOLD;
+        let overloaded = !severe && signal > OVERLOAD_THRESHOLD;
         // Severe overload needs full steps because it reinforces itself. Below the quota level and on an idle
         // node too few attempts are left to scale the step by.
-        let whole_step = severe || before < QUOTA_LEVEL || (idle && signal <= 0.0);
-        let step =
-            if whole_step { 1.0 } else { (self.overload.recent_count() / FULL_STEP_ATTEMPTS).min(1.0) };
+        let full_step = severe || before < QUOTA_LEVEL || (idle && signal <= 0.0);
+        let step = if full_step { 1.0 } else { (self.overload.recent_count() / FULL_STEP_ATTEMPTS).min(1.0) };
         self.level = if severe || (overloaded && before > QUOTA_LEVEL) {
             let floor = if severe { MIN_LEVEL } else { QUOTA_LEVEL };
-            (before * LEVEL_DECREASE.powf(step)).max(floor)
+            (before * LEVEL_DECREASE_FACTOR.powf(step)).max(floor)
         } else {
             let ceiling = if overloaded { QUOTA_LEVEL } else { MAX_LEVEL };
-            (before * LEVEL_INCREASE.powf(step)).min(ceiling)
+            (before * LEVEL_INCREASE_FACTOR.powf(step)).min(ceiling)
         };
-        self.overload.fade();
+        self.overload.decay();
         self.admitted.end_period(period);
-        let change = Change { before, after: self.level };
+        let change = ValueChange { before, after: self.level };
         change.crossing(MAX_LEVEL, LogMessage::SheddingBegan, LogMessage::SheddingEnded)
     }
 }
--- a/crates/stonevane-policy/src/attempt.rs
+++ b/crates/stonevane-policy/src/attempt.rs
@@ -20,7 +20,7 @@
     /// A write at the origin.
     Write,
     /// A fetch that waits for the origin call of another fetch of the same key.
-    JoinedFetch,
+    CoalescedFetch,
 }
 
 /// An attempt without an outcome. It may outlive its request.
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -4,10 +4,12 @@
 //! state of the servers, and the request's time left (microseconds).
 //!
 //! Weighted rendezvous hashing gives each key a consistent order of the servers that is the same at every
-//! node. A read goes to the first server within the load bound (consistent hashing with bounded loads), so that a key stays in few caches while no server gets too much of the load.
+//! node. A read goes to the first server within the load bound (consistent hashing with bounded loads), so
+//! that a key stays in few caches while no server gets too much of the load.
 //!
-//! The hashes of thousands of servers are computed in one pass over a dense table. Only the first [`HEAD`]
-//! servers of the order are examined further; the full order is sorted only if none of them is suitable.
+//! The hashes of thousands of servers are computed in one pass over a dense table. Only the first
+//! [`HEAD_LENGTH`] servers of the order are examined further; the full order is sorted only if none of them
+//! is suitable.
 
 use crate::hash::KeyHasher;
 use crate::ids::{Micros, RequestId, ServerId};
@@ -22,25 +24,25 @@
 /// Load bound, as the same multiple, while the origin limits are saturated.
 const LOAD_BOUND_SATURATED: f64 = 3.0;
 /// Fraction of the origin calls blocked by a limit from which the origin limits count as saturated.
-const SATURATED: f64 = 0.05;
+const SATURATED_FRACTION: f64 = 0.05;
 /// Attempts at one server that are within the bound at any load, summed over the nodes that share the server.
 /// Without this floor a node with few requests would scatter its keys.
-const LOAD_BOUND_FLOOR: f64 = 8.0;
+const MIN_SHARED_LOAD_BOUND: f64 = 8.0;
 /// Smallest number of nodes among which the floor is divided, so that a single node does not use all of it.
 const MIN_SHARING_NODES: u32 = 2;
 /// Largest multiple of the floor for a server that responds faster than the others.
 const MAX_FLOOR_MULTIPLE: f64 = 2.0;
 /// Fraction of a request's time left from which the wait at a server is too long.
-const FULL_QUEUE: f64 = 0.5;
+const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Time in microseconds after which a reinstated server without an attempt gets the next read, whatever its
 /// key.
-const REINSTATED_WAIT: Micros = 1_000_000;
+const REINSTATED_READ_DELAY: Micros = 1_000_000;
 /// Number of servers at the head of a key's order that the first pass collects.
-const HEAD: usize = 16;
+const HEAD_LENGTH: usize = 16;
 
 /// A server with its score for one key. Lower scores come first in the key's order; ties are ordered by id.
 #[derive(Clone, Copy, Default, PartialEq, PartialOrd)]
-struct Place {
+struct ScoredServer {
     score: f64,
     server: ServerId,
 }
@@ -52,39 +54,39 @@
     /// Outlier detection prefers other servers.
     ejected: bool,
     /// The server exceeds the load bound, or the wait there is too long.
-    full: bool,
+    overloaded: bool,
     /// The server is not a reinstated one that is due for its first read.
-    not_awaited: bool,
+    not_due_for_read: bool,
 }
 
 /// Best rank of a server that is not due for a first read after its reinstatement.
-const BEST_ORDINARY: Rank = Rank { ejected: false, full: false, not_awaited: true };
+const BEST_REGULAR_RANK: Rank = Rank { ejected: false, overloaded: false, not_due_for_read: true };
 
-/// The first [`HEAD`] servers of a key's order, sorted.
+/// The first [`HEAD_LENGTH`] servers of a key's order, sorted.
 #[derive(Default)]
-struct Head {
-    places: [Place; HEAD],
+struct OrderHead {
+    servers: [ScoredServer; HEAD_LENGTH],
     length: usize,
 }
 
-impl Head {
-    fn places(&self) -> &[Place] {
-        &self.places[..self.length]
+impl OrderHead {
+    fn servers(&self) -> &[ScoredServer] {
+        &self.servers[..self.length]
     }
 
     /// Returns the score that a server must not exceed to be inserted.
     fn worst_score(&self) -> f64 {
-        if self.length < HEAD { f64::INFINITY } else { self.places[HEAD - 1].score }
+        if self.length < HEAD_LENGTH { f64::INFINITY } else { self.servers[HEAD_LENGTH - 1].score }
     }
 
-    fn insert(&mut self, place: Place) {
-        let at = self.places().partition_point(|before| *before < place);
-        if at == HEAD {
+    fn insert(&mut self, scored: ScoredServer) {
+        let at = self.servers().partition_point(|before| *before < scored);
+        if at == HEAD_LENGTH {
             return;
         }
-        self.length = (self.length + 1).min(HEAD);
-        self.places[at..self.length].rotate_right(1);
-        self.places[at] = place;
+        self.length = (self.length + 1).min(HEAD_LENGTH);
+        self.servers[at..self.length].rotate_right(1);
+        self.servers[at] = scored;
     }
 }
 
@@ -96,10 +98,10 @@
 }
 
 impl ServerOrder<'_> {
-    fn place(&self, candidate: &Candidate, draw: f64) -> Place {
+    fn scored(&self, candidate: &Candidate, draw: f64) -> ScoredServer {
         // With equal weights the logarithm is not needed for the same order.
         let score = if self.weighted { -draw.ln() / candidate.weight } else { -draw };
-        Place { score, server: candidate.id }
+        ScoredServer { score, server: candidate.id }
     }
 
     /// Returns a lower bound of a server's score that needs no logarithm.
@@ -107,23 +109,23 @@
         if self.weighted { (1.0 - draw) / candidate.weight } else { -draw }
     }
 
-    fn head(&self) -> Head {
-        let mut head = Head::default();
+    fn head(&self) -> OrderHead {
+        let mut head = OrderHead::default();
         for candidate in self.candidates {
             let draw = self.hasher.of(candidate.id);
             if self.min_score(candidate, draw) <= head.worst_score() {
-                head.insert(self.place(candidate, draw));
+                head.insert(self.scored(candidate, draw));
             }
         }
         head
     }
 
     /// Returns the servers after the head, sorted.
-    fn rest(&self) -> Vec<Place> {
-        let place = |candidate: &Candidate| self.place(candidate, self.hasher.of(candidate.id));
-        let mut places: Vec<Place> = self.candidates.iter().map(place).collect();
-        places.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
-        places.split_off(HEAD.min(places.len()))
+    fn rest(&self) -> Vec<ScoredServer> {
+        let scored = |candidate: &Candidate| self.scored(candidate, self.hasher.of(candidate.id));
+        let mut servers: Vec<ScoredServer> = self.candidates.iter().map(scored).collect();
+        servers.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
+        servers.split_off(HEAD_LENGTH.min(servers.len()))
     }
 }
 
@@ -151,8 +153,8 @@
 }
 
 impl Balancing<'_> {
-    /// Returns the server with the best rank, the first one in the key's order among equals. Regularly this
-    /// is the first server within the load bound; if none is within it, the first server that is not ejected.
+    /// Returns the server with the best rank, the first one in the key's order among equals. Usually this is
+    /// the first server within the load bound; if none is within it, the first server that is not ejected.
     /// Returns `None` if no server is allowed or the wait at the chosen one is too long.
     pub fn choose(&self, read: &ReadCandidate<'_>) -> Option<ServerId> {
         let order = ServerOrder {
@@ -161,13 +163,13 @@
             weighted: self.settings.weights_are_sizes,
         };
         let mut best = None;
-        let settled = self.examine(read, order.head().places(), &mut best);
-        if !settled && order.candidates.len() > HEAD {
+        let decided = self.examine(read, order.head().servers(), &mut best);
+        if !decided && order.candidates.len() > HEAD_LENGTH {
             self.examine(read, &order.rest(), &mut best);
         }
         // No other server replaces one with too long a wait: the next suitable one may be far down the order,
         // which would scatter the keys and lower the hit ratio of the caches.
-        best.map(|(_, server)| server).filter(|server| !self.is_full(read, *server))
+        best.map(|(_, server)| server).filter(|server| !self.wait_is_too_long(read, *server))
     }
 
     /// Examines a part of the order and keeps the first server of the best rank in `best`. Returns whether no
@@ -175,17 +177,18 @@
     fn examine(
         &self,
         read: &ReadCandidate<'_>,
-        places: &[Place],
+        servers: &[ScoredServer],
         best: &mut Option<(Rank, ServerId)>,
     ) -> bool {
         let load_bound = self.load_bound();
-        for place in places {
-            let Some(server) = self.pool.get(place.server) else { continue };
+        for scored in servers {
+            let Some(server) = self.pool.get(scored.server) else { continue };
             // A reinstated server whose keys are rarely requested would otherwise get no read for a long
             // time.
-            let awaited = server.reinstated_at != 0 && self.now >= server.reinstated_at + REINSTATED_WAIT;
-            if read.tried.contains(&place.server)
-                || !self.slow_start.allows_read(&read.slow_start, server, awaited)
+            let due_for_read =
+                server.reinstated_at != 0 && self.now >= server.reinstated_at + REINSTATED_READ_DELAY;
+            if read.tried.contains(&scored.server)
+                || !self.slow_start.allows_read(&read.slow_start, server, due_for_read)
             {
                 continue;
             }
@@ -193,14 +196,15 @@
                 // Ejected servers rank last and are not left out: if most servers are ejected the cause is
                 // shared, and no better server exists.
                 ejected: server.outlier.ranks_last(self.now, server.in_flight),
-                full: self.exceeds_bound(server, load_bound)
-                    || self.pool.queue_estimate(read.request, server) > read.time_left as f64 * FULL_QUEUE,
-                not_awaited: !awaited,
+                overloaded: self.exceeds_bound(server, load_bound)
+                    || self.pool.queue_estimate(read.request, server)
+                        > read.time_left as f64 * MAX_WAIT_FRACTION,
+                not_due_for_read: !due_for_read,
             };
             if best.is_none_or(|(before, _)| rank < before) {
-                *best = Some((rank, place.server));
+                *best = Some((rank, scored.server));
             }
-            if rank <= BEST_ORDINARY && !self.pool.awaits_reinstated() {
+            if rank <= BEST_REGULAR_RANK && !self.pool.has_untried_reinstated() {
                 return true;
             }
         }
@@ -209,11 +213,11 @@
 
     /// Returns whether the wait at a server exceeds its fraction of the request's time left. Under load
     /// shedding the wait includes this node's own backlog there.
-    fn is_full(&self, read: &ReadCandidate<'_>, server: ServerId) -> bool {
+    fn wait_is_too_long(&self, read: &ReadCandidate<'_>, server: ServerId) -> bool {
         self.pool.get(server).is_some_and(|server| {
             let backlog = if self.shedding { server.backlog(self.now, self.longest_objective) } else { 0.0 };
             let wait = self.pool.queue_estimate(read.request, server).max(backlog);
-            wait > read.time_left as f64 * FULL_QUEUE
+            wait > read.time_left as f64 * MAX_WAIT_FRACTION
         })
     }
 
@@ -221,17 +225,17 @@
     /// from `LOAD_BOUND` to `LOAD_BOUND_SATURATED` with the saturation of the origin limits, because skipping
     /// a server costs a fetch.
     fn load_bound(&self) -> f64 {
-        let saturation = (self.origin_saturation / SATURATED).min(1.0);
+        let saturation = (self.origin_saturation / SATURATED_FRACTION).min(1.0);
         let multiple = LOAD_BOUND + (LOAD_BOUND_SATURATED - LOAD_BOUND) * saturation;
         multiple * f64::from(self.pool.cache_attempts() + 1) / self.pool.total_weight()
     }
 
     fn exceeds_bound(&self, server: &Server, load_bound: f64) -> bool {
         let sharing_nodes = server.sharing_nodes(self.settings).max(MIN_SHARING_NODES);
-        let floor = LOAD_BOUND_FLOOR / f64::from(sharing_nodes);
+        let floor = MIN_SHARED_LOAD_BOUND / f64::from(sharing_nodes);
         // Weights may not show how slow a server is, so the floor is lower for a slow server and higher for a
         // fast one.
-        let floor = match server.response_time.known() {
+        let floor = match server.response_time.recorded() {
             Some(time) => floor * (self.pool.cache_response_time() / time).min(MAX_FLOOR_MULTIPLE),
             None => floor,
         };
--- a/crates/stonevane-policy/src/coalescing.rs
+++ b/crates/stonevane-policy/src/coalescing.rs
@@ -10,24 +10,24 @@
 
 /// Origin calls in flight that other fetches may join, by key.
 #[derive(Default)]
-pub struct SharedFetches {
+pub struct InFlightFetches {
     calls: BTreeMap<Key, AttemptId>,
 }
 
-impl SharedFetches {
+impl InFlightFetches {
     /// Returns whether a fetch of this key may join a call in flight.
-    pub fn can_join(&self, key: Key) -> bool {
+    pub fn can_coalesce(&self, key: Key) -> bool {
         self.calls.contains_key(&key)
     }
 
     /// Registers a call that other fetches of the key may join from now on.
-    pub fn share(&mut self, key: Key, call: AttemptId) {
+    pub fn register(&mut self, key: Key, call: AttemptId) {
         self.calls.insert(key, call);
     }
 
     /// Handles the end of a call. Nothing joins a call that has ended, and nothing joins a fetch that was
     /// sent before a write of its key ended: it may return the value from before the write.
-    pub fn end(&mut self, id: AttemptId, call: &Attempt) {
+    pub fn on_call_ended(&mut self, id: AttemptId, call: &Attempt) {
         let shared = self.calls.get(&call.key) == Some(&id);
         if shared || call.kind == CallKind::Write {
             self.calls.remove(&call.key);
--- a/crates/stonevane-policy/src/discovery_backoff.rs
+++ b/crates/stonevane-policy/src/discovery_backoff.rs
@@ -14,7 +14,8 @@
     to: f64,
 }
 
-/// Delays after the first, the second and any later failure in a row. The first two calls come early, because a node soon counts as notified of changes.
+/// Delays after the first, the second and any later failure in a row. The first two calls come early, because
+/// a node soon counts as notified of changes.
 const DELAYS: [DelayRange; 3] = [
     DelayRange { from: 0.03, to: 0.5 },
     DelayRange { from: 0.2, to: 0.4 },
@@ -43,9 +44,9 @@
     /// Counts a failure and returns the delay until the next call, in microseconds. `silent_for` is the time
     /// since discovery's last message.
     pub fn next_delay(&mut self, silent_for: Micros, staleness_limit: Micros, random: &mut Random) -> Micros {
-        let longest = MAX_SILENCE.saturating_sub(silent_for) as f64;
+        let max_delay = MAX_SILENCE.saturating_sub(silent_for) as f64;
         let DelayRange { from, to } = DELAYS[self.failures];
-        let base = (staleness_limit.max(MIN_STALENESS_LIMIT) as f64).min(longest / to);
+        let base = (staleness_limit.max(MIN_STALENESS_LIMIT) as f64).min(max_delay / to);
         let delay = base * (from + (to - from) * random.unit());
         self.failures = (self.failures + 1).min(DELAYS.len() - 1);
         delay as Micros
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -5,7 +5,7 @@
 use crate::server_entry::{ListUpdate, ServerEntry};
 use crate::settings::Settings;
 
-/// One occurrence at this node, reported by [`Policy::handle`](crate::Policy::handle).
+/// One occurrence at this node, reported to [`Policy::handle`](crate::Policy::handle).
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// The endpoint list or a change of it arrived, or a call to discovery failed.
--- a/crates/stonevane-policy/src/hash.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -38,7 +38,7 @@
 /// Bytes 40 to 48 of XXH3's default secret, XOR bytes 48 to 56.
 const SECRET_HIGH: u64 = 0x2172_ffcc_7dd0_5a82 ^ 0x8e24_43f7_7446_08b8;
 /// Multiplier of XXH3's final mixing step.
-const AVALANCHE: u64 = 0x1656_6791_9e37_79f9;
+const AVALANCHE_MULTIPLIER: u64 = 0x1656_6791_9e37_79f9;
 
 /// Hashes of one key with many servers, equal to [`unit_hash`] with [`purpose::ORDER`]. The key's part is
 /// computed once and no input is written to memory. Follows XXH3's path for inputs of 9 to 16 bytes.
@@ -65,7 +65,7 @@
         let product = u128::from(self.low) * u128::from(high);
         let folded = product as u64 ^ (product >> 64) as u64;
         let mixed = self.base.wrapping_add(high).wrapping_add(folded);
-        let mixed = (mixed ^ (mixed >> 37)).wrapping_mul(AVALANCHE);
+        let mixed = (mixed ^ (mixed >> 37)).wrapping_mul(AVALANCHE_MULTIPLIER);
         unit(mixed ^ (mixed >> 32))
     }
 }
--- a/crates/stonevane-policy/src/hedging.rs
+++ b/crates/stonevane-policy/src/hedging.rs
@@ -1,12 +1,13 @@
 //! Hedging: decides whether a slow read is also sent to the next server.
 //!
 //! Inputs: the request, the recent responses of the slow server, the retry budget. One of many nodes sees too
-//! few responses of a slow or silent server to avoid it in time, so it hedges. A node with enough recent responses avoids such a server, and its hedged requests would only add fetches from the origin.
+//! few responses of a slow or silent server to avoid it in time, so it hedges. A node with enough recent
+//! responses avoids such a server, and its hedged requests would only add fetches from the origin.
 
 use crate::ids::Micros;
 use crate::pending_request::PendingRequest;
 use crate::retry::RetryBudget;
-use crate::server::{ANSWER_CREDIT, Server};
+use crate::server::{RESPONSE_CREDIT, Server};
 use crate::settings::{Idempotency, Settings};
 
 /// Returns whether the hedging rule allows a second attempt for a request whose only attempt is slow. It
@@ -21,6 +22,6 @@
 }
 
 /// Returns whether a server has enough recent responses for other rules to judge it.
-pub fn is_well_known(server: &Server, now: Micros, longest_objective: Micros) -> bool {
-    server.recent_answers(now, longest_objective) >= ANSWER_CREDIT
+pub fn has_enough_responses(server: &Server, now: Micros, longest_objective: Micros) -> bool {
+    server.recent_responses(now, longest_objective) >= RESPONSE_CREDIT
 }
--- a/crates/stonevane-policy/src/key_history.rs
+++ b/crates/stonevane-policy/src/key_history.rs
@@ -1,11 +1,12 @@
-//! Recent requests by key at this node. Slow start uses them to recognize popular keys, which a server in slow start does not get, and to estimate how rarely a key is requested.
+//! Recent requests by key at this node. Slow start uses them to recognize popular keys, which a server in
+//! slow start does not get, and to estimate how rarely a key is requested.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::ids::{Key, Micros};
 
 /// Number of requests that the history holds.
-const REMEMBERED_REQUESTS: usize = 8_192;
+const HISTORY_REQUESTS: usize = 8_192;
 /// A key is popular if its previous request is fewer than this many requests back.
 const POPULAR_WITHIN_REQUESTS: u64 = 64;
 
@@ -45,8 +46,8 @@
         self.count += 1;
         let previous = self.last_requests.insert(key, LastRequest { number: self.count, at: now });
         self.requests.push_back((key, now));
-        if self.requests.len() > REMEMBERED_REQUESTS {
-            self.forget_oldest();
+        if self.requests.len() > HISTORY_REQUESTS {
+            self.evict_oldest();
         }
         match previous {
             Some(LastRequest { number, at }) => {
@@ -56,7 +57,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((key, at)) = self.requests.pop_front() else { return };
         self.complete_since = at;
         let oldest = self.count - self.requests.len() as u64;
--- a/crates/stonevane-policy/src/lib.rs
+++ b/crates/stonevane-policy/src/lib.rs
@@ -1,6 +1,9 @@
-//! Decision module of a caching router in front of fleets of cache servers: a pure, deterministic state machine.
+//! Decision module of a caching router in front of fleets of cache servers: a pure, deterministic state
+//! machine.
 //!
-//! A [`Policy`] makes the decisions of one node. Its inputs are events ([`Event`]) with the time at which they happened, in microseconds; its outputs are actions ([`Action`]) for the node to carry out. It has no clock, no threads and no I/O: the embedding node owns the sockets.
+//! A [`Policy`] makes the decisions of one node. Its inputs are events ([`Event`]) with the time at which
+//! they happened, in microseconds; its outputs are actions ([`Action`]) for the node to carry out. It has no
+//! clock, no threads and no I/O: the embedding node owns the sockets.
 //!
 //! ```
 //! use stonevane_policy::{Action, Condition, Event, ListUpdate, Policy, Request, ServerEntry, Settings};
@@ -24,13 +27,15 @@
 //!
 //! # Layout
 //!
-//! - `policy` dispatches events and timers. Its submodules carry requests, attempts, outcomes, calls to the origin and the endpoint list through the rules.
-//! - One module per rule, which documents its decision, inputs, units and reason: `admission`, `balancing`, `coalescing`,
-//!   `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`, `slow_start`,
-//!   `startup`.
+//! - `policy` dispatches events and timers. Its submodules carry requests, attempts, outcomes, calls to the
+//!   origin and the endpoint list through the rules.
+//! - One module per rule, which documents its decision, inputs, units and reason: `admission`, `balancing`,
+//!   `coalescing`, `discovery_backoff`, `hedging`, `idle_connections`, `origin_limits`, `outlier`, `retry`,
+//!   `slow_start`, `startup`.
 //! - State that the rules work on: `pending_request`, `attempt`, `server`, `server_pool`, `key_history`.
 //! - Interface: `event`, `outcome`, `server_entry`, `action`, [`settings`], `ids`.
-//! - Utilities that decide nothing: `timers`, `token_bucket`, `statistics`, `random`, [`hash`], `log_message`.
+//! - Utilities that decide nothing: `timers`, `token_bucket`, `statistics`, `random`, [`hash`],
+//!   `log_message`.
 
 mod action;
 mod admission;
--- a/crates/stonevane-policy/src/log_message.rs
+++ b/crates/stonevane-policy/src/log_message.rs
@@ -1,5 +1,5 @@
 //! Log messages of the policy. [`Action::Log`] carries their texts out of the process, also over the
-//! simulator's wire.
+//! simulator's wire, and operators' pages quote some of them.
 
 use std::fmt;
 
@@ -14,9 +14,9 @@
     /// An ejected server has responded and is readmitted.
     ServerReadmitted(ServerId),
     /// The origin is known to be unavailable for a time.
-    OriginStopped,
+    OriginUnavailable,
     /// The origin is known to be available again.
-    OriginRestored,
+    OriginAvailable,
     /// The concurrency limit of the origin has fallen below the threshold for logging.
     OriginLimitLowered,
     /// The concurrency limit of the origin has risen to the threshold for logging again.
@@ -35,15 +35,15 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             LogMessage::ServerEjected(server) => write!(f, "server {server} fails or is silent: set aside"),
-            LogMessage::ServerReadmitted(server) => write!(f, "server {server} answers again: let back"),
-            LogMessage::OriginStopped => f.write_str("origin has stopped: no call to it for a time"),
-            LogMessage::OriginRestored => f.write_str("origin answers again"),
+            LogMessage::ServerReadmitted(server) => write!(f, "server {server} responds again: readmitted"),
+            LogMessage::OriginUnavailable => f.write_str("origin unavailable: calls to it suspended"),
+            LogMessage::OriginAvailable => f.write_str("origin available again"),
             LogMessage::OriginLimitLowered => f.write_str("gate lowered: origin slow"),
             LogMessage::OriginLimitRestored => f.write_str("gate restored"),
             LogMessage::SheddingBegan => f.write_str("shedding over quota has begun"),
             LogMessage::SheddingEnded => f.write_str("shedding has ended"),
             LogMessage::DiscoveryFailed => {
-                f.write_str("discovery call failed or subscription lost: asking again")
+                f.write_str("discovery call failed or subscription lost: retrying after backoff")
             }
         }
     }
@@ -57,12 +57,12 @@
 
 /// A value before and after a change.
 #[derive(Clone, Copy)]
-pub struct Change {
+pub struct ValueChange {
     pub before: f64,
     pub after: f64,
 }
 
-impl Change {
+impl ValueChange {
     /// Returns `fell` if the value fell below a threshold, and `rose` if it rose to it again.
     pub fn crossing(self, threshold: f64, fell: LogMessage, rose: LogMessage) -> Option<LogMessage> {
         match (self.before < threshold, self.after < threshold) {
--- a/crates/stonevane-policy/src/origin_limits.rs
+++ b/crates/stonevane-policy/src/origin_limits.rs
@@ -14,10 +14,10 @@
 
 use crate::attempt::{Attempt, CallKind};
 use crate::ids::Micros;
-use crate::log_message::{Change, LogMessage};
+use crate::log_message::{LogMessage, ValueChange};
 use crate::outcome::{AttemptStatus, Outcome};
 use crate::random::Random;
-use crate::statistics::FadingRatio;
+use crate::statistics::DecayingRatio;
 
 /// Smallest ceiling of the concurrency limit, in calls.
 const MIN_CONCURRENCY_CEILING: f64 = 20.0;
@@ -25,22 +25,22 @@
 /// is the latency of the origin in seconds.
 const CONCURRENCY_PER_REQUEST_RATE: f64 = 0.06;
 /// Initial concurrency limit as a fraction of its ceiling: calls of an earlier process may still be running.
-const INITIAL_CONCURRENCY: f64 = 0.5;
+const INITIAL_CONCURRENCY_FRACTION: f64 = 0.5;
 /// Smallest rate limit, in calls per second.
-const MIN_RATE: f64 = 30.0;
+const MIN_CALLS_PER_SECOND: f64 = 30.0;
 /// Rate limit in calls per second, for each request per second of the node.
 const CALLS_PER_REQUEST: f64 = 1.0;
 /// Window of the rate limit as a fraction of the longest latency objective. It is short, so that a call
 /// blocked in one window can still wait for the next.
-const RATE_WINDOW: f64 = 0.25;
+const RATE_WINDOW_FRACTION: f64 = 0.25;
 /// Fraction of both limits that fetches may use.
-const FETCH_PART: f64 = 0.7;
+const FETCH_FRACTION: f64 = 0.7;
 /// Factor on the concurrency limit at a sign of congestion.
-const CONGESTION_DECREASE: f64 = 0.8;
+const CONGESTION_DECREASE_FACTOR: f64 = 0.8;
 /// Smallest concurrency limit, as a fraction of its ceiling.
-const CONCURRENCY_FLOOR: f64 = 0.1;
+const MIN_CONCURRENCY_FRACTION: f64 = 0.1;
 /// Concurrency limit, as a fraction of its ceiling, below which the node logs that it is lowered.
-const LOGGED_LIMIT: f64 = 0.25;
+const LOGGED_CONCURRENCY_FRACTION: f64 = 0.25;
 /// Fetches of all nodes together that pacing leaves in flight, even if the origin is very slow.
 const MIN_SHARED_FETCHES: f64 = 8.0;
 /// Number of nodes for each multiple by which one response changes the pace of fetches: one of many nodes
@@ -56,13 +56,13 @@
 /// Smallest random factor on the pause between paced fetches; the largest is this plus 1.
 const MIN_PACE_JITTER: f64 = 0.5;
 /// Fraction of the shortest latency objective from which a response of the origin is slow.
-const SLOW_ANSWER: f64 = 0.8;
+const SLOW_RESPONSE_FRACTION: f64 = 0.8;
 /// Shortest backoff of a blocked call, as a fraction of the request's latency objective.
-const MIN_BACKOFF: f64 = 1.0 / 60.0;
+const MIN_BACKOFF_FRACTION: f64 = 1.0 / 60.0;
 /// Longest backoff of a blocked call, as a fraction of the request's latency objective.
-const MAX_BACKOFF: f64 = 3.0 / 60.0;
+const MAX_BACKOFF_FRACTION: f64 = 3.0 / 60.0;
 /// Shortest backoff in microseconds, for short latency objectives.
-const BACKOFF_FLOOR: Micros = 1_000;
+const MIN_BACKOFF: Micros = 1_000;
 
 /// Inputs for the ceilings of the limits.
 #[derive(Clone, Copy)]
@@ -81,7 +81,7 @@
 
     /// Returns the number of calls that the rate limit allows in a window of this many microseconds.
     fn calls_per_window(self, window: f64) -> f64 {
-        (self.request_rate * CALLS_PER_REQUEST).max(MIN_RATE) * self.process_share * window / 1e6
+        (self.request_rate * CALLS_PER_REQUEST).max(MIN_CALLS_PER_SECOND) * self.process_share * window / 1e6
     }
 }
 
@@ -104,9 +104,9 @@
 
 impl CallCount {
     /// Returns whether one more call is within a fraction of both limits. A single call always is.
-    fn allows_one_more(self, concurrency: f64, calls_per_window: f64, part: f64) -> bool {
+    fn allows_one_more(self, concurrency: f64, calls_per_window: f64, fraction: f64) -> bool {
         let within = |count: u32, limit: f64| f64::from(count + 1) <= limit.max(1.0);
-        within(self.in_flight, concurrency * part) && within(self.in_window, calls_per_window * part)
+        within(self.in_flight, concurrency * fraction) && within(self.in_window, calls_per_window * fraction)
     }
 }
 
@@ -124,27 +124,27 @@
     /// Time from which the next fetch may be sent, while `fetch_pace` is less than 1.
     next_fetch_at: Micros,
     /// Time of the last response to a request that was not the first on its connection; 0 for never.
-    reused_connection_answer_at: Micros,
+    reused_connection_response_at: Micros,
     /// Time until which the origin is known to be unavailable.
     unavailable_until: Micros,
     /// Calls blocked by a limit, among all calls that were to be sent.
-    saturation: FadingRatio,
+    saturation: DecayingRatio,
 }
 
 impl OriginLimits {
     /// Creates the limits of a process that starts.
     pub fn new(share: OriginShare) -> Self {
         OriginLimits {
-            concurrency_limit: share.concurrency_ceiling() * INITIAL_CONCURRENCY,
+            concurrency_limit: share.concurrency_ceiling() * INITIAL_CONCURRENCY_FRACTION,
             all_calls: CallCount::default(),
             fetches: CallCount::default(),
             window_start: 0,
             lowered_at: 0,
             fetch_pace: 1.0,
             next_fetch_at: 0,
-            reused_connection_answer_at: 0,
+            reused_connection_response_at: 0,
             unavailable_until: 0,
-            saturation: FadingRatio::default(),
+            saturation: DecayingRatio::default(),
         }
     }
 
@@ -157,7 +157,7 @@
         share: OriginShare,
         longest_objective: Micros,
     ) -> bool {
-        let window = longest_objective as f64 * RATE_WINDOW;
+        let window = longest_objective as f64 * RATE_WINDOW_FRACTION;
         let calls_per_window = share.calls_per_window(window);
         if now >= self.window_start + window as Micros {
             self.window_start = now;
@@ -166,10 +166,12 @@
         }
         // The process's share may have shrunk since the limit was last adjusted.
         let concurrency = self.concurrency_limit.min(share.concurrency_ceiling());
-        let paced = self.fetch_pace >= 1.0 || (self.fetches.in_flight == 0 && now >= self.next_fetch_at);
+        let pace_allows =
+            self.fetch_pace >= 1.0 || (self.fetches.in_flight == 0 && now >= self.next_fetch_at);
         let allowed = self.all_calls.allows_one_more(concurrency, calls_per_window, 1.0)
             && (kind == CallKind::Write
-                || (paced && self.fetches.allows_one_more(concurrency, calls_per_window, FETCH_PART)));
+                || (pace_allows
+                    && self.fetches.allows_one_more(concurrency, calls_per_window, FETCH_FRACTION)));
         self.saturation.add(f64::from(u8::from(!allowed)), 1.0);
         allowed
     }
@@ -193,7 +195,7 @@
         let (all_calls, fetches) = match kind {
             CallKind::Fetch => (Some(&mut self.all_calls), Some(&mut self.fetches)),
             CallKind::Write => (Some(&mut self.all_calls), None),
-            CallKind::CacheRead | CallKind::JoinedFetch => (None, None),
+            CallKind::CacheRead | CallKind::CoalescedFetch => (None, None),
         };
         all_calls.into_iter().chain(fetches)
     }
@@ -207,35 +209,35 @@
         context: OutcomeContext,
         random: &mut Random,
     ) -> Option<LogMessage> {
-        let took = call.age(context.now);
-        let slow = took > (context.shortest_objective as f64 * SLOW_ANSWER) as Micros;
-        let answered = matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Malformed);
+        let elapsed = call.age(context.now);
+        let slow = elapsed > (context.shortest_objective as f64 * SLOW_RESPONSE_FRACTION) as Micros;
+        let responded = matches!(outcome.status, AttemptStatus::Served | AttemptStatus::Malformed);
         let jitter = random.unit();
         self.count_ended(call.kind);
-        if answered && slow && outcome.first_on_connection && self.is_handshake(took, context) {
+        if responded && slow && outcome.first_on_connection && self.is_handshake(elapsed, context) {
             return None;
         }
-        if answered && !outcome.first_on_connection {
-            self.reused_connection_answer_at = context.now;
+        if responded && !outcome.first_on_connection {
+            self.reused_connection_response_at = context.now;
         }
         if outcome.status != AttemptStatus::NotSent {
-            self.pace_fetches(took, slow, jitter, context);
+            self.pace_fetches(elapsed, slow, jitter, context);
         }
-        self.adjust_concurrency(call, outcome.status, slow, answered, context)
+        self.adjust_concurrency(call, outcome.status, slow, responded, context)
     }
 
     /// Returns whether a slow response may be slow because of a handshake across zones: requests on reused
     /// connections have recently shown the origin's own latency.
-    fn is_handshake(&self, took: Micros, context: OutcomeContext) -> bool {
+    fn is_handshake(&self, elapsed: Micros, context: OutcomeContext) -> bool {
         let known_until =
-            self.reused_connection_answer_at + KNOWN_LATENCY_OBJECTIVES * context.longest_objective;
-        let known = self.reused_connection_answer_at != 0 && context.now < known_until;
-        known && took <= context.longest_objective
+            self.reused_connection_response_at + KNOWN_LATENCY_OBJECTIVES * context.longest_objective;
+        let latency_is_known = self.reused_connection_response_at != 0 && context.now < known_until;
+        latency_is_known && elapsed <= context.longest_objective
     }
 
     /// Adjusts the pace of fetches, if needed to below one at a time. If each of many nodes kept one fetch in
     /// flight at a slow origin, its queue would stay so long that writes are late.
-    fn pace_fetches(&mut self, took: Micros, slow: bool, jitter: f64, context: OutcomeContext) {
+    fn pace_fetches(&mut self, elapsed: Micros, slow: bool, jitter: f64, context: OutcomeContext) {
         let nodes = f64::from(context.nodes.max(1));
         let min_pace = MIN_SHARED_FETCHES / nodes;
         let step = (nodes / NODES_PER_PACE_STEP).max(MIN_PACE_STEP);
@@ -243,8 +245,8 @@
         self.fetch_pace = pace.clamp(min_pace.min(1.0), 1.0);
         // The pause is limited so that every node still calls the origin from time to time, whatever the
         // number of nodes.
-        let longest_pause = (MAX_PAUSE_OBJECTIVES * context.longest_objective) as f64;
-        let pause = (took as f64 * (1.0 / self.fetch_pace - 1.0)).min(longest_pause);
+        let max_pause = (MAX_PAUSE_OBJECTIVES * context.longest_objective) as f64;
+        let pause = (elapsed as f64 * (1.0 / self.fetch_pace - 1.0)).min(max_pause);
         self.next_fetch_at = context.now + (pause * (MIN_PACE_JITTER + jitter)) as Micros;
     }
 
@@ -253,21 +255,22 @@
         call: &Attempt,
         status: AttemptStatus,
         slow: bool,
-        answered: bool,
+        responded: bool,
         context: OutcomeContext,
     ) -> Option<LogMessage> {
         let ceiling = context.share.concurrency_ceiling();
         let before = self.concurrency_limit;
         // A broken connection is no sign of congestion.
         let congested = (status != AttemptStatus::Reset || slow) && status != AttemptStatus::NotSent;
-        if answered && !slow {
+        if responded && !slow {
             self.concurrency_limit = (before + 1.0 / before).min(ceiling);
         } else if congested && call.sent_at >= self.lowered_at {
             self.lowered_at = context.now;
-            self.concurrency_limit = (before * CONGESTION_DECREASE).max(ceiling * CONCURRENCY_FLOOR);
+            self.concurrency_limit =
+                (before * CONGESTION_DECREASE_FACTOR).max(ceiling * MIN_CONCURRENCY_FRACTION);
         }
-        let change = Change { before, after: self.concurrency_limit };
-        let logged = ceiling * LOGGED_LIMIT;
+        let change = ValueChange { before, after: self.concurrency_limit };
+        let logged = ceiling * LOGGED_CONCURRENCY_FRACTION;
         change.crossing(logged, LogMessage::OriginLimitLowered, LogMessage::OriginLimitRestored)
     }
 
@@ -282,8 +285,8 @@
             self.lowered_at = now + 1;
         }
         match (was_unavailable, duration > 0) {
-            (false, true) => Some(LogMessage::OriginStopped),
-            (true, false) => Some(LogMessage::OriginRestored),
+            (false, true) => Some(LogMessage::OriginUnavailable),
+            (true, false) => Some(LogMessage::OriginAvailable),
             _ => None,
         }
     }
@@ -306,12 +309,12 @@
 
     /// Ends a review period.
     pub fn review(&mut self) {
-        self.saturation.fade();
+        self.saturation.decay();
     }
 }
 
 /// Returns the random backoff of a blocked call, in microseconds.
 pub fn backoff(latency_objective: Micros, random: &mut Random) -> Micros {
-    let part = MIN_BACKOFF + (MAX_BACKOFF - MIN_BACKOFF) * random.unit();
-    ((latency_objective as f64 * part) as Micros).max(BACKOFF_FLOOR)
+    let fraction = MIN_BACKOFF_FRACTION + (MAX_BACKOFF_FRACTION - MIN_BACKOFF_FRACTION) * random.unit();
+    ((latency_objective as f64 * fraction) as Micros).max(MIN_BACKOFF)
 }
--- a/crates/stonevane-policy/src/outlier.rs
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -10,7 +10,7 @@
 /// Failure count from which a server is ejected. Each failure adds one, each response subtracts one.
 const EJECTION_FAILURE_COUNT: u32 = 3;
 /// Failure count below which a broken connection or a malformed response is not attributed to the server.
-const ISOLATED_FAILURES: u32 = 2;
+const ISOLATED_FAILURE_LIMIT: u32 = 2;
 /// Shortest ejection time, as a multiple of the longest latency objective.
 const MIN_EJECTION_OBJECTIVES: u64 = 1;
 /// Longest ejection time, as a multiple of the longest latency objective.
@@ -59,12 +59,12 @@
 
     /// Records whether the latest failure was a failure to connect. A stopped process accepts no connections,
     /// whereas connections to a running one break for many reasons.
-    pub fn note_connect_failed(&mut self, connect_failed: bool) {
+    pub fn set_connect_failed(&mut self, connect_failed: bool) {
         self.connect_failed = connect_failed;
     }
 
     /// Counts a response, which readmits an ejected server.
-    pub fn record_answer(&mut self) -> Option<Readmission> {
+    pub fn record_response(&mut self) -> Option<Readmission> {
         self.failure_count = self.failure_count.saturating_sub(1);
         self.ejection.take()?;
         Some(Readmission { restarted: std::mem::take(&mut self.connect_failed) })
@@ -90,6 +90,6 @@
     /// Returns whether the server has too few failures for a broken connection or a malformed response to
     /// count against it.
     pub fn failures_are_isolated(&self) -> bool {
-        self.failure_count < ISOLATED_FAILURES && self.ejection.is_none()
+        self.failure_count < ISOLATED_FAILURE_LIMIT && self.ejection.is_none()
     }
 }
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -3,7 +3,7 @@
 
 use super::Policy;
 use crate::action::{Action, Reason};
-use crate::admission::SIGN_OF_SLOWNESS;
+use crate::admission::SLOW_ATTEMPT_SIGNAL;
 use crate::attempt::{Attempt, AttemptId, CallKind};
 use crate::hedging;
 use crate::ids::{Key, Micros, RequestId, ServerId};
@@ -13,7 +13,7 @@
 
 /// Fraction of the latency objective after which an attempt without a response is slow. After twice this
 /// fraction it is nearly late.
-const SLOW_ATTEMPT: f64 = 0.4;
+const SLOW_ATTEMPT_FRACTION: f64 = 0.4;
 
 impl Policy {
     /// Sends an attempt if the rules allow it, and returns whether it was sent. Every attempt of the policy
@@ -39,7 +39,7 @@
         target.record_attempt(spent);
         let key = pending.key;
         let latency_objective = pending.class.latency_objective;
-        let slow_after = (latency_objective as f64 * SLOW_ATTEMPT) as Micros;
+        let slow_after = (latency_objective as f64 * SLOW_ATTEMPT_FRACTION) as Micros;
         let lost_after = (LOST_RESPONSE_MULTIPLE * target.response_time.value()) as Micros + 1;
         let timeout = if kind == CallKind::CacheRead { slow_after } else { lost_after.max(slow_after) };
         self.set_timer(timeout, Timer::AttemptSlow(attempt));
@@ -69,11 +69,11 @@
         }
         self.origin_limits.count_sent(kind);
         if kind == CallKind::Fetch && self.settings.coalesce_fetches {
-            self.shared_fetches.share(key, attempt);
+            self.in_flight_fetches.register(key, attempt);
         }
     }
 
-    /// Handles the timer of an attempt that is slow, nearly late or late.
+    /// Handles the timer of an attempt that is slow, nearly late or late, or whose response may be lost.
     pub(super) fn on_attempt_slow(&mut self, id: AttemptId, actions: &mut Vec<Action>) {
         let Some(&attempt) = self.attempts.get(&id) else { return };
         let lost = retry::response_is_lost(&attempt, self.servers.get(attempt.server), self.now);
@@ -86,15 +86,15 @@
         let age = attempt.age(self.now);
         // Timers fire after 0.4, 0.8 and 1.2 latency objectives; the third one counts a failure.
         let next_timeout = attempt.slow_after + 1;
-        let just_slow = age < next_timeout * 3 / 2;
+        let became_slow = age < next_timeout * 3 / 2;
         let late = age >= attempt.latency_objective;
         // A slow attempt is counted with half of the overload signal when it becomes slow and half when it is
         // nearly late, because a slow response is not yet a lost one.
         self.admission.record_overload(
-            if late || lost { 0.0 } else { SIGN_OF_SLOWNESS },
-            if just_slow { 1.0 } else { 0.0 },
+            if late || lost { 0.0 } else { SLOW_ATTEMPT_SIGNAL },
+            if became_slow { 1.0 } else { 0.0 },
         );
-        if just_slow {
+        if became_slow {
             self.hedge(id.request, attempt.server, actions);
         }
         if !late {
@@ -102,7 +102,7 @@
         }
         // A server that has responded since the attempt was sent gets no failure: a single slow request does
         // not indicate a faulty server.
-        if self.servers.get(attempt.server).is_some_and(|server| server.last_answer_at < attempt.sent_at) {
+        if self.servers.get(attempt.server).is_some_and(|server| server.last_response_at < attempt.sent_at) {
             self.record_failure(attempt.server, actions);
         }
     }
@@ -131,13 +131,13 @@
 
     /// Sends a slow read to the next server as well, if the hedging rule allows it.
     fn hedge(&mut self, id: RequestId, slow_server: ServerId, actions: &mut Vec<Action>) {
-        let is_well_known = self
+        let has_enough_responses = self
             .servers
             .get(slow_server)
-            .is_some_and(|server| hedging::is_well_known(server, self.now, self.latency.longest));
+            .is_some_and(|server| hedging::has_enough_responses(server, self.now, self.latency.longest));
         // While the start-up limit is reached, slowness results from the load of the start and not from a
         // slow server.
-        let allowed = self.startup_allows_attempt() && !is_well_known;
+        let allowed = self.startup_allows_attempt() && !has_enough_responses;
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if !allowed || !hedging::may_hedge(pending, &self.retry_budget, &self.settings) {
             return;
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -20,7 +20,7 @@
 use crate::admission::Admission;
 use crate::attempt::{Attempt, AttemptId};
 use crate::balancing::Balancing;
-use crate::coalescing::SharedFetches;
+use crate::coalescing::InFlightFetches;
 use crate::discovery_backoff::DiscoveryBackoff;
 use crate::event::Event;
 use crate::hash::{self, unit_hash};
@@ -61,7 +61,7 @@
     key_history: KeyHistory,
     admission: Admission,
     origin_limits: OriginLimits,
-    shared_fetches: SharedFetches,
+    in_flight_fetches: InFlightFetches,
     retry_budget: RetryBudget,
     startup: StartupLimit,
     discovery_backoff: DiscoveryBackoff,
@@ -117,7 +117,7 @@
             key_history: KeyHistory::default(),
             admission,
             origin_limits: OriginLimits::new(origin_share),
-            shared_fetches: SharedFetches::default(),
+            in_flight_fetches: InFlightFetches::default(),
             retry_budget: RetryBudget::new(),
             startup: StartupLimit::new(seed, settings.node_index),
             discovery_backoff: DiscoveryBackoff::default(),
@@ -133,7 +133,7 @@
     /// appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.startup.note_time(now);
+        self.startup.record_event_time(now);
         self.handle_event(event, actions);
         self.run_due_timers(actions);
     }
@@ -152,7 +152,7 @@
             Event::ResponseStarted { request, .. } | Event::ClientDisconnected(request) => {
                 self.requests.remove(&request);
             }
-            Event::Timer(_) => self.timers.fired(self.now + self.settings.tick),
+            Event::Timer(_) => self.timers.on_node_timer_fired(self.now + self.settings.tick),
             Event::OriginUnavailable { duration } => {
                 log(self.origin_limits.set_unavailable(self.now, duration), actions);
             }
@@ -224,7 +224,7 @@
     /// Returns the number of listed cache servers that balancing avoids at present, because an operator has
     /// excluded them or because they are ejected.
     pub fn excluded_or_ejected_count(&self) -> usize {
-        self.servers.avoided_count()
+        self.servers.excluded_or_ejected_count()
     }
 
     fn set_timer(&mut self, after: Micros, timer: Timer) {
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -14,8 +14,8 @@
         let available = !self.origin_limits.is_unavailable(self.now);
         let kind = if pending.write {
             CallKind::Write
-        } else if available && self.shared_fetches.can_join(pending.key) {
-            CallKind::JoinedFetch
+        } else if available && self.in_flight_fetches.can_coalesce(pending.key) {
+            CallKind::CoalescedFetch
         } else {
             CallKind::Fetch
         };
@@ -26,7 +26,7 @@
         };
         // Reported as limited, because the origin may be listed again before the retry.
         let Some(server) = server else { return self.back_off(id, actions) };
-        let allowed = kind == CallKind::JoinedFetch || available && self.acquire_origin_call(kind);
+        let allowed = kind == CallKind::CoalescedFetch || available && self.acquire_origin_call(kind);
         if !allowed {
             return self.back_off(id, actions);
         }
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -3,7 +3,7 @@
 
 use super::{Policy, log};
 use crate::action::{Action, Reason};
-use crate::admission::SIGN_OF_OVERLOAD;
+use crate::admission::REJECTED_ATTEMPT_SIGNAL;
 use crate::attempt::{Attempt, AttemptId, CallKind};
 use crate::log_message::LogMessage;
 use crate::origin_limits::OutcomeContext;
@@ -19,13 +19,13 @@
             let from_cache = attempt.kind == CallKind::CacheRead;
             self.servers.record_response_time(attempt.server, attempt.sent_at, self.now, from_cache);
         }
-        self.learn(&attempt, outcome, actions);
-        self.settle_attempt(&attempt, outcome);
+        self.update_target_state(&attempt, outcome, actions);
+        self.update_pending_request(&attempt, outcome);
         self.continue_request(&attempt, outcome, actions);
     }
 
     /// Updates the request's account of attempts after an outcome.
-    fn settle_attempt(&mut self, attempt: &Attempt, outcome: &Outcome) {
+    fn update_pending_request(&mut self, attempt: &Attempt, outcome: &Outcome) {
         // A single broken connection or malformed response says little about a working server. That server
         // still caches the key, whereas the next one in the key's order would have to fetch it.
         let is_isolated = matches!(outcome.status, AttemptStatus::Malformed | AttemptStatus::Reset)
@@ -53,7 +53,7 @@
         if attempt.kind != CallKind::CacheRead && outcome.status == AttemptStatus::Rejected {
             return self.back_off(outcome.request, actions);
         }
-        if let Err(reason) = self.pay_for_retry(attempt, outcome) {
+        if let Err(reason) = self.charge_retry(attempt, outcome) {
             return self.finish(outcome.request, reason, actions);
         }
         self.retry(outcome, actions);
@@ -61,7 +61,7 @@
 
     /// Charges a retry to the retry budget if it may add work for the servers. Returns the reason if the
     /// retry is not allowed.
-    fn pay_for_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
+    fn charge_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
         let Some(pending) = self.requests.get(&outcome.request) else { return Ok(()) };
         // If each attempt opens a connection, a rejected attempt has cost the server work as well.
         let is_costly = self.closes_idle_connections
@@ -88,7 +88,7 @@
     }
 
     /// Updates the state of the server from an outcome, and with it the overload signal or the origin limits.
-    fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn update_target_state(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
         if server.in_flight == 0 && self.closes_idle_connections {
@@ -96,23 +96,23 @@
         }
         if attempt.kind == CallKind::CacheRead {
             self.servers.end_cache_attempt();
-            self.learn_overload(attempt, outcome.status);
-            self.learn_cache_server(attempt, outcome.status, actions);
+            self.record_overload_signal(attempt, outcome.status);
+            self.record_cache_outcome(attempt, outcome.status, actions);
         } else {
-            self.learn_origin(attempt, outcome, actions);
+            self.record_origin_outcome(attempt, outcome, actions);
         }
     }
 
     /// Counts a timely attempt in the overload signal. A slow one was counted when it became slow, since
     /// waiting for its end would delay the reaction to overload.
-    fn learn_overload(&mut self, attempt: &Attempt, status: AttemptStatus) {
+    fn record_overload_signal(&mut self, attempt: &Attempt, status: AttemptStatus) {
         if attempt.is_timely(self.now) {
-            let signs = if status == AttemptStatus::Rejected { SIGN_OF_OVERLOAD } else { 0.0 };
-            self.admission.record_overload(signs, 1.0);
+            let signal = if status == AttemptStatus::Rejected { REJECTED_ATTEMPT_SIGNAL } else { 0.0 };
+            self.admission.record_overload(signal, 1.0);
         }
     }
 
-    fn learn_cache_server(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+    fn record_cache_outcome(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         match status {
             // A server that fails every request at once has few attempts in flight and would attract more of
@@ -121,22 +121,22 @@
             | AttemptStatus::Reset
             | AttemptStatus::Error
             | AttemptStatus::Malformed => {
-                server.outlier.note_connect_failed(status == AttemptStatus::ConnectFailed);
+                server.outlier.set_connect_failed(status == AttemptStatus::ConnectFailed);
                 self.record_failure(attempt.server, actions);
             }
-            AttemptStatus::TimedOut => server.outlier.note_connect_failed(false),
+            AttemptStatus::TimedOut => server.outlier.set_connect_failed(false),
             AttemptStatus::NotSent | AttemptStatus::Cancelled => {}
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Rejected => {
-                self.learn_answer(attempt, status, actions);
+                self.record_cache_response(attempt, status, actions);
             }
         }
     }
 
-    fn learn_answer(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+    fn record_cache_response(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         let service_time = attempt.age(self.now) as f64 / (1.0 + server.requests_per_core());
-        server.count_answer(self.now, attempt.latency_objective);
-        if let Some(readmission) = server.outlier.record_answer() {
+        server.record_response(self.now, attempt.latency_objective);
+        if let Some(readmission) = server.outlier.record_response() {
             // A server that refused connections and responds now is a new process, which the list may show
             // late.
             if readmission.restarted {
@@ -145,17 +145,17 @@
             actions.push(LogMessage::ServerReadmitted(attempt.server).into());
         }
         if attempt.is_timely(self.now) {
-            self.startup.record_timely_answer();
+            self.startup.record_timely_response();
         }
         if status == AttemptStatus::Served {
             self.servers.record_service_time(service_time);
         }
     }
 
-    fn learn_origin(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn record_origin_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = AttemptId { request: outcome.request, number: outcome.attempt };
-        self.shared_fetches.end(id, attempt);
-        if attempt.kind == CallKind::JoinedFetch {
+        self.in_flight_fetches.on_call_ended(id, attempt);
+        if attempt.kind == CallKind::CoalescedFetch {
             return; // The call that it joined has an outcome of its own.
         }
         let context = OutcomeContext {
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -2,7 +2,7 @@
 
 use super::Policy;
 use crate::action::{Action, Reason};
-use crate::admission::Admittance;
+use crate::admission::AdmissionDecision;
 use crate::attempt::{AttemptId, CallKind};
 use crate::balancing::ReadCandidate;
 use crate::event::Request;
@@ -56,8 +56,8 @@
     /// Returns the reason for which a new request is rejected, if there is one.
     fn rejection_on_arrival(&mut self, pending: &mut PendingRequest, tenant: usize) -> Option<Reason> {
         match self.admission.admit(tenant, self.now, self.latency.longest, &self.settings) {
-            Admittance::OverQuota => return Some(Reason::OverQuota),
-            Admittance::Admitted { charged_tenant } => pending.charged_tenant = charged_tenant,
+            AdmissionDecision::OverQuota => return Some(Reason::OverQuota),
+            AdmissionDecision::Admitted { charged_tenant } => pending.charged_tenant = charged_tenant,
         }
         if self.now >= pending.deadline {
             return Some(Reason::DeadlineExceeded);
@@ -65,7 +65,7 @@
         self.shutting_down.then_some(Reason::ShuttingDown)
     }
 
-    /// Chooses and makes the next attempt of a request that has none in flight.
+    /// Chooses and makes the next attempt of a request.
     pub(super) fn next_attempt(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         if self.now >= pending.useful_until() {
@@ -132,15 +132,16 @@
         if let Some(tenant) = pending.charged_tenant {
             self.admission.refund(tenant);
         }
-        let harmless =
+        let retry_is_safe =
             pending.class.idempotency == Idempotency::Idempotent || pending.may_have_run.is_empty();
-        if harmless {
+        if retry_is_safe {
             let unavailable_for = match pending.missed || pending.write {
                 true => self.origin_limits.unavailable_for(self.now),
                 false => 0,
             };
-            // The hint is no longer than the backoff of a blocked call, otherwise clients retry too late and
-            // displace other requests. It does not end before an unavailable origin may be called again.
+            // Apart from the minimum that the start-up limit sets, the hint is no longer than the backoff of
+            // a blocked call, otherwise clients retry too late and displace other requests. It does not end
+            // before an unavailable origin may be called again.
             let delay = backoff(pending.class.latency_objective, &mut self.random);
             let retry_after = unavailable_for + delay.max(pending.min_retry_after);
             let retry_after = retry_after.min(self.settings.max_retry_after);
--- a/crates/stonevane-policy/src/policy/server_list.rs
+++ b/crates/stonevane-policy/src/policy/server_list.rs
@@ -13,8 +13,8 @@
         if kind != ListUpdate::Cached {
             self.discovery_backoff.reset();
         }
-        let whole = kind != ListUpdate::Delta;
-        self.servers.update(whole, entries, &self.settings, self.now);
+        let full_list = kind != ListUpdate::Delta;
+        self.servers.update(full_list, entries, &self.settings, self.now);
     }
 
     /// Handles a silence of discovery that exceeded its limit. The loss of an established subscription does
--- a/crates/stonevane-policy/src/retry.rs
+++ b/crates/stonevane-policy/src/retry.rs
@@ -121,12 +121,12 @@
     server.is_some_and(|server| {
         let response_time = server.response_time.value();
         let overdue = attempt.age(now) as f64 > LOST_RESPONSE_MULTIPLE * response_time;
-        response_time > 0.0 && overdue && server.latest_answered_sent_at > attempt.sent_at
+        response_time > 0.0 && overdue && server.latest_served_sent_at > attempt.sent_at
     })
 }
 
 /// Returns the kind of call that requests a lost response again. A joined fetch makes an origin call of its
 /// own.
 pub fn resend_kind(kind: CallKind) -> CallKind {
-    if kind == CallKind::JoinedFetch { CallKind::Fetch } else { kind }
+    if kind == CallKind::CoalescedFetch { CallKind::Fetch } else { kind }
 }
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -11,7 +11,7 @@
 
 /// Responses credited to a server in addition to the recent ones, so that an idle server may get a few
 /// attempts.
-pub const ANSWER_CREDIT: f64 = 2.0;
+pub const RESPONSE_CREDIT: f64 = 2.0;
 /// Smallest live weight used as a divisor.
 const MIN_LIVE_WEIGHT: f32 = 1e-3;
 
@@ -27,12 +27,12 @@
     /// Highest weight seen. With live weights, which fall with load, it is the weight of the idle server.
     pub idle_weight: f32,
     pub in_flight: u32,
-    pub last_answer_at: Micros,
+    pub last_response_at: Micros,
     /// Send time of the latest attempt that the server has served.
-    pub latest_answered_sent_at: Micros,
+    pub latest_served_sent_at: Micros,
     pub response_time: MovingAverage,
     /// Responses of the server, decayed to the time of the last one.
-    pub answers: f64,
+    pub responses: f64,
     pub outlier: OutlierRecord,
     /// Attempts of the slow-start budget that are spent and not yet earned back.
     pub slow_start_spent: SpentTokens,
@@ -53,14 +53,14 @@
 
     /// Returns the number of recent responses, decayed exponentially with the time constant `span`
     /// (microseconds).
-    pub fn recent_answers(&self, now: Micros, span: Micros) -> f64 {
-        self.answers * (-((now - self.last_answer_at) as f64) / span as f64).exp()
+    pub fn recent_responses(&self, now: Micros, span: Micros) -> f64 {
+        self.responses * (-((now - self.last_response_at) as f64) / span as f64).exp()
     }
 
     /// Counts a response.
-    pub fn count_answer(&mut self, now: Micros, span: Micros) {
-        self.answers = 1.0 + self.recent_answers(now, span);
-        self.last_answer_at = now;
+    pub fn record_response(&mut self, now: Micros, span: Micros) {
+        self.responses = 1.0 + self.recent_responses(now, span);
+        self.last_response_at = now;
     }
 
     /// Returns the requests per core that all nodes together have at the server, derived from its live
@@ -72,8 +72,8 @@
     /// Returns the time in microseconds until the server has answered this node's attempts in flight there,
     /// at the rate of its recent responses (Little's law).
     pub fn backlog(&self, now: Micros, longest_objective: Micros) -> f64 {
-        let answers = self.recent_answers(now, longest_objective) + ANSWER_CREDIT;
-        f64::from(self.in_flight) * longest_objective as f64 / answers
+        let responses = self.recent_responses(now, longest_objective) + RESPONSE_CREDIT;
+        f64::from(self.in_flight) * longest_objective as f64 / responses
     }
 
     /// Returns the number of nodes among which the server's capacity is divided.
--- a/crates/stonevane-policy/src/server_pool.rs
+++ b/crates/stonevane-policy/src/server_pool.rs
@@ -8,18 +8,18 @@
 use crate::server::Server;
 use crate::server_entry::{Condition, ServerEntry};
 use crate::settings::Settings;
-use crate::statistics::{FadingPeak, MovingAverage};
+use crate::statistics::{DecayingMax, MovingAverage};
 
 /// Smallest total weight, used if no server is ready.
 const MIN_TOTAL_WEIGHT: f64 = 0.01;
 /// Half-life of the total weight's decaying maximum, in microseconds.
-const PEAK_WEIGHT_HALF_LIFE: f64 = 300e6;
+const PEAK_WEIGHT_HALF_LIFE_US: f64 = 300e6;
 /// Weight of one sample in a server's response time and in the service time.
 const SERVER_SAMPLE_WEIGHT: f64 = 0.1;
 /// Weight of one sample in the response time of all cache servers.
 const FLEET_SAMPLE_WEIGHT: f64 = 0.02;
 /// Smallest random factor on the queue estimate of a request; the largest is this plus 1.
-const MIN_QUEUE_ESTIMATE: f64 = 0.5;
+const MIN_QUEUE_ESTIMATE_FACTOR: f64 = 0.5;
 
 /// A cache server that may get reads: an entry of the dense table that balancing scans.
 #[derive(Clone, Copy)]
@@ -38,8 +38,8 @@
     origin: Option<ServerId>,
     cache_server_shares: f64,
     total_weight: f64,
-    peak_weight: FadingPeak,
-    awaits_reinstated: bool,
+    peak_weight: DecayingMax,
+    has_untried_reinstated: bool,
     cache_attempts: u32,
     cache_response_time: MovingAverage,
     service_time: MovingAverage,
@@ -82,8 +82,8 @@
     }
 
     /// Returns whether there is a reinstated server that has had no attempt since.
-    pub fn awaits_reinstated(&self) -> bool {
-        self.awaits_reinstated
+    pub fn has_untried_reinstated(&self) -> bool {
+        self.has_untried_reinstated
     }
 
     /// Returns the number of this node's attempts in flight at cache servers.
@@ -109,11 +109,11 @@
     /// Records the response time of an attempt that was served.
     pub fn record_response_time(&mut self, id: ServerId, sent_at: Micros, now: Micros, from_cache: bool) {
         let Some(server) = self.servers.get_mut(&id) else { return };
-        let took = (now - sent_at) as f64;
-        server.response_time.record(took, SERVER_SAMPLE_WEIGHT);
-        server.latest_answered_sent_at = server.latest_answered_sent_at.max(sent_at);
+        let elapsed = (now - sent_at) as f64;
+        server.response_time.record(elapsed, SERVER_SAMPLE_WEIGHT);
+        server.latest_served_sent_at = server.latest_served_sent_at.max(sent_at);
         if from_cache {
-            self.cache_response_time.record(took, FLEET_SAMPLE_WEIGHT);
+            self.cache_response_time.record(elapsed, FLEET_SAMPLE_WEIGHT);
         }
     }
 
@@ -128,16 +128,17 @@
     pub fn queue_estimate(&self, request: RequestId, server: &Server) -> f64 {
         let wait = self.service_time.value() * server.requests_per_core();
         if wait > 0.0 {
-            wait * (MIN_QUEUE_ESTIMATE + unit_hash(request, server.entry.id, hash::purpose::QUEUE_ESTIMATE))
+            wait * (MIN_QUEUE_ESTIMATE_FACTOR
+                + unit_hash(request, server.entry.id, hash::purpose::QUEUE_ESTIMATE))
         } else {
             0.0
         }
     }
 
-    /// Applies entries of the endpoint list. With `whole` they are the full list, and a server without an
+    /// Applies entries of the endpoint list. With `full_list` they are the full list, and a server without an
     /// entry is gone.
-    pub fn update(&mut self, whole: bool, entries: Vec<ServerEntry>, settings: &Settings, now: Micros) {
-        if whole {
+    pub fn update(&mut self, full_list: bool, entries: Vec<ServerEntry>, settings: &Settings, now: Micros) {
+        if full_list {
             for server in self.servers.values_mut() {
                 server.entry.condition = Condition::Gone;
             }
@@ -178,7 +179,7 @@
     }
 
     /// Returns the number of listed cache servers that are excluded by an operator or ejected.
-    pub fn avoided_count(&self) -> usize {
+    pub fn excluded_or_ejected_count(&self) -> usize {
         let listed_caches = self
             .servers
             .values()
@@ -197,9 +198,9 @@
         };
         self.candidates = caches.clone().map(candidate).collect();
         self.cache_server_shares = caches.map(|server| server.node_share(settings)).sum();
-        self.awaits_reinstated = self.servers.values().any(|server| server.reinstated_at != 0);
+        self.has_untried_reinstated = self.servers.values().any(|server| server.reinstated_at != 0);
         let weights = self.candidates.iter().map(|candidate| candidate.weight);
         self.total_weight = weights.sum::<f64>().max(MIN_TOTAL_WEIGHT);
-        self.peak_weight.update(now, self.total_weight, PEAK_WEIGHT_HALF_LIFE);
+        self.peak_weight.update(now, self.total_weight, PEAK_WEIGHT_HALF_LIFE_US);
     }
 }
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -62,8 +62,8 @@
     pub initial_capacity: f64,
     /// Time after its start at which a server has warmed up.
     pub slow_start_duration: Micros,
-    /// Multiple of its current capacity that a server in slow start can take for less than `overload_window`;
-    /// it fails under more than that for the whole window.
+    /// Multiple of its current capacity above which a server in slow start fails, if the load lasts for
+    /// `overload_window`.
     pub overload_multiple: f64,
     /// Time for which a server in slow start withstands more than `overload_multiple` of its capacity.
     pub overload_window: Micros,
@@ -121,7 +121,7 @@
 pub struct RequestClass {
     /// Latency objective: an answer within this time earns the full priority weight.
     pub latency_objective: Micros,
-    /// Time from sending a request to its client giving up.
+    /// Time for which a client waits for the final answer.
     pub deadline: Micros,
     /// Value of one request that is answered within the latency objective.
     pub priority_weight: f64,
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -15,7 +15,7 @@
     #[error("unreadable settings: {0}")]
     Syntax(#[from] serde_json::Error),
     /// A number is outside its bounds, so that the text is corrupt or in other units.
-    #[error("unreadable settings: {field} is {value}, and is to be {bounds}")]
+    #[error("unreadable settings: {field} is {value}, expected {bounds}")]
     OutOfBounds {
         /// Name of the field in the text.
         field: &'static str,
@@ -25,10 +25,10 @@
         bounds: &'static str,
     },
     /// A class has no name, or its name is not unique.
-    #[error("unreadable settings: a class without a name, or {0:?} twice")]
+    #[error("unreadable settings: class name {0:?} is empty or not unique, expected a unique name")]
     ClassName(String),
     /// The effect of a class is none of the known ones.
-    #[error("unreadable settings: unknown effect {0:?} of a class")]
+    #[error("unreadable settings: class effect is {0:?}, expected pure, token or side_effect")]
     UnknownEffect(String),
 }
 
@@ -42,9 +42,9 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones, in the order of [`Settings::zone`].
+    /// Names of the zones; [`Settings::zone`] is a position in them.
     pub zones: Vec<String>,
-    /// Names of the machine kinds, in the order of [`Settings::origin_kind`].
+    /// Names of the machine kinds; [`Settings::origin_kind`] is a position in them.
     pub machine_types: Vec<String>,
     /// Names of the metrics in a load report, in the order of
     /// [`LoadReport::values`](crate::LoadReport::values).
@@ -232,18 +232,18 @@
 /// Rejects numbers outside their bounds.
 fn validate(wire: &WireSettings) -> Result<(), SettingsError> {
     if wire.balancers == 0 {
-        return out_of_bounds("balancers", 0.0, "1 at the least");
+        return out_of_bounds("balancers", 0.0, "at least 1");
     }
     if wire.me >= wire.balancers {
         return out_of_bounds("me", f64::from(wire.me), "less than balancers");
     }
     let staleness = wire.guarantees.ask_within_us;
     if wire.discovery == "ask" && staleness < 1.0 {
-        return out_of_bounds("askWithinUs", staleness, "more than 0 where discovery is asked");
+        return out_of_bounds("askWithinUs", staleness, "at least 1 if discovery is \"ask\"");
     }
     validate_classes(&wire.classes)?;
     if wire.limits.max_attempts == 0 {
-        return out_of_bounds("maxAttempts", 0.0, "1 at the least");
+        return out_of_bounds("maxAttempts", 0.0, "at least 1");
     }
     validate_times(wire)?;
     match wire.realms.iter().find(|realm| !(0.0..=MAX_QUOTA_PER_S).contains(&realm.quota_per_s)) {
@@ -259,7 +259,7 @@
         }
         for (field, value) in [("goalTimeUs", class.goal_time_us), ("deadlineUs", class.deadline_us)] {
             if !(value >= 1.0 && value.is_finite()) {
-                return out_of_bounds(field, value, "more than 0");
+                return out_of_bounds(field, value, "a finite number of at least 1");
             }
         }
     }
@@ -287,7 +287,7 @@
     ]);
     for (field, value) in times {
         if value > MAX_TIME_US {
-            return out_of_bounds(field, value, "a day at the most");
+            return out_of_bounds(field, value, "at most 86400000000 (one day)");
         }
     }
     Ok(())
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -21,15 +21,16 @@
 /// Largest rate of a server in slow start, as a multiple of the equal share of the quotas that a warmed-up
 /// server has. It is scaled by the server's capacity fraction.
 const MAX_RATE_MULTIPLE: f64 = 1.5;
-/// Fraction of `overload_multiple` that the rate multiple may reach. With a full bucket the server then gets three quarters of `overload_multiple`, which leaves a margin of a quarter.
-const OVERLOAD_PART: f64 = 0.5;
+/// Fraction of `overload_multiple` that the rate multiple may reach. With a full bucket the server then gets
+/// three quarters of `overload_multiple`, which leaves a margin of a quarter.
+const OVERLOAD_MULTIPLE_FRACTION: f64 = 0.5;
 /// Multiple of the rate with which requests for one key pass at random. Few servers have a key that is
 /// requested often enough to reach it, and rare keys pass sooner.
 const KEY_RATE_MULTIPLE: f64 = 2.0;
 /// Capacity of a node's bucket: the attempts that its rate earns in this fraction of the overload window.
-const BUCKET_WINDOW: f64 = 0.5;
+const BUCKET_WINDOW_FRACTION: f64 = 0.5;
 /// Attempts that all nodes together may send in addition to their rates.
-const SHARED_CREDIT: f64 = 1.0;
+const SHARED_CREDIT_ATTEMPTS: f64 = 1.0;
 /// Smallest total weight used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 0.01;
 
@@ -71,7 +72,7 @@
 impl SlowStart<'_> {
     /// Returns the guaranteed fraction of a server's full capacity at its age: from `initial_capacity` at the
     /// start it grows linearly to 1 over `slow_start_duration`.
-    fn warmth(&self, server: &Server) -> f64 {
+    fn capacity_fraction(&self, server: &Server) -> f64 {
         let started = server.entry.started;
         let age = self.now.saturating_sub(started) as f64 / self.settings.slow_start_duration.max(1) as f64;
         let initial = self.settings.initial_capacity;
@@ -79,25 +80,26 @@
     }
 
     /// Returns whether a read may go to a server. A server in slow start gets a subset of its keys that grows
-    /// with its capacity fraction and is the same at every node. It gets no key that is popular at this node, and no more reads than the node's budget allows. With `probes_reinstated` an
-    /// operator has reinstated the server, and one read goes there whatever its key.
-    pub fn allows_read(&self, read: &SlowStartRead, server: &Server, probes_reinstated: bool) -> bool {
-        let warmth = self.warmth(server);
-        if warmth >= 1.0 {
+    /// with its capacity fraction and is the same at every node. It gets no key that is popular at this node,
+    /// and no more reads than the node's budget allows. With `due_for_read` an operator has reinstated the
+    /// server, and one read goes there whatever its key.
+    pub fn allows_read(&self, read: &SlowStartRead, server: &Server, due_for_read: bool) -> bool {
+        let capacity_fraction = self.capacity_fraction(server);
+        if capacity_fraction >= 1.0 {
             return true;
         }
         if read.popular || !self.has_budget(server) {
             return false;
         }
-        probes_reinstated
-            || unit_hash(read.key, server.entry.id, hash::purpose::SLOW_START_KEYS) < warmth
-                && self.wins_draw(read, server)
+        due_for_read
+            || unit_hash(read.key, server.entry.id, hash::purpose::SLOW_START_KEYS) < capacity_fraction
+                && self.passes_at_random(read, server)
     }
 
     /// Returns whether the node's bucket has a token for one more attempt at a server in slow start. The
     /// origin and warmed-up servers need none.
     pub fn has_budget(&self, server: &Server) -> bool {
-        if server.is_origin || self.warmth(server) >= 1.0 {
+        if server.is_origin || self.capacity_fraction(server) >= 1.0 {
             return true;
         }
         let budget = self.node_budget(server);
@@ -113,13 +115,13 @@
     /// request for a key is what the rate has earned since the key was last requested here. Requests for one
     /// key at all nodes together then get no more than a multiple of the combined rate. If other servers
     /// leave, their keys also come to this one and fewer requests pass.
-    fn wins_draw(&self, read: &SlowStartRead, server: &Server) -> bool {
+    fn passes_at_random(&self, read: &SlowStartRead, server: &Server) -> bool {
         let budget = self.node_budget(server);
-        let credit = SHARED_CREDIT / f64::from(server.sharing_nodes(self.settings).max(1));
+        let credit = SHARED_CREDIT_ATTEMPTS / f64::from(server.sharing_nodes(self.settings).max(1));
         let earned = credit + KEY_RATE_MULTIPLE * budget.rate * read.unseen_for as f64;
         let draw =
             || unit_hash(read.request ^ self.node_salt, server.entry.id, hash::purpose::SLOW_START_DRAW);
-        budget.capacity >= 1.0 || draw() < earned.min(self.remaining_weight_part())
+        budget.capacity >= 1.0 || draw() < earned.min(self.remaining_weight_fraction())
     }
 
     fn node_budget(&self, server: &Server) -> NodeBudget {
@@ -127,17 +129,20 @@
         // The weight of the servers that are left does not count: the capacity of a server does not grow when
         // others leave.
         let fleet_weight = self.peak_weight.max(self.settings.total_cache_weight).max(MIN_TOTAL_WEIGHT);
-        let multiple = MAX_RATE_MULTIPLE.min(OVERLOAD_PART * self.settings.overload_multiple).max(0.0);
+        let multiple =
+            MAX_RATE_MULTIPLE.min(OVERLOAD_MULTIPLE_FRACTION * self.settings.overload_multiple).max(0.0);
         let weight = self.settings.cache_weight_of(server.entry.weight);
-        let rate = self.process_share * multiple * self.warmth(server) * quota * weight / fleet_weight / 1e6;
-        let capacity = rate * self.settings.overload_window as f64 * BUCKET_WINDOW;
+        let rate = self.process_share * multiple * self.capacity_fraction(server) * quota * weight
+            / fleet_weight
+            / 1e6;
+        let capacity = rate * self.settings.overload_window as f64 * BUCKET_WINDOW_FRACTION;
         NodeBudget { rate, capacity, spent: server.slow_start_spent.remaining(self.now, rate) }
     }
 
     /// Returns the weight of the ready servers as a fraction of its decaying maximum. The keys of servers
     /// that have left come to the remaining ones, and a server in slow start must not get more attempts for
     /// that.
-    fn remaining_weight_part(&self) -> f64 {
+    fn remaining_weight_fraction(&self) -> f64 {
         (self.total_weight / self.peak_weight.max(MIN_TOTAL_WEIGHT)).min(1.0)
     }
 }
--- a/crates/stonevane-policy/src/startup.rs
+++ b/crates/stonevane-policy/src/startup.rs
@@ -12,10 +12,10 @@
 use crate::settings::Settings;
 
 /// Attempts that each timely response adds to the window.
-const WINDOW_PER_ANSWER: f64 = 0.25;
+const ATTEMPTS_PER_TIMELY_RESPONSE: f64 = 0.25;
 /// Upper bound of a rejected client's Retry-After hint, as a fraction of the time left. The hint is random
 /// below it, since many clients are rejected at once.
-const MAX_RETRY_AFTER: f64 = 0.5;
+const MAX_RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// State of the start-up limit of one process.
 pub struct StartupLimit {
@@ -24,7 +24,7 @@
     /// Offset of the window between 0 and 1 attempt, fixed for the node. If shares are below one attempt, it
     /// gives some of the nodes a whole one.
     phase: f64,
-    timely_answers: f64,
+    timely_responses: f64,
 }
 
 /// Inputs of the start-up limit, apart from its own state.
@@ -42,11 +42,11 @@
     /// Creates the limit of a process that has had no event.
     pub fn new(seed: u64, node_index: u32) -> Self {
         let phase = unit_hash(seed, node_index, hash::purpose::STARTUP_PHASE);
-        StartupLimit { started_at: 0, phase, timely_answers: 0.0 }
+        StartupLimit { started_at: 0, phase, timely_responses: 0.0 }
     }
 
     /// Records the time of an event. The first one is the start of the process.
-    pub fn note_time(&mut self, now: Micros) {
+    pub fn record_event_time(&mut self, now: Micros) {
         if self.started_at == 0 {
             self.started_at = now;
         }
@@ -58,8 +58,8 @@
     }
 
     /// Counts a timely response of a cache server.
-    pub fn record_timely_answer(&mut self) {
-        self.timely_answers += 1.0;
+    pub fn record_timely_response(&mut self) {
+        self.timely_responses += 1.0;
     }
 
     /// Returns whether one more attempt at a cache server is within the limit.
@@ -67,7 +67,7 @@
         let per_server = inputs.settings.startup_attempts_per_server;
         let share = per_server * inputs.cache_server_shares / f64::from(inputs.settings.nodes.max(1));
         let age = inputs.now.saturating_sub(self.started_at) as f64 / inputs.longest_objective as f64;
-        let window = (share + self.phase) * age.exp2() + self.timely_answers * WINDOW_PER_ANSWER;
+        let window = (share + self.phase) * age.exp2() + self.timely_responses * ATTEMPTS_PER_TIMELY_RESPONSE;
         per_server <= 0.0 || f64::from(inputs.in_flight + 1) <= window
     }
 }
@@ -75,5 +75,5 @@
 /// Returns the Retry-After hint of a request that the limit rejects, in microseconds. `random_unit` is a
 /// random number from 0 to 1.
 pub fn retry_after(time_left: Micros, random_unit: f64) -> Micros {
-    (time_left as f64 * MAX_RETRY_AFTER * random_unit) as Micros
+    (time_left as f64 * MAX_RETRY_AFTER_FRACTION * random_unit) as Micros
 }
--- a/crates/stonevane-policy/src/statistics.rs
+++ b/crates/stonevane-policy/src/statistics.rs
@@ -21,36 +21,36 @@
     }
 
     /// Returns the average, or `None` before the first sample.
-    pub fn known(self) -> Option<f64> {
+    pub fn recorded(self) -> Option<f64> {
         (self.value > 0.0).then_some(self.value)
     }
 }
 
-/// Factor by which [`FadingRatio::fade`] multiplies the counts.
+/// Factor by which [`DecayingRatio::decay`] multiplies the counts.
 const DECAY_FACTOR: f64 = 0.85;
 /// Total up to which the counts do not decay, so that enough samples remain for a meaningful ratio.
-const MIN_COUNT: f64 = 10.0;
+const MIN_DECAYED_TOTAL: f64 = 10.0;
 
 /// Ratio of matching samples to all recent samples. Both counts decay exponentially.
 #[derive(Default)]
-pub struct FadingRatio {
-    cases: f64,
+pub struct DecayingRatio {
+    matching: f64,
     total: f64,
     /// Samples added to `total` since the last decay.
     recent: f64,
 }
 
-impl FadingRatio {
-    /// Adds `cases` matching samples among `total` samples.
-    pub fn add(&mut self, cases: f64, total: f64) {
-        self.cases += cases;
+impl DecayingRatio {
+    /// Adds `matching` samples among `total` samples.
+    pub fn add(&mut self, matching: f64, total: f64) {
+        self.matching += matching;
         self.total += total;
         self.recent += total;
     }
 
     /// Returns the fraction of matching samples, from 0 to 1.
     pub fn value(&self) -> f64 {
-        self.cases / self.total.max(1.0)
+        self.matching / self.total.max(1.0)
     }
 
     /// Returns the number of samples since the last decay.
@@ -59,9 +59,9 @@
     }
 
     /// Reduces the weight of all samples so far.
-    pub fn fade(&mut self) {
-        let factor = if self.total > MIN_COUNT { DECAY_FACTOR } else { 1.0 };
-        self.cases *= factor;
+    pub fn decay(&mut self) {
+        let factor = if self.total > MIN_DECAYED_TOTAL { DECAY_FACTOR } else { 1.0 };
+        self.matching *= factor;
         self.total *= factor;
         self.recent = 0.0;
     }
@@ -95,16 +95,16 @@
 
 /// Exponentially decaying maximum: its excess over the current value halves in each half-life.
 #[derive(Default)]
-pub struct FadingPeak {
+pub struct DecayingMax {
     value: f64,
     updated_at: Micros,
 }
 
-impl FadingPeak {
+impl DecayingMax {
     /// Updates the maximum with the current value. `half_life` is in microseconds.
-    pub fn update(&mut self, now: Micros, present: f64, half_life: f64) {
-        let fade = 0.5f64.powf(now.saturating_sub(self.updated_at) as f64 / half_life);
-        self.value = present + (self.value - present).max(0.0) * fade;
+    pub fn update(&mut self, now: Micros, current: f64, half_life: f64) {
+        let decay = 0.5f64.powf(now.saturating_sub(self.updated_at) as f64 / half_life);
+        self.value = current + (self.value - current).max(0.0) * decay;
         self.updated_at = now;
     }
 
--- a/crates/stonevane-policy/src/timers.rs
+++ b/crates/stonevane-policy/src/timers.rs
@@ -39,7 +39,7 @@
     /// Records that the node's timer has fired, which was set for a time up to `by`. If a timer for a later
     /// time is armed it stays so: the fired one had been replaced, and arming another for each of them would
     /// multiply timers.
-    pub fn fired(&mut self, by: Micros) {
+    pub fn on_node_timer_fired(&mut self, by: Micros) {
         self.armed = self.armed.filter(|armed| *armed > by);
     }
 
