--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -130,7 +130,7 @@
 }
 
 /// A read for which a server is chosen.
-pub struct ReadCandidate<'a> {
+pub struct PendingRead<'a> {
     pub request: RequestId,
     /// Key and recency, which the slow-start rule uses as well.
     pub slow_start: SlowStartRead,
@@ -156,16 +156,16 @@
     /// Returns the server with the best rank, the first one in the key's order among equals. Usually this is
     /// the first server within the load bound; if none is within it, the first server that is not ejected.
     /// Returns `None` if no server is allowed or the wait at the chosen one is too long.
-    pub fn choose(&self, read: &ReadCandidate<'_>) -> Option<ServerId> {
+    pub fn choose(&self, read: &PendingRead<'_>) -> Option<ServerId> {
         let order = ServerOrder {
             candidates: self.pool.candidates(),
             hasher: KeyHasher::new(read.slow_start.key),
             weighted: self.settings.weights_are_sizes,
         };
         let mut best = None;
-        let decided = self.examine(read, order.head().servers(), &mut best);
+        let decided = self.evaluate(read, order.head().servers(), &mut best);
         if !decided && order.candidates.len() > HEAD_LENGTH {
-            self.examine(read, &order.rest(), &mut best);
+            self.evaluate(read, &order.rest(), &mut best);
         }
         // No other server replaces one with too long a wait: the next suitable one may be far down the order,
         // which would scatter the keys and lower the hit ratio of the caches.
@@ -174,9 +174,9 @@
 
     /// Examines a part of the order and keeps the first server of the best rank in `best`. Returns whether no
     /// later server can be better.
-    fn examine(
+    fn evaluate(
         &self,
-        read: &ReadCandidate<'_>,
+        read: &PendingRead<'_>,
         servers: &[ScoredServer],
         best: &mut Option<(Rank, ServerId)>,
     ) -> bool {
@@ -197,7 +197,7 @@
                 // shared, and no better server exists.
                 ejected: server.outlier.ranks_last(self.now, server.in_flight),
                 overloaded: self.exceeds_bound(server, load_bound)
-                    || self.pool.queue_estimate(read.request, server)
+                    || self.pool.queue_wait_estimate(read.request, server)
                         > read.time_left as f64 * MAX_WAIT_FRACTION,
                 not_due_for_read: !due_for_read,
             };
@@ -213,10 +213,11 @@
 
     /// Returns whether the wait at a server exceeds its fraction of the request's time left. Under load
     /// shedding the wait includes this node's own backlog there.
-    fn wait_is_too_long(&self, read: &ReadCandidate<'_>, server: ServerId) -> bool {
+    fn wait_is_too_long(&self, read: &PendingRead<'_>, server: ServerId) -> bool {
         self.pool.get(server).is_some_and(|server| {
-            let backlog = if self.shedding { server.backlog(self.now, self.longest_objective) } else { 0.0 };
-            let wait = self.pool.queue_estimate(read.request, server).max(backlog);
+            let backlog_time =
+                if self.shedding { server.backlog_time(self.now, self.longest_objective) } else { 0.0 };
+            let wait = self.pool.queue_wait_estimate(read.request, server).max(backlog_time);
             wait > read.time_left as f64 * MAX_WAIT_FRACTION
         })
     }
@@ -227,7 +228,7 @@
     fn load_bound(&self) -> f64 {
         let saturation = (self.origin_saturation / SATURATED_FRACTION).min(1.0);
         let multiple = LOAD_BOUND + (LOAD_BOUND_SATURATED - LOAD_BOUND) * saturation;
-        multiple * f64::from(self.pool.cache_attempts() + 1) / self.pool.total_weight()
+        multiple * f64::from(self.pool.cache_attempts_in_flight() + 1) / self.pool.total_weight()
     }
 
     fn exceeds_bound(&self, server: &Server, load_bound: f64) -> bool {
--- a/crates/stonevane-policy/src/hash.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -12,7 +12,7 @@
     /// Subset of keys that a server in slow start gets.
     pub const SLOW_START_KEYS: u64 = 1;
     /// A request's random factor on the estimate of a server's queue.
-    pub const QUEUE_ESTIMATE: u64 = 2;
+    pub const QUEUE_WAIT_ESTIMATE: u64 = 2;
     /// A node's phase in the start-up limit.
     pub const STARTUP_PHASE: u64 = 3;
     /// A node's phase in the slow-start budget of a server.
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -110,7 +110,7 @@
     /// Counts a failure against a server and logs the ejection that it causes.
     pub(super) fn record_failure(&mut self, id: ServerId, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(id) else { return };
-        if server.outlier.record_failure(self.now, self.latency.longest) {
+        if server.outlier.record_failure(self.now, self.objectives.longest) {
             actions.push(LogMessage::ServerEjected(id).into());
         }
     }
@@ -134,7 +134,7 @@
         let has_enough_responses = self
             .servers
             .get(slow_server)
-            .is_some_and(|server| hedging::has_enough_responses(server, self.now, self.latency.longest));
+            .is_some_and(|server| hedging::has_enough_responses(server, self.now, self.objectives.longest));
         // While the start-up limit is reached, slowness results from the load of the start and not from a
         // slow server.
         let allowed = self.startup_allows_attempt() && !has_enough_responses;
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -53,7 +53,7 @@
     settings: Settings,
     random: Random,
     now: Micros,
-    latency: LatencyObjectives,
+    objectives: LatencyObjectives,
     servers: ServerPool,
     requests: BTreeMap<RequestId, PendingRequest>,
     attempts: BTreeMap<AttemptId, Attempt>,
@@ -109,7 +109,7 @@
         Policy {
             random: Random::new(seed),
             now: 0,
-            latency: LatencyObjectives::of(&settings),
+            objectives: LatencyObjectives::of(&settings),
             servers,
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -192,7 +192,7 @@
     /// Applies new settings. `previous_positions` holds the position of each tenant in the previous settings.
     /// Charges of pending requests move with their tenants; all other learned state is kept.
     fn apply_settings(&mut self, settings: Settings, previous_positions: &[Option<usize>]) {
-        self.latency = LatencyObjectives::of(&settings);
+        self.objectives = LatencyObjectives::of(&settings);
         self.admission.apply_settings(&settings, previous_positions);
         for request in self.requests.values_mut() {
             let position = |tenant| previous_positions.iter().position(|previous| *previous == Some(tenant));
@@ -214,8 +214,8 @@
 
     fn review(&mut self, actions: &mut Vec<Action>) {
         let period =
-            (self.latency.longest / REVIEWS_PER_OBJECTIVE).max(self.settings.tick).max(MIN_REVIEW_PERIOD);
-        let idle = self.servers.cache_attempts() == 0;
+            (self.objectives.longest / REVIEWS_PER_OBJECTIVE).max(self.settings.tick).max(MIN_REVIEW_PERIOD);
+        let idle = self.servers.cache_attempts_in_flight() == 0;
         log(self.admission.review(period, idle), actions);
         self.origin_limits.review();
         self.set_timer(period, Timer::Review);
@@ -256,7 +256,7 @@
             pool: &self.servers,
             slow_start: self.slow_start(),
             now: self.now,
-            longest_objective: self.latency.longest,
+            longest_objective: self.objectives.longest,
             origin_saturation: self.origin_limits.saturation(),
             shedding: self.admission.is_shedding(),
         }
@@ -267,9 +267,9 @@
         self.startup.allows(&StartupInputs {
             settings: &self.settings,
             now: self.now,
-            longest_objective: self.latency.longest,
+            longest_objective: self.objectives.longest,
             cache_server_shares: self.servers.cache_server_shares(),
-            in_flight: self.servers.cache_attempts(),
+            in_flight: self.servers.cache_attempts_in_flight(),
         })
     }
 }
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -38,7 +38,7 @@
     /// Returns whether the origin limits allow one more call.
     pub(super) fn acquire_origin_call(&mut self, kind: CallKind) -> bool {
         let share = self.origin_share();
-        self.origin_limits.try_acquire(kind, self.now, share, self.latency.longest)
+        self.origin_limits.try_acquire(kind, self.now, share, self.objectives.longest)
     }
 
     /// Retries a blocked call after a random backoff, if an answer at that time still earns something. While
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -161,8 +161,8 @@
         let context = OutcomeContext {
             now: self.now,
             share: self.origin_share(),
-            longest_objective: self.latency.longest,
-            shortest_objective: self.latency.shortest,
+            longest_objective: self.objectives.longest,
+            shortest_objective: self.objectives.shortest,
             nodes: self.settings.nodes,
         };
         let message = self.origin_limits.record_outcome(attempt, outcome, context, &mut self.random);
--- a/crates/stonevane-policy/src/policy/requests.rs
+++ b/crates/stonevane-policy/src/policy/requests.rs
@@ -4,7 +4,7 @@
 use crate::action::{Action, Reason};
 use crate::admission::AdmissionDecision;
 use crate::attempt::{AttemptId, CallKind};
-use crate::balancing::ReadCandidate;
+use crate::balancing::PendingRead;
 use crate::event::Request;
 use crate::ids::{RequestId, ServerId};
 use crate::origin_limits::backoff;
@@ -55,7 +55,7 @@
 
     /// Returns the reason for which a new request is rejected, if there is one.
     fn rejection_on_arrival(&mut self, pending: &mut PendingRequest, tenant: usize) -> Option<Reason> {
-        match self.admission.admit(tenant, self.now, self.latency.longest, &self.settings) {
+        match self.admission.admit(tenant, self.now, self.objectives.longest, &self.settings) {
             AdmissionDecision::OverQuota => return Some(Reason::OverQuota),
             AdmissionDecision::Admitted { charged_tenant } => pending.charged_tenant = charged_tenant,
         }
@@ -107,7 +107,7 @@
             unseen_for: pending.unseen_for,
         };
         let time_left = pending.useful_until().saturating_sub(self.now);
-        self.balancing().choose(&ReadCandidate { request: id, slow_start, tried: &pending.tried, time_left })
+        self.balancing().choose(&PendingRead { request: id, slow_start, tried: &pending.tried, time_left })
     }
 
     /// Handles the deadline of a request, or the end of its latency objective if a late answer earns nothing.
--- a/crates/stonevane-policy/src/policy/server_list.rs
+++ b/crates/stonevane-policy/src/policy/server_list.rs
@@ -14,7 +14,7 @@
             self.discovery_backoff.reset();
         }
         let full_list = kind != ListUpdate::Delta;
-        self.servers.update(full_list, entries, &self.settings, self.now);
+        self.servers.apply_entries(full_list, entries, &self.settings, self.now);
     }
 
     /// Handles a silence of discovery that exceeded its limit. The loss of an established subscription does
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -71,7 +71,7 @@
 
     /// Returns the time in microseconds until the server has answered this node's attempts in flight there,
     /// at the rate of its recent responses (Little's law).
-    pub fn backlog(&self, now: Micros, longest_objective: Micros) -> f64 {
+    pub fn backlog_time(&self, now: Micros, longest_objective: Micros) -> f64 {
         let responses = self.recent_responses(now, longest_objective) + RESPONSE_CREDIT;
         f64::from(self.in_flight) * longest_objective as f64 / responses
     }
@@ -98,7 +98,7 @@
     }
 
     /// Applies a new entry of the list. A restarted process starts without failures.
-    pub fn update(&mut self, entry: &ServerEntry, settings: &Settings, now: Micros) {
+    pub fn apply_entry(&mut self, entry: &ServerEntry, settings: &Settings, now: Micros) {
         let restarted = entry.started > self.entry.started;
         // With unequal shares, the first attempts of all nodes together would overload a server in slow
         // start. Each node therefore starts at a random phase and waits until its own share has earned an
--- a/crates/stonevane-policy/src/server_pool.rs
+++ b/crates/stonevane-policy/src/server_pool.rs
@@ -19,7 +19,7 @@
 /// Weight of one sample in the response time of all cache servers.
 const FLEET_SAMPLE_WEIGHT: f64 = 0.02;
 /// Smallest random factor on the queue estimate of a request; the largest is this plus 1.
-const MIN_QUEUE_ESTIMATE_FACTOR: f64 = 0.5;
+const MIN_QUEUE_WAIT_FACTOR: f64 = 0.5;
 
 /// A cache server that may get reads: an entry of the dense table that balancing scans.
 #[derive(Clone, Copy)]
@@ -40,7 +40,7 @@
     total_weight: f64,
     peak_weight: DecayingMax,
     has_untried_reinstated: bool,
-    cache_attempts: u32,
+    cache_attempts_in_flight: u32,
     cache_response_time: MovingAverage,
     service_time: MovingAverage,
 }
@@ -87,18 +87,18 @@
     }
 
     /// Returns the number of this node's attempts in flight at cache servers.
-    pub fn cache_attempts(&self) -> u32 {
-        self.cache_attempts
+    pub fn cache_attempts_in_flight(&self) -> u32 {
+        self.cache_attempts_in_flight
     }
 
     /// Counts an attempt at a cache server that is being sent.
     pub fn count_cache_attempt(&mut self) {
-        self.cache_attempts += 1;
+        self.cache_attempts_in_flight += 1;
     }
 
     /// Counts the end of an attempt at a cache server.
     pub fn end_cache_attempt(&mut self) {
-        self.cache_attempts -= 1;
+        self.cache_attempts_in_flight -= 1;
     }
 
     /// Returns the average response time of the cache servers, in microseconds.
@@ -125,11 +125,11 @@
     /// Returns the estimated wait at a server in microseconds, from the number of requests that all nodes
     /// have there. Each request gets a random estimate of its own: with the same one all nodes would reject
     /// at the same moment, and their clients would retry at the same moment.
-    pub fn queue_estimate(&self, request: RequestId, server: &Server) -> f64 {
+    pub fn queue_wait_estimate(&self, request: RequestId, server: &Server) -> f64 {
         let wait = self.service_time.value() * server.requests_per_core();
         if wait > 0.0 {
-            wait * (MIN_QUEUE_ESTIMATE_FACTOR
-                + unit_hash(request, server.entry.id, hash::purpose::QUEUE_ESTIMATE))
+            wait * (MIN_QUEUE_WAIT_FACTOR
+                + unit_hash(request, server.entry.id, hash::purpose::QUEUE_WAIT_ESTIMATE))
         } else {
             0.0
         }
@@ -137,7 +137,13 @@
 
     /// Applies entries of the endpoint list. With `full_list` they are the full list, and a server without an
     /// entry is gone.
-    pub fn update(&mut self, full_list: bool, entries: Vec<ServerEntry>, settings: &Settings, now: Micros) {
+    pub fn apply_entries(
+        &mut self,
+        full_list: bool,
+        entries: Vec<ServerEntry>,
+        settings: &Settings,
+        now: Micros,
+    ) {
         if full_list {
             for server in self.servers.values_mut() {
                 server.entry.condition = Condition::Gone;
@@ -147,7 +153,7 @@
             let server = self.servers.entry(entry.id).or_default();
             server.is_origin = settings.origin_kind == Some(entry.kind);
             server.excluded = self.excluded.contains(&entry.id);
-            server.update(&entry, settings, now);
+            server.apply_entry(&entry, settings, now);
         }
         // Servers are removed here and not at each review, because a pass over all servers is expensive.
         self.servers.retain(|_, server| server.entry.condition != Condition::Gone || server.in_flight > 0);
--- a/crates/stonevane-policy/src/timers.rs
+++ b/crates/stonevane-policy/src/timers.rs
@@ -27,7 +27,7 @@
 pub struct TimerQueue {
     queue: BinaryHeap<Reverse<(Micros, Timer)>>,
     /// Due time of the node's timer; `None` if it is not set.
-    armed: Option<Micros>,
+    armed_at: Option<Micros>,
 }
 
 impl TimerQueue {
@@ -40,7 +40,7 @@
     /// time is armed it stays so: the fired one had been replaced, and arming another for each of them would
     /// multiply timers.
     pub fn on_node_timer_fired(&mut self, by: Micros) {
-        self.armed = self.armed.filter(|armed| *armed > by);
+        self.armed_at = self.armed_at.filter(|armed_at| *armed_at > by);
     }
 
     /// Removes and returns the next timer that is due. If none is due, arms the node's timer for the next
@@ -59,8 +59,8 @@
             self.queue.pop();
             return Some(timer);
         }
-        if self.armed.is_none_or(|armed| at < armed) {
-            self.armed = Some(at);
+        if self.armed_at.is_none_or(|armed_at| at < armed_at) {
+            self.armed_at = Some(at);
             actions.push(Action::Timer { after: at - now, token: 0 });
         }
         None
