--- a/crates/stonevane-policy/src/key_history.rs
+++ b/crates/stonevane-policy/src/key_history.rs
@@ -1,23 +1,24 @@
-//! When keys were last requested at this node.
+//! Recent requests by key at this node. Slow start uses them to recognize popular keys, which a server in
+//! slow start does not get, and to estimate how rarely a key is requested.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::ids::{Key, Micros};
 
-/// Requests whose keys are remembered.
-const REMEMBERED_REQUESTS: usize = 8_192;
-/// A key requested twice within so many requests is popular.
+/// Number of requests that the history holds.
+const HISTORY_REQUESTS: usize = 8_192;
+/// A key is popular if its previous request is fewer than this many requests back.
 const POPULAR_WITHIN_REQUESTS: u64 = 64;
 
-/// The keys of the latest requests.
+/// The keys of the most recent requests and when they were requested.
 #[derive(Default)]
 pub struct KeyHistory {
-    /// Keys in the order of their requests, and when these arrived.
+    /// Keys and arrival times of the remembered requests, oldest first.
     requests: VecDeque<(Key, Micros)>,
     last_requests: HashMap<Key, LastRequest>,
-    /// Requests so far.
+    /// Number of requests with a key since the process started.
     count: u64,
-    /// Since when all requests are remembered.
+    /// Time from which the history contains every request; 0 until the first request is evicted.
     complete_since: Micros,
 }
 
@@ -26,17 +27,18 @@
     at: Micros,
 }
 
-/// What was known of a key before a request for it.
+/// State of a key before the request that is being recorded.
 pub struct Recency {
-    /// It was requested among the latest requests.
+    /// Whether the key's previous request is fewer than `POPULAR_WITHIN_REQUESTS` requests back.
     pub popular: bool,
-    /// When it was last requested, or the start of the history where that is not known; 0: no request has
-    /// left the history yet.
+    /// Time of the key's previous request, or the start of the history if that request is not in it. 0 if it
+    /// is not in the history and nothing has been evicted yet.
     pub unseen_since: Micros,
 }
 
 impl KeyHistory {
-    /// Records a request for a key, and returns what was known of the key before it. Key 0 names none.
+    /// Records a request for a key and returns the key's state before it. Key 0 stands for no key and is not
+    /// recorded.
     pub fn record(&mut self, key: Key, now: Micros) -> Recency {
         if key == 0 {
             return Recency { popular: false, unseen_since: self.complete_since };
@@ -44,8 +46,8 @@
         self.count += 1;
         let previous = self.last_requests.insert(key, LastRequest { number: self.count, at: now });
         self.requests.push_back((key, now));
-        if self.requests.len() > REMEMBERED_REQUESTS {
-            self.forget_oldest();
+        if self.requests.len() > HISTORY_REQUESTS {
+            self.evict_oldest();
         }
         match previous {
             Some(LastRequest { number, at }) => {
@@ -55,7 +57,7 @@
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         let Some((key, at)) = self.requests.pop_front() else { return };
         self.complete_since = at;
         let oldest = self.count - self.requests.len() as u64;
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -1,8 +1,9 @@
-//! The end of an attempt: what is learned of its server, and what becomes of its request.
+//! Handling of attempt outcomes: updates the state of the server or of the origin limits, then completes or
+//! retries the request.
 
 use super::{Policy, log};
 use crate::action::{Action, Reason};
-use crate::admission::SIGN_OF_OVERLOAD;
+use crate::admission::REJECTED_ATTEMPT_SIGNAL;
 use crate::attempt::{Attempt, AttemptId, CallKind};
 use crate::log_message::LogMessage;
 use crate::origin_limits::OutcomeContext;
@@ -10,7 +11,7 @@
 use crate::retry;
 
 impl Policy {
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_outcome(&mut self, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = AttemptId { request: outcome.request, number: outcome.attempt };
         let Some(attempt) = self.attempts.remove(&id) else { return };
@@ -18,15 +19,15 @@
             let from_cache = attempt.kind == CallKind::CacheRead;
             self.servers.record_response_time(attempt.server, attempt.sent_at, self.now, from_cache);
         }
-        self.learn(&attempt, outcome, actions);
-        self.settle_attempt(&attempt, outcome);
+        self.update_target_state(&attempt, outcome, actions);
+        self.update_pending_request(&attempt, outcome);
         self.continue_request(&attempt, outcome, actions);
     }
 
-    /// Takes an ended attempt into the account of its request.
-    fn settle_attempt(&mut self, attempt: &Attempt, outcome: &Outcome) {
-        // A broken connection or a malformed response says little of a sound server, which still caches the
-        // key; the next in the order would have to fetch it.
+    /// Updates the request's account of attempts after an outcome.
+    fn update_pending_request(&mut self, attempt: &Attempt, outcome: &Outcome) {
+        // A single broken connection or malformed response says little about a working server. That server
+        // still caches the key, whereas the next one in the key's order would have to fetch it.
         let is_isolated = matches!(outcome.status, AttemptStatus::Malformed | AttemptStatus::Reset)
             && self.servers.get(attempt.server).is_some_and(|server| server.outlier.failures_are_isolated());
         let Some(pending) = self.requests.get_mut(&outcome.request) else { return };
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Ends a request that is answered, and retries one that is not.
+    /// Ends a request that has its answer, and retries one that has not.
     fn continue_request(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&outcome.request) else { return };
         if outcome.request_finished || outcome.status == AttemptStatus::Served {
@@ -52,16 +53,17 @@
         if attempt.kind != CallKind::CacheRead && outcome.status == AttemptStatus::Rejected {
             return self.back_off(outcome.request, actions);
         }
-        if let Err(reason) = self.pay_for_retry(attempt, outcome) {
+        if let Err(reason) = self.charge_retry(attempt, outcome) {
             return self.finish(outcome.request, reason, actions);
         }
         self.retry(outcome, actions);
     }
 
-    /// Takes a retry from the budget, where it may add work for the servers.
-    fn pay_for_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
+    /// Charges a retry to the retry budget if it may add work for the servers. Returns the reason if the
+    /// retry is not allowed.
+    fn charge_retry(&mut self, attempt: &Attempt, outcome: &Outcome) -> Result<(), Reason> {
         let Some(pending) = self.requests.get(&outcome.request) else { return Ok(()) };
-        // Where each attempt opens a connection, a rejected one has cost the server work all the same.
+        // If each attempt opens a connection, a rejected attempt has cost the server work as well.
         let is_costly = self.closes_idle_connections
             && attempt.kind == CallKind::CacheRead
             && outcome.status != AttemptStatus::Miss;
@@ -85,8 +87,8 @@
         }
     }
 
-    /// Takes an outcome into what is known of its server and of the load on all, or of the origin.
-    fn learn(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+    /// Updates the state of the server from an outcome, and with it the overload signal or the origin limits.
+    fn update_target_state(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         server.in_flight = server.in_flight.saturating_sub(1);
         if server.in_flight == 0 && self.closes_idle_connections {
@@ -94,46 +96,48 @@
         }
         if attempt.kind == CallKind::CacheRead {
             self.servers.end_cache_attempt();
-            self.learn_overload(attempt, outcome.status);
-            self.learn_cache_server(attempt, outcome.status, actions);
+            self.record_overload_signal(attempt, outcome.status);
+            self.record_cache_outcome(attempt, outcome.status, actions);
         } else {
-            self.learn_origin(attempt, outcome, actions);
+            self.record_origin_outcome(attempt, outcome, actions);
         }
     }
 
-    /// A late attempt was counted when it became slow: waiting for its end would lag behind the overload.
-    fn learn_overload(&mut self, attempt: &Attempt, status: AttemptStatus) {
+    /// Counts a timely attempt in the overload signal. A slow one was counted when it became slow, since
+    /// waiting for its end would delay the reaction to overload.
+    fn record_overload_signal(&mut self, attempt: &Attempt, status: AttemptStatus) {
         if attempt.is_timely(self.now) {
-            let signs = if status == AttemptStatus::Rejected { SIGN_OF_OVERLOAD } else { 0.0 };
-            self.admission.record_overload(signs, 1.0);
+            let signal = if status == AttemptStatus::Rejected { REJECTED_ATTEMPT_SIGNAL } else { 0.0 };
+            self.admission.record_overload(signal, 1.0);
         }
     }
 
-    fn learn_cache_server(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+    fn record_cache_outcome(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         match status {
-            // A server that fails each request at once looks idle and would draw ever more of them.
+            // A server that fails every request at once has few attempts in flight and would attract more of
+            // them.
             AttemptStatus::ConnectFailed
             | AttemptStatus::Reset
             | AttemptStatus::Error
             | AttemptStatus::Malformed => {
-                server.outlier.note_connect_failed(status == AttemptStatus::ConnectFailed);
+                server.outlier.set_connect_failed(status == AttemptStatus::ConnectFailed);
                 self.record_failure(attempt.server, actions);
             }
-            AttemptStatus::TimedOut => server.outlier.note_connect_failed(false),
+            AttemptStatus::TimedOut => server.outlier.set_connect_failed(false),
             AttemptStatus::NotSent | AttemptStatus::Cancelled => {}
             AttemptStatus::Served | AttemptStatus::Miss | AttemptStatus::Rejected => {
-                self.learn_answer(attempt, status, actions);
+                self.record_cache_response(attempt, status, actions);
             }
         }
     }
 
-    fn learn_answer(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
+    fn record_cache_response(&mut self, attempt: &Attempt, status: AttemptStatus, actions: &mut Vec<Action>) {
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         let service_time = attempt.age(self.now) as f64 / (1.0 + server.requests_per_core());
-        server.count_answer(self.now, attempt.latency_objective);
-        if let Some(readmission) = server.outlier.record_answer() {
-            // A server that had refused connections and answers is a new process, which the list may show
+        server.record_response(self.now, attempt.latency_objective);
+        if let Some(readmission) = server.outlier.record_response() {
+            // A server that refused connections and responds now is a new process, which the list may show
             // late.
             if readmission.restarted {
                 server.presume_restarted(self.now);
@@ -141,24 +145,24 @@
             actions.push(LogMessage::ServerReadmitted(attempt.server).into());
         }
         if attempt.is_timely(self.now) {
-            self.startup.record_timely_answer();
+            self.startup.record_timely_response();
         }
         if status == AttemptStatus::Served {
             self.servers.record_service_time(service_time);
         }
     }
 
-    fn learn_origin(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
+    fn record_origin_outcome(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let id = AttemptId { request: outcome.request, number: outcome.attempt };
-        self.shared_fetches.end(id, attempt);
-        if attempt.kind == CallKind::JoinedFetch {
+        self.in_flight_fetches.on_call_ended(id, attempt);
+        if attempt.kind == CallKind::CoalescedFetch {
             return; // The call that it joined has an outcome of its own.
         }
         let context = OutcomeContext {
             now: self.now,
             share: self.origin_share(),
-            longest_objective: self.latency.longest,
-            shortest_objective: self.latency.shortest,
+            longest_objective: self.objectives.longest,
+            shortest_objective: self.objectives.shortest,
             nodes: self.settings.nodes,
         };
         let message = self.origin_limits.record_outcome(attempt, outcome, context, &mut self.random);
