--- a/crates/stonevane-core/tests/passage.rs
+++ b/crates/stonevane-core/tests/passage.rs
@@ -1,5 +1,5 @@
-//! Long values are streamed: the same bytes however they are cut, in the order of their commands, within a bounded
-//! buffer; and a client can tell a value that breaks off.
+//! Streaming of long values. Guards against wrong or reordered bytes at any piece sizes, a buffer that grows
+//! with a slow reader, and a value that breaks off without the client being able to tell.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,7 +12,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use stonevane_core::{ConnId, Core, Input, Output, Outputs};
 
-/// Reads that were served before a test begins.
+/// Number of reads that are served before a test begins.
 const REQUESTS_BEFORE: u64 = 40;
 
 /// A core between one client and its servers.
@@ -20,14 +20,15 @@
     core: Core,
     now: u64,
     client: ConnId,
-    /// What has been written to the client, and the length of the current write.
+    /// Bytes written to the client.
     written: Vec<u8>,
+    /// Length of the current write to the client.
     writing: Option<usize>,
     closed: HashSet<ConnId>,
-    /// Server connections that were written a request, with its key.
+    /// Server connections with a written request, and its key.
     attempts: Vec<(ConnId, String)>,
-    /// Whether writes to the client complete only by `flush`.
-    flushes_by_hand: bool,
+    /// Whether writes to the client complete only on a call of `flush`.
+    flushes_manually: bool,
 }
 
 impl Harness {
@@ -42,10 +43,10 @@
             writing: None,
             closed: HashSet::new(),
             attempts: Vec::new(),
-            flushes_by_hand: false,
+            flushes_manually: false,
         };
         harness.feed(Input::Accepted(client));
-        // Until the decision module trusts the cache.
+        // Enough replies for the policy to raise the cache's limit on concurrent requests.
         for _ in 0..REQUESTS_BEFORE {
             let conn = harness.send_requests(&["k"])[0];
             harness.now += 1_000;
@@ -71,7 +72,7 @@
                     assert!(self.writing.is_none());
                     self.written.extend_from_slice(&bytes);
                     self.writing = Some(bytes.len());
-                    if !self.flushes_by_hand {
+                    if !self.flushes_manually {
                         self.flush();
                     }
                 }
@@ -89,7 +90,7 @@
         written
     }
 
-    /// Bytes arrive on a server connection, as far as the core reads them; returns the rest.
+    /// Feeds bytes from a server connection as far as the core reads them. Returns the rest.
     fn receive<'a>(
         &mut self,
         id: ConnId,
@@ -108,13 +109,15 @@
         bytes
     }
 
-    /// The client reads some keys at once; returns the server connections of the reads, in their order.
+    /// Sends reads of the keys in one write. Returns the server connections of the reads, in the same order.
     fn send_requests(&mut self, keys: &[&str]) -> Vec<ConnId> {
         let all: Vec<u8> =
             keys.iter().flat_map(|key| get(key, &format!("{key}-{}", self.now)).to_vec()).collect();
         self.attempts.clear();
         self.feed(Input::Bytes(self.client, &all));
-        keys.iter().map(|key| self.attempts.iter().find(|(_, attempts)| attempts == key).unwrap().0).collect()
+        keys.iter()
+            .map(|key| self.attempts.iter().find(|(_, attempted)| attempted == key).unwrap().0)
+            .collect()
     }
 }
 
@@ -132,26 +135,26 @@
 }
 
 #[test]
-fn clients_get_the_same_bytes_whatever_the_cuts_and_lengths() {
+fn clients_get_the_same_bytes_for_any_piece_sizes_and_value_lengths() {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(Config { cases: 200, ..Config::default() }, rng);
     let lengths = prop_oneof![0usize..100, 65_500..65_600usize, 65_536..400_000usize];
-    let cuts = prop::collection::vec(prop_oneof![1usize..5, 1..9_000usize], 1..40);
-    let all = (prop::collection::vec(lengths, 1..4), cuts, any::<bool>());
-    let property = |(lengths, cuts, flushes_by_hand): (Vec<usize>, Vec<usize>, bool)| {
+    let piece_sizes = prop::collection::vec(prop_oneof![1usize..5, 1..9_000usize], 1..40);
+    let all = (prop::collection::vec(lengths, 1..4), piece_sizes, any::<bool>());
+    let property = |(lengths, piece_sizes, flushes_manually): (Vec<usize>, Vec<usize>, bool)| {
         let mut harness = Harness::new();
-        harness.flushes_by_hand = flushes_by_hand;
+        harness.flushes_manually = flushes_manually;
         let keys: Vec<_> = (0..lengths.len()).map(|index| format!("k{index}")).collect();
         let keys: Vec<_> = keys.iter().map(String::as_str).collect();
         let conns = harness.send_requests(&keys);
         let values: Vec<_> = lengths.iter().map(|length| value(*length)).collect();
         let answers: Vec<_> = values.iter().map(|value| answer(value)).collect();
         let mut left: Vec<&[u8]> = answers.iter().map(Vec::as_slice).collect();
-        let mut cuts = cuts.iter().copied().cycle();
+        let mut piece_sizes = piece_sizes.iter().copied().cycle();
         for _ in 0..100_000 {
-            // The last one first: a value out of turn waits, and is not read beyond its buffer.
+            // The last value first: it waits for those before it, and is not read beyond its buffer.
             for index in (0..left.len()).rev() {
-                left[index] = harness.receive(conns[index], left[index], &mut cuts.by_ref().take(3));
+                left[index] = harness.receive(conns[index], left[index], &mut piece_sizes.by_ref().take(3));
             }
             let written = harness.flush();
             if !written && left.iter().all(|left| left.is_empty()) {
@@ -160,7 +163,7 @@
         }
         let expected: Vec<u8> = values.iter().flat_map(|value| expected_answer(value)).collect();
         prop_assert_eq!(harness.written.len(), expected.len());
-        prop_assert!(harness.written == expected, "other bytes");
+        prop_assert!(harness.written == expected, "the client got different bytes");
         harness.now += 3_000_000;
         harness.feed(Input::Wake);
         let count = harness.core.count();
@@ -175,24 +178,24 @@
 #[test]
 fn the_first_bytes_are_forwarded_before_the_last_arrive_and_a_slow_reader_has_a_bounded_buffer() {
     let mut harness = Harness::new();
-    harness.flushes_by_hand = true;
+    harness.flushes_manually = true;
     let long = value(4 << 20);
     let conn = harness.send_requests(&["aa"])[0];
-    let whole = answer(&long);
-    let mut rest = harness.receive(conn, &whole[..20_000], &mut std::iter::empty());
+    let reply = answer(&long);
+    let mut rest = harness.receive(conn, &reply[..20_000], &mut std::iter::empty());
     assert!(
         rest.is_empty() && harness.written.len() > 4_000,
-        "{} bytes were passed on",
+        "only {} bytes were forwarded",
         harness.written.len()
     );
-    rest = harness.receive(conn, &whole[20_000..], &mut std::iter::empty());
+    rest = harness.receive(conn, &reply[20_000..], &mut std::iter::empty());
     assert!(
-        whole.len() - rest.len() < 300_000,
-        "{} bytes were read for a client that takes none",
-        whole.len() - rest.len()
+        reply.len() - rest.len() < 300_000,
+        "{} bytes were read for a client that reads none",
+        reply.len() - rest.len()
     );
     assert!(harness.core.count().memory <= 300_000, "{:?}", harness.core.count());
-    // It is read on as the client takes it. Its deadline no longer applies.
+    // Reading continues as the client reads. The request's deadline no longer applies.
     while !rest.is_empty() {
         harness.now += 100_000;
         harness.feed(Input::Wake);
@@ -201,12 +204,12 @@
     }
     while harness.flush() {}
     assert!(harness.now > START + 2_000_000 && harness.written == expected_answer(&long));
-    // A client that takes nothing is closed, and so is the server connection.
+    // The connection of a client that reads nothing is closed, and so is the server connection.
     let conn = harness.send_requests(&["bb"])[0];
-    harness.receive(conn, &whole, &mut std::iter::empty());
+    harness.receive(conn, &reply, &mut std::iter::empty());
     harness.now += 5_000_000;
     harness.feed(Input::Wake);
-    harness.now += 10_000; // It catches up after the pause.
+    harness.now += 10_000; // The catch-up phase after the process pause ends.
     harness.feed(Input::Wake);
     assert!(harness.closed.contains(&harness.client) && harness.closed.contains(&conn));
     assert_eq!(
@@ -216,9 +219,9 @@
 }
 
 #[test]
-fn a_value_that_breaks_off_closes_its_client_once_a_part_was_written_and_is_an_error_before() {
+fn a_value_that_breaks_off_is_an_error_before_a_part_is_written_and_closes_the_client_afterwards() {
     let long = answer(&value(300_000));
-    // Behind another pending answer: the client has seen nothing of it.
+    // Behind another pending answer: the client has received nothing of it.
     let mut harness = Harness::new();
     let conns = harness.send_requests(&["aa", "bb"]);
     harness.receive(conns[1], &long[..50_000], &mut std::iter::empty());
@@ -226,7 +229,7 @@
     assert!(!harness.closed.contains(&harness.client));
     harness.receive(conns[0], common::HIT, &mut std::iter::empty());
     assert_eq!(String::from_utf8_lossy(&harness.written), "$5\r\nvalue\r\n-ERR failed\r\n");
-    // As the first answer: the client has seen a part, and its connection ends.
+    // As the first answer: the client has received a part, and its connection is closed.
     let conn = harness.send_requests(&["cc"])[0];
     harness.receive(conn, &long[..50_000], &mut std::iter::empty());
     harness.feed(Input::Closed(conn));
@@ -240,14 +243,14 @@
 }
 
 #[test]
-fn a_server_that_stalls_in_the_middle_is_given_up_and_one_that_is_not_read_is_not() {
+fn a_server_that_stalls_within_a_value_is_closed_after_the_stall_timeout() {
     let long = answer(&value(300_000));
     let mut harness = Harness::new();
     let conn = harness.send_requests(&["aa"])[0];
     harness.receive(conn, &long[..50_000], &mut std::iter::empty());
     harness.now += 3_900_000;
     harness.feed(Input::Wake);
-    assert!(!harness.closed.contains(&conn), "it may go on for that long");
+    assert!(!harness.closed.contains(&conn), "closed before the stall timeout");
     harness.now += 200_000;
     harness.feed(Input::Wake);
     harness.now += 10_000;
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -1,4 +1,6 @@
-//! Server connections rest after a reply, even where the limit allows no other connection.
+//! Resting server connections: after a reply no request is written for the resting time, even if the
+//! connection limit allows no other connection. Guards against a request that is written too early, and
+//! against one that fails or is answered wrongly while it waits for a resting connection.
 #![allow(missing_docs)]
 
 mod common;
@@ -9,9 +11,10 @@
 use common::{HIT, START, core_with, get};
 use stonevane_core::{ConnId, Core, Input, Output, Outputs};
 
-const REST: u64 = 15_000;
+/// Resting time of a server connection after a reply, in microseconds.
+const REST_US: u64 = 15_000;
 
-/// A core at its limit of connections, whose servers accept connections at once.
+/// A core whose servers accept connections at once.
 struct Harness {
     core: Core,
     now: u64,
@@ -19,15 +22,15 @@
     clients: Vec<ConnId>,
     opened: usize,
     served: usize,
-    /// When each server connection had its last reply.
+    /// Time of the last reply on each server connection.
     last_reply_at: HashMap<ConnId, u64>,
-    /// Server connections whose request is written.
+    /// Server connections with a written request and no reply.
     awaiting_reply: Vec<ConnId>,
 }
 
 impl Harness {
     fn new(clients: usize, idle_close: u64) -> Harness {
-        let core = core_with(false, 64, Duration::from_micros(REST), |d| d.idle_close = idle_close);
+        let core = core_with(false, 64, Duration::from_micros(REST_US), |d| d.idle_close = idle_close);
         let (last_reply_at, awaiting_reply) = (HashMap::new(), Vec::new());
         let mut harness = Harness {
             core,
@@ -57,8 +60,8 @@
                     self.feed(Input::Opened(id));
                 }
                 Output::WriteRequest { id, .. } => {
-                    let rested = self.last_reply_at.get(&id).is_none_or(|at| at + REST <= self.now);
-                    assert!(rested, "written to before it has rested");
+                    let has_rested = self.last_reply_at.get(&id).is_none_or(|at| at + REST_US <= self.now);
+                    assert!(has_rested, "a request was written on a resting connection");
                     self.feed(Input::Flushed(id));
                     self.awaiting_reply.push(id);
                 }
@@ -72,12 +75,12 @@
         }
     }
 
-    /// Each of so many clients sends one request.
+    /// Sends one request from each of the first `clients` clients.
     fn send_requests(&mut self, clients: usize) {
         for id in self.clients.clone().into_iter().take(clients) {
             self.requests_sent += 1;
-            let word = format!("{:06}", self.requests_sent);
-            self.feed(Input::Bytes(id, &get(&word, &word)));
+            let id_text = format!("{:06}", self.requests_sent);
+            self.feed(Input::Bytes(id, &get(&id_text, &id_text)));
         }
     }
 
@@ -88,30 +91,31 @@
         }
     }
 
-    /// A core whose server connections all rest, as many as the limit allows; and when the first of them has rested.
+    /// A core with as many server connections as the limit allows, all of them resting, and the time at which
+    /// the first has rested.
     fn with_full_table(clients: usize, idle_close: u64) -> (Harness, u64) {
         let mut harness = Harness::new(clients, idle_close);
-        // Until the decision module trusts the cache.
+        // Enough replies for the policy to raise the cache's limit on concurrent requests.
         for _ in 0..40 {
             harness.send_requests(1);
             harness.reply_to_all();
-            harness.now += REST;
+            harness.now += REST_US;
         }
-        let begun = harness.now;
+        let started_at = harness.now;
         while harness.core.count().idle_server_connections < 30 {
             harness.send_requests(clients);
             harness.reply_to_all();
             harness.now += 4_000;
         }
-        assert!(harness.core.count().idle_server_connections == 30 && harness.now < begun + REST);
-        harness.now = begun + REST - 2_000;
-        (harness, begun + REST)
+        assert!(harness.core.count().idle_server_connections == 30 && harness.now < started_at + REST_US);
+        harness.now = started_at + REST_US - 2_000;
+        (harness, started_at + REST_US)
     }
 }
 
 #[test]
-fn at_the_limit_requests_wait_for_the_first_rested_connection_and_none_is_opened() {
-    let (mut harness, rested) = Harness::with_full_table(10, 10_000_000);
+fn at_the_connection_limit_requests_wait_for_the_first_rested_connection_and_none_is_opened() {
+    let (mut harness, rested_at) = Harness::with_full_table(10, 10_000_000);
     let (opened, served) = (harness.opened, harness.served);
     harness.send_requests(10);
     assert_eq!((harness.opened, harness.awaiting_reply.len()), (opened, 0));
@@ -119,17 +123,17 @@
         harness.now = harness.core.next_timeout().unwrap();
         harness.feed(Input::Wake);
     }
-    assert!(harness.now <= rested);
+    assert!(harness.now <= rested_at);
     harness.reply_to_all();
     assert_eq!((harness.opened, harness.served), (opened, served + 10));
 }
 
 #[test]
-fn bytes_that_arrive_while_a_request_waits_for_the_rest_are_no_reply_to_it() {
+fn unsolicited_bytes_on_a_resting_connection_are_no_reply_to_the_waiting_request() {
     let (mut harness, _) = Harness::with_full_table(10, 10_000_000);
     let (opened, served) = (harness.opened, harness.served);
     harness.send_requests(10);
-    // A duplicate of the reply, on every connection that may have been chosen.
+    // A duplicate of the reply on every connection that a request may be waiting for.
     let all: Vec<_> = harness.last_reply_at.keys().copied().collect();
     for id in all {
         harness.feed(Input::Bytes(id, HIT));
@@ -141,9 +145,10 @@
 }
 
 #[test]
-fn a_connection_that_its_server_closes_before_it_has_rested_is_not_waited_for() {
-    // A request written to it would end as a reset, which may have run.
-    let (mut harness, _) = Harness::with_full_table(10, 2 * REST);
+fn requests_do_not_wait_for_connections_whose_idle_time_ends_before_they_have_rested() {
+    // A request that is written as the server closes the connection ends as a reset, and the server may have
+    // run it.
+    let (mut harness, _) = Harness::with_full_table(10, 2 * REST_US);
     let (opened, served) = (harness.opened, harness.served);
     harness.send_requests(10);
     assert_eq!((harness.opened, harness.awaiting_reply.len()), (opened + 10, 10));
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -1,4 +1,5 @@
-//! The origin's connection table, which all nodes share: idle connections of some nodes leave places for the others.
+//! The origin's connection table, which all nodes share. Guards against idle connections of some nodes that
+//! fill it, so that requests of the others are rejected.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,11 +12,11 @@
 use oorandom::Rand64;
 use stonevane_core::{ConnId, Core, Input, Output, Outputs};
 
-/// Connections that the origin accepts.
+/// Number of connections that the origin accepts.
 const ORIGIN_CONNECTIONS: usize = 92;
-const ORIGIN_LATENCY: u64 = 48_000;
+const ORIGIN_LATENCY_US: u64 = 48_000;
 const MISSES_PER_S: f64 = 500.0;
-const DURATION: u64 = 6_000_000;
+const DURATION_US: u64 = 6_000_000;
 
 const MISS: &[u8] = b"*3\r\n$-1\r\n$4\r\nmiss\r\n$0\r\n\r\n";
 const VALUE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nvalue";
@@ -33,7 +34,7 @@
 struct Harness {
     nodes: Vec<Core>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Connections to the origin, and whether it accepted them.
+    /// Connections to the origin and whether it accepted them.
     origin_connections: HashMap<(usize, ConnId), bool>,
     now: u64,
     requests_sent: Vec<u64>,
@@ -59,14 +60,14 @@
         let (mut rng, mut at) = (Rand64::new(7), START);
         loop {
             at += (-(1.0 - rng.rand_float()).ln() / MISSES_PER_S * 1e6) as u64;
-            if at >= START + DURATION {
+            if at >= START + DURATION_US {
                 break;
             }
             harness.events.push(Reverse((at, Event::Request(rng.rand_range(0..count as u64) as usize))));
         }
         while let Some(Reverse((at, event))) = harness.events.pop() {
-            // After the last reply, only periodic timers are left.
-            if at > START + DURATION + 2_500_000 {
+            // Only periodic timers are left after the last reply.
+            if at > START + DURATION_US + 2_500_000 {
                 break;
             }
             harness.now = at;
@@ -107,7 +108,7 @@
                         None => self.feed(node, Input::Bytes(id, MISS)),
                         Some(true) => {
                             self.origin_calls += 1;
-                            self.events.push(Reverse((self.now + ORIGIN_LATENCY, Event::Reply(node, id))));
+                            self.events.push(Reverse((self.now + ORIGIN_LATENCY_US, Event::Reply(node, id))));
                         }
                         Some(false) => {
                             (self.origin_calls, self.rejected) = (self.origin_calls + 1, self.rejected + 1);
@@ -132,23 +133,24 @@
 }
 
 #[test]
-fn a_table_that_all_nodes_share_has_places_for_each() {
+fn a_connection_table_that_all_nodes_share_has_capacity_for_each() {
     for count in [1, 4, 100] {
         let harness = Harness::run(count);
         let rejected_share = harness.rejected as f64 / harness.origin_calls as f64;
-        let worst = harness
+        let lowest_share = harness
             .requests_sent
             .iter()
             .zip(&harness.served)
             .map(|(requests_sent, served)| *served as f64 / *requests_sent as f64);
-        let worst = worst.fold(1.0, f64::min);
+        let lowest_share = lowest_share.fold(1.0, f64::min);
         println!(
-            "{count} nodes: {} calls, {} opened, {rejected_share:.3} turned away, the worst node served {worst:.2}",
+            "{count} nodes: {} calls, {} opened, {rejected_share:.3} rejected, lowest served share of a node \
+             {lowest_share:.2}",
             harness.origin_calls, harness.opened
         );
-        assert!(rejected_share < 0.10, "{count} nodes: {rejected_share:.3} of the calls turned away");
-        assert!(worst > 0.8, "{count} nodes: one was served {worst:.2}");
-        // Few nodes keep theirs: new connections would cost the origin work.
+        assert!(rejected_share < 0.10, "{count} nodes: {rejected_share:.3} of the calls rejected");
+        assert!(lowest_share > 0.8, "{count} nodes: the lowest served share of a node is {lowest_share:.2}");
+        // Few nodes keep their connections, because new ones would cost the origin work.
         assert!(
             count > 4 || harness.opened < harness.origin_calls / 10,
             "{count} nodes: {} opened",
