--- a/crates/stonevane-core/src/node/connections.rs
+++ b/crates/stonevane-core/src/node/connections.rs
@@ -88,8 +88,8 @@
     pub memory: MemoryBudget,
     /// Clients with answers that have not been written yet.
     pub answered_clients: VecDeque<ConnId>,
-    /// Longest value in a server's reply that is buffered, in bytes. Only memory bounds it, because stored
-    /// values may be longer than those that clients may write through this node.
+    /// Longest value in a server's reply that is buffered, in bytes. Memory bounds it, not the length of values
+    /// that clients may write through this node: stored values may be longer.
     pub max_reply_value: usize,
     /// A reply that has begun and makes no progress for this time counts as malformed.
     pub stall_timeout: Micros,
--- a/crates/stonevane-core/src/node/reload.rs
+++ b/crates/stonevane-core/src/node/reload.rs
@@ -58,7 +58,7 @@
                 *combined = combined.stricter(class);
                 continue;
             }
-            // The transition of a class that the pending settings already removed is not extended.
+            // A class that the pending settings already removed is not kept for another transition.
             let pending = self.reload.pending.as_ref();
             if pending.is_some_and(|pending| !pending.deployment.classes.contains(name)) {
                 continue;
--- a/crates/stonevane-core/src/node/server_io.rs
+++ b/crates/stonevane-core/src/node/server_io.rs
@@ -48,7 +48,7 @@
         Some(AcquiredConnection { id, is_open: target.protocol == Protocol::Store })
     }
 
-    /// If the table is full, reserves a resting connection. Otherwise, under a load that keeps all
+    /// If the table is full, reserves a resting connection. Without this, under a load that keeps all
     /// connections resting, most requests would close one connection and open another.
     fn reserve_resting_connection(&mut self, server: ServerId, key: AttemptKey) -> Option<ConnId> {
         if !self.connections.is_full_for_servers() {
