--- a/crates/stonevane-config/src/document.rs
+++ b/crates/stonevane-config/src/document.rs
@@ -1,4 +1,4 @@
-//! A parsed document and the errors in it.
+//! A parsed document and its errors.
 
 use std::cell::RefCell;
 use std::ops::Range;
@@ -9,10 +9,10 @@
 
 use crate::{ConfigError, Problem, Table};
 
-/// The longest file that is read, in bytes.
-pub const MAX_FILE: usize = 1 << 20;
+/// The longest accepted document, in bytes.
+pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
-/// Where something stands in a document, in bytes.
+/// Byte range of an element in a document.
 pub type Place = Range<usize>;
 
 /// The errors of a document, shared by its tables.
@@ -24,7 +24,7 @@
         self.0.borrow_mut().push((place, problem));
     }
 
-    /// All errors in the order of the text, each once.
+    /// Returns all errors in the order of the text, without duplicates.
     fn sorted(&self) -> Vec<(Place, Problem)> {
         let mut errors = self.0.borrow().clone();
         errors.sort_by_key(|(place, _)| place.start);
@@ -33,7 +33,7 @@
     }
 }
 
-/// A document and the errors found in it so far.
+/// A parsed document and the errors found in it so far.
 pub struct Document<'t> {
     text: &'t str,
     root: Spanned<DeTable<'t>>,
@@ -41,26 +41,27 @@
 }
 
 impl<'t> Document<'t> {
-    /// Parses a text; what can't be parsed is an error like any other.
+    /// Parses a text of at most [`MAX_DOCUMENT_BYTES`]. Syntax errors are listed among the other errors, and
+    /// the rest of the text is still read.
     pub fn parse(text: &'t str) -> Self {
-        let too_long = text.len() > MAX_FILE;
+        let too_long = text.len() > MAX_DOCUMENT_BYTES;
         let (root, syntax_errors) = DeTable::parse_recoverable(if too_long { "" } else { text });
         let errors = Errors::default();
         for error in &syntax_errors {
             errors.push(error.span().unwrap_or(0..0), Problem::Syntax(one_line(error.message())));
         }
         if too_long {
-            errors.push(0..0, Problem::TooLong { limit: MAX_FILE });
+            errors.push(0..0, Problem::TooLong { limit: MAX_DOCUMENT_BYTES });
         }
         Document { text, root, errors }
     }
 
-    /// The table that holds all.
+    /// Returns the top-level table.
     pub fn root(&self) -> Table<'_, 't> {
         Table::new(String::new(), self.root.get_ref(), 0..0, self.errors.clone())
     }
 
-    /// All errors, in the order of the text.
+    /// Returns all errors found so far, in the order of the text.
     pub fn errors(&self) -> Vec<ConfigError> {
         self.errors.sorted().into_iter().map(|(place, problem)| self.locate(&place, problem)).collect()
     }
--- a/crates/stonevane-config/src/error.rs
+++ b/crates/stonevane-config/src/error.rs
@@ -1,78 +1,78 @@
-//! What can be wrong in a file.
+//! Errors in a document.
 
-/// An error in a file, at a place.
+/// An error with its position in the document.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 #[error("line {line}, column {column}: {problem}")]
 pub struct ConfigError {
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// What is wrong there.
+    /// Description of the error.
     pub problem: Problem,
 }
 
-/// What is wrong at a place; one line of text.
+/// Description of an error, displayed as one line of text.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum Problem {
-    /// The text is no TOML.
+    /// The text is not valid TOML.
     #[error("{0}")]
     Syntax(String),
-    /// The file is too long.
+    /// The document is too long.
     #[error("longer than {limit} bytes")]
     TooLong {
-        /// The limit, in bytes.
+        /// The longest accepted document, in bytes.
         limit: usize,
     },
-    /// A key that nothing reads.
+    /// No subsystem reads the key.
     #[error("unknown key `{key}` in {section}{hint}")]
     UnknownKey {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// Its section.
+        /// Section of the key, in brackets.
         section: String,
-        /// The nearest known key, as [`suggest`] words it.
+        /// The nearest known key, as formatted by [`suggest`].
         hint: String,
     },
-    /// A key that must be there.
+    /// A required key is missing.
     #[error("`{key}` is missing in {section}")]
     MissingKey {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// Its section.
+        /// Section of the key, in brackets.
         section: String,
     },
-    /// A value of another type.
+    /// The value has the wrong type.
     #[error("`{key}` is to be {expected}, and is {found}")]
     WrongType {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The type that it must have.
+        /// The accepted type.
         expected: &'static str,
-        /// The type that it has.
+        /// The actual type.
         found: &'static str,
     },
-    /// A number out of its bounds.
+    /// The number is out of bounds.
     #[error("`{key}` is to be from {least} to {most}")]
     OutOfBounds {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The lower bound.
+        /// Smallest accepted number.
         least: String,
-        /// The upper bound.
+        /// Largest accepted number.
         most: String,
     },
-    /// A word that is none of a key's.
+    /// The value is not one of the key's accepted words.
     #[error("`{key}` has no `{word}`{hint}")]
     UnknownWord {
-        /// The key.
+        /// Name of the key.
         key: String,
-        /// The word.
+        /// The rejected value.
         word: String,
-        /// The nearest known word, as [`suggest`] words it.
+        /// The nearest accepted word, as formatted by [`suggest`].
         hint: String,
     },
-    /// A rule of the subsystem that owns the section.
+    /// A violated rule of the subsystem that owns the section.
     #[error("{0}")]
     Rule(String),
 }
@@ -89,7 +89,8 @@
     }
 }
 
-/// The nearest of some names where one is near, worded as the end of an error's text.
+/// Formats a hint for the end of an error's text: the known name nearest to `name` if one is similar,
+/// otherwise all known names.
 pub fn suggest(name: &str, known: &[&str]) -> String {
     let nearest = known.iter().min_by_key(|other| strsim::damerau_levenshtein(name, other));
     match nearest.filter(|other| strsim::damerau_levenshtein(name, other) <= 1 + name.len() / 3) {
--- a/crates/stonevane-config/src/lib.rs
+++ b/crates/stonevane-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Files that people write, in TOML: every error is listed with its line and column, and an unknown key is rejected
-//! with the nearest known one.
+//! Parser of hand-written TOML files. It lists every error with its line and column, and rejects unknown keys
+//! with a suggestion of the nearest known one.
 //!
-//! A [`Document`] is parsed once. Each subsystem reads the [`Table`]s that it owns, key by key with a default and
-//! bounds; what was never read is unknown. Nothing here reads a file or knows a subsystem.
+//! A [`Document`] is parsed once. Each subsystem reads the [`Table`]s that it owns, key by key with a default
+//! and bounds. Keys that were never read are unknown. The crate reads no files and depends on no subsystem.
 //!
 //! ```
 //! let mut document = stonevane_config::Document::parse("[clients]\nidel_ms = 5\n");
@@ -21,6 +21,6 @@
 pub mod operator;
 mod table;
 
-pub use document::{Document, MAX_FILE, Place};
+pub use document::{Document, MAX_DOCUMENT_BYTES, Place};
 pub use error::{ConfigError, Problem, suggest};
 pub use table::Table;
--- a/crates/stonevane-config/src/operator.rs
+++ b/crates/stonevane-config/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator file: what operators may set beside the deployment's settings, each section owned by the subsystem that
-//! uses it. A file that sets nothing changes nothing.
+//! The operator file: options that operators may set in addition to the deployment's settings. Each section
+//! belongs to the subsystem that uses it. An empty file means the defaults.
 
 mod clients;
 mod membership;
@@ -17,31 +17,31 @@
 pub use self::start::Start;
 pub use self::store::{Copies, Place, Store};
 
-/// All that an operator file can set.
+/// All options of an operator file.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Operator {
-    /// `[clients]`.
+    /// Section `[clients]`: timeouts of client connections.
     pub clients: Clients,
-    /// `[servers]`.
+    /// Section `[servers]`: connections to servers.
     pub servers: Servers,
-    /// `[start]`.
+    /// Section `[start]`: limits while nodes start.
     pub start: Start,
-    /// `[store]`; `None`: the origin is a server of the list.
+    /// Section `[store]`: the store of record. `None`: the origin is a server in the list.
     pub store: Option<Store>,
-    /// `[fleet]`; `None`: nodes send one another nothing.
+    /// Section `[fleet]`: membership among the nodes. `None`: nodes do not exchange messages.
     pub fleet: Option<Fleet>,
-    /// `[regions]`; `None`: a node uses all cache servers.
+    /// Section `[regions]`: regions and their zones. `None`: a node uses all cache servers.
     pub regions: Option<Regions>,
 }
 
 impl Operator {
-    /// The version of the file's format.
+    /// Supported version of the file format, the value of the key `version`.
     pub const VERSION: u64 = 1;
 
-    /// Reads an operator file.
+    /// Parses the text of an operator file.
     ///
     /// # Errors
-    /// All errors in it, in the order of the text.
+    /// Returns all errors in the text, in its order.
     pub fn parse(text: &str) -> Result<Operator, Vec<ConfigError>> {
         let document = Document::parse(text);
         let root = document.root();
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads a section, where it is there.
+/// Reads a section and reports its unknown keys; `None` if the section is absent.
 fn section<T>(root: &Table<'_, '_>, name: &str, read: impl FnOnce(&Table<'_, '_>) -> T) -> Option<T> {
     let table = root.table(name)?;
     let section = read(&table);
--- a/crates/stonevane-config/src/operator/clients.rs
+++ b/crates/stonevane-config/src/operator/clients.rs
@@ -1,21 +1,21 @@
-//! Timeouts of clients' connections; owned by the RESP2 front.
+//! Section `[clients]`: timeouts of client connections. Owned by the RESP2 front end.
 
 use std::time::Duration;
 
 use crate::Table;
 
-/// Timeouts of clients' connections.
+/// Timeouts of client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Clients {
-    /// A connection that has brought no complete command for this long after it was accepted is closed.
+    /// Time from the accept by which the first command must be complete; otherwise the connection is closed.
     pub first: Duration,
-    /// A command must be complete this long after its first byte.
+    /// Time from a command's first byte by which the command must be complete.
     pub whole: Duration,
-    /// An answer must be written this long after its turn has come.
+    /// Time by which an answer must be written, from when it is the next to be written.
     pub written: Duration,
-    /// A connection without requests may be closed after this long, where others wait for its place ...
+    /// Idle time after which a connection may be evicted if the connection table is full.
     pub spare: Duration,
-    /// ... and is closed after this long in any case.
+    /// Idle time after which a connection is closed in any case.
     pub idle: Duration,
 }
 
--- a/crates/stonevane-config/src/operator/membership.rs
+++ b/crates/stonevane-config/src/operator/membership.rs
@@ -1,28 +1,29 @@
-//! Membership among the nodes, the section `[fleet]`.
+//! Section `[fleet]`: membership among the nodes.
 
 use std::time::Duration;
 
 use crate::Table;
 
-/// The length of the shared key, in bytes.
+/// Length of the shared key, in bytes.
 const KEY_LEN: usize = 32;
 
-/// Membership among the nodes.
+/// Options of the membership protocol among the nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fleet {
-    /// The protocol period: a node probes one member in each.
+    /// Protocol period; a node probes one member per period.
     pub period: Duration,
-    /// The timeout of a probe.
+    /// Timeout of a probe, at most half of the period.
     pub answer: Duration,
-    /// Members that probe on this node's behalf one that does not answer.
+    /// Number of members that probe an unresponsive member on this node's behalf.
     pub indirect: usize,
-    /// Periods for which a suspicion may be refuted at the least, for each power of ten of the members.
+    /// Minimum time in which a suspicion can be refuted, in periods per power of ten of the number of
+    /// members.
     pub suspicion: f64,
-    /// Whether a node that finds itself slow suspects later.
+    /// Whether a node that detects that it is slow itself waits longer before it suspects others.
     pub heeds_health: bool,
-    /// The key that all nodes share.
+    /// Key that all nodes share; `None`: messages are not authenticated.
     pub key: Option<[u8; KEY_LEN]>,
-    /// The highest version of messages that is sent, 1 or 2.
+    /// Highest message version that this node sends, 1 or 2.
     pub speaks: u8,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// Reads a key of hexadecimal digits.
+/// Parses a key of 64 hexadecimal digits.
 fn parse_key(text: &str) -> Option<[u8; KEY_LEN]> {
     let digit = |character: char| character.to_digit(16).map(|digit| digit as u8);
     let digits: Vec<u8> = text.chars().map(digit).collect::<Option<_>>()?;
--- a/crates/stonevane-config/src/operator/regions.rs
+++ b/crates/stonevane-config/src/operator/regions.rs
@@ -1,8 +1,10 @@
-//! The regions, where a node uses the cache servers of its own; owned by the endpoint subset.
+//! Section `[regions]`: regions and their zones, for nodes that use the cache servers of their own region.
+//! Owned by the endpoint subset.
 
 use crate::{Table, suggest};
 
-/// Usable cache servers below which a further region is used, by default: while one of two restarts, the other serves.
+/// Default number of usable cache servers below which a further region is used: while one of two servers
+/// restarts, the other one serves.
 const DEFAULT_LEAST: u64 = 2;
 const MAX_NODES: u64 = 1_000_000;
 const MAX_SERVERS: u64 = 100_000;
@@ -10,22 +12,22 @@
 /// A region and its zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Region {
-    /// Its name.
+    /// Name of the region.
     pub name: String,
-    /// Names of its zones.
+    /// Names of the region's zones.
     pub zones: Vec<String>,
 }
 
-/// The regions.
+/// All regions, with the options of the fallback to other regions.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Regions {
-    /// The region of this node.
+    /// This node's region.
     pub home: Region,
-    /// The others.
+    /// All other regions, in the order of the file.
     pub others: Vec<Region>,
-    /// Nodes in this node's region, this one included.
+    /// Number of nodes in this node's region, this one included.
     pub nodes: u32,
-    /// Usable cache servers below which a further region is used as well.
+    /// Number of usable cache servers below which a further region is used as well.
     pub least: usize,
 }
 
@@ -54,7 +56,7 @@
     }
 }
 
-/// The regions with their zones; a zone is in one region only.
+/// Reads the regions with their zones, and reports zones that are in more than one region.
 fn read_zones(table: &Table<'_, '_>) -> Vec<Region> {
     let mut regions: Vec<Region> = Vec::new();
     for (name, place) in table.keys() {
@@ -64,8 +66,8 @@
             table.error(place, format!("the region `{}` has no zone", region.name));
         }
         for (zone, place) in zones {
-            let before = regions.iter().chain([&region]).find(|other| other.zones.contains(&zone));
-            if let Some(other) = before {
+            let owner = regions.iter().chain([&region]).find(|other| other.zones.contains(&zone));
+            if let Some(other) = owner {
                 table.error(place, format!("the zone `{zone}` is in the region `{}` already", other.name));
             } else {
                 region.zones.push(zone);
--- a/crates/stonevane-config/src/operator/servers.rs
+++ b/crates/stonevane-config/src/operator/servers.rs
@@ -1,13 +1,14 @@
-//! Connections to servers; owned by the pool of upstreams.
+//! Section `[servers]`: connections to servers. Owned by the pool of server connections.
 
 use std::time::Duration;
 
 use crate::Table;
 
-/// Connections to servers.
+/// Options of connections to servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Servers {
-    /// A connection isn't used for this long after an answer, so that stray bytes behind it are seen.
+    /// Time after a reply during which the connection is not reused, so that stray bytes behind the reply are
+    /// detected.
     pub rest: Duration,
 }
 
--- a/crates/stonevane-config/src/operator/start.rs
+++ b/crates/stonevane-config/src/operator/start.rs
@@ -1,11 +1,12 @@
-//! The start-up of a node; owned by the decision module.
+//! Section `[start]`: limits while nodes start. Owned by the decision module.
 
 use crate::Table;
 
-/// The start-up of a node.
+/// Limits while nodes start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Start {
-    /// Attempts in flight at each cache server that all nodes together may have when they start; 0: no limit.
+    /// Limit of attempts in flight that all nodes together have at each cache server when they start; 0: no
+    /// limit.
     pub each: f64,
 }
 
--- a/crates/stonevane-config/src/table.rs
+++ b/crates/stonevane-config/src/table.rs
@@ -1,4 +1,4 @@
-//! A table of a document, read key by key.
+//! Tables of a document, which are read key by key.
 
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -10,12 +10,15 @@
 use crate::document::Errors;
 use crate::{Place, Problem, suggest};
 
-/// A table of a document, for the subsystem that owns it.
+/// A table of a document, which is read by the subsystem that owns it.
+///
+/// Methods that read a key mark it as known. They report a value of the wrong type or out of bounds as an
+/// error, and then return the default or leave the value out.
 pub struct Table<'r, 't> {
     name: String,
     content: &'r DeTable<'t>,
     place: Place,
-    /// The keys that were read.
+    /// Keys that have been read.
     known: RefCell<Vec<String>>,
     errors: Errors,
 }
@@ -25,12 +28,12 @@
         Table { name, content, place, known: RefCell::default(), errors }
     }
 
-    /// Its name in the document, empty for the root.
+    /// Returns the table's name in the document, empty for the top-level table.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where it stands.
+    /// Returns the table's place in the document.
     pub fn place(&self) -> Place {
         self.place.clone()
     }
@@ -42,10 +45,10 @@
 
     /// Reports that a key is missing.
     pub fn missing(&self, key: &str) {
-        self.error(self.place(), Problem::MissingKey { key: key.to_owned(), section: self.title() });
+        self.error(self.place(), Problem::MissingKey { key: key.to_owned(), section: self.section_title() });
     }
 
-    /// Reports that a key's word is none of those known.
+    /// Reports that a key's value is not one of the accepted words.
     pub fn unknown_word(&self, key: &str, word: &str, known: &[&str]) {
         let hint = suggest(word, known);
         let problem = Problem::UnknownWord { key: key.to_owned(), word: word.to_owned(), hint };
@@ -57,15 +60,16 @@
         self.content.iter().find(|(name, _)| name.get_ref() == key).map(|(_, value)| value)
     }
 
-    /// Reports that a value has another type; returns nothing in its place.
+    /// Reports that a value has the wrong type; always returns `None`.
     fn wrong_type<T>(&self, key: &str, value: &Spanned<DeValue<'t>>, expected: &'static str) -> Option<T> {
         let problem = Problem::WrongType { key: key.to_owned(), expected, found: type_name(value.get_ref()) };
         self.error(value.span(), problem);
         None
     }
 
-    /// A number, where it is there and within its bounds; else that is reported.
-    fn within<T: PartialOrd + Display>(
+    /// Returns a number if it is within its bounds. Otherwise, or if it could not be parsed, reports it as
+    /// out of bounds.
+    fn check_bounds<T: PartialOrd + Display>(
         &self,
         key: &str,
         place: Place,
@@ -80,7 +84,7 @@
         number
     }
 
-    /// The keys that are there, in the order of the text. Each counts as known.
+    /// Returns the keys of the table in the order of the text, and marks all of them as known.
     pub fn keys(&self) -> Vec<(String, Place)> {
         let keys = self.content.iter().map(|(key, _)| (key.get_ref().to_string(), key.span()));
         let mut keys: Vec<(String, Place)> = keys.collect();
@@ -89,38 +93,38 @@
         keys
     }
 
-    /// Whether a key is there.
+    /// Returns whether a key is present.
     pub fn has(&self, key: &str) -> bool {
         self.get(key).is_some()
     }
 
-    /// Where a key's value stands, or the table where the key is not there.
+    /// Returns the place of a key's value, or of the table if the key is absent.
     pub fn place_of(&self, key: &str) -> Place {
         self.get(key).map_or(self.place(), Spanned::span)
     }
 
-    /// A whole number within bounds.
+    /// Reads an integer within bounds; `default` if the key is absent.
     pub fn integer(&self, key: &str, default: u64, bounds: RangeInclusive<u64>) -> u64 {
         self.integer_if(key, bounds).unwrap_or(default)
     }
 
-    /// A whole number within bounds, where it is there.
+    /// Reads an integer within bounds; `None` if the key is absent.
     pub fn integer_if(&self, key: &str, bounds: RangeInclusive<u64>) -> Option<u64> {
         let value = self.get(key)?;
         let DeValue::Integer(found) = value.get_ref() else {
             return self.wrong_type(key, value, "a whole number");
         };
         let number = u64::from_str_radix(found.as_str(), found.radix()).ok();
-        self.within(key, value.span(), number, &bounds)
+        self.check_bounds(key, value.span(), number, &bounds)
     }
 
-    /// A number within bounds.
+    /// Reads a number within bounds; `default` if the key is absent.
     pub fn number(&self, key: &str, default: f64, bounds: RangeInclusive<f64>) -> f64 {
         let Some(value) = self.get(key) else { return default };
         self.number_within(key, value, &bounds).unwrap_or(default)
     }
 
-    /// A list of numbers, each within bounds.
+    /// Reads a list of numbers within bounds; empty if the key is absent.
     pub fn numbers(&self, key: &str, bounds: RangeInclusive<f64>) -> Vec<f64> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
@@ -140,10 +144,10 @@
             DeValue::Integer(found) => found.as_str().parse().ok(),
             _ => return self.wrong_type(key, value, "a number"),
         };
-        self.within(key, value.span(), number, bounds)
+        self.check_bounds(key, value.span(), number, bounds)
     }
 
-    /// True or false.
+    /// Reads a boolean; `default` if the key is absent.
     pub fn flag(&self, key: &str, default: bool) -> bool {
         let Some(value) = self.get(key) else { return default };
         match value.get_ref() {
@@ -152,7 +156,7 @@
         }
     }
 
-    /// A text, where it is there.
+    /// Reads a string; `None` if the key is absent.
     pub fn text(&self, key: &str) -> Option<String> {
         let value = self.get(key)?;
         match value.get_ref() {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// A text that must be there.
+    /// Reads a string, and reports the key if it is missing.
     pub fn required(&self, key: &str) -> String {
         if !self.has(key) {
             self.missing(key);
@@ -169,7 +173,7 @@
         self.text(key).unwrap_or_default()
     }
 
-    /// One of a few words, each with its meaning.
+    /// Reads one of the accepted words and returns the value paired with it; `None` if the key is absent.
     pub fn one_of<T: Copy>(&self, key: &str, words: &[(&str, T)]) -> Option<T> {
         let text = self.text(key)?;
         let found = words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
@@ -180,7 +184,7 @@
         found
     }
 
-    /// A list of texts, each with its place.
+    /// Reads a list of strings, each with its place; empty if the key is absent.
     pub fn texts(&self, key: &str) -> Vec<(String, Place)> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
@@ -193,7 +197,7 @@
         items.iter().filter_map(text).collect()
     }
 
-    /// A list of texts, or one text alone, each with its place; none where the key is not there.
+    /// Reads a list of strings or a single string, each with its place; empty if the key is absent.
     pub fn texts_or_text(&self, key: &str) -> Vec<(String, Place)> {
         match self.get(key).map(|value| (value.get_ref(), value.span())) {
             Some((DeValue::String(text), place)) => vec![(text.to_string(), place)],
@@ -201,38 +205,38 @@
         }
     }
 
-    /// A table within, where it is there.
+    /// Returns a nested table; `None` if the key is absent.
     pub fn table(&self, key: &str) -> Option<Table<'r, 't>> {
         let value = self.get(key)?;
         match value.get_ref() {
-            DeValue::Table(content) => Some(self.inner(key, content, value.span())),
+            DeValue::Table(content) => Some(self.nested(key, content, value.span())),
             _ => self.wrong_type(key, value, "a table"),
         }
     }
 
-    /// The tables of a list, `[[key]]`.
+    /// Returns the tables of an array of tables, `[[key]]`; empty if the key is absent.
     pub fn tables(&self, key: &str) -> Vec<Table<'r, 't>> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
             return self.wrong_type(key, value, "a list of tables").unwrap_or_default();
         };
         let table = |item: &'r Spanned<DeValue<'t>>| match item.get_ref() {
-            DeValue::Table(content) => Some(self.inner(key, content, item.span())),
+            DeValue::Table(content) => Some(self.nested(key, content, item.span())),
             _ => self.wrong_type(key, item, "a table"),
         };
         items.iter().filter_map(table).collect()
     }
 
-    fn inner(&self, key: &str, content: &'r DeTable<'t>, place: Place) -> Table<'r, 't> {
+    fn nested(&self, key: &str, content: &'r DeTable<'t>, place: Place) -> Table<'r, 't> {
         let name = if self.name.is_empty() { key.to_owned() } else { format!("{}.{key}", self.name) };
         Table::new(name, content, place, self.errors.clone())
     }
 
-    fn title(&self) -> String {
+    fn section_title(&self) -> String {
         if self.name.is_empty() { "the file".into() } else { format!("[{}]", self.name) }
     }
 
-    /// All keys have been read: any other is unknown.
+    /// Ends the reading of the table and reports every key that was not read as unknown.
     pub fn finish(self) {
         let known = self.known.borrow();
         let mut names: Vec<&str> = Vec::with_capacity(known.len());
@@ -244,7 +248,7 @@
         for (key, _) in self.content {
             let name: &str = key.get_ref();
             if !names.contains(&name) {
-                let (section, hint) = (self.title(), suggest(name, &names));
+                let (section, hint) = (self.section_title(), suggest(name, &names));
                 self.error(key.span(), Problem::UnknownKey { key: name.to_owned(), section, hint });
             }
         }
--- a/crates/stonevane-config/tests/faults.rs
+++ b/crates/stonevane-config/tests/faults.rs
@@ -1,4 +1,5 @@
-//! Every fault of a file is told, each with its place, and nothing that is written panics.
+//! Tests that every error of an operator file is reported with its position, and that no input makes the
+//! parser panic.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
@@ -9,38 +10,39 @@
     assert_eq!(Operator::parse(""), Ok(Operator::default()));
     assert_eq!(Operator::parse("# all off\nversion = 1\n[clients]\n"), Ok(Operator::default()));
     let shipped = include_str!("../../../deploy/operator.toml");
-    assert_eq!(Operator::parse(shipped), Ok(Operator::default()), "the file that is shipped is all off");
+    assert_eq!(Operator::parse(shipped), Ok(Operator::default()), "the shipped file sets nothing");
 }
 
 #[test]
-fn what_the_shipped_file_offers_is_known_and_is_the_default() {
+fn the_keys_in_the_shipped_files_comments_are_known_and_show_the_defaults() {
     let shipped = include_str!("../../../deploy/operator.toml");
     let set = |line: &&str| line.contains(" = ") || line.starts_with('[');
-    let on = shipped.lines().map(|line| line.strip_prefix("# ").filter(set).unwrap_or(line));
-    let on: Vec<_> = on.collect();
-    assert!(on.iter().filter(|line| line.contains(" = ")).count() > 4);
-    let all = Operator::parse(&on.join("\n")).unwrap();
-    // The store is off where its section is not there; what it offers besides its file is the default.
-    let least = Operator::parse("[store]\nsqlite = 'zones.db'\n[fleet]").unwrap();
-    assert!(all.store.is_some() && all.fleet.is_some() && all == least);
-    assert_eq!(Operator { store: None, fleet: None, ..all }, Operator::default());
-    let bad = |text: &str| Operator::parse(text).unwrap_err()[0].to_string();
-    assert!(bad("[store]\nqueue = 2").contains("`sqlite` or `postgres` is missing in [store]"));
-    assert!(bad("[store]\nsqlite = ''").contains("is to name a file"));
-    assert!(bad("[store]\nsqlite = 'z'\npostgres = 'postgres://h/d'").contains("only one of"));
-    assert!(bad("[store]\npostgres = 'mysql://h/d'").contains("`postgres` is to be like"));
+    let uncommented = shipped.lines().map(|line| line.strip_prefix("# ").filter(set).unwrap_or(line));
+    let uncommented: Vec<_> = uncommented.collect();
+    assert!(uncommented.iter().filter(|line| line.contains(" = ")).count() > 4);
+    let offered = Operator::parse(&uncommented.join("\n")).unwrap();
+    // Without its section the store is off. Apart from the path, the shipped section shows the defaults.
+    let minimal = Operator::parse("[store]\nsqlite = 'zones.db'\n[fleet]").unwrap();
+    assert!(offered.store.is_some() && offered.fleet.is_some() && offered == minimal);
+    assert_eq!(Operator { store: None, fleet: None, ..offered }, Operator::default());
+    let first_error = |text: &str| Operator::parse(text).unwrap_err()[0].to_string();
+    assert!(first_error("[store]\nqueue = 2").contains("`sqlite` or `postgres` is missing in [store]"));
+    assert!(first_error("[store]\nsqlite = ''").contains("is to name a file"));
+    assert!(first_error("[store]\nsqlite = 'z'\npostgres = 'postgres://h/d'").contains("only one of"));
+    assert!(first_error("[store]\npostgres = 'mysql://h/d'").contains("`postgres` is to be like"));
     assert!(
-        bad("[store]\npostgres = 'postgres://h/d'\nreaders = 2").contains("`readers` goes with `sqlite`")
+        first_error("[store]\npostgres = 'postgres://h/d'\nreaders = 2")
+            .contains("`readers` goes with `sqlite`")
     );
-    assert!(bad("[store]\nsqlite = 'z'\nprobe_ms = 2000").contains("`probe_ms` is to be at most"));
+    assert!(first_error("[store]\nsqlite = 'z'\nprobe_ms = 2000").contains("`probe_ms` is to be at most"));
     let server =
         Operator::parse("[store]\npostgres = 'postgres://u:secret@h:5432/d'").unwrap().store.unwrap();
-    assert_eq!(server.place.to_string(), "postgres://h:5432/d", "no log tells a password");
-    assert!(bad("[store]\nsqlite = 'z'\nreaders = 0").contains("`readers` is to be from 1 to 16"));
+    assert_eq!(server.place.to_string(), "postgres://h:5432/d", "the displayed URL has no credentials");
+    assert!(first_error("[store]\nsqlite = 'z'\nreaders = 0").contains("`readers` is to be from 1 to 16"));
 }
 
 #[test]
-fn what_a_fleet_can_not_be_is_told_all_at_once() {
+fn all_errors_of_the_fleet_section_are_reported_together() {
     let wrong = "[fleet]\nperiod_ms = 400\nanswer_ms = 300\nkey = 'abc'\nspeaks = 3\nsuspicion = 0\n";
     let lines: Vec<_> = Operator::parse(wrong).unwrap_err().iter().map(ToString::to_string).collect();
     assert_eq!(
@@ -57,7 +59,7 @@
 }
 
 #[test]
-fn regions_are_read_with_their_zones_and_are_off_where_the_section_is_not_there() {
+fn regions_are_read_with_their_zones_and_are_off_without_the_section() {
     assert_eq!(Operator::parse("version = 1").unwrap().regions, None);
     let text = "[regions]\nhome = 'north'\nnodes = 643\n[regions.zones]\nsouth = ['a', 'b']\nnorth = ['c']\n";
     let regions = Operator::parse(text).unwrap().regions.unwrap();
@@ -67,7 +69,7 @@
     };
     let others = vec![region("south", &["a", "b"])];
     assert_eq!(regions, Regions { home: region("north", &["c"]), others, nodes: 643, least: 2 });
-    // What the shipped file offers, with its comment signs taken off.
+    // The section in the shipped file, uncommented.
     let shipped = include_str!("../../../deploy/operator.toml");
     let offered: Vec<_> = shipped.lines().skip_while(|line| *line != "## [regions]").collect();
     let offered = offered.iter().filter_map(|line| line.strip_prefix("## ")).collect::<Vec<_>>().join("\n");
@@ -76,7 +78,7 @@
 }
 
 #[test]
-fn what_regions_can_not_be_is_told_all_at_once() {
+fn all_errors_of_the_regions_section_are_reported_together() {
     let wrong = "[regions]\nhome = 'wets'\nnodes = 0\nleast = 'x'\nlimit = 1\n\
                  [regions.zones]\nwest = ['a', 'b', 'a']\neast = ['b']\nnone = []\nodd = 7\n";
     let lines: Vec<_> = Operator::parse(wrong).unwrap_err().iter().map(ToString::to_string).collect();
@@ -97,10 +99,10 @@
 }
 
 #[test]
-fn all_faults_are_listed_with_their_places_and_the_nearest_names() {
+fn all_errors_are_listed_with_their_positions_and_the_nearest_names() {
     let text = "version = 2\nclents = 1\n[clients]\nidle_ms = \"long\"\nfrist_ms = 3\nwhole_ms = 0\n[servers]\nrest_ms = -1\n";
-    let faults = Operator::parse(text).unwrap_err();
-    let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
+    let errors = Operator::parse(text).unwrap_err();
+    let lines: Vec<_> = errors.iter().map(ToString::to_string).collect();
     assert_eq!(
         lines,
         [
@@ -115,17 +117,20 @@
 }
 
 #[test]
-fn what_can_not_be_parsed_is_told_with_its_place_and_the_rest_is_still_read() {
-    let faults = Operator::parse("[clients]\nidle_ms = = 3\n[servers]\nrest = 3\n").unwrap_err();
-    assert!(faults.iter().any(|f| f.line == 2), "{faults:?}");
-    assert!(faults.iter().any(|f| f.line == 4 && f.problem.to_string().contains("rest_ms")), "{faults:?}");
+fn a_syntax_error_is_reported_with_its_position_and_the_rest_is_still_read() {
+    let errors = Operator::parse("[clients]\nidle_ms = = 3\n[servers]\nrest = 3\n").unwrap_err();
+    assert!(errors.iter().any(|error| error.line == 2), "{errors:?}");
+    assert!(
+        errors.iter().any(|error| error.line == 4 && error.problem.to_string().contains("rest_ms")),
+        "{errors:?}"
+    );
     let crossed = Operator::parse("[clients]\nspare_ms = 9000\nidle_ms = 50\n").unwrap_err();
     assert_eq!(crossed[0].to_string(), "line 2, column 12: `spare_ms` is to be at most `idle_ms`, 50");
     assert!(Operator::parse(&"#".repeat(2 << 20)).is_err());
 }
 
 #[test]
-fn what_is_set_is_in_force() {
+fn set_values_replace_the_defaults() {
     let set = Operator::parse("[servers]\nrest_ms = 0x10\n").unwrap();
     assert_eq!(set.servers, Servers { rest: std::time::Duration::from_millis(16) });
     let start = |text: &str| Operator::parse(text).map(|operator| operator.start.each);
@@ -144,10 +149,10 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(7),
         ..ProptestConfig::default() })]
     #[test]
-    fn nothing_that_is_written_panics(text in "([\\[\\]=\"a-z_0-9.\\n é#{},-]|clients|idle_ms|rest_ms){0,60}") {
-        if let Err(faults) = Operator::parse(&text) {
+    fn no_input_panics(text in "([\\[\\]=\"a-z_0-9.\\n é#{},-]|clients|idle_ms|rest_ms){0,60}") {
+        if let Err(errors) = Operator::parse(&text) {
             let lines = text.matches('\n').count() + 1;
-            prop_assert!(faults.iter().all(|f| f.line <= lines && f.column >= 1 && !f.problem.to_string().contains('\n')));
+            prop_assert!(errors.iter().all(|error| error.line <= lines && error.column >= 1 && !error.problem.to_string().contains('\n')));
         }
     }
 }
--- a/crates/stonevane-core/src/discovery_timeouts.rs
+++ b/crates/stonevane-core/src/discovery_timeouts.rs
@@ -1,37 +1,42 @@
-//! Timeouts of calls to discovery, and how calls end. The driver keeps the clock.
+//! Timeouts of calls to discovery, and outcomes of calls. The driver keeps the clock.
 
 use stonevane_policy::{Micros, Settings};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A watch brings a line at least this often, an empty one while nothing changes (protocol).
+/// Longest interval between two lines of a watch, guaranteed by the protocol. Without changes the line is
+/// empty.
 const WATCH_HEARTBEAT: Micros = 2_000_000;
 
-/// Discovery as a service that all nodes share: timeout of a connect.
-const SHARED_CONNECT: Micros = 1_000_000;
-/// How much later than the heartbeat a shared service's line may come.
+/// Connect timeout where all nodes share one discovery service.
+const SHARED_CONNECT_TIMEOUT: Micros = 1_000_000;
+/// Allowed delay of a line from a shared service after the heartbeat is due.
 const SHARED_HEARTBEAT_SLACK: Micros = 500_000;
-/// A shared service answers calls in turn, one of each node in about the limit of the list's staleness: an answer is
-/// awaited for that limit, within these bounds.
-const MIN_SHARED_ANSWER: Micros = 1_000_000;
-const MAX_SHARED_ANSWER: Micros = 4_000_000;
+/// Bounds of the answer timeout of a shared service. It answers calls in turn, one per node in about the
+/// staleness limit of the list, so the timeout is that limit within these bounds.
+const MIN_SHARED_ANSWER_TIMEOUT: Micros = 1_000_000;
+const MAX_SHARED_ANSWER_TIMEOUT: Micros = 4_000_000;
 
-/// An agent on this machine answers at once: it is awaited for this part of the drain grace. With the reconnect delay
-/// it is over within the grace, since a drain counts as notified whether or not a call is open.
+/// The answer timeout of an agent, which runs on this machine and answers at once, is the drain grace divided
+/// by this. Together with the reconnect delay it is within the grace: a drain counts as notified even without
+/// an open call.
 const AGENT_ANSWER_DIVISOR: Micros = 2;
-/// The delay before the agent is called again, as a part of the drain grace.
+/// The delay before the agent is called again is the drain grace divided by this.
 const AGENT_RECONNECT_DIVISOR: Micros = 8;
-/// Least of both: no busy loop.
+/// Lower bound of both the agent's answer timeout and the reconnect delay: prevents a busy loop.
 const MIN_AGENT_WAIT: Micros = 10_000;
-const MAX_AGENT_ANSWER: Micros = 1_000_000;
-const MAX_AGENT_RECONNECT: Micros = 100_000;
+const MAX_AGENT_ANSWER_TIMEOUT: Micros = 1_000_000;
+const MAX_AGENT_RECONNECT_DELAY: Micros = 100_000;
 
-/// First calls of processes that start together are spread over this part of the limit of the list's staleness.
+/// First calls of processes that start together are spread over the staleness limit of the list divided by
+/// this.
 const FIRST_CALL_DIVISOR: Micros = 4;
-/// The latest first call: what discovery has to say counts as notified six seconds later, and the call needs its turn.
+/// The longest delay of the first call. A change counts as notified six seconds after discovery has it, and
+/// the call must also wait for its turn within that time.
 const MAX_FIRST_CALL_DELAY: Micros = 2_500_000;
 
-/// The delay before the first call of a process that has a cached list, to a discovery that all nodes share: drawn with
-/// the seed, so that processes that start together do not call together. The only node of a deployment calls at once.
+/// Returns the delay before the first call to a shared discovery service by a process that has a cached list.
+/// It is drawn from the seed, so that processes that start together spread their calls. A deployment's only
+/// node calls at once.
 pub fn first_call_delay(settings: &Settings, seed: u64) -> Micros {
     let nodes = Micros::from(settings.nodes.max(1));
     let window = (settings.list_staleness_limit / FIRST_CALL_DIVISOR).min(MAX_FIRST_CALL_DELAY);
@@ -43,43 +48,44 @@
 /// Timeouts of calls to one discovery service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryTimeouts {
-    /// For its connection.
+    /// Limit until the connection is open.
     pub connect: Micros,
-    /// For the beginning of its answer.
+    /// Limit for each part of the answer's beginning.
     pub answer: Micros,
-    /// For the next line of a watch. What a silent watch misses counts as notified six seconds after it fell silent.
+    /// Limit until the next line of a watch. Changes that a silent watch misses count as notified six seconds
+    /// after its last line.
     pub silence: Micros,
-    /// The delay before a watch on pushed lists is opened again.
+    /// Delay before a watch on an agent's pushed lists is reopened.
     pub reconnect_delay: Micros,
 }
 
-/// What a call to discovery waits for.
+/// The event that a call to discovery waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Awaited {
-    /// Its connection.
+    /// The connection is open.
     Connection,
-    /// More of the beginning of its answer.
+    /// More bytes of the answer's beginning arrive.
     Answer,
-    /// More of its lines.
+    /// The next line of the watch arrives.
     Line,
 }
 
-/// How a call to discovery ended.
+/// Outcome of a call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// It could not connect, was refused, reset or malformed, or ended by itself.
+    /// The call could not connect, was refused or reset, got a malformed answer, or was ended by the service.
     Broken,
-    /// It was not answered in time.
+    /// The answer did not begin in time.
     Unanswered,
-    /// It was answered and fell silent.
+    /// The call was answered, and then the next bytes did not arrive in time.
     TimedOut {
-        /// Whether it had brought a line before, be it an empty one.
+        /// Whether a line, even an empty one, had arrived before.
         was_established: bool,
     },
 }
 
 impl DiscoveryTimeouts {
-    /// How long a call may bring nothing before it is given up.
+    /// Returns how long a call may receive nothing before it is abandoned.
     pub fn limit(&self, awaited: Awaited) -> Micros {
         match awaited {
             Awaited::Connection => self.connect,
@@ -88,7 +94,7 @@
         }
     }
 
-    /// The timeouts for some settings.
+    /// Derives the timeouts from the settings, for a shared service or an agent on this machine.
     pub fn of(settings: &Settings) -> DiscoveryTimeouts {
         if settings.poll_discovery {
             DiscoveryTimeouts::of_shared_service(settings)
@@ -99,8 +105,8 @@
 
     fn of_shared_service(settings: &Settings) -> DiscoveryTimeouts {
         DiscoveryTimeouts {
-            connect: SHARED_CONNECT,
-            answer: settings.list_staleness_limit.clamp(MIN_SHARED_ANSWER, MAX_SHARED_ANSWER),
+            connect: SHARED_CONNECT_TIMEOUT,
+            answer: settings.list_staleness_limit.clamp(MIN_SHARED_ANSWER_TIMEOUT, MAX_SHARED_ANSWER_TIMEOUT),
             silence: WATCH_HEARTBEAT + SHARED_HEARTBEAT_SLACK,
             reconnect_delay: 0,
         }
@@ -108,8 +114,9 @@
 
     fn of_agent(settings: &Settings) -> DiscoveryTimeouts {
         let grace = settings.drain_grace;
-        let answer = (grace / AGENT_ANSWER_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_ANSWER);
-        let reconnect_delay = (grace / AGENT_RECONNECT_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_RECONNECT);
+        let answer = (grace / AGENT_ANSWER_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_ANSWER_TIMEOUT);
+        let reconnect_delay =
+            (grace / AGENT_RECONNECT_DIVISOR).clamp(MIN_AGENT_WAIT, MAX_AGENT_RECONNECT_DELAY);
         DiscoveryTimeouts { connect: answer, answer, silence: WATCH_HEARTBEAT + answer, reconnect_delay }
     }
 }
--- a/crates/stonevane-core/src/faults.rs
+++ b/crates/stonevane-core/src/faults.rs
@@ -1,5 +1,5 @@
-//! Mutants for mutation testing: deliberate faults that the simulator must find. The daemon's core has the type
-//! parameter [`NoFaults`], which compiles them away.
+//! Mutants for mutation testing: deliberate faults that the simulator must detect. The daemon's core uses
+//! [`NoFaults`] as its type parameter, so that the compiler removes them.
 
 /// A deliberate fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -8,11 +8,11 @@
     AnswerTwice,
     /// Draining and removed servers count as active.
     ForgetDrain,
-    /// A connection with bytes behind its reply is used again.
+    /// A connection with stray bytes behind its reply is reused.
     KeepNoise,
     /// A reset attempt counts as never sent.
     ResetNotRun,
-    /// Server connections that are given up stay open.
+    /// Server connections of abandoned attempts stay open.
     LeakConnection,
     /// The idempotency window counts as far longer than it is.
     LongWindow,
@@ -38,83 +38,87 @@
     ForgetRefusal,
     /// Failed calls to discovery are not retried.
     Deaf,
-    /// Requests of a client that disconnected go on.
+    /// Requests of a client that disconnected continue.
     ForgetGone,
 }
 
 impl Mutant {
-    /// All mutants.
+    /// All mutants, with their names and descriptions for the command line.
     pub const ALL: [MutantInfo; 18] = [
         MutantInfo::new(
             Mutant::AnswerTwice,
             "answer-twice",
             "a request whose attempt was reset gets a second answer",
         ),
-        MutantInfo::new(Mutant::ForgetDrain, "forget-drain", "drains and ends in the list count as active"),
+        MutantInfo::new(Mutant::ForgetDrain, "forget-drain", "draining and removed servers count as active"),
         MutantInfo::new(
             Mutant::KeepNoise,
             "keep-noise",
-            "a connection with bytes beyond its answer is used again",
-        ),
-        MutantInfo::new(
-            Mutant::ResetNotRun,
-            "reset-not-run",
-            "an attempt that was reset counts as never sent",
+            "a connection with stray bytes behind its reply is reused",
         ),
+        MutantInfo::new(Mutant::ResetNotRun, "reset-not-run", "a reset attempt counts as never sent"),
         MutantInfo::new(
             Mutant::LeakConnection,
             "leak-connection",
-            "connections to servers that are given up stay open",
+            "server connections of abandoned attempts stay open",
         ),
         MutantInfo::new(
             Mutant::LongWindow,
             "long-window",
-            "keyed edits count as remembered for far too long",
+            "the idempotency window counts as far longer than it is",
+        ),
+        MutantInfo::new(
+            Mutant::LoseAtTerm,
+            "lose-at-term",
+            "SIGTERM closes client connections with pending answers",
         ),
-        MutantInfo::new(Mutant::LoseAtTerm, "lose-at-term", "SIGTERM closes clients whatever they are owed"),
-        MutantInfo::new(Mutant::OldList, "old-list", "changes older than the list held are taken for new"),
+        MutantInfo::new(Mutant::OldList, "old-list", "deltas older than the current list are applied"),
         MutantInfo::new(
             Mutant::SwapAnswers,
             "swap-answers",
-            "answers are written in the order in which they come",
+            "answers are written in the order of their arrival",
         ),
+        MutantInfo::new(Mutant::LeakMemory, "leak-memory", "memory reserved for a request is never released"),
         MutantInfo::new(
-            Mutant::LeakMemory,
-            "leak-memory",
-            "what a request holds of the memory is never given back",
+            Mutant::LeakId,
+            "leak-id",
+            "the id of a request whose client disconnected stays pending",
         ),
-        MutantInfo::new(Mutant::LeakId, "leak-id", "the id of a request whose client left stays claimed"),
-        MutantInfo::new(Mutant::ServeMiss, "serve-miss", "a miss is passed on as an empty value"),
+        MutantInfo::new(Mutant::ServeMiss, "serve-miss", "a cache miss is served as an empty value"),
         MutantInfo::new(
             Mutant::ServeTorn,
             "serve-torn",
-            "half an answer is passed on when its connection is reset",
+            "a partial reply is served when its connection is reset",
+        ),
+        MutantInfo::new(
+            Mutant::OverPlaces,
+            "over-places",
+            "client connections are accepted beyond the limit",
         ),
-        MutantInfo::new(Mutant::OverPlaces, "over-places", "more clients are taken than there are places"),
         MutantInfo::new(Mutant::SendTwice, "send-twice", "each attempt is sent twice"),
-        MutantInfo::new(Mutant::ForgetRefusal, "forget-refusal", "refusals are not passed on"),
-        MutantInfo::new(Mutant::Deaf, "deaf", "calls to discovery that fail are not made again"),
         MutantInfo::new(
-            Mutant::ForgetGone,
-            "forget-gone",
-            "what a client that has left had asked for goes on",
+            Mutant::ForgetRefusal,
+            "forget-refusal",
+            "rejections and expired deadlines are not answered",
         ),
+        MutantInfo::new(Mutant::Deaf, "deaf", "failed calls to discovery are not retried"),
+        MutantInfo::new(Mutant::ForgetGone, "forget-gone", "requests of a client that disconnected continue"),
     ];
 
-    /// The mutant of a name.
+    /// Returns the mutant with this command-line name.
     pub fn by_name(name: &str) -> Option<Mutant> {
         Self::ALL.iter().find(|info| info.name == name).map(|info| info.mutant)
     }
 }
 
-/// A mutant as the command line shows it.
+/// Name and description of a mutant on the command line.
 #[derive(Debug, Clone, Copy)]
 pub struct MutantInfo {
-    /// The mutant.
+    /// The described fault.
     pub mutant: Mutant,
-    /// The name by which it is chosen.
+    /// Name that selects the mutant on the command line.
     pub name: &'static str,
-    /// What it does.
+    /// One-line description of the faulty behaviour.
     pub description: &'static str,
 }
 
@@ -124,13 +128,13 @@
     }
 }
 
-/// Tells which faults a core has.
+/// Selects the deliberate faults of a core.
 pub trait Faults {
-    /// Whether it has this fault.
+    /// Returns whether the core has this fault.
     fn injects(&self, mutant: Mutant) -> bool;
 }
 
-/// No faults.
+/// A core without deliberate faults.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoFaults;
 
--- a/crates/stonevane-core/src/handover.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -1,32 +1,32 @@
-//! Handover between two processes of one node: how they divide the capacity that they may use together.
+//! Handover between two processes of one node: divides the node's capacity between them.
 //!
-//! There are no files and no clock here: statuses of the processes go in, this process's grant comes out. A process with
-//! a newer one beside it never takes more than it has announced, and the newest takes what the others leave. So the sum
-//! stays within the node's capacity however late each hears of the other, as long as a process announces an increase
-//! before it uses it, and a decrease afterwards.
+//! The module uses no files and no clock: [`divide`] takes the statuses of all processes and returns this
+//! process's grant. A process beside a newer one never takes more than it has announced, and the newest takes
+//! what the others leave. The sum stays within the node's capacity even if a status arrives late, as long as
+//! a process announces an increase before it uses it, and a decrease after it has released the capacity.
 
 use stonevane_policy::Micros;
 
-/// This part of the node's capacity is left to a process that is just starting.
+/// The node's capacity divided by this is reserved for a process that is just starting.
 const SPARE_DIVISOR: usize = 16;
-/// A process with a newer one beside it keeps at least this part of the node's capacity until it drains.
+/// A process beside a newer one keeps at least the node's capacity divided by this until it drains.
 const SERVING_DIVISOR: usize = 2;
 
-/// The stage of a process's life.
+/// Lifecycle stage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessStage {
-    /// It accepts no clients yet.
+    /// The process does not accept clients yet.
     Starting,
-    /// It accepts clients.
+    /// The process accepts clients.
     Serving,
-    /// It is shutting down.
+    /// The process is shutting down.
     Draining,
 }
 
-/// Connections and memory.
+/// Capacity of a node or a process: connections and memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Capacity {
-    /// How many connections.
+    /// Number of connections to clients and servers together.
     pub connections: usize,
     /// Memory, in bytes.
     pub memory: usize,
@@ -61,21 +61,22 @@
     }
 }
 
-/// What a process announces of itself.
+/// Status that a process announces to the node's other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// When it started, and its process number: the newest process is the last in this order.
+    /// Start time and process number; the newest process is the greatest in this order.
     pub started: (Micros, u32),
-    /// Its stage.
+    /// Lifecycle stage.
     pub stage: ProcessStage,
-    /// What it may use.
+    /// The capacity that the process may use.
     pub capacity: Capacity,
-    /// Its requests in flight: limits of the origin and of cold servers are divided in proportion to them.
+    /// Requests in flight. The origin limits and those of servers in slow start are divided in proportion to
+    /// them.
     pub in_flight: usize,
 }
 
 impl ProcessStatus {
-    /// Encodes it as a line; processes of different versions share this form.
+    /// Encodes the status as a line. Processes of different versions exchange it, so the format is stable.
     pub fn line(&self) -> String {
         let stage = match self.stage {
             ProcessStage::Starting => "starting",
@@ -85,7 +86,7 @@
         format!("1 {stage} {} {} {}\n", self.capacity.connections, self.capacity.memory, self.in_flight)
     }
 
-    /// Decodes such a line; `None` for any other.
+    /// Decodes a line of [`ProcessStatus::line`]; `None` if it has another format.
     pub fn read(started: (Micros, u32), line: &str) -> Option<ProcessStatus> {
         let words: Vec<_> = line.strip_suffix('\n')?.split(' ').collect();
         let ["1", stage, connections, memory, in_flight] = words[..] else { return None };
@@ -99,26 +100,27 @@
         Some(ProcessStatus { started, stage, capacity, in_flight: in_flight.parse().ok()? })
     }
 
-    /// Its weight in the division of limits; one without requests has some too.
+    /// Weight in the division of limits; positive even without requests.
     fn weight(&self) -> f64 {
         self.in_flight as f64 + 1.0
     }
 }
 
-/// What this process may use.
+/// The part of the node's limits that this process may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityGrant {
-    /// Its capacity.
+    /// Connections and memory.
     pub capacity: Capacity,
-    /// Its share of the node's quota of the origin and of cold servers.
+    /// Share of the node's quota at the origin and at servers in slow start, from 0 to 1.
     pub share: f64,
-    /// A newer process accepts clients.
+    /// Whether a newer process accepts clients.
     pub replaced: bool,
-    /// Another process accepts clients from the same listener.
+    /// Whether another process accepts clients from the same listener.
     pub listener_shared: bool,
 }
 
-/// Divides the node's capacity. `own`: this process, as it announced itself last; `used`: what it uses now.
+/// Returns this process's part of the node's capacity. `own` is the status that this process announced last,
+/// `used` the capacity that it uses now.
 pub fn divide(
     node_capacity: Capacity,
     own: &ProcessStatus,
@@ -151,7 +153,7 @@
     needed.at_most(own.capacity)
 }
 
-/// What the others leave; alone, all but what a starting process can begin with.
+/// Capacity that the others leave, at most all but the spare for a starting process, and at least that spare.
 fn capacity_of_newest(node_capacity: Capacity, others: &[ProcessStatus]) -> Capacity {
     let spare = node_capacity.divided_by(SPARE_DIVISOR);
     let announced = others.iter().fold(Capacity::default(), |sum, other| sum.plus(other.capacity));
--- a/crates/stonevane-core/src/handover/tests.rs
+++ b/crates/stonevane-core/src/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Division of a node's capacity between its processes.
+//! Tests of the division of a node's capacity between its processes.
 
 use super::*;
 
@@ -11,9 +11,9 @@
     Start,
     End(usize),
     Drain(usize),
-    /// A process uses so many percent of its grant.
+    /// The process at the index uses this many percent of its grant.
     Use(usize, usize),
-    /// A process divides the capacity by the others' announcements.
+    /// The process at the index recomputes its grant from the others' announced statuses.
     Divide(usize),
 }
 
@@ -41,7 +41,7 @@
         for step in steps {
             let count = processes.len().max(1);
             match step {
-                // Like the daemon, it divides before it uses anything.
+                // Like the daemon, a process computes its grant before it uses any capacity.
                 Step::Start if processes.len() < 2 => {
                     started += 1;
                     let stage = ProcessStage::Serving;
@@ -96,12 +96,12 @@
     let used = |connections| Capacity { connections, memory: 0 };
     let mut old = status(1, ProcessStage::Serving, 320);
     old.capacity = divide(NODE_CAPACITY, &old, used(200), &[]).capacity;
-    assert_eq!(old.capacity.connections, 300, "alone, it leaves a spare");
+    assert_eq!(old.capacity.connections, 300, "a single process leaves the spare");
     let mut new = status(2, ProcessStage::Starting, 0);
     new.capacity = divide(NODE_CAPACITY, &new, used(0), &[old]).capacity;
     assert_eq!(new.capacity.connections, 20);
     old.capacity = divide(NODE_CAPACITY, &old, used(200), &[new]).capacity;
-    assert_eq!(old.capacity.connections, 200, "what it holds, and no more than it has said");
+    assert_eq!(old.capacity.connections, 200, "the capacity in use, at most what it announced");
     new.stage = ProcessStage::Serving;
     let grant = divide(NODE_CAPACITY, &new, used(0), &[old]);
     assert_eq!((grant.capacity.connections, grant.share, grant.replaced), (120, 0.5, false));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_line_decodes_to_its_status_and_other_lines_to_nothing() {
+fn a_status_line_decodes_to_its_status_and_other_lines_are_rejected() {
     let status = ProcessStatus {
         started: (5, 6),
         stage: ProcessStage::Draining,
--- a/crates/stonevane-core/src/io.rs
+++ b/crates/stonevane-core/src/io.rs
@@ -16,9 +16,9 @@
 /// An event that the core handles.
 #[derive(Debug)]
 pub enum Input<'a> {
-    /// A client has connected; the connection's id is of [`crate::Core::next_connection_id`].
+    /// A client has connected. The connection's id comes from [`crate::Core::next_connection_id`].
     Accepted(ConnId),
-    /// A connection is open, as [`Output::Open`] wanted it.
+    /// A connection that [`Output::Open`] requested is open.
     Opened(ConnId),
     /// Bytes arrived on a connection, at most [`crate::Core::read_budget`] of them.
     Bytes(ConnId, &'a [u8]),
@@ -28,34 +28,35 @@
     WriteClosed(ConnId),
     /// A connection was closed by the peer, broke, or could not be opened.
     Closed(ConnId),
-    /// An [`Output::CallStore`] has its reply.
+    /// The reply to an [`Output::CallStore`] has arrived.
     CallReplied(ConnId, Reply),
     /// Discovery has sent a full list or a delta.
     List(DiscoveryEpoch, EndpointList),
-    /// A call to discovery failed, or the watch broke, without a known silence before it.
+    /// A call to discovery failed, or the watch broke. It is not known how long nothing had arrived before.
     ListFailed(DiscoveryEpoch),
-    /// A call to discovery failed, or the watch broke, after a silence.
+    /// A call to discovery failed, or the watch broke, after a known time without received bytes.
     ListTimedOut {
         /// The discovery service that was called.
         epoch: DiscoveryEpoch,
-        /// How long the silence had lasted.
+        /// How long nothing had been received.
         silent_for: Micros,
-        /// Whether the call was given up for that silence, and had brought a line before.
+        /// Whether the call timed out after it had received at least one line.
         was_established: bool,
     },
-    /// The store of record has failed: no call to it is of use for so long; 0: it answers again.
+    /// The store of record has failed: calls to it are pointless for this long. 0: it answers again.
     OriginUnavailable(Micros),
-    /// Discovery has another address from now on.
+    /// The address of discovery has changed.
     DiscoveryMoved(SocketAddr),
     /// The settings have changed.
     Settings(Box<Deployment>),
     /// A settings file could not be applied.
     ReloadFailed,
-    /// An operator excludes the cache server of a name (`true`), or puts it back.
+    /// An operator excludes (`true`) or reinstates (`false`) the cache server of this name.
     Exclude(String, bool),
-    /// So many nodes share the deployment's limits, as gossip has it. The settings' number counts where it is larger.
+    /// Number of nodes that share the deployment's limits, from gossip. The number in the settings is used if
+    /// larger.
     NodeCount(u32),
-    /// This process's part of the node's capacity, which it shares with other processes of the same node.
+    /// This process's part of the node's capacity, which all processes of the node share.
     Handover(CapacityGrant),
     /// The platform has sent SIGTERM.
     Terminate,
@@ -64,7 +65,8 @@
 }
 
 impl Input<'_> {
-    /// A call to discovery has ended, after a silence since it began, its connection was open, or its last bytes came.
+    /// Returns the input for a call to discovery that has ended. `silent_for` is the time since the call
+    /// began, its connection was open, or its last bytes arrived, whichever was latest.
     pub fn call_ended(end: CallEnd, epoch: DiscoveryEpoch, silent_for: Micros) -> Self {
         let was_established = matches!(end, CallEnd::TimedOut { was_established: true });
         Input::ListTimedOut { epoch, silent_for, was_established }
@@ -74,20 +76,21 @@
 /// An attempt at the store of record.
 #[derive(Debug)]
 pub struct StoreCall {
-    /// The client's command.
+    /// The client's command, a read or a write.
     pub command: Command,
-    /// How long the node waits for the reply, in milliseconds.
+    /// Time that the node waits for the reply, in milliseconds.
     pub time_left_ms: u64,
-    /// Caches that lacked the key for this request.
+    /// Caches that reported a miss for this request.
     pub missed_caches: Vec<SocketAddr>,
-    /// The newest version of the key that one of them has been notified of: an older one may not be served.
+    /// The newest version of the key that one of these caches has been notified of. An older version must not
+    /// be served.
     pub min_version: u64,
 }
 
-/// A request to discovery. Whatever it brings names its epoch.
+/// A request to discovery. Every input that results from it names its epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryRequest {
-    /// Begin the watch, in place of an earlier one; its end is an input.
+    /// Begin the watch and replace an earlier one. The end of the watch is an input.
     Watch {
         /// The version of the current list, if there is one.
         after: Option<u64>,
@@ -105,41 +108,43 @@
 /// A call to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryCall {
-    /// The request.
+    /// The kind of request.
     pub request: DiscoveryRequest,
     /// Address of the discovery service.
     pub address: SocketAddr,
-    /// Distinguishes the discovery service in force from earlier ones.
+    /// Distinguishes the current discovery service from earlier ones.
     pub epoch: DiscoveryEpoch,
-    /// Its timeouts.
+    /// Timeouts of the call.
     pub timeouts: DiscoveryTimeouts,
 }
 
 /// A line for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogLine {
-    /// For information.
+    /// An event for the operator.
     Info(String),
     /// An internal error of the policy.
     Error(String),
 }
 
-/// An instruction to the driver; they are carried out in their order.
+/// An instruction to the driver. The driver executes instructions in order.
 #[derive(Debug)]
 pub enum Output {
     /// Write to a client. There is one write at a time; [`Input::Flushed`] follows.
     Write(ConnId, Bytes),
-    /// Write the last answer to a client, and the end of the stream right behind it; [`Input::WriteClosed`] follows. If
-    /// input has arrived on the connection, it goes in, and this is an [`Output::Write`].
+    /// Write the last answer to a client, immediately followed by the end of the stream;
+    /// [`Input::WriteClosed`] follows. If input has arrived on the connection, it is passed to the core
+    /// first, and this acts as an [`Output::Write`].
     WriteAndClose(ConnId, Bytes),
-    /// Write a request to a server connection, which may have been closed unseen. If input or a close has arrived on
-    /// it, that goes in and nothing is written. [`Input::Flushed`] follows.
+    /// Write a request to a server connection. The server may have closed it in the meantime: if input or a
+    /// close has arrived on it, that is passed to the core and nothing is written. [`Input::Flushed`]
+    /// follows.
     WriteRequest {
-        /// The connection.
+        /// The server connection.
         id: ConnId,
-        /// The request.
+        /// The encoded request.
         bytes: Bytes,
-        /// Check the socket itself before: the request is not idempotent.
+        /// Whether to check the socket itself first, because the request is not idempotent.
         check_socket: bool,
     },
     /// Open a connection.
@@ -148,19 +153,21 @@
     CallStore(ConnId, Box<StoreCall>),
     /// Close a connection or cancel a call; no input follows.
     Close(ConnId),
-    /// Close a client connection unless input has arrived, which goes in. [`Input::Closed`] follows.
+    /// Close a client connection, unless input has arrived, which is passed to the core instead.
+    /// [`Input::Closed`] follows.
     CloseIfIdle(ConnId),
-    /// Write no more, and read on for a moment, so that no reset overtakes the last answer. [`Input::Closed`] follows.
+    /// Half-close a client connection and read for a moment longer, so that a reset does not overtake the
+    /// last answer. [`Input::Closed`] follows.
     CloseWrite(ConnId),
-    /// Read a connection again.
+    /// Resume reading from a connection.
     Resume(ConnId),
-    /// Call discovery.
+    /// Start or cancel a call to discovery.
     Discovery(DiscoveryCall),
-    /// The caches to notify of writes have changed.
+    /// The set of caches to notify of writes has changed.
     CachesChanged(Vec<SocketAddr>),
-    /// Stop listening; accept only what the operating system has accepted.
+    /// Stop listening; accept only connections that the operating system has already accepted.
     Draining,
-    /// Stop accepting: the listener is a newer process's from now on.
+    /// Stop accepting: a newer process has taken over the listener.
     Replaced,
     /// A line for the log.
     Log(LogLine),
@@ -168,5 +175,5 @@
     Done,
 }
 
-/// A queue of outputs.
+/// Queue of outputs in the order of their execution.
 pub type Outputs = VecDeque<Output>;
--- a/crates/stonevane-core/src/lib.rs
+++ b/crates/stonevane-core/src/lib.rs
@@ -1,8 +1,8 @@
-//! A node without sockets, clock or tasks. [`Core::handle`] takes an [`Input`] and the time at which it happened, and
-//! returns [`Output`]s; the driver does the I/O and keeps the clock.
+//! The state machine of a node, without sockets, clock or tasks. [`Core::handle`] takes an [`Input`] and the
+//! time at which it happened, and returns [`Output`]s. The driver does the I/O and keeps the clock.
 //!
-//! The core owns the policy (`stonevane_policy`), the connections of clients and to servers, the budgets of
-//! sockets and memory, the endpoint list, and the graceful shutdown. It is deterministic: the same inputs at the same
+//! The core owns the policy (`stonevane_policy`), the client and server connections, the budgets of sockets
+//! and memory, the endpoint list, and the graceful shutdown. It is deterministic: the same inputs at the same
 //! times with the same seed give the same outputs.
 
 mod clients;
--- a/crates/stonevane-core/src/list.rs
+++ b/crates/stonevane-core/src/list.rs
@@ -1,29 +1,30 @@
-//! The endpoint list in the form in which discovery sends it.
+//! The endpoint list as discovery sends it, in JSON.
 
 use serde::Deserialize;
 
-/// Distinguishes one discovery service from the next: their list versions can't be compared.
+/// Number of the discovery service in use, raised when its address changes. List versions of different epochs
+/// are not comparable.
 pub type DiscoveryEpoch = u64;
 
-/// A full endpoint list, or a delta.
+/// A full endpoint list or a delta.
 #[derive(Deserialize, Default, Debug)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     #[serde(default)]
     pub index: u64,
-    /// Whether it is the full list.
+    /// Whether it is the full list, not a delta.
     #[serde(default)]
     pub snapshot: bool,
-    /// Its entries.
+    /// The listed servers; in a delta, those that have changed.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A server of the list.
+/// Entry of a server in the list.
 #[derive(Deserialize, Debug)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the server.
     pub name: String,
-    /// Its address; empty where it is unchanged.
+    /// Socket address; empty if it is unchanged.
     #[serde(default)]
     pub address: String,
     /// Name of its zone.
@@ -32,15 +33,15 @@
     /// Name of its machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Number of its cell.
+    /// Number of the server's cell.
     #[serde(default)]
     pub group: u16,
     /// `active`, `leaving` or `left`.
     pub status: String,
-    /// Its weight.
+    /// Relative weight in the placement, 1 by default.
     #[serde(default = "default_weight")]
     pub weight: f32,
-    /// When its process started, Unix time in milliseconds; 0: long ago.
+    /// Start time of the server's process, Unix time in milliseconds; 0: long ago.
     #[serde(default)]
     pub since_ms: u64,
 }
--- a/crates/stonevane-core/src/management.rs
+++ b/crates/stonevane-core/src/management.rs
@@ -1,38 +1,38 @@
-//! The management address: decodes calls and encodes answers, one call a connection. There is no I/O here.
+//! HTTP calls to the management address, one per connection: decodes calls and encodes answers, without I/O.
 
 use std::fmt::Write;
 
 use stonevane_codec::http::{self, Malformed};
 
-/// The longest head, in bytes; a target may have half of that.
+/// The longest request head, in bytes. The request target may have half of that.
 pub const MAX_HEAD: usize = 4096;
-/// The longest body, in bytes. Bodies have no meaning here; a longer one is rejected before it is read.
-const MAX_BODY: usize = 1024;
-/// The longest name of a cache server, in bytes.
-const MAX_NAME: usize = 120;
+/// The longest request body. Bodies are ignored; a longer one is rejected before it is read.
+const MAX_BODY_BYTES: usize = 1024;
+/// The longest name of a cache server.
+const MAX_NAME_BYTES: usize = 120;
 
-/// A call of an operator or of the platform.
+/// A call from an operator or the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process serves clients.
+    /// Asks whether this process serves clients (readiness probe).
     Ready,
-    /// The metrics.
+    /// Reads the metrics.
     Metrics,
-    /// What this node knows of the other nodes.
+    /// Reads this node's view of the other nodes.
     Fleet {
-        /// Whether in brief: a letter for each node.
+        /// Whether to answer in the short form, one letter per node.
         brief: bool,
     },
-    /// Exclude a cache server, or put it back.
+    /// Excludes or reinstates a cache server.
     Exclude {
-        /// Its name.
+        /// Name of the cache server in the server list.
         name: String,
-        /// Whether it is excluded from now on.
+        /// `true` excludes the server, `false` reinstates it.
         out: bool,
     },
 }
 
-/// An answer.
+/// The answer to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     status: u16,
@@ -42,22 +42,22 @@
 }
 
 impl Answer {
-    /// An answer with a line of plain text.
+    /// Creates an answer with one line of plain text.
     pub fn line(status: u16, body: impl Into<String>) -> Answer {
         Answer { status, allow: None, json: false, body: body.into() + "\n" }
     }
 
-    /// An answer with a JSON object.
+    /// Creates a successful answer with a JSON object.
     pub fn object(body: String) -> Answer {
         Answer { status: 200, allow: None, json: true, body }
     }
 
-    /// Its status.
+    /// HTTP status code.
     pub fn status(&self) -> u16 {
         self.status
     }
 
-    /// Encodes it; the connection ends after it.
+    /// Encodes the answer as an HTTP response after which the connection is closed.
     pub fn bytes(&self) -> Vec<u8> {
         let reason = match self.status {
             200 => "OK",
@@ -86,7 +86,8 @@
     }
 }
 
-/// Decodes the call at the front of a connection's input; `None` while it is incomplete. What follows it is ignored.
+/// Decodes the call at the front of a connection's input; `None` while it is incomplete. Bytes after it are
+/// ignored.
 ///
 /// # Errors
 /// The answer to an invalid or unknown call.
@@ -97,14 +98,14 @@
         Ok(None) if line > MAX_HEAD / 2 => return Err(Answer::line(414, "the target is too long")),
         Ok(None) if bytes.len() >= MAX_HEAD => return Err(Answer::line(431, "the head is too long")),
         Ok(None) => return Ok(None),
-        Err(Malformed) => return Err(Answer::line(400, "this is no call")),
+        Err(Malformed) => return Err(Answer::line(400, "malformed HTTP request")),
     };
     let body = head.content_length.unwrap_or(0);
     if head.target.len() > MAX_HEAD / 2 {
         return Err(Answer::line(414, "the target is too long"));
     }
-    if body > MAX_BODY {
-        return Err(Answer::line(413, "a call needs no body"));
+    if body > MAX_BODY_BYTES {
+        return Err(Answer::line(413, "the request body is too long; calls need none"));
     }
     let call = route(&head.method, &head.target)?;
     Ok((bytes.len() >= head.length + body).then_some(call))
@@ -125,22 +126,24 @@
         _ => (exclusion(path)?, "PUT"),
     };
     if method != allow {
-        let answer = Answer::line(405, format!("{path} is called by {allow}"));
+        let answer = Answer::line(405, format!("{path} accepts only the method {allow}"));
         return Err(Answer { allow: Some(allow), ..answer });
     }
     Ok(call)
 }
 
-/// Decodes the path of a call that excludes a cache server or puts it back.
+/// Decodes the path of a call that excludes or reinstates a cache server.
 fn exclusion(path: &str) -> Result<Call, Answer> {
     let rest = path.strip_prefix("/cache-servers/").and_then(|rest| rest.split_once('/'));
     let (out, name) = match rest {
         Some(("disable", name)) => (true, name),
         Some(("enable", name)) => (false, name),
-        _ => return Err(Answer::line(404, "there is no such call")),
+        _ => return Err(Answer::line(404, "no call has this path")),
     };
-    let name = decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
-    if name.is_empty() || name.len() > MAX_NAME || name.contains('/') {
+    let name = decode(name).ok_or_else(|| {
+        Answer::line(400, "the name is not percent-encoded UTF-8 without control characters")
+    })?;
+    if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains('/') {
         return Err(Answer::line(404, "there is no cache server of that name"));
     }
     Ok(Call::Exclude { name, out })
--- a/crates/stonevane-core/src/management/tests.rs
+++ b/crates/stonevane-core/src/management/tests.rs
@@ -1,4 +1,4 @@
-//! Calls to the management address.
+//! Tests of the decoding of calls to the management address.
 
 use super::*;
 
--- a/crates/stonevane-core/src/memory.rs
+++ b/crates/stonevane-core/src/memory.rs
@@ -1,5 +1,5 @@
-//! The memory budget: one for everything that clients and servers can make a node buffer, which is commands, their
-//! values, and answers until they are written.
+//! The memory budget of a node: a single budget for all data that clients and servers can make it buffer,
+//! which is commands with their values, and answers until they are written.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -7,28 +7,28 @@
 
 use crate::reply::ConnId;
 
-/// Memory of the program itself, its tables, and what the runtime and each connection take, in megabytes.
+/// Memory of the program itself, its tables, the runtime and the connections, in megabytes.
 const BASE_MB: usize = 12;
-/// The least memory that is budgeted, in megabytes.
+/// Lower bound of the budget, in megabytes.
 const MIN_BUDGET_MB: usize = 4;
-/// Resident bytes for each accounted byte: buffers grow by doubling and leave gaps behind.
+/// Resident bytes per accounted byte: buffers grow by doubling and fragment the heap.
 const OVERHEAD_FACTOR: usize = 2;
-/// Unit of the account, in bytes.
-const UNIT: usize = 1024;
-/// The largest budget, in units: sums of reservations stay within 32 bits.
+/// Reservations are counted in units of this size.
+const UNIT_BYTES: usize = 1024;
+/// Upper bound of the budget, in units, so that sums of reservations fit in 32 bits.
 const MAX_UNITS: usize = 1 << 28;
 
-/// The budget and the connections that wait for a part of it.
+/// The budget, and the queue of connections that wait for memory.
 pub struct MemoryBudget {
     reserved: Arc<AtomicU32>,
     capacity: u32,
-    /// What may be reserved now: less than the capacity while another process of the node has a part of it.
+    /// Units that may be reserved: less than the capacity while another process of the node has a part of it.
     limit: u32,
-    /// Connections that wait, in the order of their requests, and the units that each waits for.
+    /// Waiting connections in the order of their requests, with the units that each waits for.
     waiting: VecDeque<(ConnId, u32)>,
 }
 
-/// A part of the budget, given back when dropped.
+/// A reserved part of the budget, released on drop.
 #[derive(Debug)]
 pub struct MemoryReservation {
     units: u32,
@@ -42,31 +42,31 @@
 }
 
 impl MemoryBudget {
-    /// The budget of a node that may use so many megabytes in all.
+    /// Creates the budget of a node that may use `memory_mb` megabytes in total.
     pub fn new(memory_mb: usize) -> MemoryBudget {
         let budget_mb = memory_mb.saturating_sub(BASE_MB).max(MIN_BUDGET_MB);
-        let units = (budget_mb * 1024 * 1024 / OVERHEAD_FACTOR / UNIT).min(MAX_UNITS) as u32;
+        let units = (budget_mb * 1024 * 1024 / OVERHEAD_FACTOR / UNIT_BYTES).min(MAX_UNITS) as u32;
         MemoryBudget { reserved: Arc::default(), capacity: units, limit: units, waiting: VecDeque::new() }
     }
 
-    /// Limits reservations to so many bytes from now on; those that exist stay.
+    /// Limits new reservations to a total of this many bytes. Existing reservations stay.
     pub fn set_limit(&mut self, bytes: usize) {
-        self.limit = (bytes / UNIT).min(self.capacity as usize) as u32;
+        self.limit = (bytes / UNIT_BYTES).min(self.capacity as usize) as u32;
     }
 
-    /// The whole budget, in bytes.
+    /// Capacity of the budget, in bytes.
     pub fn capacity(&self) -> usize {
-        self.capacity as usize * UNIT
+        self.capacity as usize * UNIT_BYTES
     }
 
-    /// What is reserved, in bytes.
+    /// Reserved memory, in bytes.
     pub fn reserved(&self) -> usize {
-        self.reserved.load(Ordering::Relaxed) as usize * UNIT
+        self.reserved.load(Ordering::Relaxed) as usize * UNIT_BYTES
     }
 
     fn units(&self, bytes: usize) -> u32 {
         // A reservation of more than the limit could never be granted.
-        bytes.div_ceil(UNIT).min(self.limit as usize) as u32
+        bytes.div_ceil(UNIT_BYTES).min(self.limit as usize) as u32
     }
 
     fn reserve_units(&self, units: u32) -> Option<MemoryReservation> {
@@ -78,22 +78,23 @@
         Some(MemoryReservation { units, reserved: self.reserved.clone() })
     }
 
-    /// Reserves some bytes, if they are free and no connection waits for memory.
+    /// Reserves this many bytes if they are free and no connection waits for memory.
     pub fn try_reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         if self.waiting.is_empty() { self.reserve_units(self.units(bytes)) } else { None }
     }
 
-    /// Reserves some bytes ahead of the connections that wait: for bytes that are in memory already.
+    /// Reserves bytes that are already in memory, ahead of the waiting connections.
     pub fn reserve_ahead(&mut self, bytes: usize) -> Option<MemoryReservation> {
         self.reserve_units(self.units(bytes))
     }
 
-    /// Queues a connection for some bytes; [`MemoryBudget::next_granted`] grants them.
+    /// Queues a connection that waits for this many bytes, which [`MemoryBudget::next_granted`] grants.
     pub fn enqueue(&mut self, conn: ConnId, bytes: usize) {
         self.waiting.push_back((conn, self.units(bytes)));
     }
 
-    /// The connection that has waited longest, with its reservation, once that is free.
+    /// Removes the connection that has waited longest from the queue and returns it with its reservation;
+    /// `None` while there is not enough free memory for it.
     pub fn next_granted(&mut self) -> Option<(ConnId, MemoryReservation)> {
         let (conn, units) = *self.waiting.front()?;
         let reservation = self.reserve_units(units.min(self.limit))?;
@@ -101,7 +102,7 @@
         Some((conn, reservation))
     }
 
-    /// Takes a connection out of the queue.
+    /// Removes a connection from the queue.
     pub fn cancel(&mut self, conn: ConnId) {
         self.waiting.retain(|(waiting, _)| *waiting != conn);
     }
--- a/crates/stonevane-core/src/metrics.rs
+++ b/crates/stonevane-core/src/metrics.rs
@@ -1,46 +1,48 @@
-//! Counts and reports of a node. Each count is raised in one place; the rest of a report is read from state.
+//! Counters and reports of a node. Each counter is incremented in one place; the other values of a report are
+//! read from the node's state.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 
-/// The most classes that are counted, removed ones included.
+/// The most classes that are counted, including removed ones.
 const MAX_CLASSES: usize = 1024;
 
-/// Counts of one class.
+/// Request counters of one class.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct ClassCounts {
     /// Requests accepted.
     pub accepted: u64,
-    /// Answered with what a server made for them.
+    /// Requests answered with a server's result.
     pub served: u64,
-    /// Rejected; a retry by the client is harmless.
+    /// Requests rejected; a retry by the client is harmless.
     pub rejected: u64,
-    /// Answered with an error.
+    /// Requests answered with an error; they may have run.
     pub failed: u64,
-    /// Their client disconnected before the answer.
+    /// Requests whose client disconnected before the answer.
     pub disconnected: u64,
 }
 
-/// All counts of this process, from 0 at its start.
+/// All counters of this process, starting from 0.
 #[derive(Debug, Default)]
 pub struct Metrics {
     classes: Vec<(String, ClassCounts)>,
     /// Attempts written completely to servers, the origin included.
     pub attempts: u64,
-    /// Settings files applied at SIGHUP.
+    /// Settings files applied on SIGHUP.
     pub reloads_ok: u64,
-    /// Settings files not applied at SIGHUP.
+    /// Settings files that could not be applied on SIGHUP.
     pub reloads_failed: u64,
-    /// Rejections, failures, backoffs, retries and hedged requests by their reason; a request may add several.
+    /// Rejections, failures, backoffs, retries and hedged requests, by reason. One request may count several
+    /// times.
     pub decisions: BTreeMap<&'static str, u64>,
-    /// Connections closed by this process, by the reason.
+    /// Connections closed by this process, by reason.
     pub closes: BTreeMap<&'static str, u64>,
 }
 
 impl Metrics {
-    /// Registers some classes and returns the slot of each; `None` where that would be too many. A removed class keeps
-    /// its counts, and goes on with them when it comes back.
+    /// Registers classes and returns the slot of each; `None` if there would be too many. A removed class
+    /// keeps its counts, and continues from them if it is added again.
     pub fn register_classes(&mut self, names: &[String]) -> Option<Vec<usize>> {
         let mut slots = Vec::with_capacity(names.len());
         for name in names {
@@ -56,37 +58,37 @@
         Some(slots)
     }
 
-    /// Counts of the class in a slot.
+    /// Returns the counters of the class in a slot.
     pub fn class_mut(&mut self, slot: usize) -> &mut ClassCounts {
         &mut self.classes[slot].1
     }
 
-    /// All classes and their counts.
+    /// Returns all registered classes, including removed ones, with their counters.
     pub fn classes(&self) -> impl Iterator<Item = (&str, &ClassCounts)> {
         self.classes.iter().map(|(name, counts)| (name.as_str(), counts))
     }
 }
 
-/// The regions whose cache servers this node uses.
+/// Metrics of the regions whose cache servers this node uses.
 #[derive(Debug, Serialize)]
 pub struct RegionMetrics {
-    /// This node's region.
+    /// Name of this node's region.
     pub home: String,
-    /// Usable cache servers of each region in use, by its name.
+    /// Number of usable cache servers of each region in use, by region name.
     pub in_use: BTreeMap<String, usize>,
-    /// How many regions are in use: 1 except during a fallback.
+    /// Number of regions in use: 1 except during a fallback.
     pub regions_in_use: usize,
-    /// Usable cache servers of all regions in use.
+    /// Number of usable cache servers of all regions in use.
     pub usable: usize,
-    /// Another region is used while there are fewer.
+    /// Number of usable cache servers below which another region is used.
     pub least: usize,
-    /// Since when these regions are in use, Unix time in milliseconds.
+    /// Time of the last change of the regions in use, Unix time in milliseconds.
     pub since_ms: u64,
-    /// How often another region was taken into use.
+    /// Number of times that another region was taken into use.
     pub fallbacks: u64,
 }
 
-/// What the management address reports as `/metrics`; the field names are the names there.
+/// The report at `/metrics` of the management address. Field names are the JSON names.
 #[derive(Debug, Serialize)]
 pub struct Report<'a> {
     /// Requests served, by class.
@@ -101,17 +103,18 @@
     pub in_flight: usize,
     /// Cache servers in the list.
     pub cache_servers_known: usize,
-    /// Of these, those excluded by an operator or ejected.
+    /// Listed cache servers that are excluded by an operator or ejected.
     pub cache_servers_excluded: usize,
-    /// Settings files applied at SIGHUP.
+    /// Settings files applied on SIGHUP.
     pub reloads_ok: u64,
-    /// Settings files not applied at SIGHUP.
+    /// Settings files that could not be applied on SIGHUP.
     pub reloads_failed: u64,
-    /// Rejections, failures, backoffs, retries and hedged requests by their reason; a request may add several.
+    /// Rejections, failures, backoffs, retries and hedged requests, by reason. One request may count several
+    /// times.
     pub decisions: &'a BTreeMap<&'static str, u64>,
-    /// Connections closed by this process, by the reason.
+    /// Connections closed by this process, by reason.
     pub closes: &'a BTreeMap<&'static str, u64>,
-    /// The regions in use; absent without `[regions]`.
+    /// Regions in use; absent if the operator file has no `[regions]`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub regions: Option<RegionMetrics>,
 }
--- a/crates/stonevane-core/src/pause_detection.rs
+++ b/crates/stonevane-core/src/pause_detection.rs
@@ -1,29 +1,29 @@
-//! Detection of process pauses: a process that did not run for a while must notice before it acts on stale state.
+//! Detection of process pauses: after a pause, a process must detect it before it acts on stale state.
 
 use stonevane_policy::{Micros, Settings};
 
-/// A timer is due at this part of the drain grace at the latest.
+/// The check interval is the drain grace divided by this, within the bounds below.
 const CHECK_INTERVAL_DIVISOR: Micros = 2;
-/// A timer that fires late by this part of the drain grace shows a pause.
+/// The lateness that indicates a pause is the drain grace divided by this, within the bounds below.
 const LATENESS_DIVISOR: Micros = 4;
 const MIN_CHECK_INTERVAL: Micros = 50_000;
 const MAX_CHECK_INTERVAL: Micros = 250_000;
-/// A busy machine is often late by less.
+/// Timers on a busy machine are often late by less than this.
 const MIN_LATENESS: Micros = 20_000;
 const MAX_LATENESS: Micros = 100_000;
 
-/// How a process detects that it was paused. Both times together are within the shortest drain grace, so that a pause
-/// that outlasts the grace is noticed.
+/// Thresholds by which a process detects that it was paused. Their sum is within the drain grace, so that a
+/// pause that outlasts the grace is detected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PauseDetection {
-    /// The longest time without a timer; idle connections are swept as often.
+    /// The longest interval between two timers. Idle connections are swept at the same interval.
     pub check_interval: Micros,
-    /// A timer that fires late by this much shows a pause.
+    /// A timer that fires at least this late indicates a pause.
     pub lateness: Micros,
 }
 
 impl PauseDetection {
-    /// The times for some settings.
+    /// Derives the thresholds from the drain grace of the settings.
     pub fn of(settings: &Settings) -> PauseDetection {
         let check_interval = settings.drain_grace / CHECK_INTERVAL_DIVISOR;
         let lateness = settings.drain_grace / LATENESS_DIVISOR;
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -1,44 +1,44 @@
-//! Replies of servers, independent of the protocol that carried them.
+//! Replies from servers, independent of the protocol that carried them.
 
 use bytes::Bytes;
 use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport, RequestId};
 
-/// Names a connection to a client or to a server; never reused.
+/// Number of a connection to a client or a server; never reused.
 pub type ConnId = u64;
 
-/// Names an attempt. Keys order by request, then by number.
+/// Identifies an attempt. Keys are ordered by request, then by attempt number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among the request's attempts, from 0 on.
+    /// Number of the attempt within the request, from 0.
     pub number: u16,
 }
 
-/// The bytes of a server follow no protocol that is spoken here; its connection can't be used any more.
+/// The bytes from a server violate its protocol. The connection can't be used any more.
 #[derive(Debug, PartialEq, Clone, Copy)]
 pub struct MalformedReply;
 
 /// A server's reply to one attempt.
 #[derive(Debug, PartialEq)]
 pub struct Reply {
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub status: AttemptStatus,
-    /// What the server said of the key in its cache.
+    /// Result of the lookup in the server's cache.
     pub cache_status: CacheStatus,
-    /// The server's load report.
+    /// Load report of the server.
     pub load: LoadReport,
     /// The value of a read or the receipt of a write.
     pub value: Option<Bytes>,
-    /// Of a miss: the newest version of the key that the cache has been notified of; 0 where it names none. An older
-    /// version was overwritten before the request was sent.
+    /// For a miss: the newest version of the key that the cache has been notified of, or 0 if it names none.
+    /// Any older version was overwritten before the request was sent.
     pub min_version: u64,
     /// Whether the connection can carry another request.
     pub reusable: bool,
 }
 
 impl Reply {
-    /// A reply that says no more than how the attempt ended.
+    /// Creates a reply that carries only the outcome of the attempt.
     pub fn of_status(status: AttemptStatus, reusable: bool) -> Reply {
         Reply {
             status,
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests and their final answers, independent of the protocol that carries them.
 //!
-//! A front end reads its protocol into a [`Command`] and encodes the [`FinalAnswer`] that comes back; it makes no
-//! decision of its own.
+//! A front end decodes its protocol into a [`Command`] and encodes the resulting [`FinalAnswer`]. It makes no
+//! decisions.
 
 use std::fmt::Write;
 
@@ -9,54 +9,54 @@
 use stonevane_policy::{Key, Micros, RequestClass};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Length of the longest remaining time in decimal digits.
+/// Decimal digits of the largest remaining time.
 const MAX_TIME_LEFT_DIGITS: usize = 20;
-/// Length of a key that is the hexadecimal form of its own hash.
+/// Digits of a key that is the hexadecimal form of its own hash.
 const HASHED_KEY_DIGITS: usize = 16;
-/// Memory that an answer takes in addition to its value, in bytes.
-const ANSWER_OVERHEAD: usize = 16;
+/// Memory that an answer takes in addition to its value.
+const ANSWER_OVERHEAD_BYTES: usize = 16;
 
-/// A command of a client.
+/// A client's command.
 #[derive(Debug, Clone, Default)]
 pub struct Command {
-    /// Whether it is a write.
+    /// Whether the command is a write; otherwise it is a read.
     pub write: bool,
-    /// Its key.
+    /// Key of the object.
     pub key: Bytes,
-    /// Its id, as the client names it.
+    /// Request id, chosen by the client.
     pub id: Bytes,
-    /// Its parameters as the client sent them: `name=value`, separated by commas.
+    /// Request parameters as the client sent them: `name=value`, separated by commas.
     pub facts: String,
     /// The value of a write.
     pub value: Option<Bytes>,
-    /// Position of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The class as it was when the request arrived: it holds for as long as the request lives.
+    /// The class as it was when the request arrived. Later settings do not change it for this request.
     pub rules: RequestClass,
-    /// How many attempts may be made.
+    /// The most attempts that may be made.
     pub max_attempts: u32,
-    /// Position of its tenant in the settings.
+    /// Index of the request's tenant in the settings.
     pub tenant: usize,
-    /// How long its client waits from the arrival on.
+    /// Time that the client waits for the answer, counted from the arrival.
     pub time_left: Micros,
-    /// Whether the client sends it again after an earlier attempt of its own.
+    /// Whether it is a retry by the client.
     pub is_retry: bool,
-    /// Expected service time, microseconds, where the client states it.
+    /// Expected service time in microseconds, if the client states it.
     pub cost: Option<Micros>,
-    /// Size of the value, 0 where the client does not state it.
+    /// Size of the value; 0 if the client does not state it.
     pub size: f32,
 }
 
 impl Command {
-    /// The key as the policy knows it, the same at every node.
+    /// Returns the key as the policy uses it: a hash that is the same on every node.
     pub fn hashed_key(&self) -> Key {
         let text = std::str::from_utf8(&self.key).ok().filter(|text| text.len() == HASHED_KEY_DIGITS);
         let hex = text.and_then(|text| u64::from_str_radix(text, 16).ok());
         hex.unwrap_or_else(|| xxh3_64(&self.key)).max(1)
     }
 
-    /// The parameters as an attempt sends them to a server: `d` becomes the client's remaining time in milliseconds,
-    /// everything else is forwarded unchanged.
+    /// Returns the parameters for an attempt: `d` is replaced by the client's remaining time in milliseconds,
+    /// and all other parameters are unchanged.
     pub fn facts_with_time_left(&self, left_ms: u64) -> String {
         let mut facts = String::with_capacity(self.facts.len() + MAX_TIME_LEFT_DIGITS);
         for (position, fact) in self.facts.split(',').enumerate() {
@@ -73,22 +73,22 @@
     }
 }
 
-/// The one final answer to a request.
+/// The final answer to a request; each request gets exactly one.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FinalAnswer {
     /// The value or the receipt that a server made for this request.
     Served(Bytes),
-    /// Rejected: a retry is harmless. Nothing ran, or the class is idempotent.
+    /// Rejected. A retry is harmless: nothing ran, or the class is idempotent.
     Rejected {
-        /// How long the client is to wait, microseconds; 0: no advice.
+        /// Time that the client should wait before a retry, in microseconds; 0: none stated.
         retry_after: Micros,
     },
-    /// It may or may not have run.
+    /// Failed: the request may or may not have run.
     Failed,
 }
 
 impl FinalAnswer {
-    /// Its name in the trace.
+    /// The answer's name in the trace.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Memory that it takes until it is written, in bytes.
+    /// Memory that the answer takes until it is written, in bytes.
     pub fn size(&self) -> usize {
         match self {
-            FinalAnswer::Served(value) => value.len() + ANSWER_OVERHEAD,
-            FinalAnswer::Rejected { .. } | FinalAnswer::Failed => ANSWER_OVERHEAD,
+            FinalAnswer::Served(value) => value.len() + ANSWER_OVERHEAD_BYTES,
+            FinalAnswer::Rejected { .. } | FinalAnswer::Failed => ANSWER_OVERHEAD_BYTES,
         }
     }
 }
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -1,4 +1,4 @@
-//! RESP2 as cache servers speak it: encodes attempts, decodes their replies.
+//! The RESP2 protocol of cache servers: encodes attempts and decodes their replies.
 
 use bytes::{Bytes, BytesMut};
 use stonevane_codec::resp::{self, Value};
@@ -7,7 +7,8 @@
 use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
-/// Encodes a client's command as an attempt sends it to a cache server.
+/// Encodes a client's command as a request to a cache server. `left_ms` is the time until the client's
+/// deadline.
 pub(super) fn encode(command: &Command, left_ms: u64) -> Bytes {
     let facts = command.facts_with_time_left(left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
@@ -17,8 +18,8 @@
     }
 }
 
-/// Takes a reply off the front of a buffer; `None` while it is incomplete. Whatever deviates from the protocol is
-/// malformed, so that no corrupted value is forwarded.
+/// Removes a reply from the front of a buffer and decodes it; `None` while it is incomplete. Any deviation
+/// from the protocol makes the reply malformed, so that no corrupted value is forwarded.
 pub(super) fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
@@ -30,13 +31,13 @@
     match value {
         Value::Array(items) => decode_served(items, load_names).map(Some),
         Value::Error(line) => decode_error(&line, load_names).map(Some),
-        // No reply of the protocol: what follows on the connection can't be matched to a request.
+        // Not a reply of the protocol: later bytes on the connection can't be matched to a request.
         Value::Bulk(_) | Value::Line(_) | Value::Number(_) => Err(MalformedReply),
     }
 }
 
-/// Decodes an array of value, lookup result and load report. A lookup result or a load report that can't be read says
-/// nothing, and the reply counts all the same.
+/// Decodes an array of value, lookup result and load report. An invalid lookup result or load report is
+/// ignored, and the reply is still valid.
 fn decode_served(items: Vec<Value>, load_names: &[String]) -> Result<Reply, MalformedReply> {
     let Ok([Value::Bulk(value), Value::Bulk(lookup), Value::Bulk(report)]) = <[Value; 3]>::try_from(items)
     else {
@@ -71,8 +72,8 @@
     word.and_then(|word| std::str::from_utf8(word).ok()).unwrap_or("")
 }
 
-/// Parses the result of a read's lookup. Caches that are notified of writes add to a miss the newest version of the
-/// key that they have heard of (`miss:41`).
+/// Parses the result of a read's lookup. Caches that are notified of writes append to a miss the newest
+/// version of the key that they have been notified of (`miss:41`).
 pub(super) fn parse_cache_status(word: &str) -> CacheStatus {
     match word.split(':').next().unwrap_or_default() {
         "hit" => CacheStatus::Hit,
@@ -82,8 +83,8 @@
     }
 }
 
-/// Parses a load report of names and values into the order in which the settings name them. Values that are not
-/// finite or negative void the whole report.
+/// Parses a load report of `name=value` pairs and orders the values by `names`. A value that is missing,
+/// negative or not finite makes the whole report invalid, and an empty report is returned.
 pub(super) fn parse_load(text: &str, names: &[String]) -> LoadReport {
     let mut load = LoadReport::default();
     for (slot, name) in names.iter().take(load.values.len()).enumerate() {
--- a/crates/stonevane-core/src/servers/conn.rs
+++ b/crates/stonevane-core/src/servers/conn.rs
@@ -1,5 +1,5 @@
-//! One connection to a server. It carries one request at a time: servers reply in order, and a slow reply would delay
-//! those behind it.
+//! A connection to a server. It carries one request at a time: servers reply in order, and a slow reply would
+//! delay the replies behind it.
 
 use std::net::SocketAddr;
 
@@ -13,14 +13,15 @@
 use crate::request::Command;
 use crate::timers::ConnectionTimer;
 
-/// Replies are read in chunks of this size, in bytes; a longer reply waits for memory.
-const READ_CHUNK: usize = 4096;
-/// Chunk size for a reply that has its memory, in bytes.
-const LONG_READ_CHUNK: usize = 64 * 1024;
-/// Buffer of a streamed value, in bytes: a chunk that is being written and one that arrives meanwhile.
-pub const STREAM_BUFFER: usize = 2 * LONG_READ_CHUNK;
-/// The longest value that is streamed, in bytes.
-const MAX_STREAMED_VALUE: usize = 64 * 1024 * 1024;
+/// Chunk size in which replies are read. Before more of a longer reply is read, memory must be reserved for
+/// it.
+const READ_CHUNK_BYTES: usize = 4096;
+/// Chunk size for a reply whose memory is reserved.
+const LONG_READ_CHUNK_BYTES: usize = 64 * 1024;
+/// Buffer size of a streamed value, in bytes: one chunk that is being written and one that is arriving.
+pub const STREAM_BUFFER: usize = 2 * LONG_READ_CHUNK_BYTES;
+/// The longest value that is streamed.
+const MAX_STREAMED_VALUE_BYTES: usize = 64 * 1024 * 1024;
 
 /// The protocol spoken with a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,12 +30,12 @@
     Cache,
     /// HTTP/1.1, with the origin.
     Origin,
-    /// None: the driver calls the store of record.
+    /// No protocol: the driver calls the store of record.
     Store,
 }
 
 impl Protocol {
-    /// Encodes a request; `None` for a call that the driver makes.
+    /// Encodes a request; `None` for a call to the store of record, which the driver makes.
     pub fn encode(self, command: &Command, left_ms: u64, host: SocketAddr) -> Option<Bytes> {
         match self {
             Protocol::Cache => Some(cache::encode(command, left_ms)),
@@ -44,78 +45,78 @@
     }
 }
 
-/// State of a connection.
+/// State of a server connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnState {
-    /// It is being opened.
+    /// The connection is being opened.
     Connecting,
-    /// Nothing is in flight.
+    /// No request is in flight.
     Idle,
-    /// An attempt waits until it has rested.
+    /// An attempt has reserved the connection and waits until its reuse delay has passed.
     Resting,
     /// The request is being written; no reply can have arrived.
     Writing,
-    /// The reply is awaited.
+    /// The request has been written; the reply is pending.
     Reading,
-    /// The reply's value is forwarded to a client while it arrives.
+    /// The reply's value is being forwarded to a client as it arrives.
     Streaming,
 }
 
-/// The answer that a value is streamed into.
+/// Destination of a streamed value: an answer to a client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StreamTarget {
     /// The client connection.
     pub client: ConnId,
-    /// Number of the answer's slot there.
+    /// Number of the answer's slot on that connection.
     pub slot: u64,
 }
 
 /// A piece of a streamed value.
 pub struct StreamPiece {
     pub bytes: Bytes,
-    /// Whether it is the value's last one.
+    /// Whether it is the last piece of the value.
     pub is_last: bool,
     /// Once the complete reply has arrived: whether the connection can be used again.
     pub reply_end: Option<bool>,
 }
 
-/// What some bytes of a server amount to.
+/// Result of decoding received bytes.
 pub enum ReadOutcome {
-    /// An incomplete reply.
+    /// The reply is not complete yet.
     Incomplete,
-    /// A complete reply.
+    /// The reply is complete.
     Reply(Reply),
-    /// No valid reply: the request may have run, the server is up.
+    /// The reply is invalid: the request may have run, and the server is up.
     Malformed,
-    /// Bytes that belong to no request.
+    /// The bytes belong to no request.
     Unsolicited,
-    /// The head of a value of so many bytes, which is to be streamed; its memory is reserved.
+    /// The head of a value of this many bytes, which must be streamed. Its memory is reserved.
     StreamBegins(usize),
-    /// A piece of that value.
+    /// A piece of a streamed value.
     Piece(StreamPiece),
 }
 
-/// How the bytes of a reply are decoded.
+/// Options of the decoding of replies.
 #[derive(Clone, Copy)]
 pub struct DecodeOptions<'a> {
     /// Names of the values in a load report, in the order of the settings.
     pub load_names: &'a [String],
     /// The longest value that is buffered, in bytes.
     pub max_value: usize,
-    /// A reply that has begun and brings nothing more for so long is malformed.
+    /// A reply that has begun and receives no more bytes for this long is malformed.
     pub stall_timeout: Micros,
-    /// Keeps bytes behind a reply: a deliberate fault.
+    /// Whether bytes behind a reply are kept; a deliberate fault.
     pub keeps_surplus: bool,
 }
 
-/// Where a value stands in the bytes of a reply.
+/// Position and length of a value in the bytes of a reply.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ValueHead {
-    /// Where it starts.
+    /// Offset of the value's first byte.
     pub start: usize,
-    /// Its stated length, in bytes.
+    /// Stated length of the value, in bytes.
     pub length: usize,
-    /// Whether the connection can be used after the reply.
+    /// Whether the connection can carry another request after the reply.
     pub reusable: bool,
 }
 
@@ -125,21 +126,21 @@
     pub address: SocketAddr,
     pub protocol: Protocol,
     pub state: ConnState,
-    /// The attempt that it was opened for or carries.
+    /// The attempt that the connection was opened for, carries, or is reserved for.
     pub attempt: Option<AttemptKey>,
     pub idle_since: Micros,
-    /// How many requests have been written to it.
+    /// Number of requests written to the connection.
     pub requests_carried: u64,
-    /// When its current state must have ended.
+    /// Time by which the current state must have ended.
     pub deadline: Option<Micros>,
     pub timer: ConnectionTimer,
-    /// The driver does not read it until [`crate::Output::Resume`].
+    /// Whether the driver does not read the connection until [`crate::Output::Resume`].
     pub reading_paused: bool,
-    /// Where its value is streamed to.
+    /// Destination of the value that is being streamed.
     pub stream_target: Option<StreamTarget>,
-    /// Bytes of the streamed value that have not arrived.
+    /// Bytes of the streamed value that have not arrived yet.
     stream_remaining: usize,
-    /// Whether it can be used after the streamed reply.
+    /// Whether the connection can be used after the streamed reply.
     reusable_after_stream: bool,
     buffer: BytesMut,
     reservation: Option<MemoryReservation>,
@@ -147,7 +148,7 @@
 }
 
 impl ServerConn {
-    /// A connection that is to be opened for an attempt, by a deadline.
+    /// Creates the state of a connection that is to be opened for an attempt before a deadline.
     pub fn new(
         server: ServerId,
         address: SocketAddr,
@@ -175,29 +176,29 @@
         }
     }
 
-    /// How many bytes may be read now.
+    /// Number of bytes that may be read now.
     pub fn read_budget(&self) -> usize {
         match self.state {
             ConnState::Connecting | ConnState::Writing => 0,
             _ if self.awaits_memory => 0,
-            ConnState::Streaming => LONG_READ_CHUNK,
-            _ if self.reservation.is_some() => LONG_READ_CHUNK,
-            _ => READ_CHUNK,
+            ConnState::Streaming => LONG_READ_CHUNK_BYTES,
+            _ if self.reservation.is_some() => LONG_READ_CHUNK_BYTES,
+            _ => READ_CHUNK_BYTES,
         }
     }
 
-    /// The part of a value that an incomplete reply has brought: for a deliberate fault.
+    /// Returns the received part of the value of an incomplete reply; used by a deliberate fault.
     pub fn partial_value(&self) -> Option<Bytes> {
         let start = self.buffer.iter().rposition(|byte| *byte == b'\n')? + 1;
         (start < self.buffer.len()).then(|| Bytes::copy_from_slice(&self.buffer[start..]))
     }
 
-    /// Keeps unsolicited bytes: for a deliberate fault.
+    /// Keeps unsolicited bytes in the buffer; used by a deliberate fault.
     pub fn keep_surplus(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes bytes that arrived.
+    /// Handles received bytes.
     pub fn on_bytes(&mut self, now: Micros, bytes: &[u8], options: &DecodeOptions<'_>) -> ReadOutcome {
         match self.state {
             ConnState::Streaming => {
@@ -208,7 +209,7 @@
                 self.buffer.extend_from_slice(bytes);
                 self.decode(now, options)
             }
-            // A duplicate or noise behind a reply, which could be mistaken for the next request's reply.
+            // A duplicate or stray bytes behind a reply could be mistaken for the next request's reply.
             ConnState::Connecting | ConnState::Idle | ConnState::Resting | ConnState::Writing => {
                 ReadOutcome::Unsolicited
             }
@@ -218,7 +219,7 @@
     fn decode(&mut self, now: Micros, options: &DecodeOptions<'_>) -> ReadOutcome {
         if let Some(head) = self.long_value_head() {
             return match self.reservation {
-                _ if head.length > MAX_STREAMED_VALUE => ReadOutcome::Malformed,
+                _ if head.length > MAX_STREAMED_VALUE_BYTES => ReadOutcome::Malformed,
                 Some(_) => ReadOutcome::StreamBegins(head.length),
                 None => ReadOutcome::Incomplete,
             };
@@ -238,7 +239,8 @@
         }
     }
 
-    /// Bytes behind the reply belong to no request, and nothing after them could be matched to one.
+    /// Completes a reply. Bytes behind it belong to no request, and later bytes could not be matched to one,
+    /// so the connection is then not reusable.
     fn finish_reply(&mut self, reply: Reply, keeps_surplus: bool) -> Reply {
         let reusable = reply.reusable && (self.buffer.is_empty() || keeps_surplus);
         self.reservation = None;
@@ -249,7 +251,7 @@
         Reply { reusable, ..reply }
     }
 
-    /// The head of a value that is too long to be buffered.
+    /// Returns the head of a value that is too long to be buffered; `None` if it is shorter or not known yet.
     fn long_value_head(&self) -> Option<ValueHead> {
         let head = match self.protocol {
             Protocol::Origin => origin::value_head(&self.buffer),
@@ -263,7 +265,7 @@
         head.filter(|head| head.length > MAX_VALUE)
     }
 
-    /// Streams the value to a client from now on; returns the memory of its buffer there.
+    /// Begins to stream the value to a client, and returns the memory reservation of its buffer there.
     pub fn begin_stream(&mut self, target: StreamTarget) -> Option<MemoryReservation> {
         let head = self.long_value_head()?;
         let _ = self.buffer.split_to(head.start);
@@ -275,7 +277,8 @@
         self.reservation.take()
     }
 
-    /// Takes what has arrived of the streamed value, and of the reply's end behind it.
+    /// Removes and returns the received part of the streamed value. After the value, checks the end of the
+    /// reply.
     pub fn next_piece(&mut self, max_value: usize) -> StreamPiece {
         let before = self.stream_remaining;
         let bytes = self.buffer.split_to(self.stream_remaining.min(self.buffer.len())).freeze();
@@ -287,7 +290,7 @@
             Protocol::Cache => match resp::reply_end(&self.buffer, max_value) {
                 Ok(None) => None,
                 Ok(Some(end)) => Some(end == self.buffer.len()),
-                // The value is complete all the same.
+                // The value is still complete.
                 Err(_) => Some(false),
             },
             Protocol::Origin | Protocol::Store => Some(self.buffer.is_empty()),
@@ -302,11 +305,12 @@
         }
     }
 
-    /// How many bytes of memory it must be queued for before more of the reply is read: long replies together must not
-    /// exceed the memory budget. It counts as queued from then on.
+    /// Returns the memory, in bytes, that must be reserved before more of the reply is read, so that long
+    /// replies together stay within the memory budget. The caller queues the connection for it; from then on
+    /// it counts as queued.
     pub fn must_queue_for_memory(&mut self, max_value: usize) -> Option<usize> {
         let streams = self.long_value_head().is_some();
-        let fits_chunk = self.buffer.len() <= READ_CHUNK && !streams;
+        let fits_chunk = self.buffer.len() <= READ_CHUNK_BYTES && !streams;
         if fits_chunk || self.reservation.is_some() || self.awaits_memory {
             return None;
         }
@@ -315,7 +319,7 @@
         Some(if streams { STREAM_BUFFER } else { 2 * self.buffered_length(max_value) })
     }
 
-    /// Takes the memory for a long reply, which must go on by a deadline.
+    /// Stores the memory reservation for a long reply. More of the reply must arrive by the deadline.
     pub fn on_memory_granted(&mut self, reservation: MemoryReservation, max_value: usize, deadline: Micros) {
         self.reservation = Some(reservation);
         self.awaits_memory = false;
@@ -327,7 +331,7 @@
         self.buffer.reserve(length.saturating_sub(self.buffer.len()));
     }
 
-    /// Length to buffer for a reply, by the length that it states.
+    /// Returns the number of bytes to buffer for a reply, from its stated length.
     fn buffered_length(&self, max_value: usize) -> usize {
         let stated = match self.protocol {
             Protocol::Origin => origin::stated_length(&self.buffer),
--- a/crates/stonevane-core/src/servers/mod.rs
+++ b/crates/stonevane-core/src/servers/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to cache servers and the origin, and the protocols spoken on them.
+//! Connections to cache servers and the origin, with their protocols.
 
 mod cache;
 mod conn;
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the origin speaks it: encodes attempts, decodes their replies.
+//! The HTTP/1.1 protocol of the origin: encodes attempts and decodes their replies.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use stonevane_codec::http::{self, Chunks, Head};
@@ -9,14 +9,14 @@
 use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
-/// Interim responses (1xx) ahead of the final one, at most.
-const MAX_INTERIM: usize = 8;
-/// Initial capacity of an encoded request, in bytes.
-const REQUEST_CAPACITY: usize = 512;
+/// The most interim responses (1xx) that are accepted ahead of the final one.
+const MAX_INTERIM_RESPONSES: usize = 8;
+/// Initial buffer capacity of an encoded request.
+const REQUEST_CAPACITY_BYTES: usize = 512;
 
-/// Encodes a client's command as an attempt sends it to the origin.
+/// Encodes a client's command as a request to the origin. `left_ms` is the time until the client's deadline.
 pub(super) fn encode(command: &Command, left_ms: u64, host: &str) -> Bytes {
-    let mut out = BytesMut::with_capacity(REQUEST_CAPACITY);
+    let mut out = BytesMut::with_capacity(REQUEST_CAPACITY_BYTES);
     out.put_slice(if command.write { b"PUT /" } else { b"GET /" });
     out.put_slice(&command.key);
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
@@ -31,7 +31,7 @@
     out.freeze()
 }
 
-/// Takes a reply off the front of a buffer; `None` while it is incomplete.
+/// Removes a reply from the front of a buffer and decodes it; `None` while it is incomplete.
 pub(super) fn decode(
     buffer: &mut BytesMut,
     load_names: &[String],
@@ -60,17 +60,18 @@
     }))
 }
 
-/// Finds the head of the final response, and the length of the interim ones ahead of it. Those stay in the buffer until
-/// the final one is there, so that each call counts them all: a server could send them without end.
+/// Finds the head of the final response, and the length of the interim responses ahead of it. These stay in
+/// the buffer until the final head has arrived, so that each call counts all of them: a server could send
+/// them endlessly.
 fn final_head(buffer: &[u8]) -> Result<Option<(usize, Head)>, MalformedReply> {
     let mut interim_length = 0;
-    for _ in 0..=MAX_INTERIM {
+    for _ in 0..=MAX_INTERIM_RESPONSES {
         let head = http::head(&buffer[interim_length..]).map_err(|_| MalformedReply)?;
         let Some(head) = head else { return Ok(None) };
         match head.status {
             100 | 102..200 => interim_length += head.length,
             200.. => return Ok(Some((interim_length, head))),
-            // No request asks for a change of the protocol, and there are no codes below 100.
+            // No request asks for a protocol upgrade (101), and codes below 100 do not exist.
             _ => return Err(MalformedReply),
         }
     }
@@ -99,7 +100,7 @@
         return Err(MalformedReply);
     }
     buffer.clear();
-    // Trailers are not read, so that the connection can't be used again.
+    // Trailers are not read, so the connection can't be used again.
     Ok(Some(Body { value: value.freeze(), reusable: false }))
 }
 
@@ -111,7 +112,7 @@
 ) -> Result<Option<Body>, MalformedReply> {
     let length = match head.content_length {
         Some(length) if length <= max_value => length,
-        // A value that ends with its connection might be truncated; a failure needs no body.
+        // A value that is delimited by the end of the connection might be truncated. A failure needs no body.
         None if head.status != 200 => 0,
         _ => return Err(MalformedReply),
     };
@@ -123,14 +124,15 @@
     Ok(Some(Body { value, reusable: head.content_length.is_some() }))
 }
 
-/// The head of a served reply's value, where it is complete.
+/// Returns the position of a served reply's value; `None` while the head is incomplete or if no length is
+/// stated.
 pub(super) fn value_head(buffer: &[u8]) -> Option<ValueHead> {
     let head = http::head(buffer).ok()??;
     let length = head.content_length.filter(|_| head.status == 200 && !head.chunked)?;
     Some(ValueHead { start: head.length, length, reusable: !head.close })
 }
 
-/// The length that a reply states for its value, once it has.
+/// Returns the stated length of a reply's value, in bytes, once the head has arrived.
 pub(super) fn stated_length(buffer: &[u8]) -> Option<usize> {
     http::head(buffer).ok().flatten().and_then(|head| head.content_length)
 }
--- a/crates/stonevane-core/src/servers/pool.rs
+++ b/crates/stonevane-core/src/servers/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of server connections: which are idle, which may be used again, which expire.
+//! The pool of server connections: reuse and expiry of idle connections.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,46 +9,48 @@
 use super::conn::{ConnState, Protocol, ServerConn};
 use crate::reply::{AttemptKey, ConnId};
 
-/// The longest keep-alive of an idle connection to the origin. It bounds the idle connections of all nodes together
-/// to the requests of this time, so that no node's seldom used connections fill the origin's table.
+/// The longest keep-alive of an idle connection to the origin. It bounds the idle connections of all nodes to
+/// the number of requests in this time, so that rarely used connections don't fill the origin's connection
+/// table.
 const MAX_ORIGIN_KEEP_ALIVE: Micros = 250_000;
-/// The shortest keep-alive; hardly a connection is used again within less.
+/// The shortest keep-alive: with a shorter one, connections are hardly ever reused.
 const MIN_KEEP_ALIVE: Micros = 30_000;
-/// A rejected first request divides the keep-alive by this.
+/// The keep-alive is divided by this when the first request on a connection is rejected.
 const KEEP_ALIVE_BACKOFF_DIVISOR: Micros = 2;
-/// An answered first request adds this part of the longest keep-alive.
+/// The keep-alive grows by its maximum divided by this when the first request on a connection is answered.
 const KEEP_ALIVE_RECOVERY_DIVISOR: Micros = 64;
-/// Idle connections are closed after this part of the servers' own limit: a request written to a connection that its
-/// server has closed ends as a reset, which may have run and so may not be retried.
+/// Idle connections are closed after the servers' own idle limit divided by this. A request on a connection
+/// that the server has just closed ends in a reset; it may have run, so it must not be retried.
 const SERVER_IDLE_CLOSE_DIVISOR: Micros = 2;
 
-/// All connections to servers.
+/// Pool of all connections to servers.
 pub struct Pool {
     conns: HashMap<ConnId, ServerConn>,
-    /// Idle connections of each server with the start of their idleness, in the order of that start.
+    /// Idle connections of each server with the time since which they are idle, in the order of that time.
     idle: BTreeMap<ServerId, VecDeque<(Micros, ConnId)>>,
-    /// After which an idle connection is not used any more.
+    /// Idle time after which a connection is not used any more.
     idle_limit: Micros,
-    /// Keep-alive of each server where it is below the longest.
+    /// Keep-alive of each server for which it is below the maximum.
     keep_alive: HashMap<ServerId, Micros>,
-    /// A connection is not used again for so long after a reply: a duplicate or noise behind that reply must be seen
-    /// before the next request is written, or it would be read as its reply.
-    rest: Micros,
+    /// Time after a reply during which the connection is not reused. A duplicate or stray bytes behind the
+    /// reply must be detected before the next request is written, or they would be read as its reply.
+    reuse_delay: Micros,
 }
 
 impl Pool {
-    /// An empty pool; servers close a connection that was idle for `idle_close`.
-    pub fn new(idle_close: Micros, rest: Micros) -> Pool {
+    /// Creates an empty pool. Servers close a connection that was idle for `idle_close`; a connection is not
+    /// reused for `reuse_delay` after a reply.
+    pub fn new(idle_close: Micros, reuse_delay: Micros) -> Pool {
         Pool {
             conns: HashMap::new(),
             idle: BTreeMap::new(),
             idle_limit: idle_close / SERVER_IDLE_CLOSE_DIVISOR,
             keep_alive: HashMap::new(),
-            rest,
+            reuse_delay,
         }
     }
 
-    /// Servers close a connection that was idle for `idle_close` from now on.
+    /// Changes the idle time after which servers close a connection.
     pub fn set_idle_close(&mut self, idle_close: Micros) {
         self.idle_limit = idle_close / SERVER_IDLE_CLOSE_DIVISOR;
     }
@@ -64,8 +66,9 @@
         self.keep_alive.get(&server).copied().unwrap_or_else(|| self.max_keep_alive(protocol))
     }
 
-    /// A connection has brought a reply. A first request that is rejected suggests that the server's connection table
-    /// is full: its keep-alive is shortened at once, and grows step by step as first requests are answered.
+    /// Adapts the keep-alive after a reply. If the first request on a connection is rejected, the server's
+    /// connection table is probably full: the keep-alive is shortened at once, and grows in steps as first
+    /// requests are answered.
     pub fn on_reply(&mut self, id: ConnId, rejected: bool) {
         let Some(conn) = self.conns.get(&id).filter(|conn| conn.requests_carried == 1) else { return };
         let longest = self.max_keep_alive(conn.protocol);
@@ -82,33 +85,34 @@
         }
     }
 
-    /// Drops what was learned of a server.
+    /// Drops the adapted keep-alive of a server.
     pub fn forget_server(&mut self, server: ServerId) {
         self.keep_alive.remove(&server);
     }
 
-    /// How many connections there are.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// A connection.
+    /// Returns the connection with this number.
     pub fn get(&self, id: ConnId) -> Option<&ServerConn> {
         self.conns.get(&id)
     }
 
-    /// A connection.
+    /// Returns the connection with this number, mutable.
     pub fn get_mut(&mut self, id: ConnId) -> Option<&mut ServerConn> {
         self.conns.get_mut(&id)
     }
 
-    /// Adds a connection.
+    /// Adds a connection that is not idle.
     pub fn insert(&mut self, id: ConnId, conn: ServerConn) {
         self.conns.insert(id, conn);
     }
 
-    /// Takes an idle connection to a server for an attempt: the one used last among those that have rested. Expired
-    /// ones that are met on the way are removed and added to `expired`.
+    /// Assigns an idle connection to an attempt and returns it: the most recently used one whose reuse delay
+    /// has passed. Expired connections found during the search are removed from the pool and added to
+    /// `expired`.
     pub fn take_idle(
         &mut self,
         server: ServerId,
@@ -118,8 +122,8 @@
     ) -> Option<ConnId> {
         loop {
             let idle = self.idle.get_mut(&server)?;
-            let rested = idle.partition_point(|(since, _)| since + self.rest <= now);
-            let (since, id) = idle.remove(rested.checked_sub(1)?)?;
+            let reusable = idle.partition_point(|(since, _)| since + self.reuse_delay <= now);
+            let (since, id) = idle.remove(reusable.checked_sub(1)?)?;
             match self.conns.get_mut(&id) {
                 Some(conn) if now < since + self.idle_limit => {
                     conn.attempt = Some(attempt);
@@ -135,31 +139,32 @@
         }
     }
 
-    /// Takes the connection to a server that will have rested by a time, for an attempt that waits for it until the
-    /// connection's deadline. In a full table that is cheaper than closing one and opening another.
+    /// Reserves a connection whose reuse delay ends before `by` for an attempt, which waits until the
+    /// connection's deadline. With a full connection table this is cheaper than closing a connection and
+    /// opening another.
     pub fn reserve_resting(&mut self, server: ServerId, attempt: AttemptKey, by: Micros) -> Option<ConnId> {
-        // Where servers close connections that have hardly rested, none is used again.
-        if self.rest >= self.idle_limit {
+        // If servers close idle connections within the reuse delay, none is reused.
+        if self.reuse_delay >= self.idle_limit {
             return None;
         }
         let idle = self.idle.get_mut(&server)?;
-        let (since, id) = *idle.front().filter(|(since, _)| since + self.rest <= by)?;
+        let (since, id) = *idle.front().filter(|(since, _)| since + self.reuse_delay <= by)?;
         let conn = self.conns.get_mut(&id)?;
         idle.pop_front();
         conn.attempt = Some(attempt);
         conn.state = ConnState::Resting;
-        conn.deadline = Some(since + self.rest);
+        conn.deadline = Some(since + self.reuse_delay);
         Some(id)
     }
 
-    /// A connection has nothing in flight and may be used again; `false` where its server has another address now.
+    /// Marks a connection without a request in flight as idle; `false` if its server's address has changed.
     pub fn release(&mut self, id: ConnId, address: Option<SocketAddr>, now: Micros) -> bool {
         let Some(conn) = self.conns.get(&id) else { return true };
         if address != Some(conn.address) {
             return false;
         }
         let keep_alive = self.keep_alive_of(conn.server, conn.protocol);
-        // The sweep finds those with the longest keep-alive, without a timer for each.
+        // Connections with the longest keep-alive need no timer of their own: the sweep closes them.
         let deadline = (keep_alive < self.idle_limit).then_some(now + keep_alive);
         let Some(conn) = self.conns.get_mut(&id) else { return true };
         conn.attempt = None;
@@ -170,7 +175,7 @@
         true
     }
 
-    /// Removes a connection.
+    /// Removes a connection and returns it.
     pub fn remove(&mut self, id: ConnId) -> Option<ServerConn> {
         let conn = self.conns.remove(&id)?;
         if conn.state == ConnState::Idle
@@ -183,7 +188,7 @@
         Some(conn)
     }
 
-    /// Removes the idle connections to a server.
+    /// Removes all idle connections to a server and returns their numbers.
     pub fn remove_idle(&mut self, server: ServerId) -> Vec<ConnId> {
         let idle = self.idle.remove(&server).unwrap_or_default();
         for (_, id) in &idle {
@@ -192,7 +197,7 @@
         idle.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Removes the connections that were idle for too long.
+    /// Removes the connections that have exceeded the idle limit and returns their numbers.
     pub fn remove_expired(&mut self, now: Micros) -> Vec<ConnId> {
         let limit = self.idle_limit;
         let conns = &mut self.conns;
@@ -211,13 +216,13 @@
         expired
     }
 
-    /// The connection that has been idle for longest.
+    /// Returns the connection that has been idle the longest.
     pub fn longest_idle(&self) -> Option<ConnId> {
         let oldest = self.idle.values().filter_map(|ids| ids.front());
         oldest.min().map(|(_, id)| *id)
     }
 
-    /// How many idle connections there are.
+    /// Number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.idle.values().map(VecDeque::len).sum()
     }
--- a/crates/stonevane-core/src/subset.rs
+++ b/crates/stonevane-core/src/subset.rs
@@ -1,8 +1,8 @@
-//! The endpoint subset: which of the listed servers the policy knows, which are the origin and the cache
+//! The endpoint subset: the listed servers that are passed to the policy, which are the origin and the cache
 //! servers of the regions in use.
 //!
-//! The core keeps the whole list, so that a fallback to another region needs no call to discovery, and a server that
-//! enters the subset has the state that the list gave it meanwhile.
+//! The core keeps the whole list. A fallback to another region therefore needs no call to discovery, and a
+//! server that enters the subset has its current state from the list.
 
 use foldhash::{HashMap, HashMapExt};
 use stonevane_config::operator;
@@ -11,13 +11,13 @@
 
 use crate::metrics::RegionMetrics;
 
-/// Half of a cold server's budget is for the nodes of its region and half for all nodes, so that the sum stays within
-/// the budget whichever nodes fall back on it.
+/// Half of the budget of a server in slow start is for the nodes of its region and half for all nodes, so
+/// that the sum stays within the budget whichever nodes fall back on the server.
 const BUDGET_HALVES: u32 = 2;
 
-/// A listed server, as far as its membership goes.
+/// A listed server with the properties that decide on its membership in the subset.
 pub struct ListedServer<'a> {
-    /// Its entry for the policy.
+    /// Entry of the server for the policy.
     pub entry: &'a ServerEntry,
     /// Name of its zone.
     pub zone: &'a str,
@@ -33,7 +33,8 @@
     }
 }
 
-/// When a server is warm at the latest; `reinstated`: when an operator reinstated it, if one did.
+/// Returns the latest time at which a server's slow start ends. `reinstated` is the time at which an operator
+/// reinstated it, if any.
 fn warm_at(entry: &ServerEntry, reinstated: Option<&Micros>, warm_up: Micros) -> Micros {
     match entry.started.max(reinstated.copied().unwrap_or(0)) {
         0 => 0,
@@ -45,38 +46,39 @@
 pub struct SubsetUpdate {
     /// Entries to send to the policy.
     pub entries: Vec<ServerEntry>,
-    /// Servers that are still listed and have left the subset.
+    /// Servers that have left the subset and are still listed.
     pub removed: Vec<ServerId>,
-    /// A line for the log, where the regions in use have changed.
+    /// Log line if the regions in use have changed.
     pub log_line: Option<String>,
 }
 
-/// The servers that the policy knows.
+/// The endpoint subset of a node and its state.
 pub struct EndpointSubset {
     selector: RegionSelector,
     home: String,
-    /// Nodes in this node's region.
+    /// Number of nodes in this node's region, this one included.
     home_nodes: u32,
-    /// The entry of each server in the subset, as the policy has it.
+    /// Entry of each server in the subset, as passed to the policy.
     entries: HashMap<ServerId, ServerEntry>,
-    /// Weight of all usable cache servers, those outside the subset included.
+    /// Total weight of all usable cache servers, including those outside the subset.
     cache_weight: f64,
-    /// Since when the regions in use have been the same.
+    /// Time of the last change of the regions in use.
     unchanged_since: Micros,
-    /// Whether a non-empty list has been seen.
+    /// Whether a non-empty list has arrived.
     has_list: bool,
-    /// How often another region was taken into use.
+    /// Number of times that another region was taken into use.
     fallbacks: u64,
-    /// When operators put servers back: they may have been restarted meanwhile, and the list may report that late.
+    /// Times at which operators reinstated servers. A reinstated server may have been restarted while it was
+    /// excluded, and the list may report the restart late.
     reinstated: HashMap<ServerId, Micros>,
-    /// During a fallback, when the next server will be warm.
+    /// During a fallback, the earliest time at which another server will be warm.
     next_warm: Option<Micros>,
-    /// The refresh timer that was requested last.
+    /// Time of the refresh timer that was requested last.
     refresh_timer: Option<Micros>,
 }
 
 impl EndpointSubset {
-    /// The subset of the node with a number.
+    /// Creates the subset of a node; `node` is the node's number.
     pub fn new(regions: operator::Regions, node: u32, now: Micros) -> EndpointSubset {
         let region = |region: operator::Region| Region { name: region.name, zones: region.zones };
         let others = regions.others.into_iter().map(region).collect();
@@ -95,22 +97,22 @@
         }
     }
 
-    /// Whether a server is in the subset.
+    /// Returns whether a server is in the subset.
     pub fn contains(&self, server: ServerId) -> bool {
         self.entries.contains_key(&server)
     }
 
-    /// Weight of all usable cache servers, those outside the subset included.
+    /// Total weight of all usable cache servers, including those outside the subset.
     pub fn cache_weight(&self) -> f64 {
         self.cache_weight
     }
 
-    /// An operator has put a server back.
+    /// Records that an operator has reinstated a server.
     pub fn on_reinstated(&mut self, server: ServerId, now: Micros) {
         self.reinstated.insert(server, now);
     }
 
-    /// When a refresh timer is to be set, unless one is already.
+    /// Returns the time at which to set a refresh timer; `None` if none is needed or a suitable one is set.
     pub fn poll_refresh_timer(&mut self, now: Micros) -> Option<Micros> {
         let next = self.next_warm?;
         if self.refresh_timer.is_some_and(|timer| now < timer && timer <= next) {
@@ -120,8 +122,8 @@
         self.refresh_timer
     }
 
-    /// Takes all listed servers, and returns what the policy is to know: all of the subset, or for a delta
-    /// what has changed in it.
+    /// Recomputes the subset from all listed servers, and returns the entries for the policy: the whole
+    /// subset, or for a delta its changes.
     pub fn update(
         &mut self,
         now: Micros,
@@ -163,7 +165,8 @@
         entries
     }
 
-    /// Selects the regions anew; returns a log line where others are in use than before.
+    /// Reselects the regions. Returns a log line if the regions in use have changed, or for the first
+    /// non-empty list.
     fn select_regions(
         &mut self,
         now: Micros,
@@ -196,7 +199,7 @@
         Some(self.describe_regions())
     }
 
-    /// The log line on the regions in use.
+    /// Formats the log line on the regions in use.
     fn describe_regions(&self) -> String {
         let servers = |count: usize| match count {
             1 => "1 usable cache server".to_owned(),
@@ -206,18 +209,20 @@
         let home = regions.next().map_or(0, |region| region.usable);
         let home_has = format!("regions: {} has {}", self.home, servers(home));
         if self.selector.last_resort() {
-            return format!("{home_has} and so has every region: servers in no region are used");
+            return format!(
+                "{home_has}, and no other region has any: cache servers outside all regions are used"
+            );
         }
         let others = regions.map(|region| format!("{} ({})", region.name, servers(region.usable)));
         let others: Vec<_> = others.collect();
         if others.is_empty() {
             return format!("{home_has}: no other region is used");
         }
-        let least = self.selector.least();
+        let least = self.selector.min_usable();
         format!("{home_has}, too few with at least {least} wanted: also used is {}", others.join(", "))
     }
 
-    /// The entry of a server for the policy; `None` outside the subset.
+    /// Returns the entry of a server for the policy; `None` if it is outside the subset.
     fn subset_entry(&self, server: &ListedServer<'_>, nodes: u32) -> Option<ServerEntry> {
         let sharing_nodes = match self.selector.membership(server.zone) {
             _ if !server.is_cache => 0,
@@ -228,7 +233,7 @@
         Some(ServerEntry { sharing_nodes, ..server.entry.clone() })
     }
 
-    /// The regions in use, for the report.
+    /// Returns the regions in use, for `/metrics`.
     pub fn metrics(&self) -> RegionMetrics {
         let in_use = self.selector.regions_in_use().map(|region| (region.name.to_owned(), region.usable));
         RegionMetrics {
@@ -236,7 +241,7 @@
             in_use: in_use.collect(),
             regions_in_use: self.selector.regions_in_use().count(),
             usable: self.selector.regions_in_use().map(|region| region.usable).sum(),
-            least: self.selector.least(),
+            least: self.selector.min_usable(),
             since_ms: self.unchanged_since / 1_000,
             fallbacks: self.fallbacks,
         }
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -1,4 +1,5 @@
-//! The core's timers. A connection has one entry at most, so that open connections bound the number of entries.
+//! The core's timers. Each connection has at most one entry, so the number of open connections bounds the
+//! entries.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -7,12 +8,12 @@
 
 use crate::reply::{AttemptKey, ConnId};
 
-/// What a timer is for. Timers of the same time fire in the order of these variants.
+/// Purpose of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TimerKind {
     /// A timer of the policy.
     Policy(u32),
-    /// The time-out of an attempt.
+    /// The timeout of an attempt.
     AttemptTimeout(AttemptKey),
     /// The deadline of a client's request.
     RequestDeadline(RequestId),
@@ -20,23 +21,23 @@
     ConnectionLimit(ConnId),
     /// A client of a full table may be evicted.
     Eviction,
-    /// Expired idle connections to servers are closed.
+    /// Idle connections to servers that have expired are closed.
     IdleSweep,
     /// The first watch on the endpoint list is opened.
     FirstWatch,
     /// Draining of client connections begins.
     DrainConnections,
-    /// Shortly before the drain's end: pending requests are answered as they stand.
+    /// Shortly before the drain ends: pending requests are answered without waiting for their attempts.
     DrainEnding,
     /// Checks whether the drain is complete.
     DrainCheck,
-    /// Clients have had their time to switch to the latest settings.
+    /// The time for clients to switch to the latest settings has passed.
     ReloadComplete,
-    /// A cache server may have warmed up, and the subset changes with it.
+    /// A cache server may have warmed up, which can change the endpoint subset.
     SubsetRefresh,
 }
 
-/// All timers, the earliest first.
+/// Queue of all timers, the earliest first.
 #[derive(Default)]
 pub struct Timers(BinaryHeap<Reverse<(Micros, TimerKind)>>);
 
@@ -46,41 +47,42 @@
         self.0.push(Reverse((at, kind)));
     }
 
-    /// Takes the earliest timer, if it is due.
+    /// Removes and returns the earliest timer if it is due.
     pub fn pop_due(&mut self, now: Micros) -> Option<TimerKind> {
         self.0.peek().filter(|Reverse((at, _))| *at <= now)?;
         self.0.pop().map(|Reverse((_, kind))| kind)
     }
 
-    /// Drops stale timers at the front: no wake-up is spent on them.
+    /// Drops stale timers at the front, so that they cause no wake-up.
     pub fn drop_stale_front(&mut self, is_stale: impl Fn(TimerKind) -> bool) {
         while self.0.peek().is_some_and(|Reverse((_, kind))| is_stale(*kind)) {
             self.0.pop();
         }
     }
 
-    /// When the earliest timer is due.
+    /// Returns the time at which the earliest timer is due.
     pub fn next_timeout(&self) -> Option<Micros> {
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Keeps only some timers.
+    /// Keeps only the timers for which `keep` returns true.
     pub fn retain(&mut self, keep: impl Fn(&TimerKind) -> bool) {
         self.0.retain(|Reverse((_, kind))| keep(kind));
     }
 
-    /// How many timers there are.
+    /// Number of timers, stale ones included.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 }
 
-/// The one timer of a connection. An earlier limit is entered at once, a later one when the existing entry fires.
+/// The single timer entry of a connection. An earlier limit adds an entry at once, a later one when the
+/// existing entry fires.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct ConnectionTimer(Option<Micros>);
 
 impl ConnectionTimer {
-    /// Sets the connection's limit; adds a timer where the existing one would be too late.
+    /// Sets the connection's time limit, and adds a timer if the existing one would fire too late.
     pub fn arm(&mut self, limit: Option<Micros>, conn: ConnId, timers: &mut Timers) {
         if let Some(limit) = limit
             && self.0.is_none_or(|entered| limit < entered)
@@ -90,10 +92,10 @@
         }
     }
 
-    /// An entry has fired: returns whether the limit has passed, and enters a later limit anew.
+    /// Handles a fired entry: returns whether the limit has passed, and adds a new entry for a later limit.
     pub fn fire(&mut self, limit: Option<Micros>, now: Micros, conn: ConnId, timers: &mut Timers) -> bool {
         if self.0.is_some_and(|entered| entered > now) {
-            return false; // An earlier entry has fired in its place.
+            return false; // This entry was replaced by an earlier one, which has fired.
         }
         self.0 = None;
         if limit.is_some_and(|limit| limit <= now) {
--- a/crates/stonevane-core/src/trace.rs
+++ b/crates/stonevane-core/src/trace.rs
@@ -1,4 +1,4 @@
-//! Reasons for which connections are closed, and the trace of single requests, which is off by default.
+//! Reasons for closing connections, and the trace of single requests, which is off by default.
 
 use std::fmt;
 
@@ -11,28 +11,29 @@
     TimeLimit,
     /// A client: it has its last answer, and this process drains.
     Drain,
-    /// A client: its last answer was an error that ends the connection, for a malformed command or a full table.
+    /// A client: its last answer was an error that ends the connection, because of a malformed command or a
+    /// full table.
     AfterError,
-    /// A client: a streamed value that it had seen a part of broke off. A server: a streamed value stalled.
+    /// A client: a streamed value broke off after a part of it was sent. A server: a streamed value stalled.
     StreamBroken,
-    /// A server: the place of its idle connection was needed.
+    /// A server: its idle connection was closed to make capacity for another one.
     CapacityNeeded,
-    /// A server: it was idle for too long.
+    /// A server: its connection was idle for too long.
     Idle,
-    /// A server: it is draining, removed, not used any more, or has another address.
+    /// A server: it is draining, removed, no longer used, or has another address.
     ServerUnavailable,
-    /// A server: the attempt on it was given up.
+    /// A server: the attempt on the connection was abandoned.
     GivenUp,
     /// A server: its reply was malformed.
     Malformed,
-    /// A server: the connection broke, ended, or could not be opened.
+    /// A server: the connection broke, was closed by the server, or could not be opened.
     Lost,
     /// A server: its reply ends the connection, or the rest of the reply is not needed.
     ReplyEndsConnection,
 }
 
 impl CloseReason {
-    /// Its name in logs and counts.
+    /// The reason's name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Evicted => "made-room",
@@ -51,24 +52,24 @@
     }
 }
 
-/// Log lines for single requests and connections. Nothing is formatted while it is off.
+/// Trace of single requests and connections as log lines. Nothing is formatted while it is off.
 #[derive(Debug, Default)]
 pub struct Trace {
     on: bool,
 }
 
 impl Trace {
-    /// Switches it on or off.
+    /// Switches the trace on or off.
     pub fn switch(&mut self, on: bool) {
         self.on = on;
     }
 
-    /// Whether it is on.
+    /// Whether the trace is on.
     pub fn is_on(&self) -> bool {
         self.on
     }
 
-    /// Formats a line, if it is on.
+    /// Formats a log line if the trace is on; `None` otherwise.
     pub fn line(&self, text: fmt::Arguments<'_>) -> Option<String> {
         self.on.then(|| format!("trace: {text}"))
     }
