--- a/crates/stonevane-node/src/bin/stonevane-node.rs
+++ b/crates/stonevane-node/src/bin/stonevane-node.rs
@@ -1,4 +1,4 @@
-//! The node as a program: see `stonevane_node`.
+//! The daemon's executable; see `stonevane_node`.
 
 fn main() -> std::process::ExitCode {
     stonevane_node::main()
--- a/crates/stonevane-node/src/cache_updates/connection.rs
+++ b/crates/stonevane-node/src/cache_updates/connection.rs
@@ -1,4 +1,4 @@
-//! The connection to one cache: sends its commands one after the other, each answered by one line.
+//! The connection to one cache: sends its commands one after the other and reads the line that answers each.
 
 use std::io::{ErrorKind, Result};
 use std::net::SocketAddr;
@@ -13,23 +13,23 @@
 use super::Command;
 use crate::log::log;
 
-/// A cache that has not answered by then is connected to anew.
+/// A cache that has not answered within this time is reconnected to.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-/// The longest line that a cache answers with.
+/// Maximum length of an answer.
 const MAX_LINE_BYTES: usize = 256;
-/// The line of a cache that has done what it was sent.
+/// Answer of a cache that has carried out a command.
 const DONE_LINE: &[u8] = b"+OK\r\n";
-/// The first byte of a line that rejects a command.
+/// First byte of an answer that rejects a command.
 const ERROR_PREFIX: &[u8] = b"-";
 
-/// One command for a cache.
+/// Command for one cache.
 pub(super) struct CacheCommand {
     pub bytes: Bytes,
-    /// For an invalidation: the key and version that its answer acknowledges.
+    /// For an invalidation: the key and version that the answer acknowledges.
     pub acknowledged: Option<(String, u64)>,
 }
 
-/// Sends a cache its commands, and reports to the dispatcher.
+/// Sends a cache its commands, and reports acknowledgements and the end of the cache to the dispatcher.
 pub(super) async fn run_connection(
     cache: SocketAddr,
     mut commands: mpsc::Receiver<CacheCommand>,
@@ -45,7 +45,7 @@
             (Ok(true), Some((key, version))) => Command::Acknowledged { cache, key, version },
             (Ok(false), _) => {
                 if !std::mem::replace(&mut rejection_logged, true) {
-                    log(&format!("cache {cache} takes no fills and voids from nodes"));
+                    log(&format!("cache {cache} rejects fills and invalidations (OBJ.FILL, OBJ.VOID)"));
                 }
                 continue;
             }
@@ -63,14 +63,16 @@
     }
 }
 
-/// Sends a command and reads its line; whether it was done. A line that says neither, or that more follows, ends the
-/// connection: what follows would be read as the next command's answer, and a void would count as acknowledged.
+/// Sends a command and reads its answer. Returns whether the command was carried out. An answer that is
+/// neither `+OK` nor a rejection, or that is followed by more input, ends the connection: the rest would be
+/// read as the answer to the next command and could falsely acknowledge an invalidation.
 async fn exchange(
     stream: &mut Option<BufReader<TcpStream>>,
     cache: SocketAddr,
     command: &[u8],
 ) -> Result<bool> {
-    // Taken while in use: given up half-way, its answer would be read as another command's.
+    // Taken out while in use: if this call is abandoned, its answer must not be read as that of another
+    // command.
     let mut open = match stream.take().filter(has_no_input) {
         Some(open) => open,
         None => connect(cache).await?,
@@ -87,7 +89,7 @@
     Ok(done)
 }
 
-/// Whether nothing has arrived that was not asked for, the end of the stream included.
+/// Returns whether the connection has no unexpected input; the end of the stream counts as input.
 fn has_no_input(stream: &BufReader<TcpStream>) -> bool {
     matches!(stream.get_ref().try_read(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
--- a/crates/stonevane-node/src/cache_updates/dispatcher.rs
+++ b/crates/stonevane-node/src/cache_updates/dispatcher.rs
@@ -1,4 +1,5 @@
-//! The dispatcher: one task that decides which cache is sent what, and when an invalidation is complete.
+//! The dispatcher: one task that decides which commands each cache is sent, and when an invalidation is
+//! complete.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,25 +13,25 @@
 use tokio::time::sleep_until;
 
 use super::connection::{CacheCommand, run_connection};
-use super::{Command, QUEUE_LENGTH};
+use super::{Command, QUEUE_CAPACITY};
 use crate::clock::to_micros;
 
-/// Keeps track of copies, and of the connection to each cache.
+/// Tracks copies and the connections to the caches.
 pub(super) struct Dispatcher {
-    /// For the connections, which report back.
+    /// Cloned for each connection, which reports to the dispatcher.
     commands: mpsc::Sender<Command>,
     caches: watch::Receiver<Vec<SocketAddr>>,
-    /// The longest life of a copy, as the commands state it.
+    /// Lifetime of a copy in milliseconds, as text for the commands.
     lifetime_ms: String,
     epoch: Instant,
     copies: Copies<SocketAddr>,
-    /// Those who wait for the end of an edit's invalidation.
-    waiting: HashMap<EditId, oneshot::Sender<()>>,
+    /// Notified when the invalidation of an edit is complete.
+    waiters: HashMap<EditId, oneshot::Sender<()>>,
     connections: HashMap<SocketAddr, mpsc::Sender<CacheCommand>>,
 }
 
 impl Dispatcher {
-    /// A dispatcher without copies.
+    /// Returns a dispatcher without copies. `lifetime` is the maximum lifetime of a copy.
     pub fn new(
         commands: mpsc::Sender<Command>,
         caches: watch::Receiver<Vec<SocketAddr>>,
@@ -43,12 +44,12 @@
             lifetime_ms: lifetime.as_millis().to_string(),
             epoch: Instant::now(),
             copies: Copies::new(limits),
-            waiting: HashMap::new(),
+            waiters: HashMap::new(),
             connections: HashMap::new(),
         }
     }
 
-    /// Follows commands until the node ends.
+    /// Handles commands until the node ends.
     pub async fn run(mut self, mut commands: mpsc::Receiver<Command>) {
         loop {
             self.send_due_invalidations();
@@ -56,7 +57,7 @@
             let due = self.copies.next().map(|at| self.epoch + Duration::from_micros(at));
             tokio::select! {
                 command = commands.recv() => match command {
-                    Some(command) => self.follow(command),
+                    Some(command) => self.handle(command),
                     None => return,
                 },
                 changed = self.caches.changed() => {
@@ -76,39 +77,40 @@
 
     fn send_due_invalidations(&mut self) {
         let now = self.now();
-        for void in self.copies.due(now) {
-            let version = void.version.to_string();
-            let words = ["OBJ.VOID", &void.key, &version, &self.lifetime_ms].map(str::as_bytes);
+        for invalidation in self.copies.due(now) {
+            let version = invalidation.version.to_string();
+            let arguments = ["OBJ.VOID", &invalidation.key, &version, &self.lifetime_ms].map(str::as_bytes);
             let command = CacheCommand {
-                bytes: resp::command(&words),
-                acknowledged: Some((void.key.clone(), void.version)),
+                bytes: resp::command(&arguments),
+                acknowledged: Some((invalidation.key.clone(), invalidation.version)),
             };
-            self.send(void.cache, command);
+            self.send(invalidation.cache, command);
         }
     }
 
     fn complete_edits(&mut self) {
         for edit in self.copies.done() {
-            if let Some(done) = self.waiting.remove(&edit) {
+            if let Some(done) = self.waiters.remove(&edit) {
                 let _ = done.send(());
             }
         }
     }
 
-    fn follow(&mut self, command: Command) {
+    fn handle(&mut self, command: Command) {
         match command {
             Command::Fill { caches, key, version, value } => self.fill(caches, &key, version, &value),
             Command::Invalidate { edit, key, version, done } => {
                 let caches = self.caches.borrow().clone();
-                // Without capacity for the edit, `done` is dropped: its receipt waits for nothing that could come.
+                // Without capacity to track the edit, `done` is dropped, so that its receipt does not wait
+                // for an event that cannot occur.
                 if self.copies.edited(self.now(), edit, &key, version, &caches) {
-                    self.waiting.insert(edit, done);
+                    self.waiters.insert(edit, done);
                 }
             }
             Command::Acknowledged { cache, key, version } => self.copies.acknowledged(cache, &key, version),
             Command::CacheEnded(cache) => self.copies.ended(cache),
             Command::Forget(edit) => {
-                if self.waiting.remove(&edit).is_some() {
+                if self.waiters.remove(&edit).is_some() {
                     self.copies.forget(edit);
                 }
             }
@@ -117,15 +119,16 @@
 
     fn fill(&mut self, caches: Vec<SocketAddr>, key: &str, version: u64, value: &Bytes) {
         let version = version.to_string();
-        let words =
+        let arguments =
             [b"OBJ.FILL", key.as_bytes(), version.as_bytes(), self.lifetime_ms.as_bytes(), value.as_ref()];
-        let bytes = resp::command(&words);
+        let bytes = resp::command(&arguments);
         for cache in caches {
             self.send(cache, CacheCommand { bytes: bytes.clone(), acknowledged: None });
         }
     }
 
-    /// No request goes to a cache that was removed, and one that comes back is empty.
+    /// Drops the connections of caches that were removed from the list, and counts their copies as gone: a
+    /// removed cache receives no requests, and one that is added again is empty.
     fn forget_removed_caches(&mut self) {
         let caches = self.caches.borrow_and_update().clone();
         let is_removed = |cache: &&SocketAddr| !caches.contains(*cache);
@@ -136,10 +139,11 @@
         }
     }
 
-    /// Hands a command to a cache's connection. Where too much waits there it is dropped; an invalidation is sent again.
+    /// Queues a command for a cache's connection. If the queue is full the command is dropped; an
+    /// invalidation is sent again later.
     fn send(&mut self, cache: SocketAddr, command: CacheCommand) {
         let connection = self.connections.entry(cache).or_insert_with(|| {
-            let (sender, receiver) = mpsc::channel(QUEUE_LENGTH);
+            let (sender, receiver) = mpsc::channel(QUEUE_CAPACITY);
             tokio::spawn(run_connection(cache, receiver, self.commands.clone()));
             sender
         });
@@ -147,7 +151,7 @@
     }
 }
 
-/// Waits for a time, without end where there is none.
+/// Waits until a time; `None`: forever.
 async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(at) => sleep_until(at.into()).await,
--- a/crates/stonevane-node/src/cache_updates/mod.rs
+++ b/crates/stonevane-node/src/cache_updates/mod.rs
@@ -1,9 +1,10 @@
-//! Sends caches fills and invalidations, where the operator's caches take them from nodes: after a fetch the value goes to
-//! the caches that missed, after an edit all caches drop older copies. `stonevane_store::copies` decides what is sent
-//! again and until when.
+//! Sends fills and invalidations to caches that accept them from nodes. After a fetch the value is sent to
+//! the caches that missed; after an edit all caches drop older copies. `stonevane_store::copies` decides
+//! which invalidations are sent again, and until when.
 //!
-//! `OBJ.FILL KEY VERSION LIFETIME-MS VALUE` and `OBJ.VOID KEY VERSION LIFETIME-MS`, each answered by one line: a cache
-//! keeps the newest version, and remembers a void for the lifetime of a copy.
+//! The commands are `OBJ.FILL KEY VERSION LIFETIME-MS VALUE` and `OBJ.VOID KEY VERSION LIFETIME-MS`, each
+//! answered by one line. A cache keeps the newest version, and remembers an invalidation for the lifetime of
+//! a copy.
 
 mod connection;
 mod dispatcher;
@@ -19,10 +20,10 @@
 
 use dispatcher::Dispatcher;
 
-/// Commands that wait for the dispatcher, and those that wait for one cache.
-const QUEUE_LENGTH: usize = 1_024;
+/// Capacity of the command queue of the dispatcher, and of that of each cache.
+const QUEUE_CAPACITY: usize = 1_024;
 
-/// What reaches the dispatcher.
+/// Command or report to the dispatcher.
 enum Command {
     Fill {
         caches: Vec<SocketAddr>,
@@ -36,7 +37,7 @@
         version: u64,
         done: oneshot::Sender<()>,
     },
-    /// Nobody waits for an edit's invalidation any more.
+    /// No task waits for an edit's invalidation any more.
     Forget(EditId),
     /// A cache has acknowledged an invalidation.
     Acknowledged {
@@ -44,11 +45,11 @@
         key: String,
         version: u64,
     },
-    /// A cache's process has ended: it refuses connections.
+    /// A cache's process has ended: it refuses connections, and its copies are gone.
     CacheEnded(SocketAddr),
 }
 
-/// Sends fills and invalidations.
+/// Handle that sends fills and invalidations through the dispatcher.
 #[derive(Clone)]
 pub struct CacheUpdater {
     commands: mpsc::Sender<Command>,
@@ -56,19 +57,20 @@
 }
 
 impl CacheUpdater {
-    /// Starts the dispatcher. `caches` are the caches of discovery's list; `lifetime` is the longest life of a copy.
+    /// Starts the dispatcher. `caches` has the caches of discovery's list; `lifetime` is the maximum lifetime
+    /// of a copy.
     pub fn start(caches: watch::Receiver<Vec<SocketAddr>>, lifetime: Duration) -> CacheUpdater {
-        let (commands, received) = mpsc::channel(QUEUE_LENGTH);
+        let (commands, received) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(Dispatcher::new(commands.clone(), caches, lifetime).run(received));
         CacheUpdater { commands, next_edit: Arc::new(AtomicU64::new(1)) }
     }
 
-    /// Sends a copy to caches that missed. Where too much waits, they go without.
+    /// Sends a copy to caches that missed. If the queue is full, the copy is not sent.
     pub fn fill(&self, caches: Vec<SocketAddr>, key: String, version: u64, value: Bytes) {
         let _ = self.commands.try_send(Command::Fill { caches, key, version, value });
     }
 
-    /// Has all caches drop copies of a key that are older than a version.
+    /// Makes all caches drop copies of a key that are older than a version.
     pub async fn invalidate(&self, key: String, version: u64) -> PendingInvalidation {
         let (done, completed) = oneshot::channel();
         let edit = self.next_edit.fetch_add(1, Ordering::Relaxed);
@@ -77,7 +79,8 @@
     }
 }
 
-/// An invalidation whose end somebody may wait for. Dropped, nobody does.
+/// Invalidation whose completion can be awaited. Dropping it ends the interest in its completion; the caches
+/// are still sent the invalidation.
 pub struct PendingInvalidation {
     edit: EditId,
     completed: oneshot::Receiver<()>,
@@ -85,7 +88,8 @@
 }
 
 impl PendingInvalidation {
-    /// Waits until no cache has an older copy; `false` where that will never be known.
+    /// Waits until no cache has an older copy. Returns `false` if that cannot be determined, because the
+    /// dispatcher did not track the edit or has ended.
     pub async fn wait(mut self) -> bool {
         (&mut self.completed).await.is_ok()
     }
@@ -93,7 +97,7 @@
 
 impl Drop for PendingInvalidation {
     fn drop(&mut self) {
-        // Where the queue is full, the dispatcher keeps the edit until its copies have expired.
+        // If the queue is full, the dispatcher tracks the edit until its copies have expired.
         if !self.completed.is_terminated() {
             let _ = self.commands.try_send(Command::Forget(self.edit));
         }
--- a/crates/stonevane-node/src/cli.rs
+++ b/crates/stonevane-node/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: reads the configuration, runs the process, and turns its end into an exit code.
+//! The command line: reads the configuration, runs the process and maps its result to an exit code.
 
 use std::io::Error;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use crate::process;
 use crate::store::OriginStore;
 
-/// Exit code of a configuration that cannot be used.
+/// Exit code for an unusable configuration or an address that cannot be bound.
 const EXIT_CONFIGURATION: u8 = 2;
-/// Exit code of a process whose parent has already ended.
+/// Exit code for a process whose parent (`--ends-with`) has already ended.
 const EXIT_ORPHANED: u8 = 3;
 
-/// One node between clients and zone caches. The platform's configuration is named by ROUTER_CONFIG.
+/// Run one node between clients and cache servers. ROUTER_CONFIG names the platform's configuration file.
 #[derive(Parser)]
 #[command(
     name = "stonevane-node",
@@ -30,42 +30,45 @@
   ROUTER_CONFIG=config.json stonevane-node
   ROUTER_CONFIG=config.json stonevane-node --operator deploy/operator.toml
 
-SIGTERM drains and exits 0; SIGHUP reads the configuration again; a bad configuration is exit 2."
+SIGTERM drains the node, which then exits with 0. SIGHUP reloads the configuration.
+An unusable configuration exits with 2."
 )]
 struct Args {
-    /// What is configured beside the platform's pages; `stonevane config check FILE` checks it without a node.
+    /// Read operator settings from this TOML file; `stonevane config check FILE` validates it without
+    /// starting a node.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Is killed when the process of this id, its parent, ends: for labs, which leave nothing behind.
+    /// Have the kernel kill this process when its parent, the process with this id, ends; labs use it so that
+    /// no node outlives them.
     #[arg(long = "ends-with", value_name = "PID", hide = true)]
     parent: Option<u32>,
 }
 
-/// Why the process did not start, or could not serve.
+/// Reason why the process did not start or cannot serve.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read the operator file {}: {source}", path.display())]
     OperatorUnreadable { path: PathBuf, source: Error },
-    #[error("{}: {} faults", path.display(), faults.len())]
-    OperatorInvalid { path: PathBuf, faults: Vec<stonevane_config::ConfigError> },
+    #[error("{}: {} errors in the operator file", path.display(), errors.len())]
+    OperatorInvalid { path: PathBuf, errors: Vec<stonevane_config::ConfigError> },
     #[error(transparent)]
     Config(#[from] ConfigError),
-    #[error("{} faults in [regions]", .0.len())]
+    #[error("{} errors in [regions]", .0.len())]
     Regions(Vec<RegionError>),
-    #[error("{} faults in the peers", .0.len())]
+    #[error("{} errors in the peers of [fleet]", .0.len())]
     Peers(Vec<PeersError>),
-    #[error("the store {place}: {source}")]
+    #[error("cannot open the store {place}: {source}")]
     Store { place: operator::Place, source: StoreError },
     #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: Error },
 }
 
 impl StartError {
-    /// The lines of the log that report it: one for each fault.
+    /// Returns the log lines that report the error: one for each configuration error.
     fn lines(&self) -> Vec<String> {
         match self {
-            StartError::OperatorInvalid { path, faults } => {
-                faults.iter().map(|fault| format!("{}: {fault}", path.display())).collect()
+            StartError::OperatorInvalid { path, errors } => {
+                errors.iter().map(|error| format!("{}: {error}", path.display())).collect()
             }
             StartError::Regions(errors) => errors.iter().map(ToString::to_string).collect(),
             StartError::Peers(errors) => errors.iter().map(ToString::to_string).collect(),
@@ -74,12 +77,14 @@
     }
 }
 
-/// Runs a node to its end: reads the configuration that the environment names, serves, and drains on SIGTERM.
+/// Runs a node until it has drained: reads the configuration that the environment names, serves, and drains
+/// on SIGTERM.
 ///
-/// Exit code 0 after a drain; 2, with a line on standard error for each fault, for a configuration that cannot be used.
+/// Returns exit code 0 after a drain and 2 for an unusable configuration, with one line on standard error for
+/// each error.
 pub fn main() -> ExitCode {
     let args = Args::parse();
-    if args.parent.is_some_and(|parent| !die_with(parent)) {
+    if args.parent.is_some_and(|parent| !die_with_parent(parent)) {
         return ExitCode::from(EXIT_ORPHANED);
     }
     match serve(&args) {
@@ -93,12 +98,13 @@
     }
 }
 
-/// Has the kernel kill this process when its parent ends. Returns whether the parent still lives.
-fn die_with(parent: u32) -> bool {
+/// Has the kernel kill this process when its parent ends. Returns whether that is set up and the parent is
+/// still alive.
+fn die_with_parent(parent: u32) -> bool {
     use rustix::process::{Signal, getppid, set_parent_process_death_signal};
     let is_set = set_parent_process_death_signal(Some(Signal::KILL)).is_ok();
-    let lives = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
-    is_set && lives
+    let parent_is_alive = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
+    is_set && parent_is_alive
 }
 
 fn serve(args: &Args) -> Result<(), StartError> {
@@ -123,14 +129,15 @@
         Ok(text) => text,
         Err(source) => return Err(StartError::OperatorUnreadable { path, source }),
     };
-    Operator::parse(&text).map_err(|faults| StartError::OperatorInvalid { path, faults })
+    Operator::parse(&text).map_err(|errors| StartError::OperatorInvalid { path, errors })
 }
 
-/// The configuration of membership; `None` where it is not configured, or not allowed.
+/// Returns the configuration of membership, or `None` if it is not configured or the settings do not allow
+/// it.
 fn membership_config(config: &Config) -> Result<Option<MembershipConfig>, StartError> {
     let Some(fleet) = &config.operator.fleet else { return Ok(None) };
     if !config.deployment.settings.may_message_peers {
-        log("the settings allow no messages between nodes: [fleet] stays off");
+        log("membership disabled: [fleet] needs `limits.peers` of the settings, which is off");
         return Ok(None);
     }
     MembershipConfig::new(fleet, config).map(Some).map_err(StartError::Peers)
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a process: the file that `$ROUTER_CONFIG` names, and the variables that override parts of it.
+//! The configuration of a process: the JSON file that `$ROUTER_CONFIG` names, and the environment variables
+//! that override parts of it.
 
 mod error;
 mod file;
@@ -15,41 +16,41 @@
 use crate::inherited_listener;
 use file::{File, first_missing_key};
 
-/// Fewer sockets leave no capacity for clients and servers beside the node's own.
+/// Fewer sockets leave no capacity for clients and servers besides the node's own.
 const MIN_SOCKETS: usize = 32;
-/// More sockets than this are never used.
+/// The node never uses more sockets than this.
 const MAX_SOCKETS: usize = 1024;
-/// Less memory, in megabytes, leaves no capacity beside the program itself.
+/// Less memory, in megabytes, leaves no capacity besides the program itself.
 const MIN_MEMORY_MB: usize = 16;
 
-/// The configuration of a process.
+/// Configuration of a process, checked except for `peer_listen`, `peers` and the regions of `operator`.
 #[derive(Debug)]
 pub struct Config {
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// The listening socket that the platform has passed on.
+    /// Listening socket for clients that the platform passed on through `$ROUTER_LISTEN_FD`.
     pub inherited: Option<TcpListener>,
-    /// The management address.
+    /// Management address; `None`: the node has none.
     pub mgmt: Option<SocketAddr>,
-    /// The address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// Sockets that the node may hold in all.
+    /// Maximum number of sockets that the node opens.
     pub sockets: usize,
-    /// Memory that the node may take in all, in megabytes.
+    /// Maximum memory of the node, in megabytes.
     pub memory_mb: usize,
-    /// The endpoint list as this node last had it.
+    /// Endpoint list that the node last had before this start, used until discovery delivers one.
     pub known_endpoints: EndpointList,
-    /// The settings.
+    /// Settings of the policy and the deployment.
     pub deployment: Deployment,
-    /// The file, for comparison at the next reload.
+    /// The parsed file, which the next reload is compared with.
     pub document: serde_json::Value,
-    /// Where datagrams of other nodes arrive, as the file has it.
+    /// Address on which datagrams of other nodes arrive, as written in the file.
     pub peer_listen: String,
-    /// The address of each node, in the order of their numbers, as the file has it.
+    /// Address of each node in the order of their numbers, as written in the file.
     pub peers: Vec<String>,
-    /// What the operator file sets.
+    /// Settings of the operator file.
     pub operator: Operator,
 }
 
@@ -62,7 +63,8 @@
         Self::read(None)
     }
 
-    /// Reads the configuration again. `previous` is the file in force: one that lacks a key of it is rejected whole.
+    /// Reads the configuration again. `previous` is the file in force; a new file that lacks one of its keys
+    /// is rejected as a whole.
     ///
     /// # Errors
     /// The configuration cannot be used.
@@ -81,12 +83,12 @@
         let settings = file.settings.as_deref();
         let deployment = read_settings(settings.map(serde_json::value::RawValue::get))?;
         check_limits(&file.limits)?;
-        // The environment is that of the start: at a reload the file's discovery comes first.
+        // The environment is that of the start, so at a reload the file's discovery takes precedence.
         let discovery = match variable("ROUTER_DISCOVERY") {
             Some(at_start) if previous.is_none() || file.discovery.is_empty() => at_start,
             _ => file.discovery,
         };
-        // At a reload the clients' socket stays as it is.
+        // A reload keeps the clients' listening socket.
         let inherited = variable("ROUTER_LISTEN_FD").filter(|_| previous.is_none());
         let inherited = inherited.map(|number| inherited_listener::inherit(&number)).transpose()?;
         let mgmt = Some(variable("ROUTER_MGMT").unwrap_or(file.mgmt)).filter(|address| !address.is_empty());
@@ -107,7 +109,7 @@
         })
     }
 
-    /// Where the operator file's regions do not fit the settings.
+    /// Returns every mismatch between the regions of the operator file and the settings.
     pub fn region_errors(&self) -> Vec<RegionError> {
         let Some(regions) = &self.operator.regions else { return Vec::new() };
         let mut errors = Vec::new();
@@ -127,7 +129,7 @@
     }
 }
 
-/// The value of a variable of the environment; an empty one counts as unset.
+/// Returns the value of an environment variable; an empty one counts as unset.
 fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok().filter(|value| !value.is_empty())
 }
@@ -136,7 +138,7 @@
     value.parse().map_err(|_| ConfigError::Field { field, value })
 }
 
-/// A seed is hexadecimal; any other text is hashed.
+/// Parses a hexadecimal seed; any other text is hashed to one.
 fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes()))
 }
--- a/crates/stonevane-node/src/config/error.rs
+++ b/crates/stonevane-node/src/config/error.rs
@@ -1,65 +1,65 @@
-//! Why a configuration cannot be used.
+//! Errors of the configuration.
 
 use stonevane_policy::settings::SettingsError;
 
 use crate::inherited_listener::InheritError;
 
-/// Why a configuration cannot be used.
+/// Reason why a configuration is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable that must be set is not.
-    #[error("{0} is not set")]
+    /// A required environment variable is not set.
+    #[error("environment variable {0} is not set")]
     Unset(&'static str),
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     File {
-        /// Its path.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the read.
         source: std::io::Error,
     },
-    /// The file is no JSON, or not of its schema.
-    #[error("unreadable configuration: {0}")]
+    /// The file is not valid JSON or does not match the schema.
+    #[error("the configuration is not valid JSON or does not match its schema: {0}")]
     Json(serde_json::Error),
-    /// The file lacks a key of the file before it.
+    /// The file lacks a key that the file in force has; the key as a path.
     #[error("the configuration lacks {0}, which the last one had")]
     MissingKey(String),
-    /// The descriptor that was passed on is not the clients' socket.
-    #[error("ROUTER_LISTEN_FD {0}")]
+    /// The descriptor that was passed on is not a usable listening socket.
+    #[error("ROUTER_LISTEN_FD: {0}")]
     Inherited(#[from] InheritError),
     /// A field has no usable value.
     #[error("unusable {field} in the configuration: {value:?}")]
     Field {
-        /// The field.
+        /// Name of the field, as a path of keys.
         field: &'static str,
-        /// Its value.
+        /// Rejected value.
         value: String,
     },
     /// The settings cannot be used.
     #[error("{0}")]
     Settings(#[from] SettingsError),
-    /// The settings have no class of requests.
-    #[error("the settings name no class of requests")]
+    /// The settings define no request class.
+    #[error("`classes` of the settings is empty: at least one request class is required")]
     NoClasses,
 }
 
-/// Where the operator file's regions do not fit the settings.
+/// Mismatch between the regions of the operator file and the settings.
 #[derive(Debug, thiserror::Error)]
 pub enum RegionError {
-    /// The region has more nodes than there are.
+    /// The region has more nodes than the settings.
     #[error("[regions] `nodes` is {region}, and the settings have {settings} balancers")]
     TooManyNodes {
-        /// Nodes of the region.
+        /// Number of nodes in the region.
         region: u32,
-        /// Nodes of the settings.
+        /// Number of nodes in the settings.
         settings: u32,
     },
-    /// A region has a zone that does not exist.
+    /// A region has a zone that the settings do not have.
     #[error("[regions.zones] `{region}` has the zone `{zone}`, which the settings do not have")]
     UnknownZone {
-        /// The region.
+        /// Name of the region.
         region: String,
-        /// The zone.
+        /// Name of the zone.
         zone: String,
     },
 }
--- a/crates/stonevane-node/src/config/file.rs
+++ b/crates/stonevane-node/src/config/file.rs
@@ -5,7 +5,7 @@
 use serde_json::value::RawValue;
 use stonevane_core::EndpointList;
 
-/// Keys that may be absent from a later file: what discovery knew before a start, and who the peers are, is no setting.
+/// Keys that a later file may omit: the endpoint list known before a start and the peers are not settings.
 const TRANSIENT_KEYS: [&str; 2] = ["known", "peers"];
 
 /// The configuration file.
@@ -23,7 +23,7 @@
     pub peers: Vec<String>,
 }
 
-/// Limits of the process.
+/// Limits of the process: number of sockets, and memory in megabytes.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct Limits {
@@ -37,23 +37,24 @@
     }
 }
 
-/// The first key that the previous file has and the present one lacks, as a path of keys.
+/// Returns the first key that the previous file has and the present one lacks, as a path of keys.
 pub(super) fn first_missing_key(previous: &Value, present: &Value) -> Option<String> {
     match (previous, present) {
         (Value::Object(previous), Value::Object(present)) => {
-            let lasting = previous.iter().filter(|(key, _)| !TRANSIENT_KEYS.contains(&key.as_str()));
-            lasting.into_iter().find_map(|(key, value)| match present.get(key) {
+            let required = previous.iter().filter(|(key, _)| !TRANSIENT_KEYS.contains(&key.as_str()));
+            required.into_iter().find_map(|(key, value)| match present.get(key) {
                 None => Some(key.clone()),
-                Some(present) => first_missing_key(value, present).map(|below| format!("{key}.{below}")),
+                Some(present) => first_missing_key(value, present).map(|nested| format!("{key}.{nested}")),
             })
         }
-        (Value::Object(_), _) => Some("an object that stood here".into()),
+        (Value::Object(_), _) => Some("(an object)".into()),
         (Value::Array(previous), Value::Array(present)) => first_missing_entry_key(previous, present),
         _ => None,
     }
 }
 
-/// Entries of a list (classes, tenants) come and go; each must have the keys that all of them had before.
+/// Entries of a list (classes, tenants) come and go; each new entry must have the keys that all previous
+/// entries had.
 fn first_missing_entry_key(previous: &[Value], present: &[Value]) -> Option<String> {
     let first = previous.first()?.as_object()?;
     let in_all = |key: &&String| previous.iter().all(|entry| entry.get(*key).is_some());
--- a/crates/stonevane-node/src/datagrams.rs
+++ b/crates/stonevane-node/src/datagrams.rs
@@ -8,30 +8,31 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-/// Datagrams that are read at once; a flood waits in the kernel or is dropped there, and delays no request.
+/// Maximum number of datagrams in a batch. A flood waits in the kernel or is dropped there, and does not
+/// delay requests.
 const BATCH_DATAGRAMS: usize = 32;
-/// Pause after a full batch, and after a failure of the socket.
+/// Pause after a full batch, and after an error of the socket.
 const BATCH_PAUSE: Duration = Duration::from_millis(2);
-/// Longer than any valid datagram, so that one that is too long is recognized.
+/// Size of the receive buffer: longer than any valid datagram, so that an overlong one is recognized.
 const BUFFER_BYTES: usize = 512;
 
-/// Reads a socket in batches.
+/// Reads datagrams from a socket in bounded batches.
 pub struct DatagramReader<'s> {
     socket: &'s UdpSocket,
-    /// The last batch was full: there may be more.
+    /// The last batch was full: more datagrams may be waiting.
     batch_was_full: bool,
 }
 
 impl DatagramReader<'_> {
-    /// A reader of a socket.
+    /// Returns a reader of a socket.
     pub fn new(socket: &UdpSocket) -> DatagramReader<'_> {
         DatagramReader { socket, batch_was_full: false }
     }
 
-    /// Waits until a batch may be read. Nothing is lost where the wait is given up.
+    /// Waits until a batch may be read. Cancel safe: no datagram is lost.
     ///
     /// # Errors
-    /// The runtime has lost the socket.
+    /// The runtime no longer drives the socket.
     pub async fn ready(&self) -> Result<()> {
         if self.batch_was_full {
             sleep(BATCH_PAUSE).await;
@@ -39,7 +40,8 @@
         self.socket.readable().await
     }
 
-    /// Reads a batch once [`DatagramReader::ready`] has returned.
+    /// Reads a batch and calls `on_datagram` for each datagram. `ready` is the result of
+    /// [`DatagramReader::ready`].
     pub async fn read(&mut self, ready: Result<()>, on_datagram: impl FnMut(SocketAddr, &[u8])) {
         self.batch_was_full = ready.is_ok() && self.read_batch(on_datagram);
         if ready.is_err() {
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Reads what has arrived, a batch at most. Returns whether the batch is full.
+    /// Reads the datagrams that have arrived, at most one batch. Returns whether the batch was full.
     fn read_batch(&self, mut on_datagram: impl FnMut(SocketAddr, &[u8])) -> bool {
         let mut buffer = [0; BUFFER_BYTES];
         for _ in 0..BATCH_DATAGRAMS {
@@ -58,7 +60,7 @@
     }
 }
 
-/// The addresses of all nodes. A node's number is its place among them.
+/// Addresses of all nodes. A node's number is its index among them.
 #[derive(Debug, Clone)]
 pub struct PeerTable {
     addresses: Vec<SocketAddr>,
@@ -66,23 +68,23 @@
 }
 
 impl PeerTable {
-    /// The addresses, in the order of the nodes' numbers.
+    /// Builds the table from the addresses in the order of the nodes' numbers.
     pub fn new(addresses: Vec<SocketAddr>) -> PeerTable {
         let numbers = addresses.iter().zip(0..).map(|(address, number)| (*address, number)).collect();
         PeerTable { addresses, numbers }
     }
 
-    /// All addresses, in the order of the nodes' numbers.
+    /// Returns all addresses, in the order of the nodes' numbers.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// The address of a node.
+    /// Returns the address of a node; `None` for a number without a node.
     pub fn address_of(&self, number: u32) -> Option<SocketAddr> {
         self.addresses.get(number as usize).copied()
     }
 
-    /// The number of the node at an address.
+    /// Returns the number of the node at an address; `None` for an unknown address.
     pub fn number_of(&self, address: SocketAddr) -> Option<u32> {
         self.numbers.get(&address).copied()
     }
--- a/crates/stonevane-node/src/discovery/call.rs
+++ b/crates/stonevane-node/src/discovery/call.rs
@@ -17,13 +17,13 @@
 use super::error::CallError;
 use super::{InputSink, Traffic};
 
-/// A longer list is malformed.
+/// A longer endpoint list is treated as malformed.
 const MAX_LIST_BYTES: usize = 4 * 1024 * 1024;
-/// Capacity for the next read.
-const READ_BYTES: usize = 4096;
+/// Free capacity of the buffer that is reserved for each read.
+const READ_RESERVE_BYTES: usize = 4096;
 const STATUS_OK: u16 = 200;
 
-/// What a call needs beside its address and path.
+/// Context of a call besides its address and path.
 #[derive(Clone)]
 pub(super) struct CallContext {
     pub sink: InputSink,
@@ -37,7 +37,7 @@
         Duration::from_micros(self.timeouts.limit(awaited))
     }
 
-    /// Brings an endpoint list to the core; an empty line is none.
+    /// Passes an endpoint list to the core. An empty line is a heartbeat without a list.
     fn deliver(&self, line: &[u8]) -> Result<(), CallError> {
         if !line.trim_ascii().is_empty() {
             let list = serde_json::from_slice(line).map_err(|_| CallError::Malformed)?;
@@ -47,16 +47,16 @@
     }
 }
 
-/// How long to wait for the head of a response.
+/// Deadline for the head of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeadDeadline {
-    /// For the time that the context allows between two reads.
+    /// The time limit of the context for an answer, from the last read on.
     Timeout,
-    /// Until the connection ends.
+    /// No deadline: the wait ends with the connection.
     None,
 }
 
-/// Makes a call and brings each list of its response to the core, until the response ends.
+/// Makes a call and passes each list of its response to the core, until the response ends.
 pub(super) async fn receive_lists(
     address: SocketAddr,
     path: &str,
@@ -68,8 +68,8 @@
     call.lists(head, context, &mut last_received).await
 }
 
-/// A call whose request was sent, and what has arrived of its response. `last_received` is when discovery last sent
-/// anything, the acceptance of a connection included.
+/// A call whose request was sent, with the part of its response that has arrived. The `last_received` of its
+/// functions is the time at which discovery last sent anything; accepting a connection counts.
 pub(super) struct PendingCall {
     stream: TcpStream,
     received: BytesMut,
@@ -94,7 +94,8 @@
         Ok(PendingCall { stream, received: BytesMut::new(), traffic: context.traffic.clone() })
     }
 
-    /// The head of the response. What has arrived of it stays in the buffer where the wait is given up.
+    /// Returns the head of the response. If the wait is abandoned, the bytes that have arrived stay in the
+    /// buffer.
     pub async fn head(
         &mut self,
         context: &CallContext,
@@ -106,7 +107,7 @@
                 let accepted = head.status == STATUS_OK;
                 return if accepted { Ok(head) } else { Err(CallError::Status(head.status)) };
             }
-            self.received.reserve(READ_BYTES);
+            self.received.reserve(READ_RESERVE_BYTES);
             let read = self.stream.read_buf(&mut self.received);
             let count = match deadline {
                 HeadDeadline::Timeout => timeout(context.timeout(Awaited::Answer), read)
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Brings each list of the response to the core, until the response ends.
+    /// Passes each list of the response to the core, until the response ends.
     pub async fn lists(
         mut self,
         head: Head,
@@ -132,7 +133,8 @@
         let _ = self.received.split_to(head.length);
         loop {
             let ended = body.take(&mut self.received)?;
-            // A body of a stated length is one list, on however many lines; otherwise lists follow one another.
+            // A body with a stated length is a single list, on any number of lines; otherwise lists follow
+            // one another.
             while !body.is_single_list
                 && let Some(list) = objects.take(&mut body.bytes)
             {
@@ -145,7 +147,7 @@
             if body.bytes.len() > MAX_LIST_BYTES {
                 return Err(CallError::Malformed);
             }
-            self.received.reserve(READ_BYTES);
+            self.received.reserve(READ_RESERVE_BYTES);
             let read = self.stream.read_buf(&mut self.received);
             let read = timeout(context.timeout(Awaited::Line), read).await;
             let count = read.map_err(|_| CallError::Silent { established })??;
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Counts a read. The end of the stream is an error: what has arrived was cut off.
+    /// Counts the bytes of a read. The end of the stream is an error: the response was cut off.
     fn count_received(&self, count: usize, last_received: &mut Instant) -> Result<(), CallError> {
         Traffic::add(&self.traffic.received, count);
         if count == 0 {
@@ -164,13 +166,13 @@
     }
 }
 
-/// The body of a response, without its transfer encoding.
+/// Body of a response, without its transfer encoding.
 struct Body {
     bytes: BytesMut,
     is_single_list: bool,
     is_chunked: bool,
     chunks: Chunks,
-    /// Bytes still to come of a body that is not chunked.
+    /// Remaining bytes of a body that is not chunked.
     remaining: usize,
 }
 
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Takes what has arrived. Returns whether the body has ended.
+    /// Moves received bytes into the body. Returns whether the body has ended.
     fn take(&mut self, received: &mut BytesMut) -> Result<bool, CallError> {
         if self.is_chunked {
             return self.chunks.take(received, &mut self.bytes).map_err(|_| CallError::Malformed);
--- a/crates/stonevane-node/src/discovery/error.rs
+++ b/crates/stonevane-node/src/discovery/error.rs
@@ -1,28 +1,29 @@
-//! Why a call to discovery ended.
+//! Errors of calls to discovery.
 
 use stonevane_core::discovery_timeouts::CallEnd;
 
-/// Why a call to discovery ended.
+/// Reason why a call to discovery ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The connection broke, or could not be opened.
-    #[error("{0}")]
+    /// The connection could not be opened, or failed.
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// No response began in time.
     #[error("no answer in time")]
     Unanswered,
-    /// The response fell silent. `established`: it had brought a line before, be it an empty one.
+    /// The response has begun, and then nothing arrived in time. `established`: at least one line, possibly
+    /// an empty one, had arrived before.
     #[error("silent for too long")]
     Silent { established: bool },
-    /// The call was rejected.
+    /// Discovery rejected the call.
     #[error("answered with status {0}")]
     Status(u16),
-    /// The response is no endpoint list; the list in use stays.
+    /// The response is not a complete endpoint list; the list in use stays.
     #[error("brought no list, or one that was cut off")]
     Malformed,
 }
 
-/// What the end of a call means to the core.
+/// Classifies the end of a call for the core.
 pub(super) fn call_end(result: &Result<(), CallError>) -> CallEnd {
     match result {
         Err(CallError::Unanswered) => CallEnd::Unanswered,
--- a/crates/stonevane-node/src/discovery/mod.rs
+++ b/crates/stonevane-node/src/discovery/mod.rs
@@ -19,13 +19,13 @@
 use error::{CallError, call_end};
 use watch::{UnansweredWatch, run_watch, watch_path};
 
-/// The path of the whole endpoint list.
+/// Path of the whole endpoint list.
 const LIST_PATH: &str = "/v1/servers";
 
-/// Brings what discovery has sent to the core.
+/// Passes to the core what discovery has sent.
 pub type InputSink = Arc<dyn Fn(Input<'static>) + Send + Sync>;
 
-/// Bytes of calls to discovery, without the headers of IP and TCP.
+/// Byte counts of calls to discovery, without the headers of IP and TCP.
 #[derive(Debug, Default)]
 pub struct Traffic {
     /// Bytes of requests.
@@ -40,10 +40,10 @@
     }
 }
 
-/// The calls to discovery that are in flight: at most one watch, one watch that was not answered in time, and one call
-/// for the whole list.
+/// Calls to discovery that are in flight: at most one watch, one earlier watch that was not answered in time,
+/// and one call for the whole list.
 pub struct Discovery {
-    /// Version of the endpoint list in use.
+    /// Version of the endpoint list in use; 0 without a list.
     list_version: Arc<AtomicU64>,
     sink: InputSink,
     traffic: Arc<Traffic>,
@@ -53,7 +53,8 @@
 }
 
 impl Discovery {
-    /// No calls yet; `list_version` always has the version of the list in use.
+    /// Returns a client without calls. The caller keeps `list_version` at the version of the list in use; 0
+    /// without a list.
     pub fn new(list_version: Arc<AtomicU64>, sink: InputSink) -> Self {
         Discovery {
             list_version,
@@ -65,12 +66,12 @@
         }
     }
 
-    /// Counts its bytes where others may be counted too.
+    /// Counts bytes in `traffic`, which several clients can share.
     pub fn counted(self, traffic: Arc<Traffic>) -> Self {
         Discovery { traffic, ..self }
     }
 
-    /// Makes a call, or ends some.
+    /// Makes the requested call, or ends calls.
     pub fn call(&mut self, call: DiscoveryCall) {
         let context = CallContext {
             sink: self.sink.clone(),
@@ -123,8 +124,8 @@
         self.fetch = Some(tokio::spawn(task).abort_handle());
     }
 
-    /// Watches an agent on this machine, to which lists are pushed. A list counts as notified once the agent has it,
-    /// whether or not a watch is open: the next watch is opened after a constant delay.
+    /// Watches an agent on this machine, to which lists are pushed. A list counts as delivered once the agent
+    /// has it, whether or not a watch is open, so the next watch is opened after a constant delay.
     fn watch_agent(&mut self, address: SocketAddr, context: CallContext) {
         self.watch.take().inspect(AbortHandle::abort);
         let list_version = self.list_version.clone();
--- a/crates/stonevane-node/src/discovery/watch.rs
+++ b/crates/stonevane-node/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on changes of the endpoint list, where lists are polled from a remote discovery service.
+//! The watch on changes of the endpoint list, for nodes that poll a remote discovery service.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,7 +10,8 @@
 use super::call::{CallContext, HeadDeadline, PendingCall};
 use super::error::CallError;
 
-/// The path of a watch on the changes after a version.
+/// Returns the path of a watch on the changes after a version; `None`: on all changes, beginning with the
+/// whole list.
 pub(super) fn watch_path(after: Option<u64>) -> String {
     match after {
         None => "/v1/servers?watch=1".into(),
@@ -18,18 +19,18 @@
     }
 }
 
-/// A watch whose response has not begun in time. Discovery serves calls in their order: this one keeps its place beside
-/// the next one, which would queue behind it.
+/// A watch whose response has not begun in time. Discovery serves calls in order, so this one keeps its place
+/// in the queue while the next one, which queues behind it, is also in flight.
 #[derive(Clone, Default)]
 pub(super) struct UnansweredWatch(Arc<Mutex<Option<(DiscoveryEpoch, PendingCall)>>>);
 
 impl UnansweredWatch {
-    /// Keeps a call, in place of an older one.
+    /// Stores a call in place of an older one.
     fn keep(&self, epoch: DiscoveryEpoch, call: Option<PendingCall>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = call.map(|call| (epoch, call));
     }
 
-    /// Takes the call, if it was made in this epoch of discovery.
+    /// Takes the call if it was made in this epoch of discovery.
     fn take(&self, epoch: DiscoveryEpoch) -> Option<PendingCall> {
         let stored = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         stored.filter(|(of, _)| *of == epoch).map(|(_, call)| call)
@@ -41,7 +42,8 @@
     }
 }
 
-/// Watches the changes after a version. The watch before may be answered first, and is then the watch.
+/// Watches the changes after a version. If the previous, unanswered watch is answered first, it replaces the
+/// present one.
 pub(super) async fn run_watch(
     address: SocketAddr,
     after: Option<u64>,
@@ -74,7 +76,8 @@
     }
 }
 
-/// The head of the response to the previous call. Never, where that fails: the present call goes on.
+/// Waits for the head of the response to the previous call. If that call fails, this never returns and the
+/// present call continues alone.
 async fn previous_head(previous: &mut Option<PendingCall>, context: &CallContext) -> Head {
     if let Some(call) = previous
         && let Ok(head) = call.head(context, HeadDeadline::None, &mut Instant::now()).await
--- a/crates/stonevane-node/src/driver/client_sockets.rs
+++ b/crates/stonevane-node/src/driver/client_sockets.rs
@@ -1,4 +1,5 @@
-//! Ends of clients' connections: the last response with the close right behind it, and half-closed connections.
+//! Ends of clients' connections: the last response followed immediately by the close, and half-closed
+//! connections.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,16 +14,17 @@
 use super::socket::{shutdown_write, try_write, would_block};
 use super::{Driver, State};
 
-/// A half-closed connection is read for at most so long ...
-const HALF_CLOSED_TIME: Duration = Duration::from_millis(200);
-/// ... and at most so much of it.
-const HALF_CLOSED_BYTES: usize = 256 * 1024;
-/// Bytes that are discarded at once.
+/// Maximum time for which a half-closed connection is read.
+const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum number of bytes that are read from a half-closed connection.
+const HALF_CLOSE_MAX_BYTES: usize = 256 * 1024;
+/// Size of one read of discarded input.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
 impl Driver {
-    /// Writes the last response to a client and closes right behind it, unless a further request has arrived: no request
-    /// can be on its way to a connection whose end its client learns together with the response.
+    /// Writes the last response to a client and closes the connection immediately after it, unless a further
+    /// request has arrived. The client learns of the close together with the response, so it cannot have a
+    /// request on its way.
     pub(super) fn write_last(self: &Arc<Self>, state: &mut State, id: ConnId, bytes: Bytes) {
         if !self.has_no_input(state, id, InputCheck::Socket) {
             return self.write(state, id, bytes);
@@ -37,8 +39,8 @@
         }
     }
 
-    /// Closes a client's connection on which nothing has arrived. The client learns of it at once, not when the
-    /// connection's task has ended, and sends nothing more.
+    /// Closes a client's connection on which nothing has arrived. The stream is shut down here and not when
+    /// the connection's task has ended: the client is notified at once and sends nothing more.
     pub(super) fn close_if_idle(&self, state: &mut State, id: ConnId) {
         if !state.core.is_closing(id) || !self.has_no_input(state, id, InputCheck::Socket) {
             return;
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Ends this side of a connection, and reads on for a moment.
+    /// Half-closes a connection: ends this side and reads on for up to [`HALF_CLOSE_TIMEOUT`].
     pub(super) fn half_close(self: &Arc<Self>, state: &mut State, id: ConnId) {
         let Some(connection) = state.connections.get_mut(&id) else { return };
         let Some(stream) = connection.stream.clone() else { return };
@@ -59,18 +61,18 @@
         connection.reader.take().inspect(AbortHandle::abort);
         let driver = self.clone();
         let reader = async move {
-            let _ = timeout(HALF_CLOSED_TIME, discard_input(&stream)).await;
+            let _ = timeout(HALF_CLOSE_TIMEOUT, discard_input(&stream)).await;
             driver.connection_ended(id);
         };
         connection.reader = Some(tokio::spawn(reader).abort_handle());
     }
 }
 
-/// Reads on after the last response: a close with unread input would reset the connection and could take the response
-/// away from the client.
+/// Discards input after the last response: a close with unread input would reset the connection, and the
+/// reset could destroy the response before the client has read it.
 async fn discard_input(stream: &TcpStream) {
     let mut buffer = vec![0u8; DISCARD_BUFFER_BYTES];
-    let mut remaining = HALF_CLOSED_BYTES;
+    let mut remaining = HALF_CLOSE_MAX_BYTES;
     while remaining > 0 {
         if stream.readable().await.is_err() {
             return;
--- a/crates/stonevane-node/src/driver/listener.rs
+++ b/crates/stonevane-node/src/driver/listener.rs
@@ -1,4 +1,5 @@
-//! The listening socket: accepts clients' connections until the node drains or a newer process replaces this one.
+//! The listening socket: accepts clients' connections until the node drains or a newer process replaces this
+//! one.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,22 +13,22 @@
 use super::reading::PeerRole;
 use super::{Connection, Driver};
 
-/// A drain ends accepting once no connection has been waiting in the kernel's queue for so long.
+/// While draining, accepting ends once the kernel's queue has been empty for this time.
 const DRAIN_QUEUE_GRACE: Duration = Duration::from_millis(5);
-/// Pause after a failed accept: a lack of descriptors lasts for a moment.
+/// Pause after a failed accept: a shortage of descriptors is short-lived.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Whether connections are accepted, as the core has decided.
+/// Whether connections are accepted, as decided by the core.
 #[derive(Default)]
 pub(super) struct ListenerState {
     accepting: AtomicBool,
     accepting_resumed: Notify,
-    /// Only connections that the kernel has already queued are still accepted.
+    /// Only connections that are already in the kernel's queue are accepted.
     draining: AtomicBool,
-    /// The listening socket is a newer process's: nothing more is accepted.
+    /// A newer process has taken over the listening socket: nothing more is accepted.
     stopped: AtomicBool,
-    /// `draining` or `stopped` has changed.
-    ending: Notify,
+    /// Notified when `draining` or `stopped` is set.
+    shutdown_requested: Notify,
 }
 
 impl ListenerState {
@@ -39,19 +40,19 @@
         }
     }
 
-    /// Accepts no more than what the kernel has already queued.
+    /// Stops accepting once the kernel's queue is empty.
     pub fn drain(&self) {
         self.draining.store(true, Ordering::Relaxed);
-        self.ending.notify_one();
+        self.shutdown_requested.notify_one();
     }
 
-    /// Accepts nothing more.
+    /// Stops accepting at once.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
-        self.ending.notify_one();
+        self.shutdown_requested.notify_one();
     }
 
-    /// Waits for capacity for another connection. Meanwhile newcomers wait in the kernel's queue.
+    /// Waits for capacity for another connection. Meanwhile new connections wait in the kernel's queue.
     async fn until_accepting(&self) {
         while !self.accepting.load(Ordering::Relaxed) {
             self.accepting_resumed.notified().await;
@@ -60,7 +61,7 @@
 }
 
 impl Driver {
-    /// Accepts connections until the node drains, then those that the kernel has already queued.
+    /// Accepts connections until the node drains, then those that are already in the kernel's queue.
     pub(super) async fn accept_clients(self: Arc<Self>, listener: TcpListener) {
         loop {
             self.listener.until_accepting().await;
@@ -72,17 +73,17 @@
                 biased;
                 accepted = listener.accept() => accepted,
                 () = sleep(DRAIN_QUEUE_GRACE), if draining => return,
-                () = self.listener.ending.notified(), if !draining => continue,
+                () = self.listener.shutdown_requested.notified(), if !draining => continue,
             };
             match accepted {
-                Ok((stream, _)) => self.accepted(stream),
-                // Out of descriptors, or the client has left: neither ends the node.
+                Ok((stream, _)) => self.register_client(stream),
+                // Out of descriptors, or the client has left: the node keeps running in both cases.
                 Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    fn accepted(self: &Arc<Self>, stream: TcpStream) {
+    fn register_client(self: &Arc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let stream = Arc::new(stream);
         let mut state = self.lock();
--- a/crates/stonevane-node/src/driver/mod.rs
+++ b/crates/stonevane-node/src/driver/mod.rs
@@ -1,7 +1,9 @@
-//! Drives the core ([`stonevane_core::Core`]): opens, reads, writes and closes sockets, sleeps, and decides nothing.
+//! Drives the core ([`stonevane_core::Core`]): opens, reads, writes and closes sockets and runs timers. All
+//! decisions are the core's.
 //!
-//! Each connection has a task that waits until it is readable. A task that brings an input to the core performs the
-//! resulting outputs at once, so that no channel and no other task lies between a client's bytes and the server's socket.
+//! Each connection has a task that waits until the connection is readable. A task that passes an input to the
+//! core performs the resulting outputs itself, so that no channel and no other task lies between a client's
+//! bytes and the server's socket.
 
 mod client_sockets;
 mod listener;
@@ -36,16 +38,17 @@
 use reading::InputCheck;
 use timers::WakeTimer;
 
-/// At most so much of a connection is read at once.
+/// Size of the buffer for one read of a connection.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A connection, or a call to the store, which has no stream. Dropping it closes the one and gives up the other.
+/// A connection, or a call to the store, which has no stream. Dropping it closes the connection or abandons
+/// the call.
 struct Connection {
-    /// `None` while it is being opened, and for a call to the store.
+    /// `None` while the connection is being opened, and for a call to the store.
     stream: Option<Arc<TcpStream>>,
-    /// Reads what arrives, or waits for the store's reply.
+    /// Task that reads the connection, or waits for the store's reply.
     reader: Option<AbortHandle>,
-    /// Writes what the kernel did not take at once.
+    /// Task that writes the bytes that the kernel did not take at once.
     writer: Option<AbortHandle>,
     /// Wakes the reader after the core has paused reading.
     resume: Arc<Notify>,
@@ -65,14 +68,14 @@
     }
 }
 
-/// The core and what its outputs act on.
+/// The core, its pending outputs, and the objects that they act on.
 struct State {
     core: Core,
     outputs: Outputs,
     connections: HashMap<ConnId, Connection>,
     read_buffer: Box<[u8]>,
     discovery: Option<Discovery>,
-    /// Publishes the addresses of the caches, where these are sent fills and invalidations.
+    /// Publishes the addresses of the caches if these receive fills and invalidations.
     caches: Option<watch::Sender<Vec<SocketAddr>>>,
 }
 
@@ -82,15 +85,15 @@
     }
 }
 
-/// Drives one core.
+/// Drives one core. Shared by all tasks of the process.
 pub struct Driver {
     state: Mutex<State>,
     clock: Clock,
     exclusions: Exclusions,
-    /// The store in the origin's place.
+    /// Store in place of the origin.
     store: Option<Arc<OriginStore>>,
     membership: Option<Arc<Membership>>,
-    /// Version of the endpoint list in use.
+    /// Version of the endpoint list in use; 0 without a list.
     list_version: Arc<AtomicU64>,
     timer: WakeTimer,
     listener: ListenerState,
@@ -98,7 +101,7 @@
 }
 
 impl Driver {
-    /// A driver of a core that has done nothing yet.
+    /// Returns a driver of a core that has not handled any input yet.
     pub fn new(
         core: Core,
         clock: Clock,
@@ -131,7 +134,7 @@
         driver
     }
 
-    /// Has discovery bring what it receives to the core.
+    /// Connects discovery to the core: whatever discovery receives becomes an input.
     fn connect_discovery(self: &Arc<Self>) {
         let driver = Arc::downgrade(self);
         let sink = Arc::new(move |input: Input<'static>| {
@@ -142,7 +145,7 @@
         self.lock().discovery = Some(Discovery::new(self.list_version.clone(), sink));
     }
 
-    /// Has the store notify the core when it is unavailable.
+    /// Starts the store, which notifies the core while it is unavailable.
     fn connect_store(self: &Arc<Self>) {
         let Some(store) = &self.store else { return };
         let driver = Arc::downgrade(self);
@@ -154,7 +157,7 @@
         self.lock().caches = store.start(unavailable);
     }
 
-    /// Runs until the node has drained.
+    /// Accepts clients and runs timers until the node has drained, then closes all connections.
     pub async fn run(self: &Arc<Self>, listener: TcpListener) {
         let accepting = tokio::spawn(self.clone().accept_clients(listener));
         let timer = tokio::spawn(self.clone().run_timer());
@@ -169,14 +172,14 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Brings an input to the core and performs the outputs.
+    /// Passes an input to the core and performs the outputs.
     pub fn input(self: &Arc<Self>, input: Input<'_>) {
         let mut state = self.lock();
         self.handle(&mut state, input);
         self.perform_outputs(&mut state);
     }
 
-    /// What this process uses of the node's capacity, and how far it has come.
+    /// Returns the part of the node's capacity that this process uses, and its stage in the handover.
     pub fn handover_status(&self) -> HandoverStatus {
         self.lock().core.handover_status()
     }
@@ -185,7 +188,8 @@
         state.core.handle(self.clock.now(), input, &mut state.outputs);
     }
 
-    /// Performs all outputs, those that follow from them included, and takes up what the core now wants.
+    /// Performs all outputs, including those that result from performing them. Then applies the core's
+    /// current state: list version, accepting, next timeout.
     fn perform_outputs(self: &Arc<Self>, state: &mut State) {
         while let Some(output) = state.outputs.pop_front() {
             self.perform(state, output);
@@ -226,7 +230,7 @@
             Output::Draining => self.listener.drain(),
             Output::Replaced => self.listener.stop(),
             Output::Log(LogLine::Info(line)) => log(&line),
-            Output::Log(LogLine::Error(line)) => log(&format!("fault: {line}")),
+            Output::Log(LogLine::Error(line)) => log(&format!("error: {line}")),
             Output::Done => self.finished.notify_one(),
         }
     }
--- a/crates/stonevane-node/src/driver/operator_calls.rs
+++ b/crates/stonevane-node/src/driver/operator_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of operators on the management address, and exclusions that another process of this node has persisted.
+//! Operators' calls on the management address, and exclusions that another process of this node has
+//! persisted.
 
 use std::sync::Arc;
 
@@ -14,7 +15,7 @@
         let mut state = self.lock();
         match call {
             Call::Ready if state.core.ready() => Answer::line(200, "ready"),
-            Call::Ready => Answer::line(503, "this process takes no clients"),
+            Call::Ready => Answer::line(503, "this process does not accept clients"),
             Call::Metrics => match serde_json::to_string(&state.core.report()) {
                 Ok(report) => Answer::object(report),
                 Err(error) => Answer::line(503, error.to_string()),
@@ -23,7 +24,7 @@
                 Some(membership) => Answer::object(membership.report(self.clock.now(), brief)),
                 None => Answer::line(
                     404,
-                    "this node takes no part in a fleet: [fleet] of the operator file is not set",
+                    "membership is disabled: it needs [fleet] and `limits.peers` of the settings",
                 ),
             },
             Call::Exclude { name, .. } if !state.core.has_cache_server(&name) => {
@@ -33,21 +34,23 @@
         }
     }
 
-    /// Excludes a server or reinstates it. Persisted before it takes effect, so that it outlives this process.
+    /// Excludes a server or reinstates it. The change is persisted before it takes effect, so that it
+    /// outlives this process.
     fn set_excluded(self: &Arc<Self>, state: &mut State, name: String, excluded: bool) -> Answer {
         let persisted =
             if excluded { self.exclusions.exclude(&name) } else { self.exclusions.reinstate(&name) };
         if let Err(error) = persisted {
-            return Answer::line(503, format!("it can't be kept, and is not done: {error}"));
+            return Answer::line(503, format!("the change cannot be persisted and was not made: {error}"));
         }
-        let done = if excluded { "out" } else { "back" };
-        log(&format!("cache server {name} is {done} by hand"));
+        let (result, event) =
+            if excluded { ("out", "excluded by an operator") } else { ("back", "reinstated by an operator") };
+        log(&format!("cache server {name} {event}"));
         self.handle(state, Input::Exclude(name, excluded));
         self.perform_outputs(state);
-        Answer::line(200, done)
+        Answer::line(200, result)
     }
 
-    /// Takes over the exclusions that another process of this node has persisted or removed.
+    /// Applies the exclusions that another process of this node has persisted or removed.
     pub fn reload_exclusions(self: &Arc<Self>) {
         let persisted = self.exclusions.excluded();
         let mut state = self.lock();
--- a/crates/stonevane-node/src/driver/reading.rs
+++ b/crates/stonevane-node/src/driver/reading.rs
@@ -1,4 +1,4 @@
-//! Reading: brings what arrives on a connection, and its end, to the core.
+//! Reading: passes received bytes and the end of a connection to the core.
 
 use std::io::Result;
 use std::sync::Arc;
@@ -10,27 +10,27 @@
 use super::socket::{PEER_CLOSED, peer_has_closed, read_from_socket, read_if_ready, would_block};
 use super::{Driver, READ_BUFFER_BYTES, State};
 
-/// At most so much is read where nothing is expected.
-const UNEXPECTED_INPUT_BYTES: usize = 4096;
+/// Size of the read that checks a connection for unexpected input.
+const INPUT_CHECK_BYTES: usize = 4096;
 
-/// Which side of the node a connection is on.
+/// Side of the node that a connection is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PeerRole {
     Client,
     Server,
 }
 
-/// How to find out whether a connection has input.
+/// Method of checking whether a connection has input.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum InputCheck {
-    /// As the runtime last reported it, with no system call where that was nothing.
+    /// Uses the readiness that the runtime last reported, without a system call if it reported none.
     Readiness,
-    /// By a system call. What the runtime knows may be as old as the present turn, and a client's request that arrived
-    /// since would be lost with the connection.
+    /// Reads by a system call. The runtime's readiness can be as old as the start of the present turn; a
+    /// client's request that arrived since would be lost with the connection.
     Socket,
 }
 
-/// What a read brought to the core.
+/// Input that a read passed to the core.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ReadEvent {
     Nothing,
@@ -38,19 +38,19 @@
     Closed,
 }
 
-/// How the reader of a connection goes on.
+/// When the reader of a connection reads next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextRead {
     WhenReadable,
-    /// The core has paused reading.
+    /// After the core, which has paused reading, resumes it.
     WhenResumed,
-    /// The connection exists no more.
+    /// The connection no longer exists.
     Never,
 }
 
 impl Driver {
-    /// Brings what arrives on a connection to the core until the connection ends. A client that leaves is noticed even
-    /// while the core has paused reading, and whatever the client had sent before.
+    /// Passes received bytes to the core until the connection ends. The departure of a client is noticed even
+    /// while the core has paused reading and bytes of the client are still unread.
     pub(super) async fn read_until_end(
         self: Arc<Self>,
         id: ConnId,
@@ -99,10 +99,11 @@
         }
     }
 
-    /// Whether a connection exists and has no unread input. Its input or its end is brought to the core.
+    /// Returns whether a connection exists and has no unread input. Input, or the end of the connection, is
+    /// passed to the core.
     pub(super) fn has_no_input(&self, state: &mut State, id: ConnId, check: InputCheck) -> bool {
         let Some(stream) = state.stream(id) else { return false };
-        let buffer = &mut state.read_buffer[..UNEXPECTED_INPUT_BYTES];
+        let buffer = &mut state.read_buffer[..INPUT_CHECK_BYTES];
         let read = match check {
             InputCheck::Readiness => read_if_ready(&stream, buffer),
             InputCheck::Socket => read_from_socket(&stream, buffer),
@@ -110,7 +111,7 @@
         self.handle_read(state, id, read) == ReadEvent::Nothing
     }
 
-    /// Brings the result of a read into the buffer to the core.
+    /// Passes the result of a read into the buffer to the core.
     fn handle_read(&self, state: &mut State, id: ConnId, read: Result<usize>) -> ReadEvent {
         let (input, event) = match read {
             Ok(count) if count > 0 => (Input::Bytes(id, &state.read_buffer[..count]), ReadEvent::Bytes),
@@ -124,7 +125,7 @@
         event
     }
 
-    /// A connection has ended by itself.
+    /// Removes a connection that its peer or an error has ended, and notifies the core.
     pub(super) fn connection_ended(self: &Arc<Self>, id: ConnId) {
         let mut state = self.lock();
         if state.connections.remove(&id).is_some() {
--- a/crates/stonevane-node/src/driver/server_sockets.rs
+++ b/crates/stonevane-node/src/driver/server_sockets.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, and calls to the store in the origin's place.
+//! Connections to servers, and calls to the store in place of the origin.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,13 +11,14 @@
 use super::{Connection, Driver, State};
 
 impl Driver {
-    /// Starts to open a connection to a server.
+    /// Starts opening a connection to a server.
     pub(super) fn open(self: &Arc<Self>, state: &mut State, id: ConnId, address: SocketAddr) {
         let task = tokio::spawn(self.clone().connect_and_read(id, address)).abort_handle();
         state.connections.insert(id, Connection::new(None, task, Arc::default()));
     }
 
-    /// The core's connect timeout closes a connection that is not opened in time.
+    /// Connects and then reads until the connection ends. It has no timeout of its own: the core's connect
+    /// timeout closes a connection that is not opened in time.
     async fn connect_and_read(self: Arc<Self>, id: ConnId, address: SocketAddr) {
         let Ok(stream) = TcpStream::connect(address).await else { return self.connection_ended(id) };
         let _ = stream.set_nodelay(true);
@@ -34,8 +35,9 @@
         self.read_until_end(id, stream, resume, PeerRole::Server).await;
     }
 
-    /// Writes the first bytes of a request, unless the connection has input or has ended: a request is never written to
-    /// a connection that the server has closed, so that it surely did not run.
+    /// Writes the first bytes of a request, unless the connection has input or has ended. A request is never
+    /// written to a connection that the server is known to have closed, so such a request has certainly not
+    /// run.
     pub(super) fn write_request(
         self: &Arc<Self>,
         state: &mut State,
--- a/crates/stonevane-node/src/driver/socket.rs
+++ b/crates/stonevane-node/src/driver/socket.rs
@@ -1,4 +1,4 @@
-//! Reads and writes of a TCP socket that never wait.
+//! Non-blocking reads and writes of a TCP socket.
 
 use std::future::Future;
 use std::io::{Error, ErrorKind, Result};
@@ -10,18 +10,18 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// Interest in the end of the peer's stream, ahead of the bytes that can still be read. The runtime reports it with the
-/// readiness for urgent data, which nobody here sends.
+/// Interest in the end of the peer's stream, reported even while bytes are still unread. The runtime reports
+/// it together with the readiness for urgent data, which no peer of a node sends.
 pub(super) const PEER_CLOSED: Interest = Interest::PRIORITY;
 
-/// Whether the runtime knows that the peer has ended its stream.
+/// Returns whether the runtime knows that the peer has ended its stream.
 pub(super) fn peer_has_closed(stream: &TcpStream) -> bool {
     let mut context = Context::from_waker(Waker::noop());
     pin!(stream.ready(PEER_CLOSED)).poll(&mut context).is_ready()
 }
 
-/// Reads what has arrived; `WouldBlock` without a system call where the runtime has reported nothing. A short read has
-/// emptied the socket: the runtime's readiness is cleared, as by its own reads.
+/// Reads available bytes; `WouldBlock` without a system call if the runtime reports no readiness. A short
+/// read has emptied the socket, so it clears the runtime's readiness, as the runtime's own reads do.
 pub(super) fn read_if_ready(stream: &TcpStream, buffer: &mut [u8]) -> Result<usize> {
     let mut short_read = 0;
     let result = stream.try_io(Interest::READABLE, || {
@@ -35,13 +35,13 @@
     if short_read > 0 { Ok(short_read) } else { result }
 }
 
-/// Reads what has arrived, whatever the runtime knows of the socket.
+/// Reads available bytes by a system call, regardless of the readiness that the runtime reports.
 pub(super) fn read_from_socket(stream: &TcpStream, buffer: &mut [u8]) -> Result<usize> {
     let received = retry_on_intr(|| rustix::net::recv(stream, &mut *buffer, RecvFlags::DONTWAIT));
     received.map(|(count, _)| count).map_err(Error::from)
 }
 
-/// Writes what the kernel takes at once. A signal that arrives meanwhile ends no connection.
+/// Writes as many bytes as the kernel takes at once, and retries when a signal interrupts the call.
 pub(super) fn try_write(stream: &TcpStream, bytes: &[u8]) -> Result<usize> {
     loop {
         match stream.try_write(bytes) {
@@ -56,7 +56,7 @@
     let _ = rustix::net::shutdown(stream, Shutdown::Write);
 }
 
-/// Whether the socket had nothing to read, or took nothing.
+/// Returns whether a read found nothing, or the kernel took no bytes of a write.
 pub(super) fn would_block<T>(result: &Result<T>) -> bool {
     matches!(result, Err(error) if error.kind() == ErrorKind::WouldBlock)
 }
--- a/crates/stonevane-node/src/driver/tests.rs
+++ b/crates/stonevane-node/src/driver/tests.rs
@@ -46,26 +46,30 @@
 }
 
 #[test]
-fn a_client_between_requests_learns_of_its_connections_end_in_the_turn_that_decides_it() {
-    // Guards against clients that write to a connection whose close waits for the runtime's next turn.
+fn an_idle_client_sees_the_close_in_the_same_turn_that_decides_it() {
+    // Guards against clients that write to a connection whose close is deferred to the runtime's next turn.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     runtime.block_on(async {
         let clock = Clock::start();
         let driver = Driver::new(core(clock), clock, Exclusions::new(None), None, None);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut client = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let listens = tokio::spawn(driver.clone().accept_clients(listener));
+        let accepting = tokio::spawn(driver.clone().accept_clients(listener));
         driver.input(Input::Wake);
         while driver.handover_status().used.connections == 0 {
             tokio::task::yield_now().await;
         }
         driver.input(Input::Terminate);
-        // From here on the runtime gets no turn.
+        // From here on the runtime runs no task.
         std::thread::sleep(Duration::from_millis(600));
         driver.input(Input::Wake);
-        assert_eq!(driver.handover_status().used.connections, 0, "it is closed");
+        assert_eq!(driver.handover_status().used.connections, 0, "the connection is closed");
         client.set_nonblocking(true).unwrap();
-        assert_eq!(client.read(&mut [0]).map_err(|e| e.kind()), Ok(0), "and its client knows");
-        listens.abort();
+        assert_eq!(
+            client.read(&mut [0]).map_err(|e| e.kind()),
+            Ok(0),
+            "the client sees the end of the stream"
+        );
+        accepting.abort();
     });
 }
--- a/crates/stonevane-node/src/driver/timers.rs
+++ b/crates/stonevane-node/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! Time: wakes the core when its next timer is due.
+//! Timers: wakes the core when its next timeout is due.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,29 +10,29 @@
 
 use super::Driver;
 
-/// How long a core without timers is left alone, in microseconds.
+/// Interval at which a core without timers is woken, in microseconds.
 const IDLE_WAKE_INTERVAL: Micros = 1_000_000;
 
-/// When the core is woken next.
+/// Time at which the core is woken next.
 pub(super) struct WakeTimer {
-    /// In the core's time; [`Micros::MAX`] while it is being woken.
+    /// Microseconds in the core's time; [`Micros::MAX`] while the core is being woken.
     wake_at: AtomicU64,
-    /// `wake_at` has become earlier.
-    moved_forward: Notify,
+    /// Notified when `wake_at` has become earlier.
+    rescheduled: Notify,
 }
 
 impl Default for WakeTimer {
     fn default() -> Self {
-        WakeTimer { wake_at: AtomicU64::new(Micros::MAX), moved_forward: Notify::new() }
+        WakeTimer { wake_at: AtomicU64::new(Micros::MAX), rescheduled: Notify::new() }
     }
 }
 
 impl WakeTimer {
-    /// Has the core woken at this time at the latest.
+    /// Makes sure that the core is woken no later than this time.
     pub fn wake_by(&self, at: Micros) {
         if at < self.wake_at.load(Ordering::Relaxed) {
             self.wake_at.store(at, Ordering::Relaxed);
-            self.moved_forward.notify_one();
+            self.rescheduled.notify_one();
         }
     }
 
@@ -42,7 +42,7 @@
 }
 
 impl Driver {
-    /// Wakes the core whenever a timer of it is due.
+    /// Wakes the core whenever its next timeout is due.
     pub(super) async fn run_timer(self: Arc<Self>) {
         loop {
             let at = self.lock().core.next_timeout().unwrap_or_else(|| self.clock.now() + IDLE_WAKE_INTERVAL);
@@ -52,7 +52,7 @@
                     self.timer.set(Micros::MAX);
                     self.input(Input::Wake);
                 }
-                () = self.timer.moved_forward.notified() => {}
+                () = self.timer.rescheduled.notified() => {}
             }
         }
     }
--- a/crates/stonevane-node/src/driver/writing.rs
+++ b/crates/stonevane-node/src/driver/writing.rs
@@ -1,4 +1,4 @@
-//! Writing: at once what the kernel takes, the rest by a task of the connection.
+//! Writing: bytes that the kernel takes are written at once, the rest by a task of the connection.
 
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 use super::{Driver, State};
 
 impl Driver {
-    /// Writes to a connection; the core is notified when all is written.
+    /// Writes to a connection. The core is notified once everything is written.
     pub(super) fn write(self: &Arc<Self>, state: &mut State, id: ConnId, mut bytes: Bytes) {
         let Some(connection) = state.connections.get_mut(&id) else { return };
         let Some(stream) = connection.stream.clone() else { return };
@@ -27,8 +27,9 @@
         connection.writer = Some(writer.abort_handle());
     }
 
-    /// Writes the rest as the kernel takes it. The state is locked meanwhile: nothing is written that the core has taken
-    /// back, and the core learns at once of what is written.
+    /// Writes the rest as the kernel takes it. The state is locked during each write, so that no bytes are
+    /// written after the core has closed the connection and the core is notified immediately of the completed
+    /// write.
     async fn write_rest(self: Arc<Self>, id: ConnId, stream: Arc<TcpStream>, mut bytes: Bytes) {
         while stream.writable().await.is_ok() {
             let mut state = self.lock();
--- a/crates/stonevane-node/src/exclusions.rs
+++ b/crates/stonevane-node/src/exclusions.rs
@@ -1,14 +1,14 @@
-//! Cache servers that an operator has excluded by hand, persisted so that the exclusions outlive this process: one empty
-//! file for each, named by the server's name in hexadecimal, in a folder of `$TMPDIR`.
+//! Cache servers that an operator has excluded, persisted so that the exclusions outlive this process: one
+//! empty file per server in a folder of `$TMPDIR`, named by the server's name in hexadecimal.
 //!
-//! Creating and removing a file is atomic, so two processes of a node need no agreement on who writes.
+//! Creating and removing a file is atomic, so two processes of a node can write without coordination.
 
 use std::io::ErrorKind;
 use std::path::PathBuf;
 
-/// The folder within `$TMPDIR`; released versions read and write it too.
+/// Folder within `$TMPDIR`; released versions read and write it too.
 const FOLDER: &str = "spardeal-excluded";
-/// Longer file names are ignored: no file system creates them for a name.
+/// File names longer than this are ignored: file systems allow at most 255 bytes.
 const MAX_FILE_NAME_BYTES: usize = 250;
 
 /// The persisted exclusions of a node.
@@ -19,12 +19,13 @@
 }
 
 impl Exclusions {
-    /// The exclusions below a temporary folder; without one nothing is persisted.
+    /// Returns the exclusions persisted in a temporary folder; without one nothing is persisted.
     pub fn new(tmpdir: Option<PathBuf>) -> Exclusions {
         Exclusions { folder: tmpdir.map(|tmpdir| tmpdir.join(FOLDER)) }
     }
 
-    /// The names of the excluded servers, sorted. Files that encode no name are ignored.
+    /// Returns the names of the excluded servers, sorted. Files whose names do not encode a server name are
+    /// ignored.
     pub fn excluded(&self) -> Vec<String> {
         let entries = self.folder.as_ref().and_then(|folder| std::fs::read_dir(folder).ok());
         let files =
@@ -57,7 +58,8 @@
     }
 }
 
-/// The file name of a server's name: its bytes in hexadecimal, so that any name is a valid file name.
+/// Returns the file name for a server's name: its bytes in hexadecimal, so that any name is a valid file
+/// name.
 fn encode_file_name(name: &str) -> String {
     use std::fmt::Write;
     name.bytes().fold(String::with_capacity(2 * name.len()), |mut digits, byte| {
--- a/crates/stonevane-node/src/exclusions/tests.rs
+++ b/crates/stonevane-node/src/exclusions/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_exclusion_stands_until_it_is_removed_and_other_files_do_no_harm() {
+fn exclusions_persist_until_removed_and_unrelated_files_are_ignored() {
     let folder = std::env::temp_dir().join(format!("exclusions-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let exclusions = Exclusions::new(Some(folder.clone()));
@@ -22,8 +22,9 @@
 }
 
 #[test]
-fn a_file_written_by_the_released_version_is_read_and_written_alike() {
-    // Guards against losing operators' exclusions over an upgrade: the folder and the names are shared by versions.
+fn file_names_match_those_of_the_released_version() {
+    // Guards against losing operators' exclusions in an upgrade: versions share the folder and the file
+    // names.
     let tmpdir = std::env::temp_dir().join(format!("exclusions-released-{}", std::process::id()));
     let folder = tmpdir.join("spardeal-excluded");
     std::fs::create_dir_all(&folder).unwrap();
@@ -33,7 +34,8 @@
     exclusions.exclude("a/b \u{e9}").unwrap();
     assert_eq!(std::fs::read(folder.join("612f6220c3a9")).unwrap(), b"");
     exclusions.reinstate("s-1").unwrap();
-    let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
-    assert_eq!(left, ["612f6220c3a9"]);
+    let remaining: Vec<_> =
+        std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    assert_eq!(remaining, ["612f6220c3a9"]);
     std::fs::remove_dir_all(&tmpdir).unwrap();
 }
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -1,8 +1,10 @@
-//! Handover between two processes of this node while one replaces the other: files in a folder of `$TMPDIR` show each
-//! process the status of the others. `stonevane_core::handover` decides how they divide the node's capacity.
+//! Handover between processes of this node while one replaces another: files in a folder of `$TMPDIR` publish
+//! the status of each process to the others. `stonevane_core::handover` decides how they divide the node's
+//! capacity.
 //!
-//! A process holds the lock of `STARTED-PID.lock` for as long as it lives, and publishes its status in `STARTED-PID`,
-//! replaced by rename. A lock that can be taken belongs to a process that has ended: both its files are removed.
+//! A process holds the lock on `STARTED-PID.lock` while it lives and publishes its status in `STARTED-PID`,
+//! which it replaces by rename. A lock that can be taken belongs to a process that has ended: both its files
+//! are removed.
 
 use std::fs::{File, TryLockError};
 use std::path::{Path, PathBuf};
@@ -19,18 +21,19 @@
 use crate::driver::Driver;
 use crate::log::log;
 
-/// The folder within `$TMPDIR`; released versions meet there too.
+/// Folder within `$TMPDIR`, shared with released versions.
 const FOLDER: &str = "spardeal-beside";
-/// Suffix of the lock's file name.
+/// Suffix of the lock file's name.
 const LOCK_SUFFIX: &str = ".lock";
-/// How often the folder is read while this process is the only one.
+/// Interval at which the folder is read while this process is the only one.
 const POLL_INTERVAL_ALONE: Duration = Duration::from_millis(200);
-/// How often the folder is read while there are other processes.
+/// Interval at which the folder is read while there are other processes.
 const POLL_INTERVAL_SHARED: Duration = Duration::from_millis(50);
-/// At most so many other processes are considered.
+/// Maximum number of other processes that are taken into account.
 const MAX_OTHER_PROCESSES: usize = 8;
 
-/// Identity of a process: its start time and its process id. The newest is the last in this order.
+/// Identity of a process: its start time in microseconds of Unix time and its process id. A newer process
+/// sorts after an older one.
 type ProcessId = (Micros, u32);
 
 fn status_file_name((started, pid): ProcessId) -> String {
@@ -46,20 +49,20 @@
     Some((started.parse().ok()?, pid.parse().ok()?))
 }
 
-/// Replaces a file as one step, so that no reader sees a part of it.
+/// Replaces a file atomically, so that no reader sees a partial file.
 fn replace_file(path: &Path, text: &str) -> std::io::Result<()> {
     let temporary = path.with_extension("new");
     std::fs::write(&temporary, text)?;
     std::fs::rename(&temporary, path)
 }
 
-/// This process among those of its node.
+/// Registration of this process among the processes of its node.
 pub struct Handover {
     folder: PathBuf,
     own: ProcessStatus,
-    /// Held for as long as the process lives.
+    /// Held while the process lives.
     _lock: File,
-    /// The status line as it was last written.
+    /// Status line that was last written.
     published: String,
 }
 
@@ -82,8 +85,8 @@
         Ok(Handover { folder, own, _lock: lock, published: String::new() })
     }
 
-    /// Reads the status of the other processes once and has the driver hold to the capacity that they leave. Returns
-    /// whether there are any.
+    /// Reads the status of the other processes once and makes the driver observe the capacity that they
+    /// leave. Returns whether there are any.
     pub fn poll(&mut self, driver: &Arc<Driver>) -> bool {
         let status = driver.handover_status();
         self.own.stage = status.stage;
@@ -91,7 +94,8 @@
         let others = self.others(status.node_capacity);
         let grant = divide(status.node_capacity, &self.own, status.used, &others);
         let granted = grant.capacity;
-        // A gain is published before it is used, a loss after it has been given up: the sum never exceeds the total.
+        // Gained capacity is published before it is used, lost capacity after it has been given up: the sum
+        // over all processes never exceeds the total.
         let at_most = Capacity {
             connections: granted.connections.max(self.own.capacity.connections),
             memory: granted.memory.max(self.own.capacity.memory),
@@ -102,14 +106,15 @@
         !others.is_empty()
     }
 
-    /// Starts to poll the folder until the task ends.
+    /// Starts a task that polls the folder until the task is stopped.
     pub fn spawn(self, driver: Arc<Driver>) -> HandoverTask {
         let (requests, polls) = mpsc::channel(1);
         let task = tokio::spawn(self.run(driver, polls));
         HandoverTask { task, poller: HandoverPoller { requests } }
     }
 
-    /// Polls at an interval, and at once on request. Exclusions that an operator sets at either process reach both.
+    /// Polls at an interval, and at once on request. While there are several processes, exclusions that an
+    /// operator sets at one of them reach all.
     async fn run(mut self, driver: Arc<Driver>, mut requests: mpsc::Receiver<oneshot::Sender<()>>) {
         let mut was_shared = false;
         loop {
@@ -136,7 +141,7 @@
         }
     }
 
-    /// The status of the other processes that live.
+    /// Returns the status of the other processes that are alive.
     fn others(&self, total: Capacity) -> Vec<ProcessStatus> {
         let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let files = entries.filter_map(|entry| entry.file_name().into_string().ok());
@@ -151,7 +156,7 @@
             .collect()
     }
 
-    /// The status of another process, by its lock; `None` if it has ended.
+    /// Returns the status of another process, by its lock; `None` if the process has ended.
     fn status_of(&self, process: ProcessId, lock: &File, total: Capacity) -> Option<ProcessStatus> {
         let status_path = self.folder.join(status_file_name(process));
         let lock_path = self.folder.join(lock_file_name(process));
@@ -161,16 +166,17 @@
             return None;
         }
         let text = std::fs::read_to_string(&status_path).unwrap_or_default();
-        // A process that ends removes its lock's name before its status, and holds the lock to its very end: taken for one
-        // that has published nothing yet, it would be granted the whole capacity.
+        // An ending process removes its lock file before its status file and holds the lock until it exits.
+        // If it were taken for a process that has not published yet, it would be assumed to hold the whole
+        // capacity.
         if text.is_empty() && !lock_path.exists() {
             return None;
         }
         Some(ProcessStatus::read(process, &text).unwrap_or_else(|| self.unpublished_status(process, total)))
     }
 
-    /// What is assumed of a process without a readable status: an older one may hold the whole capacity, a newer one
-    /// holds only what is left.
+    /// Returns the status that is assumed of a process without a readable one: an older process may hold the
+    /// whole capacity, a newer one holds none.
     fn unpublished_status(&self, process: ProcessId, total: Capacity) -> ProcessStatus {
         let capacity = if process < self.own.started { total } else { Capacity::default() };
         ProcessStatus { started: process, stage: ProcessStage::Starting, capacity, in_flight: 0 }
@@ -184,7 +190,7 @@
         }
         match replace_file(&self.folder.join(status_file_name(self.own.started)), &line) {
             Ok(()) => self.published = line,
-            Err(error) => log(&format!("cannot say what this process takes: {error}")),
+            Err(error) => log(&format!("cannot publish the handover status of this process: {error}")),
         }
     }
 }
@@ -196,14 +202,14 @@
     }
 }
 
-/// The task that polls for other processes.
+/// Task that polls for other processes.
 pub struct HandoverTask {
     task: JoinHandle<()>,
     poller: HandoverPoller,
 }
 
 impl HandoverTask {
-    /// Requests polls of this task.
+    /// Returns a handle that requests polls from this task.
     pub fn poller(&self) -> HandoverPoller {
         self.poller.clone()
     }
@@ -215,14 +221,14 @@
     }
 }
 
-/// Requests polls between the intervals.
+/// Handle that requests polls between the intervals.
 #[derive(Clone)]
 pub struct HandoverPoller {
     requests: mpsc::Sender<oneshot::Sender<()>>,
 }
 
 impl HandoverPoller {
-    /// Has the folder read now, and waits until that is done.
+    /// Requests a poll and waits until it has been done.
     pub async fn poll_now(&self) {
         let (polled, done) = oneshot::channel();
         if self.requests.send(polled).await.is_ok() {
--- a/crates/stonevane-node/src/handover/tests.rs
+++ b/crates/stonevane-node/src/handover/tests.rs
@@ -4,35 +4,37 @@
 const TOTAL: Capacity = Capacity { connections: 320, memory: 16_000 };
 
 #[test]
-fn a_process_that_ends_leaves_all_its_capacity_at_every_moment_of_its_end() {
-    // Guards against a successor that takes an ending process for one that holds the whole capacity.
+fn an_ending_process_counts_with_its_published_capacity_until_it_is_gone() {
+    // Guards against a successor that reads the files of a process while it ends, takes it for one that
+    // has published nothing, and assumes that it holds the whole capacity.
     let folder = std::env::temp_dir().join(format!("spardeal-beside-test-{}", std::process::id()));
     let own = Handover::join(&folder, (1_000, 0)).unwrap();
-    for turn in 0..300 {
-        let mut old = Handover::join(&folder, (turn, 0)).unwrap();
+    for round in 0..300 {
+        let mut old = Handover::join(&folder, (round, 0)).unwrap();
         old.publish(Capacity { connections: 20, memory: 1_000 });
-        let ends = AtomicBool::new(false);
+        let may_end = AtomicBool::new(false);
         std::thread::scope(|scope| {
-            let ended = scope.spawn(|| {
-                while !ends.load(Ordering::Relaxed) {
+            let ending = scope.spawn(|| {
+                while !may_end.load(Ordering::Relaxed) {
                     std::hint::spin_loop();
                 }
                 drop(old);
             });
-            ends.store(true, Ordering::Relaxed);
+            may_end.store(true, Ordering::Relaxed);
             loop {
-                let done = ended.is_finished();
+                let done = ending.is_finished();
                 for other in own.others(TOTAL) {
-                    assert_eq!(other.capacity.connections, 20, "in turn {turn}");
+                    assert_eq!(other.capacity.connections, 20, "round {round}");
                 }
                 if done {
                     break;
                 }
             }
         });
-        assert!(own.others(TOTAL).is_empty(), "it has ended");
+        assert!(own.others(TOTAL).is_empty(), "the process has ended");
     }
-    // Its lock is already open here when it removes its files, and is still held: when it is read, it has ended.
+    // The lock file is opened before the ending process removes its files, and the lock is still held when it
+    // is read: the process counts as ended.
     let mut old = Handover::join(&folder, (998, 0)).unwrap();
     old.publish(Capacity { connections: 20, memory: 1_000 });
     let lock = File::open(own.folder.join(lock_file_name((998, 0)))).unwrap();
@@ -41,15 +43,15 @@
         std::fs::remove_file(own.folder.join(file)).unwrap();
     }
     assert_eq!(own.status_of((998, 0), &lock, TOTAL), None);
-    // One that holds its lock and has published nothing yet may hold the whole capacity.
-    let _starts = Handover::join(&folder, (999, 0)).unwrap();
+    // A process that holds its lock and has published nothing yet may hold the whole capacity.
+    let _starting = Handover::join(&folder, (999, 0)).unwrap();
     assert_eq!(own.others(TOTAL).iter().map(|other| other.capacity).collect::<Vec<_>>(), [TOTAL]);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn files_have_the_names_and_the_form_of_the_released_version() {
-    // Guards against processes of two versions that do not see each other while one replaces the other.
+fn file_names_and_contents_match_those_of_the_released_version() {
+    // Guards against processes of two versions that do not find each other while one replaces the other.
     let tmpdir = std::env::temp_dir().join(format!("handover-released-{}", std::process::id()));
     let mut own = Handover::join(&tmpdir, (1_764_747_017_000_000, 42)).unwrap();
     own.own.stage = ProcessStage::Serving;
@@ -71,10 +73,11 @@
     };
     assert_eq!(own.others(TOTAL), [released]);
     drop(own);
-    let left: Vec<_> = std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
+    let remaining: Vec<_> =
+        std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
     assert!(
-        left.iter().all(|file| file.to_string_lossy().starts_with("00001764747016000000-41")),
-        "{left:?}"
+        remaining.iter().all(|file| file.to_string_lossy().starts_with("00001764747016000000-41")),
+        "{remaining:?}"
     );
     std::fs::remove_dir_all(&tmpdir).unwrap();
 }
--- a/crates/stonevane-node/src/inherited_listener.rs
+++ b/crates/stonevane-node/src/inherited_listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket that the platform holds and passes on to each process of the node as a descriptor.
+//! The listening socket that the platform holds and passes to each process of the node as a descriptor.
 
 use std::io;
 use std::net::TcpListener;
@@ -11,31 +11,31 @@
 /// Standard input, output and error are never the clients' socket.
 const LAST_STANDARD_DESCRIPTOR: RawFd = 2;
 
-/// Why a descriptor is not the clients' socket.
+/// Reason why a descriptor cannot serve as the clients' socket.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritError {
-    /// The text is no number of a descriptor.
-    #[error("{0:?} is no descriptor")]
+    /// The text is not a descriptor number above that of standard error.
+    #[error("{0:?} is not a descriptor number; expected a number above 2")]
     NotADescriptor(String),
-    /// No descriptor of this number is open.
-    #[error("{0:?} is no open descriptor")]
+    /// No descriptor with this number is open.
+    #[error("descriptor {0:?} is not open")]
     NotOpen(String),
-    /// It is something else than a listening TCP socket.
-    #[error("{0:?} is no listening TCP socket")]
+    /// The descriptor is not a listening TCP socket.
+    #[error("descriptor {0:?} is not a listening TCP socket")]
     NotListening(String),
-    /// The socket cannot be used.
-    #[error("{0}")]
+    /// The socket cannot be switched to non-blocking mode.
+    #[error("cannot make the listening socket non-blocking: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Takes over the listening socket of a descriptor number.
+/// Returns a listener on the listening socket of a descriptor number.
 ///
 /// # Errors
-/// The descriptor is no listening TCP socket.
+/// The descriptor is not a listening TCP socket.
 pub fn inherit(number: &str) -> Result<TcpListener, InheritError> {
     let descriptor = number.parse::<RawFd>().ok().filter(|number| *number > LAST_STANDARD_DESCRIPTOR);
     let descriptor = descriptor.ok_or_else(|| InheritError::NotADescriptor(number.into()))?;
-    // A copy: the descriptor itself stays with whoever passed it on.
+    // Duplicated, so that the descriptor that was passed on stays open.
     let copy = FileDescriptor::dup(&descriptor).and_then(|copy| copy.as_file());
     let socket = OwnedFd::from(copy.map_err(|_| InheritError::NotOpen(number.into()))?);
     if !is_listening_tcp_socket(&socket) {
--- a/crates/stonevane-node/src/lib.rs
+++ b/crates/stonevane-node/src/lib.rs
@@ -1,5 +1,6 @@
-//! The daemon of one node: drives the core (`stonevane-core`) on sockets, with discovery, membership, and a store of
-//! record in the origin's place where the operator configures one.
+//! The daemon of one node. It drives the core (`stonevane-core`) on sockets and provides its surroundings:
+//! discovery, membership, the management address and, where the operator configures one, a store of record in
+//! place of the origin.
 
 mod cache_updates;
 mod cli;
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -1,5 +1,5 @@
-//! The management address: accepts operators' calls, one to a connection, and hands them to the driver. What the bytes
-//! mean is decided by `stonevane_core::management`.
+//! The management address: accepts operators' calls, one per connection, and passes them to the driver.
+//! `stonevane_core::management` parses the calls.
 
 use std::collections::VecDeque;
 use std::io::{ErrorKind, Result};
@@ -15,42 +15,43 @@
 
 use crate::driver::Driver;
 
-/// Connections at the same time.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 8;
-/// Descriptors that the management address holds: the listener, the connections, and those that are being accepted or
-/// closed.
+/// Maximum number of descriptors of the management address: the listener, the connections, and two that are
+/// being accepted or closed.
 pub const SOCKETS: usize = MAX_CONNECTIONS + 3;
-/// A call must be complete within this time.
+/// A call must be complete within this time after its connection is accepted.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// A call must be read and its answer taken within this time.
+/// A call must be read and its answer sent within this time.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
-/// What follows a call is read for so long, so that no reset takes the answer away.
-const HALF_CLOSED_TIME: Duration = Duration::from_millis(100);
+/// Input after the answer is read and discarded for this long: closing with unread input would reset the
+/// connection, and the reset could destroy the answer.
+const HALF_CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// A call that is still incomplete at this length is rejected.
+/// An incomplete call of more bytes than this is rejected.
 const MAX_CALL_BYTES: usize = 2 * MAX_HEAD;
-/// At most so much is read at once.
+/// Size of one read.
 const READ_BUFFER_BYTES: usize = 1024;
-/// Bytes that are discarded at once after a call.
+/// Size of one read of discarded input.
 const DISCARD_BUFFER_BYTES: usize = 512;
 
-/// How much of its call a connection has brought.
+/// How much of its call a connection has received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 enum CallStage {
-    Silent,
+    Empty,
     Partial,
     Complete,
 }
 
-/// The stage of a connection, shared with its task.
+/// Stage of a connection, shared with its task.
 #[derive(Clone)]
 struct SharedStage(Arc<AtomicU8>);
 
 impl SharedStage {
     fn new() -> SharedStage {
-        SharedStage(Arc::new(AtomicU8::new(CallStage::Silent as u8)))
+        SharedStage(Arc::new(AtomicU8::new(CallStage::Empty as u8)))
     }
 
     fn set(&self, stage: CallStage) {
@@ -68,7 +69,7 @@
     task: AbortHandle,
 }
 
-/// The open connections, the oldest first.
+/// Open connections, the oldest first.
 #[derive(Clone, Default)]
 struct Connections(Arc<Mutex<VecDeque<Connection>>>);
 
@@ -82,17 +83,17 @@
     }
 }
 
-/// Closes connections until there is capacity for one more: the oldest silent one first, then the oldest with an
-/// incomplete call, so that callers that say nothing keep nobody out.
+/// Closes connections until there is capacity for one more: the oldest without input first, then the oldest
+/// with an incomplete call, so that idle callers cannot lock out others.
 fn evict(connections: &mut VecDeque<Connection>) {
     while connections.len() >= MAX_CONNECTIONS {
         let oldest = |stage| connections.iter().position(|connection| connection.stage.is(stage));
-        let evicted = oldest(CallStage::Silent).or_else(|| oldest(CallStage::Partial)).unwrap_or(0);
+        let evicted = oldest(CallStage::Empty).or_else(|| oldest(CallStage::Partial)).unwrap_or(0);
         connections.remove(evicted).inspect(|connection| connection.task.abort());
     }
 }
 
-/// Accepts calls until the process ends.
+/// Accepts and serves calls until the process ends.
 pub async fn serve(listener: TcpListener, driver: Arc<Driver>) {
     let connections = Connections::default();
     for number in 0.. {
@@ -116,7 +117,7 @@
     let _ = stream.set_nodelay(true);
     let call = match timeout(READ_TIMEOUT, read_call(&mut stream, stage)).await {
         Ok(call) => call?,
-        Err(_) => Err(Answer::line(408, "no whole call in time")),
+        Err(_) => Err(Answer::line(408, "the call was not complete in time")),
     };
     stage.set(CallStage::Complete);
     let answer = match call {
@@ -125,11 +126,11 @@
     };
     stream.write_all(&answer.bytes()).await?;
     stream.shutdown().await?;
-    let _ = timeout(HALF_CLOSED_TIME, discard_input(&mut stream)).await;
+    let _ = timeout(HALF_CLOSE_TIMEOUT, discard_input(&mut stream)).await;
     Ok(())
 }
 
-/// Reads a call, or the answer that rejects it.
+/// Reads a call. The inner error is the answer that rejects a malformed or overlong call.
 async fn read_call(stream: &mut TcpStream, stage: &SharedStage) -> Result<std::result::Result<Call, Answer>> {
     let mut bytes = Vec::with_capacity(READ_BUFFER_BYTES);
     let mut buffer = [0; READ_BUFFER_BYTES];
--- a/crates/stonevane-node/src/membership/config.rs
+++ b/crates/stonevane-node/src/membership/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of membership: `[fleet]` of the operator file, and the peers of the platform's configuration.
+//! The configuration of membership: `[fleet]` of the operator file, and the peers of the platform's
+//! configuration.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasher, RandomState};
@@ -10,55 +11,55 @@
 use crate::clock::to_micros;
 use crate::config::Config;
 
-/// A fleet has at most so many members.
+/// Maximum number of members of a fleet.
 const MAX_MEMBERS: usize = 4_096;
 
-/// What is wrong with the peers of a configuration.
+/// Error in the peers of a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PeersError {
-    /// The address for datagrams cannot be read.
-    #[error("[fleet]: unusable peer_listen in the configuration: {0:?}")]
+    /// `peer_listen` is not a socket address.
+    #[error("[fleet]: unusable peer_listen in the configuration: {0:?}; expected IP:PORT")]
     UnusableListen(String),
-    /// The address of a peer cannot be read.
-    #[error("[fleet]: unusable peers[{number}] in the configuration: {text:?}")]
+    /// The address of a peer is not a socket address.
+    #[error("[fleet]: unusable peers[{number}] in the configuration: {text:?}; expected IP:PORT")]
     UnusablePeer {
-        /// The peer's number.
+        /// Index of the peer in the list.
         number: usize,
-        /// Its address, as the file has it.
+        /// Address as written in the file.
         text: String,
     },
     /// Two peers have the same address.
     #[error("[fleet]: `peers` names {address} twice, as {first} and {second}")]
     Duplicate {
-        /// The address.
+        /// Address of both peers.
         address: SocketAddr,
-        /// The first peer that has it.
+        /// Index of the first peer with the address.
         first: usize,
-        /// A later one.
+        /// Index of the later peer.
         second: usize,
     },
-    /// There are no peers, or too many.
-    #[error("[fleet]: `peers` names {0} nodes; 1 to {MAX_MEMBERS}")]
+    /// The number of peers is not within 1 to `MAX_MEMBERS`.
+    #[error("[fleet]: `peers` names {0} nodes; accepted: 1 to {MAX_MEMBERS}")]
     Count(usize),
-    /// This node is none of the peers.
-    #[error("[fleet]: this node has number {own}, and `peers` names {count}")]
+    /// The number of this node is not an index of the peers.
+    #[error("[fleet]: this node has number {own}, but `peers` names {count} nodes, numbered from 0")]
     OwnNumber {
-        /// This node's number.
+        /// Number of this node.
         own: u32,
-        /// How many peers there are.
+        /// Number of peers.
         count: usize,
     },
-    /// A later list of peers is shorter than the one in force.
-    #[error("[fleet]: `peers` names {present} nodes, and named {previous} before")]
+    /// A reload shortens the list of peers; members keep their numbers, so the list can only grow.
+    #[error("[fleet]: `peers` names {present} nodes and named {previous} before; nodes can only be added")]
     Fewer {
-        /// Peers of the later list.
+        /// Number of peers in the new list.
         present: usize,
-        /// Peers of the list in force.
+        /// Number of peers in the list in force.
         previous: usize,
     },
 }
 
-/// The configuration of membership.
+/// Configuration of membership, checked.
 #[derive(Debug)]
 pub struct MembershipConfig {
     pub(super) setup: Setup,
@@ -67,10 +68,10 @@
 }
 
 impl MembershipConfig {
-    /// Reads it from the configuration of the process.
+    /// Derives the configuration of membership from that of the process.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// All errors of `peer_listen` and the peers.
     pub fn new(fleet: &operator::Fleet, config: &Config) -> Result<MembershipConfig, Vec<PeersError>> {
         let listen = config.peer_listen.parse::<SocketAddr>();
         let listen = listen.map_err(|_| PeersError::UnusableListen(config.peer_listen.clone()));
@@ -97,12 +98,13 @@
     }
 }
 
-/// A nonce from the operating system's randomness: with the configuration's seed or a clock, two starts could share it.
+/// Returns a nonce from the operating system's randomness: derived from the configuration's seed or a clock,
+/// two starts of a node could have the same one.
 fn instance_nonce() -> u32 {
     RandomState::new().hash_one(std::process::id()) as u32
 }
 
-/// The addresses of the peers, in the order of their numbers.
+/// Parses the addresses of the peers, in the order of their numbers.
 pub(super) fn peer_addresses(config: &Config) -> Result<Vec<SocketAddr>, Vec<PeersError>> {
     let mut errors = Vec::new();
     let mut first_numbers: HashMap<SocketAddr, usize> = HashMap::new();
--- a/crates/stonevane-node/src/membership/mod.rs
+++ b/crates/stonevane-node/src/membership/mod.rs
@@ -1,7 +1,8 @@
-//! This node's membership: the socket at `peer_listen`, driving the state machine of `stonevane-membership`.
+//! Membership of this node: drives the state machine of `stonevane-membership` on the UDP socket at
+//! `peer_listen`.
 //!
-//! Datagrams are read in bounded batches, so that a flood of them delays no request. A datagram that is refused is counted
-//! and not logged.
+//! Datagrams are read in bounded batches, so that a flood of them does not delay requests. Rejected datagrams
+//! are counted, not logged.
 
 mod config;
 mod report;
@@ -29,23 +30,23 @@
     peers: PeerTable,
 }
 
-/// This node's membership.
+/// Membership of this node, shared by the tasks of the process.
 pub struct Membership {
     inner: Mutex<Inner>,
     socket: UdpSocket,
-    /// The protocol period.
+    /// Protocol period, in microseconds.
     period: Micros,
     clock: Clock,
-    /// Datagrams of addresses that are none of the peers'.
+    /// Number of datagrams from addresses that are not peers.
     unknown_peer: AtomicU64,
-    /// Datagrams that the kernel did not take.
+    /// Number of datagrams that the kernel did not accept for sending.
     unsent: AtomicU64,
-    /// The machine has handled an input of another task, and may be due earlier.
+    /// Notified when another task has passed an input to the machine, whose next timeout may then be earlier.
     rescheduled: Notify,
 }
 
 impl Membership {
-    /// Opens the socket.
+    /// Opens the socket and starts the state machine.
     ///
     /// # Errors
     /// The address cannot be bound.
@@ -54,7 +55,13 @@
         let socket = UdpSocket::bind(listen).await;
         let socket = socket.map_err(|e| Error::new(e.kind(), format!("peer_listen {listen}: {e}")))?;
         let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
-        tracing::info!(me = setup.number, members = setup.members, %listen, keyed = setup.key.is_some(), "fleet");
+        tracing::info!(
+            me = setup.number,
+            members = setup.members,
+            %listen,
+            keyed = setup.key.is_some(),
+            "membership started"
+        );
         let period = setup.period;
         let machine = Machine::new(clock.now(), setup);
         let inner = Inner { machine, outputs: Outputs::default(), peers: PeerTable::new(peers) };
@@ -73,7 +80,8 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes part until the process ends, and reports how many nodes share the fleet's limits whenever that changes.
+    /// Runs membership until the process ends. Calls `on_node_count` with the number of nodes that share the
+    /// fleet's limits whenever that changes.
     pub async fn run(self: Arc<Self>, on_node_count: impl Fn(u32)) {
         self.handle(Input::Wake);
         let mut node_count = 0;
@@ -95,11 +103,12 @@
         }
     }
 
-    /// Takes over the peers of a newer configuration: members that have moved are reached at their new addresses, and
-    /// new ones count as unknown.
+    /// Applies the peers of a newer configuration: members that have moved are reached at their new
+    /// addresses, and new members start as unknown.
     ///
     /// # Errors
-    /// What is wrong with the list; the one in force stays. Members keep their numbers, so a shorter list is rejected.
+    /// All errors of the list; the one in force stays. Members keep their numbers, so a shorter list is
+    /// rejected.
     pub fn update_peers(&self, config: &Config) -> std::result::Result<(), Vec<PeersError>> {
         let addresses = config::peer_addresses(config)?;
         let present = addresses.len();
@@ -114,20 +123,20 @@
         let previous = previous.addresses();
         let moved = previous.iter().zip(&addresses).filter(|(before, now)| before != now).count();
         if moved > 0 || previous.len() < present {
-            tracing::info!(members = present, moved, "peers");
+            tracing::info!(members = present, moved, "membership peers updated");
             self.handle(Input::Members(present as MemberId));
             self.rescheduled.notify_one();
         }
         Ok(())
     }
 
-    /// Announces that this node leaves.
+    /// Announces to the other members that this node leaves.
     pub fn leave(&self) {
         self.handle(Input::Leave);
         self.rescheduled.notify_one();
     }
 
-    /// What this node knows of the others, as JSON; `brief`: a letter for each.
+    /// Returns this node's view of the members as JSON. With `brief` it is one letter for each member.
     pub fn report(&self, now: Micros, brief: bool) -> String {
         let inner = self.lock();
         if brief {
@@ -135,11 +144,11 @@
         }
         let (status, peers) = (inner.machine.status(), inner.peers.clone());
         drop(inner);
-        let figures = report::SocketFigures {
+        let socket_counts = report::SocketCounts {
             unknown_peer: self.unknown_peer.load(Ordering::Relaxed),
             unsent: self.unsent.load(Ordering::Relaxed),
         };
-        report::full(&status, peers.addresses(), self.period, now, &figures)
+        report::full(&status, peers.addresses(), self.period, now, &socket_counts)
     }
 
     fn receive(&self, from: SocketAddr, bytes: &[u8]) {
@@ -150,7 +159,7 @@
         }
     }
 
-    /// Brings an input to the machine, sends its datagrams and logs its events.
+    /// Passes an input to the machine, sends the resulting datagrams and logs the resulting events.
     fn handle(&self, input: Input<'_>) {
         let mut inner = self.lock();
         let inner = &mut *inner;
@@ -177,6 +186,6 @@
         generation = record.instance.generation,
         draw = record.instance.nonce,
         incarnation = record.incarnation,
-        "member"
+        "member state changed"
     );
 }
--- a/crates/stonevane-node/src/membership/report.rs
+++ b/crates/stonevane-node/src/membership/report.rs
@@ -1,4 +1,4 @@
-//! The membership report of the management address, as JSON.
+//! The membership report of the management address, as JSON. Times are in milliseconds.
 
 use std::net::SocketAddr;
 
@@ -8,50 +8,51 @@
 
 const MICROS_PER_MS: Micros = 1_000;
 
-/// What the report takes from the socket's side.
-pub(super) struct SocketFigures {
-    /// Datagrams of addresses that are none of the peers'.
+/// Counters of the socket that the report includes.
+pub(super) struct SocketCounts {
+    /// Number of datagrams from addresses that are not peers.
     pub unknown_peer: u64,
-    /// Datagrams that the kernel did not take.
+    /// Number of datagrams that the kernel did not accept for sending.
     pub unsent: u64,
 }
 
-/// The initial of each member's state, `?` for an unknown one.
+/// Returns the brief report: the initial of each member's state, `?` for an unknown one.
 pub(super) fn brief(machine: &Machine, members: usize) -> String {
     let initial = |member: MemberId| machine.state(member).map_or("?", |state| &state.name()[..1]);
     let view: String = (0..members as MemberId).map(initial).collect();
     json!({ "view": view }).to_string()
 }
 
-/// The whole report.
+/// Returns the full report.
 pub(super) fn full(
     status: &Status,
     addresses: &[SocketAddr],
     period: Micros,
     now: Micros,
-    figures: &SocketFigures,
+    socket_counts: &SocketCounts,
 ) -> String {
     let members = status.members.iter();
     let members = members.map(|entry| member(status, entry, addresses[usize::from(entry.member)], now));
     let counts = &status.counts;
     json!({
         "me": status.number, "life": status.instance.nonce, "generation": status.instance.generation,
-        "incarnation": status.incarnation, "health": status.health, "digest": format!("{:08x}", status.digest),
+        "incarnation": status.incarnation, "health": status.health,
+        "digest": format!("{:08x}", status.digest),
         "period_ms": period / MICROS_PER_MS, "alone_ms": milliseconds_since(status.isolated_since, now),
         "members": members.collect::<Vec<_>>(),
-        "datagrams": datagrams(counts, figures),
+        "datagrams": datagrams(counts, socket_counts),
         "probes_failed": counts.probes_failed, "accused": counts.accused, "declared": counts.declared,
         "refuted": counts.refuted, "stood_still": counts.pauses, "claimed": counts.identity_conflicts,
     })
     .to_string()
 }
 
-fn datagrams(counts: &Counts, figures: &SocketFigures) -> Value {
+fn datagrams(counts: &Counts, socket_counts: &SocketCounts) -> Value {
     json!({
         "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
-        "heard_bytes": counts.heard_bytes, "unsent": figures.unsent,
+        "heard_bytes": counts.heard_bytes, "unsent": socket_counts.unsent,
         "refused": {
-            "stranger": figures.unknown_peer, "length": counts.refused_length,
+            "stranger": socket_counts.unknown_peer, "length": counts.refused_length,
             "version": counts.refused_version, "digest": counts.refused_digest, "form": counts.refused_form,
             "address": counts.refused_address, "old": counts.refused_old,
         },
@@ -73,7 +74,7 @@
     })
 }
 
-/// Whether this node and a member reach each other.
+/// Describes whether this node and a member reach each other.
 fn link(status: &Status, entry: &MemberStatus) -> &'static str {
     if entry.member == status.number {
         "self"
--- a/crates/stonevane-node/src/process.rs
+++ b/crates/stonevane-node/src/process.rs
@@ -16,16 +16,16 @@
 use crate::log::log;
 use crate::management;
 use crate::membership::{Membership, MembershipConfig};
-use crate::signals::{Reloads, Signals, Termination};
+use crate::signals::{Reloader, Signals, Termination};
 use crate::store::OriginStore;
 
-/// Set to 1, each step of each request and each connection that is closed is a line of the log.
+/// Environment variable that, if set to 1, logs each step of each request and each closed connection.
 const TRACE_VARIABLE: &str = "SPARDEAL_TRACE";
 
 /// Runs a node until it has drained.
 ///
 /// # Errors
-/// A socket cannot be opened, or a signal not be handled.
+/// A socket cannot be opened or a signal handler cannot be installed.
 pub async fn run(
     mut config: Config,
     store: Option<Arc<OriginStore>>,
@@ -66,8 +66,8 @@
         membership: membership.clone(),
         driver: driver.clone(),
     };
-    let reloads = Reloads { document, membership, driver: driver.clone() };
-    signals.spawn_handlers(termination, reloads);
+    let reloader = Reloader { document, membership, driver: driver.clone() };
+    signals.spawn_handlers(termination, reloader);
 
     driver.run(listener).await;
     if let Some(handover) = handover {
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// The folder in which processes of this node meet and exclusions are persisted.
+/// Returns the folder (`$TMPDIR`) in which processes of this node meet and exclusions are persisted.
 fn temporary_folder() -> Option<PathBuf> {
     std::env::var_os("TMPDIR").filter(|folder| !folder.is_empty()).map(PathBuf::from)
 }
@@ -98,7 +98,7 @@
     let listener = TcpListener::bind(address)
         .await
         .map_err(|error| Error::new(error.kind(), format!("mgmt {address}: {error}")))?;
-    log(&format!("the second address is {}", listener.local_addr()?));
+    log(&format!("management address listening on {}", listener.local_addr()?));
     Ok(Some(listener))
 }
 
@@ -110,7 +110,7 @@
     inherits_listener: bool,
 ) -> CoreConfig {
     let mut deployment = config.deployment;
-    // A process that takes over from another gets its clients gradually, and needs no start-up limit.
+    // A process that takes over from another receives its clients gradually and needs no start-up limit.
     deployment.settings.startup_attempts_per_server =
         if inherits_listener { 0.0 } else { config.operator.start.each };
     deployment.settings.coalesce_fetches = store.is_some_and(OriginStore::coalesces_fetches);
@@ -132,8 +132,8 @@
     }
 }
 
-/// Joins the processes of this node. The first poll comes before anything is accepted: what the process to be replaced
-/// holds counts for both.
+/// Joins the processes of this node. The first poll precedes the first accepted connection: the capacity that
+/// the process to be replaced holds counts against both.
 fn join_handover(tmpdir: &Path, clock: Clock, driver: &Arc<Driver>) -> Option<HandoverTask> {
     match Handover::join(tmpdir, (clock.now(), std::process::id())) {
         Ok(mut handover) => {
@@ -141,13 +141,13 @@
             Some(handover.spawn(driver.clone()))
         }
         Err(error) => {
-            log(&format!("another process of this node can't be told from here: {error}"));
+            log(&format!("handover disabled: cannot register among the processes of this node: {error}"));
             None
         }
     }
 }
 
-/// Runs membership, and notifies the core of how many nodes share the fleet's limits.
+/// Runs membership, and reports to the core how many nodes share the fleet's limits.
 fn spawn_membership(membership: Arc<Membership>, driver: Arc<Driver>) {
     tokio::spawn(membership.run(move |nodes| driver.input(Input::NodeCount(nodes))));
 }
--- a/crates/stonevane-node/src/signals.rs
+++ b/crates/stonevane-node/src/signals.rs
@@ -12,7 +12,7 @@
 use crate::log::log;
 use crate::membership::Membership;
 
-/// The signals that are handled, from their installation on.
+/// Streams of the handled signals; a signal that arrives after the installation is not lost.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -20,10 +20,10 @@
 }
 
 impl Signals {
-    /// Handles the signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// A signal cannot be handled.
+    /// A signal handler cannot be installed.
     pub fn install() -> Result<Signals> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -33,7 +33,7 @@
     }
 
     /// Starts the tasks that act on the signals.
-    pub fn spawn_handlers(self, termination: Termination, mut reloads: Reloads) {
+    pub fn spawn_handlers(self, termination: Termination, mut reloader: Reloader) {
         let Signals { mut terminate, mut interrupt, mut hangup } = self;
         tokio::spawn(async move {
             tokio::select! { _ = terminate.recv() => {}, _ = interrupt.recv() => {} }
@@ -41,25 +41,25 @@
         });
         tokio::spawn(async move {
             while hangup.recv().await.is_some() {
-                reloads.reload();
+                reloader.reload();
             }
         });
     }
 }
 
-/// What is notified that the node drains.
+/// Components that a drain involves.
 pub struct Termination {
-    /// Polls the other processes of the node.
+    /// Polls the other processes of the node, if it takes part in handovers.
     pub handover: Option<HandoverPoller>,
-    /// Membership, where the node takes part in it.
+    /// Membership, if the node takes part in it.
     pub membership: Option<Arc<Membership>>,
     /// The driver of the core.
     pub driver: Arc<Driver>,
 }
 
 impl Termination {
-    /// Begins the drain. Whether a newer process takes over is known before anything is closed, and that process learns at
-    /// once that it accepts alone.
+    /// Begins the drain. The first poll finds out whether a newer process takes over before anything is
+    /// closed; the second tells that process at once that it is the only one that accepts connections.
     async fn begin(self) {
         self.poll_handover().await;
         if let Some(membership) = &self.membership {
@@ -76,18 +76,18 @@
     }
 }
 
-/// What a reload of the configuration acts on.
-pub struct Reloads {
-    /// The configuration file that is in force.
+/// Components that a reload of the configuration updates.
+pub struct Reloader {
+    /// The parsed configuration file that is in force.
     pub document: serde_json::Value,
-    /// Membership, where the node takes part in it.
+    /// Membership, if the node takes part in it.
     pub membership: Option<Arc<Membership>>,
     /// The driver of the core.
     pub driver: Arc<Driver>,
 }
 
-impl Reloads {
-    /// Reads the configuration again. One that cannot be used changes nothing, and never ends the process.
+impl Reloader {
+    /// Reads the configuration again. An unusable one changes nothing and does not end the process.
     fn reload(&mut self) {
         match Config::reload(&self.document) {
             Ok(config) => self.apply(config),
@@ -99,12 +99,12 @@
         if let Some(Err(errors)) = self.membership.as_ref().map(|membership| membership.update_peers(&config))
         {
             for error in errors {
-                log(&format!("reload: {error}; the old peers stay"));
+                log(&format!("reload: {error}; the previous peers stay in force"));
             }
         }
         self.document = config.document;
         let classes = config.deployment.classes.join(", ");
-        log(&format!("reload: discovery is at {}, classes are {classes}", config.discovery));
+        log(&format!("configuration reloaded: discovery {}, request classes {classes}", config.discovery));
         self.driver.input(Input::Settings(Box::new(config.deployment)));
         self.driver.input(Input::DiscoveryMoved(config.discovery));
     }
--- a/crates/stonevane-node/src/store/circuit_breaker.rs
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -1,5 +1,5 @@
-//! The circuit breaker in front of the store: while the store does not answer, calls fail at once, and the policy is
-//! notified for how long they will.
+//! The circuit breaker in front of the store: while the store does not answer, calls fail at once, and the
+//! policy is notified how long that lasts.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
@@ -15,7 +15,7 @@
 
 const MICROS_PER_MS: Micros = 1_000;
 
-/// The breaker with the clock and the random numbers that it needs.
+/// The breaker with its clock and random numbers.
 pub(super) struct CircuitBreaker(Mutex<BreakerState>);
 
 struct BreakerState {
@@ -30,17 +30,17 @@
     }
 }
 
-/// How calls changed the breaker.
+/// Change of the breaker's state by the end of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Transition {
-    /// It is open, or has become so again: no calls for this long.
+    /// The breaker opened, or opened again: no calls for this time, in microseconds.
     Opened(Micros),
-    /// It has left the open state.
+    /// The breaker has left the open state.
     Closed,
 }
 
 impl CircuitBreaker {
-    /// A closed breaker.
+    /// Returns a closed breaker.
     pub fn new(limits: Limits, seed: u64) -> CircuitBreaker {
         let breaker = Breaker::new(limits);
         let random = Rand64::new(seed.into());
@@ -63,16 +63,16 @@
         state.breaker.abandoned(now);
     }
 
-    /// Takes the end of a call into account.
+    /// Records the end of a call. Returns the change of state, if any.
     fn record(&self, answered: bool) -> Option<Transition> {
         let mut state = self.lock();
         let now = state.now();
-        let drawn = state.random.rand_float();
+        let random_fraction = state.random.rand_float();
         let before = state.breaker.state();
         if answered {
             state.breaker.answered();
         } else {
-            state.breaker.failed(now, drawn);
+            state.breaker.failed(now, random_fraction);
         }
         match (before, state.breaker.state()) {
             (State::Open { .. }, State::Open { .. }) | (State::Closed { .. }, State::Closed { .. }) => None,
@@ -82,51 +82,53 @@
     }
 }
 
-/// Permission for one call. Dropped without an outcome, the call was given up: a probe then has no result.
+/// Permission for one call. If it is dropped without an outcome, the call was abandoned; a probe then has no
+/// result.
 pub(super) struct Permit {
     inner: Arc<Inner>,
     is_probe: bool,
-    /// How many calls the store had answered when this one was admitted.
+    /// Number of calls that the store had answered when this one was admitted.
     answered_before: u64,
 }
 
 impl Permit {
     /// Admits a call, unless the breaker is open.
     pub fn acquire(inner: &Arc<Inner>) -> Result<Permit, StoreError> {
-        let word = inner.breaker.admit();
-        if matches!(word, Word::Refuse { .. }) {
+        let admission = inner.breaker.admit();
+        if matches!(admission, Word::Refuse { .. }) {
             return Err(StoreError::Stopped);
         }
         Ok(Permit {
             inner: inner.clone(),
-            is_probe: word == Word::Probe,
+            is_probe: admission == Word::Probe,
             answered_before: inner.store.answered(),
         })
     }
 
-    /// Takes the outcome of the call into account, and notifies the policy when the store becomes available or unavailable.
+    /// Records the outcome of the call, and notifies the policy when the store becomes available or
+    /// unavailable.
     pub fn complete<T>(mut self, result: &Result<T, StoreError>) {
         self.is_probe = false;
         let outage = result.as_ref().err().filter(|error| self.is_outage(error));
         let Some(transition) = self.inner.breaker.record(outage.is_none()) else { return };
-        let unavailable = match transition {
-            Transition::Opened(pause) => pause,
+        let unavailable_for = match transition {
+            Transition::Opened(duration) => duration,
             Transition::Closed => 0,
         };
         match outage {
             Some(error) => {
                 self.inner.counters.outages.increment();
-                log(&format!("store: {error}; no call for {} ms", unavailable / MICROS_PER_MS));
+                log(&format!("store: {error}; calls are paused for {} ms", unavailable_for / MICROS_PER_MS));
             }
             None => log("store: it answers again"),
         }
         if let Some(on_unavailable) = self.inner.on_unavailable.get() {
-            on_unavailable(unavailable);
+            on_unavailable(unavailable_for);
         }
     }
 
-    /// Whether an error shows that the store does not answer. A call that only waited too long, for a row's lock or a
-    /// place in the pool, does not show it: the store has answered others meanwhile.
+    /// Returns whether an error shows that the store does not answer. A call that timed out waiting for a row
+    /// lock or a pooled connection does not show it if the store has answered other calls meanwhile.
     fn is_outage(&self, error: &StoreError) -> bool {
         let none_answered = self.inner.store.answered() == self.answered_before;
         error.is_silence() && (none_answered || *error == StoreError::Behind)
--- a/crates/stonevane-node/src/store/counters.rs
+++ b/crates/stonevane-node/src/store/counters.rs
@@ -1,14 +1,14 @@
-//! What the store's side has done, for the line of the log at the end of the process.
+//! Counters of the calls to the store, for the log line at the end of the process.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// A number that only grows.
+/// Monotonic counter.
 #[derive(Debug, Default)]
 pub(super) struct Counter(AtomicU64);
 
 impl Counter {
-    /// Counts one.
+    /// Adds one.
     pub fn increment(&self) {
         self.0.fetch_add(1, Ordering::Relaxed);
     }
@@ -20,22 +20,22 @@
     }
 }
 
-/// Counters since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Default)]
 pub(super) struct Counters {
-    /// Queries to the store.
+    /// Queries sent to the store.
     pub queries: Counter,
-    /// Fetches that joined the query of another.
+    /// Fetches that joined another fetch's query.
     pub joined: Counter,
     /// Fetches that were repeated because their value was older than an edit that the client knew of.
     pub refetched: Counter,
-    /// Edits.
+    /// Edits that were started.
     pub edits: Counter,
-    /// Times that the store stopped answering.
+    /// Number of times that the breaker opened because the store did not answer.
     pub outages: Counter,
     /// Changes that the store has announced.
     pub changes: Counter,
-    /// Own edits without an answer that a change has settled.
+    /// Own edits without an answer whose change the store has announced, so that caches could be invalidated.
     pub settled: Counter,
 }
 
--- a/crates/stonevane-node/src/store/edits.rs
+++ b/crates/stonevane-node/src/store/edits.rs
@@ -1,4 +1,5 @@
-//! Edits: each fences the fetches of its key until the store has answered, and invalidates older copies at caches.
+//! Edits. Each edit fences the fetches of its key until the store has answered, and invalidates older copies
+//! in caches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,13 +14,13 @@
 use super::{CallKind, Inner, failed, key_text, served};
 use crate::cache_updates::PendingInvalidation;
 
-/// The store remembers idempotency keys for at least so long, in milliseconds.
+/// Minimum time for which the store remembers idempotency keys, in milliseconds.
 const MIN_IDEMPOTENCY_WINDOW_MS: u64 = 60_000;
 const MICROS_PER_MS: u64 = 1_000;
-/// The fact of a command that holds its idempotency key.
-const IDEMPOTENCY_KEY_FACT: &str = "k=";
+/// Prefix of the fact of a command that holds its idempotency key.
+const IDEMPOTENCY_KEY_PREFIX: &str = "k=";
 
-/// While it exists, no fetch of the key that began before counts as current.
+/// Fence of a key: while it exists, fetches of the key that began before it do not count as current.
 struct FetchFence {
     inner: Arc<Inner>,
     key: String,
@@ -40,7 +41,7 @@
     }
 }
 
-/// What became of an edit at the store and at the caches.
+/// Result of an edit at the store, and its invalidation at the caches.
 struct EditOutcome {
     receipt: Result<Receipt, StoreError>,
     invalidation: Option<PendingInvalidation>,
@@ -52,7 +53,7 @@
     }
 }
 
-/// Carries out an edit.
+/// Carries out an edit and returns the reply with its version.
 pub(super) async fn edit(inner: &Arc<Inner>, call: StoreCall) -> Reply {
     match edit_store(inner, &call).await {
         Ok(version) => served(version.to_string().into()),
@@ -60,14 +61,15 @@
     }
 }
 
-/// Carries out an edit; the version that it has made.
+/// Carries out an edit. Returns the version that it created.
 async fn edit_store(inner: &Arc<Inner>, call: &StoreCall) -> Result<u64, StoreError> {
     let edit = edit_of(call)?;
     let permit = Permit::acquire(inner)?;
     let fence = FetchFence::raise(inner, edit.key.clone())?;
     inner.counters.edits.increment();
     let (sender, outcome) = oneshot::channel();
-    // A task of its own: given up by the node the edit goes on all the same, and so must its fence and its invalidation.
+    // A task of its own: if the node abandons the call the edit still runs, so its fence and its invalidation
+    // have to continue too.
     tokio::spawn(async move {
         let outcome = run_edit(fence, edit).await;
         let _ = sender.send(outcome);
@@ -92,7 +94,7 @@
     Ok(Edit {
         key: key_text(&command.key)?,
         value: command.value.as_ref().map(|value| value.to_vec()).unwrap_or_default(),
-        token: facts.find_map(|fact| fact.strip_prefix(IDEMPOTENCY_KEY_FACT)).map(str::to_owned),
+        token: facts.find_map(|fact| fact.strip_prefix(IDEMPOTENCY_KEY_PREFIX)).map(str::to_owned),
         remember_ms: window_ms.max(MIN_IDEMPOTENCY_WINDOW_MS),
     })
 }
@@ -101,7 +103,7 @@
     let FetchFence { inner, key } = &fence;
     let receipt = inner.store.edit(edit).await;
     match &receipt {
-        Ok(receipt) if !receipt.repeat => inner.own_edits().receive(receipt.version),
+        Ok(receipt) if !receipt.repeat => inner.own_edits().record_receipt(receipt.version),
         Err(error) if !error.proves_not_done() => inner.edit_unanswered(key).await,
         _ => {}
     }
@@ -113,7 +115,8 @@
     EditOutcome { receipt, invalidation }
 }
 
-/// Where receipts wait for caches: the edit is done, but a cache may still hold the value before it.
+/// Waits for the invalidation if receipts wait for caches. On a timeout the edit is done, but a cache may
+/// still hold the previous value.
 async fn await_invalidation(
     inner: &Inner,
     invalidation: Option<PendingInvalidation>,
--- a/crates/stonevane-node/src/store/fetches.rs
+++ b/crates/stonevane-node/src/store/fetches.rs
@@ -1,4 +1,5 @@
-//! Fetches: all fetches of a key that are in flight at once share one query, whichever of their callers leave.
+//! Fetches. All fetches of a key that are in flight at once share one query, even if some of their callers
+//! leave.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,35 +15,35 @@
 use super::circuit_breaker::Permit;
 use super::{CallKind, Inner, failed, key_text, served};
 
-/// A joiner of a shared fetch has no deadline of its own: its client's request has one.
+/// Joiners of a shared fetch have no deadline of their own: the client's request has one.
 const NO_DEADLINE: u64 = u64::MAX;
 
-/// A value of the store.
+/// Value of the store for a key.
 #[derive(Clone)]
 struct Value {
     bytes: Bytes,
-    /// Its version; 0 where the store has no value.
+    /// Version of the value; 0 if the store has no value.
     version: u64,
-    /// Whether caches may keep it.
+    /// Whether caches may keep the value.
     cacheable: bool,
 }
 
 type FetchResult = Result<Value, StoreError>;
 
-/// The fetches in flight and those who wait for them.
+/// Fetches in flight and their waiters.
 pub(super) struct FetchTable {
     pub flights: Flights<String>,
-    waiting: HashMap<JoinerId, oneshot::Sender<FetchResult>>,
+    waiters: HashMap<JoinerId, oneshot::Sender<FetchResult>>,
     tasks: HashMap<FlightId, AbortHandle>,
     next_joiner: JoinerId,
 }
 
 impl FetchTable {
-    /// No fetches.
+    /// Returns a table without fetches.
     pub fn new() -> FetchTable {
         FetchTable {
             flights: Flights::new(Limits::default()),
-            waiting: HashMap::new(),
+            waiters: HashMap::new(),
             tasks: HashMap::new(),
             next_joiner: 1,
         }
@@ -55,7 +56,7 @@
     }
 }
 
-/// One who waits for a fetch. Dropped, it has left; when the last one leaves, the fetch is ended.
+/// Waiter for a shared fetch. Dropping it leaves the fetch, which is aborted when its last waiter leaves.
 struct Waiter {
     inner: Arc<Inner>,
     joiner: JoinerId,
@@ -64,7 +65,7 @@
 impl Drop for Waiter {
     fn drop(&mut self) {
         let mut fetches = self.inner.fetches();
-        fetches.waiting.remove(&self.joiner);
+        fetches.waiters.remove(&self.joiner);
         if let Some(flight) = fetches.flights.leave(self.joiner)
             && let Some(task) = fetches.tasks.remove(&flight)
         {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Carries out a fetch.
+/// Carries out a fetch, and sends the value to the caches that missed.
 pub(super) async fn fetch(inner: &Arc<Inner>, call: StoreCall) -> Reply {
     match fetch_current(inner, &call).await {
         Ok(value) => {
@@ -84,8 +85,9 @@
     }
 }
 
-/// Fetches a value that is no older than an edit on another node which the request's cache knows of. A shared fetch may
-/// have begun before that edit; one that begins now began after it.
+/// Fetches a value that is no older than `min_version`, the newest version of the key that the request's
+/// cache has been notified of. A shared fetch may have begun before that edit, so a stale result is fetched
+/// once more: a fetch that begins now began after the edit.
 async fn fetch_current(inner: &Arc<Inner>, call: &StoreCall) -> FetchResult {
     let key = key_text(&call.command.key)?;
     let is_stale = |fetched: &FetchResult| matches!(fetched, Ok(value) if value.version < call.min_version);
@@ -94,7 +96,7 @@
         inner.counters.refetched.increment();
         fetched = fetch_shared(inner, key).await;
     }
-    // A replica of the store that lags, and does not know it.
+    // The store is a replica that lags without knowing it.
     if is_stale(&fetched) { Err(StoreError::Behind) } else { fetched }
 }
 
@@ -107,10 +109,10 @@
     }
 }
 
-/// Waits for the value of a key together with all others that do.
+/// Fetches a key, sharing the query with all concurrent fetches of it.
 async fn fetch_shared(inner: &Arc<Inner>, key: String) -> FetchResult {
     if !inner.coalesces_fetches {
-        // Nothing fences this fetch against edits: no cache may keep its value.
+        // Edits do not fence this fetch, so no cache may keep its value.
         return query(inner, &key).await.map(|value| Value { cacheable: false, ..value });
     }
     let (sender, fetched) = oneshot::channel();
@@ -120,7 +122,7 @@
     fetched
 }
 
-/// Joins the fetch of a key, or begins it in a task of its own: whoever came first may leave.
+/// Joins the fetch of a key, or starts one in a task of its own, which outlives the waiter that started it.
 fn join(inner: &Arc<Inner>, key: String, sender: oneshot::Sender<FetchResult>) -> Result<Waiter, StoreError> {
     let mut fetches = inner.fetches();
     let joiner = fetches.next_joiner();
@@ -132,19 +134,19 @@
             fetches.tasks.insert(flight, task.abort_handle());
         }
     }
-    fetches.waiting.insert(joiner, sender);
+    fetches.waiters.insert(joiner, sender);
     Ok(Waiter { inner: inner.clone(), joiner })
 }
 
-/// Queries the store and sends the result to all who wait.
+/// Queries the store and sends the result to all waiters.
 async fn run_fetch(inner: Arc<Inner>, flight: FlightId, key: String) {
     let fetched = query(&inner, &key).await;
     let mut fetches = inner.fetches();
     fetches.tasks.remove(&flight);
-    let Some(landed) = fetches.flights.landed(flight) else { return };
-    let fetched = fetched.map(|value| Value { cacheable: value.cacheable && landed.may_keep, ..value });
-    for joiner in landed.joiners {
-        if let Some(sender) = fetches.waiting.remove(&joiner) {
+    let Some(completed) = fetches.flights.landed(flight) else { return };
+    let fetched = fetched.map(|value| Value { cacheable: value.cacheable && completed.may_keep, ..value });
+    for joiner in completed.joiners {
+        if let Some(sender) = fetches.waiters.remove(&joiner) {
             let _ = sender.send(fetched.clone());
         }
     }
@@ -156,7 +158,7 @@
     let call = timeout(inner.call_timeout, inner.store.get(key));
     let fetched = call.await.unwrap_or(Err(StoreError::TimedOut));
     permit.complete(&fetched);
-    // A key that the store does not have is an area with nothing in it: a value, and no failure.
+    // A key that the store does not have is an empty area: a value, not an error.
     Ok(match fetched? {
         Some(zone) => Value { version: zone.version, cacheable: true, bytes: zone.value.into() },
         None => Value { version: 0, cacheable: false, bytes: Bytes::new() },
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store of record in the origin's place: a fetch or an edit is a call to SQLite or PostgreSQL.
+//! The store of record in place of the origin: each fetch or edit is a call to SQLite or PostgreSQL.
 
 mod circuit_breaker;
 mod counters;
@@ -24,10 +24,10 @@
 use fetches::FetchTable;
 use own_edits::{ChangeOrigin, OwnEdits};
 
-/// Notified for how long calls will fail, in microseconds; 0: the store answers again.
+/// Callback that receives the time for which calls will fail, in microseconds; 0: the store answers again.
 pub type OnUnavailable = Box<dyn Fn(Micros) + Send + Sync>;
 
-/// The store, shared by all calls.
+/// Store of record, shared by all calls.
 pub struct OriginStore(Arc<Inner>);
 
 struct Inner {
@@ -38,18 +38,18 @@
     counters: Counters,
     own_edits: Mutex<OwnEdits>,
     on_unavailable: OnceLock<OnUnavailable>,
-    /// Whether fetches of one key share a query.
+    /// Whether concurrent fetches of a key share a query.
     coalesces_fetches: bool,
-    /// Where caches take copies from nodes.
+    /// Set if caches accept copies from nodes.
     cache_updater: OnceLock<CacheUpdater>,
     copies: Option<operator::Copies>,
 }
 
 impl OriginStore {
-    /// Opens the file that the operator names, or prepares to call the server.
+    /// Opens the SQLite file that the operator configures, or prepares connections to the PostgreSQL server.
     ///
     /// # Errors
-    /// The store cannot be used.
+    /// The store cannot be opened.
     pub fn open(config: &operator::Store, seed: u64) -> Result<OriginStore, StoreError> {
         let (shortest, longest) = config.probe;
         let breaker = breaker::Limits {
@@ -72,18 +72,19 @@
         })))
     }
 
-    /// Whether caches are sent fills and invalidations.
+    /// Returns whether caches are sent fills and invalidations.
     pub fn updates_caches(&self) -> bool {
         self.0.copies.is_some()
     }
 
-    /// Whether fetches of one key that are in flight at once share a query.
+    /// Returns whether concurrent fetches of a key share a query.
     pub fn coalesces_fetches(&self) -> bool {
         self.0.coalesces_fetches
     }
 
-    /// Starts to follow the store's changes, where it announces them, and to send caches fills and invalidations, where
-    /// that is configured: the addresses of the caches are then published through what is returned.
+    /// Starts to follow the store's changes, if it announces them, and to send fills and invalidations to
+    /// caches, if that is configured. In that case returns the channel through which the caller publishes the
+    /// addresses of the caches.
     pub fn start(&self, on_unavailable: OnUnavailable) -> Option<watch::Sender<Vec<SocketAddr>>> {
         let _ = self.0.on_unavailable.set(on_unavailable);
         if let Some(mut changes) = self.0.store.follow() {
@@ -100,7 +101,7 @@
         Some(caches)
     }
 
-    /// Carries out a fetch or an edit. Dropped, it is given up.
+    /// Carries out a fetch or an edit. Dropping the future abandons the call.
     pub async fn call(&self, call: StoreCall) -> Reply {
         if call.command.write {
             edits::edit(&self.0, call).await
@@ -109,7 +110,7 @@
         }
     }
 
-    /// What it has done, as a line for the log.
+    /// Returns the counters since the start as a line for the log.
     pub fn summary(&self) -> String {
         self.0.counters.to_string()
     }
@@ -150,24 +151,25 @@
         self.own_edits.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The store announces a change, of this node or another.
+    /// Handles a change that the store announces, by an edit of this node or another.
     async fn changed(&self, change: Change) {
         self.counters.changes.increment();
-        let origin = self.own_edits().announce(&change);
+        let origin = self.own_edits().classify(&change);
         if origin == ChangeOrigin::OwnReceipt {
             return;
         }
         self.fetches().flights.changed(&change.key);
-        // An own edit without an answer was done after all, or another one came behind it: caches hold an older value.
+        // An own edit without an answer was applied after all, or another edit of the key followed it: caches
+        // may hold an older value.
         if origin == ChangeOrigin::OwnUnanswered {
             self.settle(change.key, change.version).await;
         }
     }
 
-    /// An edit that may have been done had no answer: older copies go when the store announces a change of the key, or at
-    /// once if it has.
+    /// Handles an edit whose outcome is unknown because it had no answer. Older copies are invalidated when
+    /// the store announces a change of the key, or at once if it already has.
     async fn edit_unanswered(&self, key: &str) {
-        let announced = self.own_edits().lose(key);
+        let announced = self.own_edits().record_unanswered(key);
         if let Some(version) = announced {
             self.settle(key.to_owned(), version).await;
         }
@@ -176,13 +178,13 @@
     async fn settle(&self, key: String, version: u64) {
         self.counters.settled.increment();
         if let Some(updater) = self.cache_updater.get() {
-            // No receipt waits for it.
+            // No receipt waits for this invalidation.
             drop(updater.invalidate(key, version).await);
         }
     }
 }
 
-/// The kinds of calls.
+/// Kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Fetch,
@@ -197,8 +199,8 @@
     reply(AttemptStatus::Served, Some(value))
 }
 
-/// The reply to a call that failed. It is rejected, and may be retried, where the call surely had no effect and another
-/// attempt could end differently.
+/// Returns the reply to a failed call. It is `Rejected`, and may be retried, if the call certainly had no
+/// effect and another attempt could end differently.
 fn failed(error: &StoreError, kind: CallKind) -> Reply {
     let permanent = matches!(error, StoreError::Bounds(_) | StoreError::Conflict);
     let may_have_run = kind == CallKind::Edit && !error.proves_not_done();
--- a/crates/stonevane-node/src/store/own_edits.rs
+++ b/crates/stonevane-node/src/store/own_edits.rs
@@ -1,14 +1,14 @@
-//! Which of the store's changes are edits of this node: those with a receipt, and those that had no answer and may have
-//! been done.
+//! Attribution of the store's changes to edits of this node: edits with a receipt, and edits without an
+//! answer that may have been applied.
 
 use std::collections::VecDeque;
 
 use stonevane_store::Change;
 
-/// Edits and changes that are remembered, of each kind.
+/// Maximum number of remembered elements of each kind: receipts, unanswered edits and changes.
 const MAX_REMEMBERED: usize = 256;
 
-/// The latest elements, the oldest first.
+/// Bounded queue of the latest elements, the oldest first.
 struct Recent<T>(VecDeque<T>);
 
 impl<T> Default for Recent<T> {
@@ -25,50 +25,50 @@
         self.0.push_back(element);
     }
 
-    /// Takes an element out; whether it was there.
+    /// Removes an element. Returns whether it was present.
     fn take(&mut self, element: &T) -> bool {
         let at = self.0.iter().position(|other| other == element);
         at.is_some_and(|at| self.0.remove(at).is_some())
     }
 }
 
-/// Whose edit a change is.
+/// Origin of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChangeOrigin {
-    /// This node's; its receipt has been processed.
+    /// An edit of this node whose receipt has been processed.
     OwnReceipt,
-    /// Perhaps this node's, or one behind it: an own edit of the key had no answer.
+    /// Possibly an edit of this node, or a later one: an own edit of the key had no answer.
     OwnUnanswered,
-    /// Another node's.
+    /// An edit of another node.
     Other,
 }
 
-/// This node's edits whose changes the store will announce, and the changes that it has announced.
+/// Edits of this node whose changes the store has yet to announce, and the changes that it has announced.
 #[derive(Default)]
 pub(super) struct OwnEdits {
-    /// Versions of receipts.
+    /// Versions of receipts whose change has not been announced.
     receipts: Recent<u64>,
-    /// Keys of edits that may have been done, and had no answer.
+    /// Keys of edits that had no answer and may have been applied.
     unanswered: Recent<String>,
-    /// Announced changes: an edit's own may come before it is known to have no answer.
+    /// Announced changes: the change of an edit can be announced before the edit is known to have no answer.
     changes: Recent<Change>,
 }
 
 impl OwnEdits {
-    /// An edit has its receipt.
-    pub fn receive(&mut self, version: u64) {
+    /// Records the receipt of an edit.
+    pub fn record_receipt(&mut self, version: u64) {
         self.receipts.push(version);
     }
 
-    /// An edit that may have been done had no answer. Returns the version of the change that was last announced for the
-    /// key.
-    pub fn lose(&mut self, key: &str) -> Option<u64> {
+    /// Records an edit that had no answer and may have been applied. Returns the version of the latest
+    /// announced change of the key.
+    pub fn record_unanswered(&mut self, key: &str) -> Option<u64> {
         self.unanswered.push(key.to_owned());
         self.changes.0.iter().rfind(|change| change.key == key).map(|change| change.version)
     }
 
-    /// The store announces a change.
-    pub fn announce(&mut self, change: &Change) -> ChangeOrigin {
+    /// Records an announced change and returns its origin.
+    pub fn classify(&mut self, change: &Change) -> ChangeOrigin {
         if self.receipts.take(&change.version) {
             return ChangeOrigin::OwnReceipt;
         }
