--- a/crates/stonevane-node/src/cache_updates/connection.rs
+++ b/crates/stonevane-node/src/cache_updates/connection.rs
@@ -13,7 +13,7 @@
 use super::Command;
 use crate::log::log;
 
-/// A cache that has not answered within this time is reconnected to.
+/// Time limit for an answer; after it the connection is closed and the next command opens a new one.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
 /// Maximum length of an answer.
 const MAX_LINE_BYTES: usize = 256;
--- a/crates/stonevane-node/src/cli.rs
+++ b/crates/stonevane-node/src/cli.rs
@@ -16,7 +16,7 @@
 use crate::process;
 use crate::store::OriginStore;
 
-/// Exit code for an unusable configuration or an address that cannot be bound.
+/// Exit code if the configuration is unusable or the node cannot start.
 const EXIT_CONFIGURATION: u8 = 2;
 /// Exit code for a process whose parent (`--ends-with`) has already ended.
 const EXIT_ORPHANED: u8 = 3;
@@ -80,8 +80,8 @@
 /// Runs a node until it has drained: reads the configuration that the environment names, serves, and drains
 /// on SIGTERM.
 ///
-/// Returns exit code 0 after a drain and 2 for an unusable configuration, with one line on standard error for
-/// each error.
+/// Returns exit code 0 after a drain, 2 if the configuration is unusable or the node cannot start, with one
+/// line on standard error for each error, and 3 if the parent of `--ends-with` has already ended.
 pub fn main() -> ExitCode {
     let args = Args::parse();
     if args.parent.is_some_and(|parent| !die_with_parent(parent)) {
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -36,9 +36,9 @@
     pub discovery: SocketAddr,
     /// Seed of the policy's random numbers.
     pub seed: u64,
-    /// Maximum number of sockets that the node opens.
+    /// Maximum number of sockets that the node holds at once.
     pub sockets: usize,
-    /// Maximum memory of the node, in megabytes.
+    /// Maximum memory that the node uses, in megabytes.
     pub memory_mb: usize,
     /// Endpoint list that the node last had before this start, used until discovery delivers one.
     pub known_endpoints: EndpointList,
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -91,7 +91,7 @@
         let status = driver.handover_status();
         self.own.stage = status.stage;
         self.own.in_flight = status.in_flight;
-        let others = self.others(status.node_capacity);
+        let others = self.other_processes(status.node_capacity);
         let grant = divide(status.node_capacity, &self.own, status.used, &others);
         let granted = grant.capacity;
         // Gained capacity is published before it is used, lost capacity after it has been given up: the sum
@@ -142,7 +142,7 @@
     }
 
     /// Returns the status of the other processes that are alive.
-    fn others(&self, total: Capacity) -> Vec<ProcessStatus> {
+    fn other_processes(&self, total: Capacity) -> Vec<ProcessStatus> {
         let entries = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
         let files = entries.filter_map(|entry| entry.file_name().into_string().ok());
         let processes = files.filter_map(|file| parse_lock_file_name(&file));
@@ -176,7 +176,7 @@
     }
 
     /// Returns the status that is assumed of a process without a readable one: an older process may hold the
-    /// whole capacity, a newer one holds none.
+    /// whole capacity; a newer one takes only what is left, so it counts as holding none.
     fn unpublished_status(&self, process: ProcessId, total: Capacity) -> ProcessStatus {
         let capacity = if process < self.own.started { total } else { Capacity::default() };
         ProcessStatus { started: process, stage: ProcessStage::Starting, capacity, in_flight: 0 }
--- a/crates/stonevane-node/src/handover/tests.rs
+++ b/crates/stonevane-node/src/handover/tests.rs
@@ -23,7 +23,7 @@
             may_end.store(true, Ordering::Relaxed);
             loop {
                 let done = ending.is_finished();
-                for other in own.others(TOTAL) {
+                for other in own.other_processes(TOTAL) {
                     assert_eq!(other.capacity.connections, 20, "round {round}");
                 }
                 if done {
@@ -31,7 +31,7 @@
                 }
             }
         });
-        assert!(own.others(TOTAL).is_empty(), "the process has ended");
+        assert!(own.other_processes(TOTAL).is_empty(), "the process has ended");
     }
     // The lock file is opened before the ending process removes its files, and the lock is still held when it
     // is read: the process counts as ended.
@@ -45,7 +45,7 @@
     assert_eq!(own.status_of((998, 0), &lock, TOTAL), None);
     // A process that holds its lock and has published nothing yet may hold the whole capacity.
     let _starting = Handover::join(&folder, (999, 0)).unwrap();
-    assert_eq!(own.others(TOTAL).iter().map(|other| other.capacity).collect::<Vec<_>>(), [TOTAL]);
+    assert_eq!(own.other_processes(TOTAL).iter().map(|other| other.capacity).collect::<Vec<_>>(), [TOTAL]);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -71,7 +71,7 @@
         capacity: Capacity { connections: 7, memory: 8 },
         in_flight: 9,
     };
-    assert_eq!(own.others(TOTAL), [released]);
+    assert_eq!(own.other_processes(TOTAL), [released]);
     drop(own);
     let remaining: Vec<_> =
         std::fs::read_dir(&folder).unwrap().map(|entry| entry.unwrap().file_name()).collect();
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -22,7 +22,7 @@
 pub const SOCKETS: usize = MAX_CONNECTIONS + 3;
 /// A call must be complete within this time after its connection is accepted.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
-/// A call must be read and its answer sent within this time.
+/// A call must be read, and its answer taken by the caller, within this time.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(8);
 /// Input after the answer is read and discarded for this long: closing with unread input would reset the
 /// connection, and the reset could destroy the answer.
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -91,7 +91,7 @@
             let inner = self.0.clone();
             tokio::spawn(async move {
                 while let Some(change) = changes.recv().await {
-                    inner.changed(change).await;
+                    inner.handle_change(change).await;
                 }
             });
         }
@@ -152,7 +152,7 @@
     }
 
     /// Handles a change that the store announces, by an edit of this node or another.
-    async fn changed(&self, change: Change) {
+    async fn handle_change(&self, change: Change) {
         self.counters.changes.increment();
         let origin = self.own_edits().classify(&change);
         if origin == ChangeOrigin::OwnReceipt {
@@ -162,7 +162,7 @@
         // An own edit without an answer was applied after all, or another edit of the key followed it: caches
         // may hold an older value.
         if origin == ChangeOrigin::OwnUnanswered {
-            self.settle(change.key, change.version).await;
+            self.invalidate_older_copies(change.key, change.version).await;
         }
     }
 
@@ -171,11 +171,11 @@
     async fn edit_unanswered(&self, key: &str) {
         let announced = self.own_edits().record_unanswered(key);
         if let Some(version) = announced {
-            self.settle(key.to_owned(), version).await;
+            self.invalidate_older_copies(key.to_owned(), version).await;
         }
     }
 
-    async fn settle(&self, key: String, version: u64) {
+    async fn invalidate_older_copies(&self, key: String, version: u64) {
         self.counters.settled.increment();
         if let Some(updater) = self.cache_updater.get() {
             // No receipt waits for this invalidation.
