--- a/crates/stonevane-membership/src/dissemination.rs
+++ b/crates/stonevane-membership/src/dissemination.rs
@@ -1,49 +1,49 @@
-//! The dissemination queue: membership updates waiting to be piggybacked on datagrams. Each update is transmitted a
-//! bounded number of times, those transmitted least going first.
+//! Dissemination queue: membership updates waiting to be piggybacked on datagrams. Each update is transmitted
+//! a bounded number of times; the least transmitted updates go first.
 
 use std::collections::BTreeSet;
 
 use crate::record::MemberId;
 
-/// Members whose latest record is still to be disseminated.
+/// Queue of the members whose latest records are still to be disseminated.
 #[derive(Debug, Default)]
 pub struct UpdateQueue {
-    /// How often each update was transmitted, and the member that it is about.
+    /// Transmissions so far and member of each queued update, in the order of transmission.
     queue: BTreeSet<(u32, MemberId)>,
-    /// How often the update about each member was transmitted; `None`: no update is queued.
+    /// Transmissions so far of the update about each member; `None` if no update is queued.
     transmitted: Vec<Option<u32>>,
 }
 
 impl UpdateQueue {
-    /// An empty queue for a fleet of `members`.
+    /// Creates an empty queue for a fleet of `members` members.
     pub fn new(members: MemberId) -> UpdateQueue {
         UpdateQueue { queue: BTreeSet::new(), transmitted: vec![None; usize::from(members)] }
     }
 
-    /// Grows to a fleet of `members`; a smaller number changes nothing.
+    /// Grows the queue to a fleet of `members` members; a smaller number changes nothing.
     pub fn grow(&mut self, members: MemberId) {
         let members = usize::from(members).max(self.transmitted.len());
         self.transmitted.resize(members, None);
     }
 
-    /// Queues an update about a member, in the place of an older one.
+    /// Queues an update about a member in place of an older one, with no transmissions counted yet.
     pub fn push(&mut self, member: MemberId) {
         self.remove(member);
         self.insert(member, 0);
     }
 
-    /// Whether no update is queued.
+    /// Returns whether no update is queued.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// How many updates are queued.
+    /// Returns the number of queued updates.
     pub fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// The updates for one datagram, at most `capacity`, counted as transmitted. An update leaves the queue once it was
-    /// transmitted `limit` times.
+    /// Returns the members whose updates go into one datagram, at most `capacity`, and counts these updates
+    /// as transmitted. An update leaves the queue after `limit` transmissions.
     pub fn take(&mut self, capacity: usize, limit: u32) -> Vec<MemberId> {
         let next: Vec<(u32, MemberId)> = self.queue.iter().take(capacity).copied().collect();
         for (transmitted, member) in &next {
--- a/crates/stonevane-membership/src/faults.rs
+++ b/crates/stonevane-membership/src/faults.rs
@@ -1,76 +1,81 @@
-//! Deliberate faults, for the simulator and the lab to detect. The type of a machine decides whether it can have any: the
-//! daemon's is [`NoFaults`], and the compiler removes them from it.
+//! Mutants: deliberate faults that the simulator and the lab have to detect. The type parameter of a machine
+//! decides whether it can have any: the daemon uses [`NoFaults`], with which the compiler removes them.
 
-/// A fault that a member can be given.
+/// Deliberate fault of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutant {
-    /// It declares every member dead that it probes, whatever the answer.
+    /// Declares every probed member dead, even after an ack.
     AccusesAll,
-    /// It does not refute suspicions of itself.
+    /// Does not refute suspicions of itself.
     NeverRefutes,
-    /// It states that dead members are alive, under an incarnation that they never had.
+    /// Reports dead members as alive, under an incarnation that they never had.
     LiesOfIncarnations,
-    /// It sends its old datagrams again.
+    /// Sends its own old datagrams again.
     Replays,
-    /// It disseminates no updates, and answers neither ping-reqs nor digests.
+    /// Disseminates no updates, and answers neither ping-reqs nor digests.
     ForwardsNothing,
-    /// It sends under the number of another member.
+    /// Sends under the number of another member.
     ClaimsAnother,
-    /// It declares a member dead as soon as a probe fails.
+    /// Declares a member dead as soon as a probe fails.
     NoSuspicion,
-    /// It requests no indirect probes before it suspects.
+    /// Requests no indirect probes before it suspects a member, and ignores that other datagrams of the
+    /// member arrive.
     NoIndirect,
-    /// It runs neither anti-entropy nor reconnection.
+    /// Runs neither anti-entropy nor, while another member is live, reconnection.
     NoRepair,
-    /// It never takes a generation after that of its earlier instance.
+    /// Never takes a generation after that of its earlier instance.
     StaleLife,
-    /// It never declares a suspected member dead.
+    /// Never declares a suspected member dead.
     NeverDeclares,
-    /// It never suspects anybody.
+    /// Never suspects a member.
     NeverAccuses,
-    /// It takes a nack for an ack.
+    /// Treats a nack as an ack.
     NackIsAck,
 }
 
 impl Mutant {
     /// All faults, each with its name on the command line and a description.
     pub const ALL: [(Mutant, &'static str, &'static str); 13] = [
-        (Mutant::AccusesAll, "accuses-all", "accuses whomever it probes, whatever comes back"),
-        (Mutant::NeverRefutes, "never-refutes", "does not object when it is accused"),
+        (Mutant::AccusesAll, "accuses-all", "declares every probed member dead, even after an ack"),
+        (Mutant::NeverRefutes, "never-refutes", "does not refute suspicions of itself"),
         (
             Mutant::LiesOfIncarnations,
             "lies-of-incarnations",
-            "says of the dead that they live, one incarnation on",
+            "reports dead members as alive, under an incarnation that they never had",
         ),
-        (Mutant::Replays, "replays", "sends what it heard of lives that have ended, as if it were new"),
-        (Mutant::ForwardsNothing, "forwards-nothing", "passes no news on and answers no comparison"),
-        (Mutant::ClaimsAnother, "claims-another", "speaks under the number of another member"),
-        (Mutant::NoSuspicion, "no-suspicion", "a failed probe is a death"),
+        (Mutant::Replays, "replays", "sends its own old datagrams again"),
+        (
+            Mutant::ForwardsNothing,
+            "forwards-nothing",
+            "disseminates no updates, and answers neither ping-reqs nor digests",
+        ),
+        (Mutant::ClaimsAnother, "claims-another", "sends under the number of another member"),
+        (Mutant::NoSuspicion, "no-suspicion", "declares a member dead as soon as a probe fails"),
         (
             Mutant::NoIndirect,
             "no-indirect",
-            "asks nobody else before it accuses, and hears no other evidence",
+            "suspects without indirect probes, and ignores other datagrams of the member",
         ),
-        (Mutant::NoRepair, "no-repair", "compares no tables and speaks to no dead"),
-        (Mutant::StaleLife, "stale-life", "a new life never goes beyond the former one"),
-        (Mutant::NeverDeclares, "never-declares", "a suspicion never ends"),
-        (Mutant::NeverAccuses, "never-accuses", "a failed probe is nothing"),
-        (Mutant::NackIsAck, "nack-is-ack", "takes a relay's word that it is there for the member's own"),
+        (Mutant::NoRepair, "no-repair", "runs neither anti-entropy nor reconnection"),
+        (Mutant::StaleLife, "stale-life", "never takes a generation after that of its earlier instance"),
+        (Mutant::NeverDeclares, "never-declares", "never declares a suspected member dead"),
+        (Mutant::NeverAccuses, "never-accuses", "never suspects a member"),
+        (Mutant::NackIsAck, "nack-is-ack", "treats a relay's nack as the probed member's ack"),
     ];
 
-    /// The fault of a name.
+    /// Returns the fault with this name on the command line.
     pub fn named(name: &str) -> Option<Mutant> {
         Mutant::ALL.iter().find(|(_, known, _)| *known == name).map(|(mutant, _, _)| *mutant)
     }
 }
 
-/// The faults that a machine has.
+/// Faults of a machine.
 pub trait Faults: Default {
-    /// Whether it has this fault.
+    /// Returns whether the machine has this fault.
     fn has(&self, mutant: Mutant) -> bool;
 }
 
-/// No faults.
+/// Faults of a correct machine: none.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct NoFaults;
 
--- a/crates/stonevane-membership/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -1,10 +1,11 @@
-//! Membership among the nodes of a fleet: which members are alive, suspected or dead, over a network that loses, delays,
-//! duplicates and one-way blocks datagrams. SWIM (Das, Gupta, Motivala, 2002) with suspicion and incarnations, and the
-//! local health of Lifeguard (Dadgar, Phillips, Currey, 2017).
+//! Membership of the nodes of a fleet: detects which members are alive, suspected or dead over a network that
+//! loses, delays and duplicates datagrams or blocks them in one direction. Implements SWIM (Das, Gupta,
+//! Motivala, 2002) with suspicion and incarnations, and the local health of Lifeguard (Dadgar, Phillips,
+//! Currey, 2017).
 //!
-//! There is no I/O and no clock: datagrams and times go in; datagrams, the time of the next wake-up and membership
-//! changes come out. Members are numbers of one closed list, `peers`, which is the same at all nodes; datagrams of
-//! anybody else are not accepted.
+//! There is no I/O and no clock: the caller passes in datagrams and times, and receives datagrams to send,
+//! the time of the next wake-up and membership changes. Members are numbered by their index in one closed
+//! list, `peers`, which is the same at all nodes. Datagrams from other senders are rejected.
 //!
 //! ```
 //! use stonevane_membership::{NoFaults, Input, Machine, Outputs, Setup, State};
@@ -37,5 +38,5 @@
 pub use record::{Instance, MemberId, Record, State};
 pub use status::{Counts, MemberStatus, Status};
 
-/// Microseconds, of one monotonic clock.
+/// Time or duration in microseconds of one monotonic clock.
 pub type Micros = u64;
--- a/crates/stonevane-membership/src/machine/anti_entropy.rs
+++ b/crates/stonevane-membership/src/machine/anti_entropy.rs
@@ -1,5 +1,6 @@
-//! Anti-entropy: members whose table digests differ exchange the digests of their partitions, and send each other the
-//! records of those that differ. This repairs whatever dissemination has missed, such as during a partition.
+//! Anti-entropy: members whose table digests differ exchange the digests of their partitions, and send each
+//! other the records of the partitions that differ. This repairs what dissemination has missed, for instance
+//! during a network partition.
 
 use super::transmission::Envelope;
 use super::{Machine, Outputs};
@@ -8,60 +9,63 @@
 use crate::record::{MemberId, Record};
 use crate::wire::{Kind, Message, PARTITIONS, record_capacity};
 
-/// Datagrams that answer one exchange, at most.
+/// Maximum number of datagrams that answer one exchange.
 const MAX_ANSWER_DATAGRAMS: usize = 32;
-/// Exchanges that are answered in a period, at most.
-const MAX_ANSWERS: u32 = 4;
-/// Periods between two exchanges that this member begins.
-const REQUEST_PERIODS: Micros = 1;
-/// The same while updates are being disseminated, which may make the tables equal by themselves.
-const REQUEST_PERIODS_DURING_UPDATES: Micros = 2;
+/// Maximum number of exchanges answered per protocol period.
+const MAX_ANSWERS_PER_PERIOD: u32 = 4;
+/// Protocol periods between two exchanges that this member starts.
+const REQUEST_INTERVAL_PERIODS: Micros = 1;
+/// Protocol periods between two exchanges while updates are being disseminated, which may make the tables
+/// equal without an exchange.
+const REQUEST_INTERVAL_PERIODS_DURING_UPDATES: Micros = 2;
 
-/// The rate limits of exchanges.
+/// Rate limits of exchanges.
 #[derive(Debug)]
 pub(super) struct AntiEntropy {
-    next_request: Micros,
-    /// Exchanges answered in the period that began at `window_begun`.
+    next_request_at: Micros,
+    /// Exchanges answered in the period that began at `window_started_at`.
     answers: u32,
-    window_begun: Micros,
+    window_started_at: Micros,
 }
 
 impl AntiEntropy {
-    /// No exchange yet; one may begin now.
+    /// Creates the state before the first exchange, which may start now.
     pub fn new(now: Micros) -> AntiEntropy {
-        AntiEntropy { next_request: now, answers: 0, window_begun: now }
+        AntiEntropy { next_request_at: now, answers: 0, window_started_at: now }
     }
 
-    /// Allows an exchange from this time on.
+    /// Allows this member to start an exchange from the time `at` on.
     pub fn allow_request_at(&mut self, at: Micros) {
-        self.next_request = at;
+        self.next_request_at = at;
     }
 
     fn may_request(&self, now: Micros) -> bool {
-        now >= self.next_request
+        now >= self.next_request_at
     }
 
-    /// Counts an exchange that is to be answered, unless there were enough of them in this period.
+    /// Returns whether one more exchange may be answered in this period, and counts it if so.
     fn admit_answer(&mut self, now: Micros, period: Micros) -> bool {
-        if now >= self.window_begun + period {
+        if now >= self.window_started_at + period {
             self.answers = 0;
-            self.window_begun = now;
+            self.window_started_at = now;
         }
-        let admitted = self.answers < MAX_ANSWERS;
+        let admitted = self.answers < MAX_ANSWERS_PER_PERIOD;
         self.answers += u32::from(admitted);
         admitted
     }
 }
 
 impl<F: Faults> Machine<F> {
-    /// Begins an exchange with the sender of an ack, if its table differs from this one and the rate allows it.
+    /// Starts an exchange with the sender of an ack if its table differs from this one and the rate limit
+    /// allows it.
     pub(super) fn compare_tables(&mut self, now: Micros, ack: &Message, out: &mut Outputs) {
         let equal = ack.digest == self.members.digests().overall();
         if equal || !self.anti_entropy.may_request(now) || self.faults.has(Mutant::NoRepair) {
             return;
         }
         let updating = !self.gossip.is_idle();
-        let periods = if updating { REQUEST_PERIODS_DURING_UPDATES } else { REQUEST_PERIODS };
+        let periods =
+            if updating { REQUEST_INTERVAL_PERIODS_DURING_UPDATES } else { REQUEST_INTERVAL_PERIODS };
         self.anti_entropy.allow_request_at(now + periods * self.setup.period);
         self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.setup.number), out);
     }
@@ -82,14 +86,14 @@
         }
     }
 
-    /// The records of the partitions that differ, beginning with a random one.
+    /// Returns the records of the partitions that differ, beginning with a random partition.
     fn differing_records(&mut self, digests: &[u32; PARTITIONS]) -> Vec<Record> {
         let first = self.random.below(PARTITIONS);
         let differing = self.members.digests().differing(digests, first);
         differing.into_iter().flat_map(|partition| self.members.partition(partition)).collect()
     }
 
-    /// Sends records in as many datagrams as they need and the limit allows.
+    /// Sends records in as many datagrams as needed, up to [`MAX_ANSWER_DATAGRAMS`].
     fn send_records(&mut self, to: MemberId, probe: u32, records: &[Record], out: &mut Outputs) {
         let capacity = record_capacity(self.version_for(to), false, self.setup.key.is_some());
         let envelope = Envelope::new(to, Kind::Gossip, probe, self.setup.number);
--- a/crates/stonevane-membership/src/machine/digests.rs
+++ b/crates/stonevane-membership/src/machine/digests.rs
@@ -1,38 +1,38 @@
-//! Digests of the member table. The table is partitioned by member number; each partition's digest is the XOR of its
-//! records' digests, so that a changed record updates it in constant time.
+//! Digests of the member table. The table is partitioned by member number. The digest of a partition is the
+//! XOR of its records' digests, so a changed record updates it in constant time.
 
 use crate::record::{MemberId, Record};
 use crate::wire::PARTITIONS;
 
-/// The digests of a member table.
+/// Digests of the partitions of a member table.
 #[derive(Debug, Clone, Default)]
 pub(super) struct TableDigests([u32; PARTITIONS]);
 
 impl TableDigests {
-    /// Accounts for a record that was replaced, or added where there was none.
+    /// Updates the digest of the partition of a record that was replaced, or added if there was none.
     pub fn replace(&mut self, before: Option<&Record>, after: &Record) {
         let partition = partition_of(after.member);
         self.0[partition] ^= before.map_or(0, Record::digest) ^ after.digest();
     }
 
-    /// The digest of each partition.
+    /// Returns the digest of each partition.
     pub fn partitions(&self) -> [u32; PARTITIONS] {
         self.0
     }
 
-    /// The digest of the whole table.
+    /// Returns the digest of the whole table.
     pub fn overall(&self) -> u32 {
         self.0.iter().fold(0u32, |overall, digest| overall.rotate_left(3) ^ digest)
     }
 
-    /// The partitions whose digests differ from another table's, in order from `first` on.
+    /// Returns the partitions whose digests differ from those of another table, in order from `first` on.
     pub fn differing(&self, other: &[u32; PARTITIONS], first: usize) -> Vec<usize> {
         let rotated = (0..PARTITIONS).map(|partition| (partition + first) % PARTITIONS);
         rotated.filter(|partition| self.0[*partition] != other[*partition]).collect()
     }
 }
 
-/// The partition that a member belongs to.
+/// Returns the partition of a member.
 fn partition_of(member: MemberId) -> usize {
     usize::from(member) % PARTITIONS
 }
--- a/crates/stonevane-membership/src/machine/gossip.rs
+++ b/crates/stonevane-membership/src/machine/gossip.rs
@@ -1,5 +1,5 @@
-//! Dissemination of membership updates: every datagram carries some (piggybacking), and gossip datagrams carry them
-//! alone for as long as any are queued.
+//! Dissemination of membership updates: every datagram carries queued updates (piggybacking), and while any
+//! are queued, rounds of gossip send datagrams that carry updates only.
 
 use super::transmission::Envelope;
 use super::{Machine, Outputs};
@@ -9,71 +9,71 @@
 use crate::record::{MemberId, Record, State};
 use crate::wire::{Kind, VERSION, record_capacity};
 
-/// Members that a round of gossip is sent to, at the least.
+/// Minimum number of members to which a round of gossip is sent.
 const MIN_FANOUT: usize = 2;
-/// The same, at most.
+/// Maximum number of members to which a round of gossip is sent.
 const MAX_FANOUT: usize = 6;
-/// Rounds of gossip in a period.
+/// Rounds of gossip per protocol period.
 const ROUNDS_PER_PERIOD: Micros = 4;
-/// A new update waits for a period divided by this, for others to share its datagram.
+/// A new update waits for the protocol period divided by this, so that other updates can share its datagram.
 const FIRST_ROUND_DIVISOR: Micros = 8;
-/// How often an update is transmitted, for each power of ten of the live members.
+/// Transmissions of an update for each power of ten of the live members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
-/// The queued updates, and when the next round of gossip is due.
+/// Queued updates, and the time of the next round of gossip.
 #[derive(Debug)]
 pub(super) struct Gossip {
     queue: UpdateQueue,
-    next_round: Micros,
+    next_round_at: Micros,
 }
 
 impl Gossip {
-    /// Nothing is queued.
+    /// Creates an empty queue for `members` members.
     pub fn new(members: MemberId) -> Gossip {
-        Gossip { queue: UpdateQueue::new(members), next_round: Micros::MAX }
+        Gossip { queue: UpdateQueue::new(members), next_round_at: Micros::MAX }
     }
 
-    /// Adds members of whom nothing is queued.
+    /// Grows the queue to `members` members.
     pub fn grow(&mut self, members: MemberId) {
         self.queue.grow(members);
     }
 
-    /// Whether no update is queued.
+    /// Returns whether no update is queued.
     pub fn is_idle(&self) -> bool {
         self.queue.is_empty()
     }
 
-    /// When the next round is due.
+    /// Returns the time of the next round.
     pub fn next_deadline(&self) -> Micros {
-        self.next_round
+        self.next_round_at
     }
 
-    /// Queues an update about a member, with the next round no later than `by`.
+    /// Queues an update about a member; the next round is due no later than `by`.
     fn push(&mut self, member: MemberId, by: Micros) {
         self.queue.push(member);
-        self.next_round = self.next_round.min(by);
+        self.next_round_at = self.next_round_at.min(by);
     }
 
-    /// How many members a round is sent to: more where the updates fill several datagrams.
+    /// Returns the number of members to which a round is sent: more if the updates fill several datagrams.
     fn fanout(&self) -> usize {
         let datagrams = self.queue.len() / record_capacity(VERSION, false, true);
         MIN_FANOUT + datagrams.min(MAX_FANOUT - MIN_FANOUT)
     }
 }
 
-/// How often an update is transmitted in a fleet of so many live members.
+/// Returns how often an update is transmitted in a fleet of `live` live members.
 fn transmit_limit(live: usize) -> u32 {
     let magnitude = (live as f64 + 1.0).log10().ceil() as u32;
     RETRANSMIT_MULTIPLIER * magnitude.max(1)
 }
 
 impl<F: Faults> Machine<F> {
-    /// Sends a round of gossip, if one is due.
+    /// Sends a round of gossip if one is due.
     pub(super) fn run_gossip(&mut self, now: Micros, out: &mut Outputs) {
-        if self.gossip.next_round > now {
+        if self.gossip.next_round_at > now {
             return;
         }
-        self.gossip.next_round = Micros::MAX;
+        self.gossip.next_round_at = Micros::MAX;
         if self.faults.has(Mutant::LiesOfIncarnations) {
             self.forge_incarnation(now, out);
         }
@@ -87,11 +87,11 @@
             }
         }
         if !self.gossip.is_idle() {
-            self.gossip.next_round = now + self.setup.period / ROUNDS_PER_PERIOD;
+            self.gossip.next_round_at = now + self.setup.period / ROUNDS_PER_PERIOD;
         }
     }
 
-    /// A deliberate fault: states that a dead member is alive, under an incarnation that it never had.
+    /// Reports a dead member as alive, under an incarnation that it never had (a deliberate fault).
     fn forge_incarnation(&mut self, now: Micros, out: &mut Outputs) {
         let is_dead = |record: &Record| record.state == State::Dead;
         let dead = self.members.iter().filter_map(|(_, member)| member.record()).find(is_dead);
@@ -100,15 +100,15 @@
             let forged = Record { state: State::Alive, incarnation, ..record };
             self.merge(now, forged, out);
         }
-        self.gossip.next_round = now + self.setup.period / ROUNDS_PER_PERIOD;
+        self.gossip.next_round_at = now + self.setup.period / ROUNDS_PER_PERIOD;
     }
 
-    /// Queues an update about a member.
+    /// Queues an update about a member for dissemination.
     pub(super) fn disseminate(&mut self, now: Micros, member: MemberId) {
         self.gossip.push(member, now + self.setup.period / FIRST_ROUND_DIVISOR);
     }
 
-    /// The updates to piggyback on a datagram, at most `capacity` records with those that it carries already.
+    /// Adds queued updates to the records of a datagram, up to `capacity` records in total.
     pub(super) fn piggyback(&mut self, records: &mut Vec<Record>, capacity: usize) {
         if self.faults.has(Mutant::ForwardsNothing) {
             return;
--- a/crates/stonevane-membership/src/machine/isolation.rs
+++ b/crates/stonevane-membership/src/machine/isolation.rs
@@ -1,52 +1,52 @@
-//! Isolation: whether this member hears anybody at all. While it hears nobody, a failed probe may be its own fault, so
-//! that it doubts the probed member locally and disseminates nothing.
+//! Isolation: whether any datagrams reach this member. While none do, a failed probe may be this member's own
+//! fault, so it suspects the probed member only locally and disseminates nothing.
 
 use std::collections::BTreeSet;
 
 use crate::Micros;
 use crate::record::MemberId;
 
-/// When the last datagram of anybody arrived, and whom this member doubts because none does.
+/// Arrival time of the last datagram from any member, and the members suspected locally since then.
 #[derive(Debug)]
 pub(super) struct Isolation {
-    last_heard: Micros,
-    doubted: BTreeSet<MemberId>,
+    silent_since: Micros,
+    locally_suspected: BTreeSet<MemberId>,
 }
 
 impl Isolation {
-    /// A member that has not been isolated yet.
+    /// Creates the state of a member that is not isolated.
     pub fn new(now: Micros) -> Isolation {
-        Isolation { last_heard: now, doubted: BTreeSet::new() }
+        Isolation { silent_since: now, locally_suspected: BTreeSet::new() }
     }
 
-    /// A datagram was accepted: this member is not isolated.
-    pub fn heard(&mut self, now: Micros) {
-        self.last_heard = now;
-        self.doubted.clear();
+    /// Records that a datagram was accepted, which ends the isolation.
+    pub fn datagram_accepted(&mut self, now: Micros) {
+        self.silent_since = now;
+        self.locally_suspected.clear();
     }
 
-    /// Measures silence from now on; doubts stay until a datagram is accepted.
-    pub fn restart(&mut self, now: Micros) {
-        self.last_heard = now;
+    /// Measures the silence from `now` on. Local suspicions stay until a datagram is accepted.
+    pub fn restart_silence(&mut self, now: Micros) {
+        self.silent_since = now;
     }
 
-    /// When the last datagram was accepted.
-    pub fn last_heard(&self) -> Micros {
-        self.last_heard
+    /// Returns when the last datagram was accepted, or when the measurement was restarted after that.
+    pub fn silent_since(&self) -> Micros {
+        self.silent_since
     }
 
-    /// Doubts a member whose probe failed while nobody was heard.
-    pub fn doubt(&mut self, member: MemberId) {
-        self.doubted.insert(member);
+    /// Suspects a member locally: its probe failed while no datagrams arrived.
+    pub fn suspect_locally(&mut self, member: MemberId) {
+        self.locally_suspected.insert(member);
     }
 
-    /// Whether a member is doubted.
-    pub fn doubts(&self, member: MemberId) -> bool {
-        self.doubted.contains(&member)
+    /// Returns whether a member is suspected locally.
+    pub fn is_suspected_locally(&self, member: MemberId) -> bool {
+        self.locally_suspected.contains(&member)
     }
 
-    /// Since when nobody was heard, where members are doubted for it.
+    /// Returns the start of the silence if any members are suspected locally because of it.
     pub fn isolated_since(&self) -> Option<Micros> {
-        (!self.doubted.is_empty()).then_some(self.last_heard)
+        (!self.locally_suspected.is_empty()).then_some(self.silent_since)
     }
 }
--- a/crates/stonevane-membership/src/machine/members.rs
+++ b/crates/stonevane-membership/src/machine/members.rs
@@ -1,4 +1,4 @@
-//! The member table: the latest record of each member, and what this member has observed of it.
+//! Member table: the latest record of each member, and what this member has observed of it.
 
 use std::ops::{Index, IndexMut};
 
@@ -8,48 +8,48 @@
 use crate::record::{Instance, MemberId, Record, State};
 use crate::wire::PARTITIONS;
 
-/// What is known of a member.
+/// Entry of one member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Member {
-    /// The latest record; only [`MemberTable::replace`] changes it.
+    /// Latest record; only [`MemberTable::replace`] changes it, which keeps the digests up to date.
     record: Option<Record>,
-    /// Since when its state and instance are as they are.
-    pub since: Micros,
+    /// Time of the last change of its state or instance.
+    pub changed_at: Micros,
     /// Protection against replays of its datagrams.
     pub replay: ReplayGuard,
-    /// The instance and incarnation that its newest datagram stated.
-    pub stated: Option<(Instance, u32)>,
-    /// The highest version of datagrams that it reads, as far as known.
+    /// Instance and incarnation that its newest datagram carried.
+    pub advertised: Option<(Instance, u32)>,
+    /// Highest datagram version that the member is known to read; 0 if unknown.
     pub max_version: u8,
-    /// The score of its local health, as it stated it.
+    /// Local health score that its newest datagram carried, 0 (healthy) to 8.
     pub health: u8,
-    /// When its newest datagram arrived.
-    pub heard: Option<Micros>,
-    /// When it last answered a direct probe.
-    pub answered: Option<Micros>,
-    /// When it last did not answer a direct probe in time.
-    pub unanswered: Option<Micros>,
+    /// Arrival time of its newest datagram.
+    pub last_received: Option<Micros>,
+    /// Time of its last ack to a direct probe.
+    pub last_answered: Option<Micros>,
+    /// Time at which a direct probe of the member last timed out.
+    pub last_unanswered: Option<Micros>,
 }
 
 impl Member {
-    /// The latest record.
     pub fn record(&self) -> Option<Record> {
         self.record
     }
 
-    /// Whether it takes part in the protocol.
+    /// Returns whether the member takes part in the protocol.
     pub fn is_live(&self) -> bool {
         self.record.is_some_and(|record| record.state.is_live())
     }
 
-    /// Whether it knows of itself what a record states: its newest datagram stated that, or something later.
-    pub fn knows(&self, record: &Record) -> bool {
+    /// Returns whether the member is known to be aware of a record about itself: the record says that it is
+    /// alive, and its newest datagram carried the same or a later instance and incarnation.
+    pub fn is_aware_of(&self, record: &Record) -> bool {
         let stated = (record.instance, record.incarnation);
-        record.state == State::Alive && self.stated.is_some_and(|known| known >= stated)
+        record.state == State::Alive && self.advertised.is_some_and(|known| known >= stated)
     }
 }
 
-/// All members, by number.
+/// All members, indexed by number.
 #[derive(Debug)]
 pub(super) struct MemberTable {
     members: Vec<Member>,
@@ -57,7 +57,7 @@
 }
 
 impl MemberTable {
-    /// A table of members of whom nothing is known.
+    /// Creates a table of unknown members.
     pub fn new(members: MemberId) -> MemberTable {
         MemberTable {
             members: vec![Member::default(); usize::from(members)],
@@ -65,54 +65,53 @@
         }
     }
 
-    /// Adds members of whom nothing is known, up to this number.
+    /// Grows the table to `members` members; the new ones are unknown.
     pub fn grow(&mut self, members: MemberId) {
         self.members.resize(usize::from(members), Member::default());
     }
 
-    /// The member of a number, where there is one.
+    /// Returns a member, or `None` if there is no member of this number.
     pub fn get(&self, member: MemberId) -> Option<&Member> {
         self.members.get(usize::from(member))
     }
 
-    /// All members with their numbers.
+    /// Iterates over all members with their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (MemberId, &Member)> {
         self.members.iter().enumerate().map(|(number, member)| (number as MemberId, member))
     }
 
-    /// The latest record of a member.
+    /// Returns the latest record of a member.
     pub fn record(&self, member: MemberId) -> Option<Record> {
         self[member].record
     }
 
-    /// Replaces the record of a member, and returns the one before.
+    /// Replaces the record of a member, and returns the previous one.
     pub fn replace(&mut self, record: Record) -> Option<Record> {
         let before = self[record.member].record.replace(record);
         self.digests.replace(before.as_ref(), &record);
         before
     }
 
-    /// The digests of the table.
     pub fn digests(&self) -> &TableDigests {
         &self.digests
     }
 
-    /// The records of a partition.
+    /// Iterates over the known records of a partition.
     pub fn partition(&self, partition: usize) -> impl Iterator<Item = Record> {
         self.members.iter().skip(partition).step_by(PARTITIONS).filter_map(Member::record)
     }
 
-    /// How many members are live.
+    /// Returns the number of live members.
     pub fn live_count(&self) -> usize {
         self.members.iter().filter(|member| member.is_live()).count()
     }
 
-    /// The numbers of the live members.
+    /// Iterates over the numbers of the live members.
     pub fn live(&self) -> impl Iterator<Item = MemberId> {
         self.iter().filter(|(_, member)| member.is_live()).map(|(number, _)| number)
     }
 
-    /// The numbers of all other members: dead, left or unknown.
+    /// Iterates over the numbers of the members that are not live: dead, left or unknown.
     pub fn not_live(&self) -> impl Iterator<Item = MemberId> {
         self.iter().filter(|(_, member)| !member.is_live()).map(|(number, _)| number)
     }
--- a/crates/stonevane-membership/src/machine/merge.rs
+++ b/crates/stonevane-membership/src/machine/merge.rs
@@ -6,7 +6,8 @@
 use crate::record::{Record, State};
 
 impl<F: Faults> Machine<F> {
-    /// Merges a record: one that is later than the known one replaces it; one that shares a suspicion confirms it.
+    /// Merges a record: a later record replaces the known one, and a record of the same suspicion confirms
+    /// it.
     pub(super) fn merge(&mut self, now: Micros, record: Record, out: &mut Outputs) {
         if record.member == self.setup.number {
             return self.merge_own(now, record, out);
@@ -17,10 +18,11 @@
         }
     }
 
-    /// Counts a further accuser of a suspected member, and disseminates the suspicion once more under its name.
+    /// Counts the reporter of a record as one more member that confirms a suspicion, and disseminates the
+    /// suspicion again under that member's number.
     fn confirm_suspicion(&mut self, now: Micros, record: Record, known: &Record) {
-        let shared = record.precedence() == known.precedence() && record.state == State::Suspect;
-        if !shared {
+        let same_suspicion = record.precedence() == known.precedence() && record.state == State::Suspect;
+        if !same_suspicion {
             return;
         }
         let live = self.members.live_count();
@@ -30,45 +32,48 @@
         }
     }
 
-    /// A record about this member itself: one that supersedes its own is refuted.
-    fn merge_own(&mut self, now: Micros, stated: Record, out: &mut Outputs) {
+    /// Handles a record about this member itself: refutes it if it supersedes this member's own record.
+    fn merge_own(&mut self, now: Micros, reported: Record, out: &mut Outputs) {
         let own = self.own_record();
-        if self.leaving || !stated.supersedes(&own) || self.faults.has(Mutant::NeverRefutes) {
+        if self.leaving || !reported.supersedes(&own) || self.faults.has(Mutant::NeverRefutes) {
             return;
         }
-        let same_instance = stated.instance == own.instance && stated.state != State::Left;
-        let refutation = if same_instance && stated.incarnation < u32::MAX {
-            Some(self.refute(&own, &stated))
+        let same_instance = reported.instance == own.instance && reported.state != State::Left;
+        let refutation = if same_instance && reported.incarnation < u32::MAX {
+            Some(self.refute(&own, &reported))
         } else {
-            self.supersede_instance(&own, &stated)
+            self.supersede_instance(&own, &reported)
         };
         if let Some(refutation) = refutation {
             self.replace(now, refutation, out);
         }
     }
 
-    /// The next incarnation of this member, which refutes what was stated of the present one.
-    fn refute(&mut self, own: &Record, stated: &Record) -> Record {
-        if stated.state != State::Alive {
+    /// Returns the record of the next incarnation, which refutes a report about the current one.
+    fn refute(&mut self, own: &Record, reported: &Record) -> Record {
+        if reported.state != State::Alive {
             self.counts.refuted += 1;
             self.health.penalize(1);
         }
-        Record { incarnation: stated.incarnation + 1, ..*own }
+        Record { incarnation: reported.incarnation + 1, ..*own }
     }
 
-    /// The generation after that of an earlier instance of this member, or of another process that claims its number.
-    fn supersede_instance(&mut self, own: &Record, stated: &Record) -> Option<Record> {
+    /// Returns the record of the next generation, which supersedes an earlier instance of this member or
+    /// another process that claims its number. Returns `None` if the reported generation is the highest
+    /// possible one.
+    fn supersede_instance(&mut self, own: &Record, reported: &Record) -> Option<Record> {
         if self.faults.has(Mutant::StaleLife) {
             return None;
         }
         self.counts.identity_conflicts += 1;
         let mut record = *own;
-        record.instance.generation = stated.instance.generation.checked_add(1)?;
+        record.instance.generation = reported.instance.generation.checked_add(1)?;
         record.incarnation = 0;
         Some(record)
     }
 
-    /// Replaces the record of a member, with all that follows from it.
+    /// Replaces the record of a member, and updates its suspicion, the probe round, the events and the
+    /// dissemination queue.
     pub(super) fn replace(&mut self, now: Micros, record: Record, out: &mut Outputs) {
         let before = self.members.replace(record);
         self.suspicions.cancel(record.member);
@@ -76,13 +81,13 @@
             let live = self.members.live_count();
             self.suspicions.start(now, record.member, record.by, live);
         }
-        self.probe_if_new(before, &record);
+        self.add_to_probe_round(before, &record);
         self.report_change(now, before, record, out);
         self.disseminate(now, record.member);
     }
 
-    /// A member that has become live is probed in the present round.
-    fn probe_if_new(&mut self, before: Option<Record>, record: &Record) {
+    /// Adds a member that has become live to the current probe round.
+    fn add_to_probe_round(&mut self, before: Option<Record>, record: &Record) {
         let was_live = before.is_some_and(|before| before.state.is_live());
         if !was_live && record.state.is_live() && record.member != self.setup.number {
             self.probing.add(record.member, &mut self.random);
@@ -95,7 +100,7 @@
         if unchanged {
             return;
         }
-        self.members[record.member].since = now;
+        self.members[record.member].changed_at = now;
         let previous = before.map(|before| before.state);
         out.events.push(MemberEvent { previous, record });
     }
--- a/crates/stonevane-membership/src/machine/mod.rs
+++ b/crates/stonevane-membership/src/machine/mod.rs
@@ -1,4 +1,4 @@
-//! A member of the fleet as a state machine without I/O: SWIM with the Lifeguard extensions.
+//! State machine of one member, without I/O: SWIM with the Lifeguard extensions.
 //!
 //! Each concern has a module with its own state; this one composes them and runs their timers:
 //!
@@ -7,16 +7,16 @@
 //! | `probing` | the failure detector: one probe in each protocol period |
 //! | `relays` | indirect probes on behalf of others |
 //! | `reconnection` | pings to members that are not live |
-//! | `suspicion` | suspicions, their accusers and timeouts |
-//! | `isolation` | whether this member hears anybody at all |
+//! | `suspicion` | suspicions, their confirmations and timeouts |
+//! | `isolation` | whether any datagrams reach this member |
 //! | `merge` | which update supersedes which; refutation |
 //! | `gossip` | dissemination of updates |
 //! | `anti_entropy`, `digests` | repair of tables that differ |
-//! | `replay` | which datagrams are replays |
+//! | `replay` | protection against replayed datagrams |
 //! | `members` | the member table |
 //! | `reception`, `transmission` | datagrams in and out |
-//! | `process_pause` | a process that did not run for a while |
-//! | `snapshot` | what the caller can query |
+//! | `process_pause` | recovery from pauses of this member's process |
+//! | `snapshot` | queries by the caller |
 
 mod anti_entropy;
 mod digests;
@@ -55,10 +55,10 @@
 use crate::status::Counts;
 use crate::wire::Kind;
 
-/// Members that are notified at once when this one leaves.
+/// Number of members that receive the announcement directly when this member leaves.
 const LEAVE_FANOUT: usize = 4;
 
-/// One member.
+/// State machine of one member.
 #[derive(Debug)]
 pub struct Machine<F: Faults = NoFaults> {
     setup: Setup,
@@ -80,12 +80,12 @@
 }
 
 impl<F: Faults> Machine<F> {
-    /// A member that knows only itself.
+    /// Creates a member that knows only itself.
     pub fn new(now: Micros, setup: Setup) -> Self {
         Self::with(now, setup, F::default())
     }
 
-    /// The same, with deliberate faults.
+    /// Creates a member that knows only itself and has deliberate faults.
     pub fn with(now: Micros, mut setup: Setup, faults: F) -> Self {
         let members = setup.members.max(setup.number.saturating_add(1));
         setup.members = members;
@@ -112,12 +112,12 @@
         machine
     }
 
-    /// When the machine has to be woken next.
+    /// Returns the time at which the machine has to be woken next.
     pub fn next(&self) -> Micros {
         self.wake_at
     }
 
-    /// Handles an event at a time, and adds what is to be done to the outputs.
+    /// Handles an input at the time `now`, and appends the resulting datagrams and events to `out`.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, out: &mut Outputs) {
         self.detect_pause(now, out);
         match input {
@@ -149,7 +149,8 @@
         deadlines.into_iter().flatten().min().unwrap_or(Micros::MAX)
     }
 
-    /// Adds members of whom nothing is known; they are contacted like those that are not live.
+    /// Grows the fleet to `members` members. The new ones are unknown, so reconnection contacts them like
+    /// members that are not live.
     fn grow(&mut self, members: MemberId) {
         if members <= self.setup.members {
             return;
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The record of this member.
+    /// Returns the record of this member.
     fn own_record(&self) -> Record {
         let initial = self.initial_record();
         self.members.record(self.setup.number).unwrap_or(initial)
@@ -184,7 +185,7 @@
         Record { member, instance, incarnation: 0, state: State::Alive, by: member }
     }
 
-    /// Random live members, other than this one and `except`.
+    /// Returns up to `count` random live members, other than this one and `except`.
     fn random_peers(&mut self, count: usize, except: MemberId) -> Vec<MemberId> {
         let me = self.setup.number;
         let candidates = self.members.live().filter(|member| *member != me && *member != except).collect();
--- a/crates/stonevane-membership/src/machine/process_pause.rs
+++ b/crates/stonevane-membership/src/machine/process_pause.rs
@@ -1,17 +1,18 @@
-//! Process pauses: the process was not scheduled when the machine was due, for instance because it or its host was suspended.
-//! What it missed meanwhile is attributed to itself and not to the others.
+//! Process pauses: the process was not scheduled when the machine was due, for instance because the process
+//! or its host was suspended. Acks and other datagrams missed during a pause are attributed to this member,
+//! not to the others.
 
 use super::{Machine, Outputs};
 use crate::Micros;
 use crate::faults::Faults;
 
-/// Members that are pinged at once after a pause.
+/// Number of members that are pinged immediately after a pause.
 const PINGS_AFTER_PAUSE: usize = 3;
-/// Periods by which suspicions are postponed in addition to the pause.
+/// Protocol periods by which suspicions are postponed in addition to the length of the pause.
 const GRACE_PERIODS: Micros = 2;
 
 impl<F: Faults> Machine<F> {
-    /// Recovers from a pause, if the machine was woken more than half a period late.
+    /// Recovers from a pause if the machine was woken more than half a protocol period late.
     pub(super) fn detect_pause(&mut self, now: Micros, out: &mut Outputs) {
         let late = now.saturating_sub(self.wake_at);
         if late > self.setup.period / 2 {
@@ -27,8 +28,8 @@
         let rest_of_period = self.random.below(self.setup.period as usize) as Micros;
         self.probing.end_period_at(now + rest_of_period);
         self.suspicions.postpone(late + GRACE_PERIODS * self.setup.period);
-        self.isolation.restart(now);
-        // Others may have declared this member dead: their answers to its pings say so.
+        self.isolation.restart_silence(now);
+        // Others may have declared this member dead; their answers to its pings carry that record.
         for member in self.random_peers(PINGS_AFTER_PAUSE, self.setup.number) {
             self.ping_outside_round(member, out);
         }
--- a/crates/stonevane-membership/src/machine/random.rs
+++ b/crates/stonevane-membership/src/machine/random.rs
@@ -4,22 +4,22 @@
 
 use crate::record::MemberId;
 
-/// A source of random choices.
+/// Source of random choices.
 #[derive(Debug)]
 pub(super) struct Random(Rand64);
 
 impl Random {
-    /// A source for one instance of a member.
+    /// Creates the source for one instance of a member.
     pub fn new(seed: u64, nonce: u32) -> Random {
         Random(Rand64::new(u128::from(seed) << 32 | u128::from(nonce)))
     }
 
-    /// A number below `count`; 0 where `count` is 0.
+    /// Returns a number below `count`, or 0 if `count` is 0.
     pub fn below(&mut self, count: usize) -> usize {
         self.0.rand_range(0..count.max(1) as u64) as usize
     }
 
-    /// Chooses `count` of the candidates, or all where there are fewer, in random order.
+    /// Chooses `count` of the candidates, or all if there are fewer, in random order.
     pub fn choose(&mut self, mut candidates: Vec<MemberId>, count: usize) -> Vec<MemberId> {
         let count = count.min(candidates.len());
         for at in 0..count {
--- a/crates/stonevane-membership/src/machine/reception.rs
+++ b/crates/stonevane-membership/src/machine/reception.rs
@@ -1,4 +1,4 @@
-//! Receiving: which datagrams are accepted, what they state, and who handles each kind.
+//! Reception of datagrams: checks them, merges their records, and dispatches them by kind.
 
 use super::probing::AckOutcome;
 use super::replay::Acceptance;
@@ -10,7 +10,7 @@
 use crate::wire::{Kind, Message, Refused};
 
 impl<F: Faults> Machine<F> {
-    /// Handles a datagram from the address of a member.
+    /// Handles a datagram that arrived from the address of a member.
     pub(super) fn receive(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Outputs) {
         let message = match self.read(from, bytes) {
             Ok(message) => message,
@@ -19,7 +19,7 @@
         let acceptance = self.accept(&message);
         match acceptance {
             Acceptance::Newest => self.observe_sender(now, &message),
-            Acceptance::Overtaken => {}
+            Acceptance::OutOfOrder => {}
             Acceptance::Duplicate | Acceptance::EndedInstance => {
                 self.counts.refused_old += 1;
                 return;
@@ -32,7 +32,7 @@
         self.dispatch(now, &message, out);
     }
 
-    /// Reads a datagram, and checks its sender and receiver.
+    /// Decodes a datagram, and checks its sender and receiver.
     fn read(&self, from: MemberId, bytes: &[u8]) -> Result<Message, Refused> {
         let message = Message::read(bytes, self.setup.key.as_ref(), self.setup.members)?;
         let me = self.setup.number;
@@ -42,28 +42,28 @@
         Ok(message)
     }
 
-    /// Protects against replays.
+    /// Applies the replay protection of the sender to a datagram.
     fn accept(&mut self, message: &Message) -> Acceptance {
         let sender = &mut self.members[message.from];
         let known = sender.record().map(|record| record.instance);
         let acceptance = sender.replay.accept(message.instance, message.sequence, known);
         if acceptance == Acceptance::EndedInstance {
-            // Should it be running after all, it is sent the record that it has to supersede.
-            sender.stated = None;
+            // If the instance is running after all, it is sent the record that it has to supersede.
+            sender.advertised = None;
         }
         acceptance
     }
 
-    /// Takes note of what the newest datagram of a member shows of its sender.
+    /// Updates the entry of a sender from its newest datagram.
     fn observe_sender(&mut self, now: Micros, message: &Message) {
         let sender = &mut self.members[message.from];
-        sender.heard = Some(now);
-        sender.stated = Some((message.instance, message.incarnation));
+        sender.last_received = Some(now);
+        sender.advertised = Some((message.instance, message.incarnation));
         sender.health = message.health;
-        self.isolation.heard(now);
+        self.isolation.datagram_accepted(now);
     }
 
-    /// Merges what a datagram states: that its sender is alive, and its records.
+    /// Merges the record of the sender, which is alive, and all records that a datagram carries.
     fn merge_all(&mut self, now: Micros, message: &Message, out: &mut Outputs) {
         let sender = Record {
             member: message.from,
@@ -113,7 +113,7 @@
 
     fn probe_answered(&mut self, now: Micros, from: MemberId, direct: bool, first: bool) {
         if direct {
-            self.members[from].answered = Some(now);
+            self.members[from].last_answered = Some(now);
         }
         if first {
             self.health.recover();
--- a/crates/stonevane-membership/src/machine/reconnection.rs
+++ b/crates/stonevane-membership/src/machine/reconnection.rs
@@ -1,5 +1,6 @@
-//! Reconnection: members that are not live are pinged from time to time. They may have restarted, or a partition that
-//! separated them may have healed. A member that knows nobody finds the fleet in the same way.
+//! Reconnection: members that are not live are pinged periodically, because they may have restarted, or a
+//! network partition that separated them may have healed. A member that knows no others finds the fleet in
+//! the same way.
 
 use std::collections::VecDeque;
 
@@ -10,46 +11,46 @@
 use crate::record::MemberId;
 use crate::wire::Kind;
 
-/// Pings whose answers are waited for, at most.
-const MAX_OUTSTANDING: usize = 16;
-/// The pace while some other member is live: a steady, small cost.
+/// Maximum number of pings whose answers are awaited; beyond it the oldest is forgotten.
+const MAX_OUTSTANDING_PINGS: usize = 16;
+/// Pace while another member is live: a small, steady cost.
 const CONNECTED: Pace = Pace { pings: 1, attempts_per_period: 1 };
-/// The pace while no other member is live, as at the start: faster, until the fleet is found.
+/// Pace while no other member is live, for instance at the start: faster, to find the fleet soon.
 const DISCONNECTED: Pace = Pace { pings: 3, attempts_per_period: 5 };
 
-/// How often and how many members are pinged.
+/// Rate of reconnection attempts.
 struct Pace {
-    /// Members pinged in an attempt.
+    /// Members pinged per attempt.
     pings: usize,
     attempts_per_period: Micros,
 }
 
-/// The pings outside of the failure detector's rounds.
+/// Pings outside the failure detector's rounds.
 #[derive(Debug)]
 pub(super) struct Reconnection {
-    next_attempt: Micros,
-    /// Numbers and receivers of pings that may still be answered, the oldest first.
+    next_attempt_at: Micros,
+    /// Probe numbers and receivers of pings that may still be answered, oldest first.
     outstanding: VecDeque<(u32, MemberId)>,
 }
 
 impl Reconnection {
-    /// No ping yet; the first attempt is due now.
+    /// Creates the state before the first ping; the first attempt is due now.
     pub fn new(now: Micros) -> Reconnection {
-        Reconnection { next_attempt: now, outstanding: VecDeque::new() }
+        Reconnection { next_attempt_at: now, outstanding: VecDeque::new() }
     }
 
-    /// When the next attempt is due.
+    /// Returns the time of the next attempt.
     pub fn next_deadline(&self) -> Micros {
-        self.next_attempt
+        self.next_attempt_at
     }
 
-    /// Whether an ack of this number from this member answers a ping.
+    /// Returns whether an ack with this probe number from this member answers a ping.
     pub fn is_outstanding(&self, number: u32, member: MemberId) -> bool {
         self.outstanding.contains(&(number, member))
     }
 
     fn remember(&mut self, number: u32, member: MemberId) {
-        if self.outstanding.len() == MAX_OUTSTANDING {
+        if self.outstanding.len() == MAX_OUTSTANDING_PINGS {
             self.outstanding.pop_front();
         }
         self.outstanding.push_back((number, member));
@@ -59,21 +60,21 @@
 impl<F: Faults> Machine<F> {
     /// Pings random members that are not live, if an attempt is due.
     pub(super) fn run_reconnection(&mut self, now: Micros, out: &mut Outputs) {
-        if self.reconnection.next_attempt > now {
+        if self.reconnection.next_attempt_at > now {
             return;
         }
         let me = self.setup.number;
         let connected = self.members.live().any(|member| member != me);
         let pace = if connected { CONNECTED } else { DISCONNECTED };
-        self.reconnection.next_attempt = now + self.setup.period / pace.attempts_per_period;
+        self.reconnection.next_attempt_at = now + self.setup.period / pace.attempts_per_period;
         if self.leaving || connected && self.faults.has(Mutant::NoRepair) {
             return;
         }
         let candidates = self.members.not_live().filter(|member| *member != me).collect();
-        self.ping_some(candidates, pace.pings, out);
+        self.ping_random(candidates, pace.pings, out);
     }
 
-    fn ping_some(&mut self, mut candidates: Vec<MemberId>, count: usize, out: &mut Outputs) {
+    fn ping_random(&mut self, mut candidates: Vec<MemberId>, count: usize, out: &mut Outputs) {
         for _ in 0..count.min(candidates.len()) {
             let at = self.random.below(candidates.len());
             let member = candidates.swap_remove(at);
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Pings a member outside of the failure detector's rounds: no answer means nothing.
+    /// Pings a member outside the failure detector's rounds. A missing answer has no consequences.
     pub(super) fn ping_outside_round(&mut self, member: MemberId, out: &mut Outputs) {
         let number = self.probing.next_number();
         self.reconnection.remember(number, member);
--- a/crates/stonevane-membership/src/machine/replay.rs
+++ b/crates/stonevane-membership/src/machine/replay.rs
@@ -1,33 +1,34 @@
-//! Replay protection: each datagram of a member is accepted once, and none of an instance that has ended.
+//! Replay protection: each datagram of a member is accepted once, and datagrams of ended instances are
+//! rejected.
 
 use std::collections::VecDeque;
 
 use crate::record::Instance;
 
-/// Ended instances of a member that are remembered, at most.
-const MAX_ENDED: usize = 8;
-/// Sequence numbers that a window covers.
-const WINDOW: u64 = 128;
+/// Maximum number of ended instances that are remembered per member.
+const MAX_ENDED_INSTANCES: usize = 8;
+/// Number of sequence numbers that a window covers: the bits of a `u128`.
+const WINDOW_SEQUENCES: u64 = 128;
 
-/// Whether a datagram is accepted.
+/// Decision on a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Acceptance {
     /// Accepted: the newest of its instance.
     Newest,
-    /// Accepted: it was overtaken by a later one.
-    Overtaken,
-    /// Refused: accepted before, or too old to tell.
+    /// Accepted: a later one arrived before it.
+    OutOfOrder,
+    /// Rejected: accepted before, or too old to be checked.
     Duplicate,
-    /// Refused: its instance has ended.
+    /// Rejected: its instance has ended.
     EndedInstance,
 }
 
-/// The replay window over the sequence numbers of one instance.
+/// Replay window over the sequence numbers of one instance.
 #[derive(Debug, Clone, Copy)]
 struct Window {
     nonce: u32,
     highest: u64,
-    /// Bit i: `highest - i` was accepted.
+    /// Bit i: sequence number `highest - i` was accepted.
     accepted: u128,
 }
 
@@ -42,7 +43,7 @@
             return Acceptance::Newest;
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW {
+        if behind >= WINDOW_SEQUENCES {
             return Acceptance::Duplicate;
         }
         let bit = 1u128 << behind;
@@ -50,18 +51,18 @@
             return Acceptance::Duplicate;
         }
         self.accepted |= bit;
-        Acceptance::Overtaken
+        Acceptance::OutOfOrder
     }
 
     fn advance(&mut self, sequence: u64) {
         let by = sequence.saturating_sub(self.highest);
-        let still_covered = if by < WINDOW { self.accepted << by } else { 0 };
+        let still_covered = if by < WINDOW_SEQUENCES { self.accepted << by } else { 0 };
         self.accepted = still_covered | 1;
         self.highest = sequence;
     }
 }
 
-/// The replay protection for one member's datagrams.
+/// Replay protection for the datagrams of one member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ReplayGuard {
     window: Option<Window>,
@@ -70,8 +71,8 @@
 }
 
 impl ReplayGuard {
-    /// Decides on a datagram of an instance. `known` is the instance in the member table, which the datagram has to be
-    /// later than where it is of one that had ended.
+    /// Decides on a datagram of an instance. `known` is the instance in the member table: a datagram of an
+    /// instance that had ended is accepted only if that instance is the known one or later.
     pub fn accept(&mut self, instance: Instance, sequence: u64, known: Option<Instance>) -> Acceptance {
         if self.has_ended(instance, known) {
             return Acceptance::EndedInstance;
@@ -84,7 +85,7 @@
         self.ended.contains(&instance.nonce) && not_current
     }
 
-    /// The window of an instance: a new one, where the present window is of another.
+    /// Returns the window of an instance; a new one if the current window belongs to another instance.
     fn window_of(&mut self, nonce: u32) -> &mut Window {
         let previous = self.window.take();
         let current = match previous {
@@ -99,7 +100,7 @@
     }
 
     fn remember_ended(&mut self, nonce: u32) {
-        self.ended.truncate(MAX_ENDED - 1);
+        self.ended.truncate(MAX_ENDED_INSTANCES - 1);
         self.ended.push_front(nonce);
     }
 }
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -1,35 +1,36 @@
-//! The parameters of a member, and the inputs and outputs of its machine.
+//! Parameters of a member, and inputs and outputs of its machine.
 
 use std::collections::VecDeque;
 
 use crate::Micros;
 use crate::record::{MemberId, Record, State};
 
-/// The parameters of a member, set at its start.
+/// Parameters of a member, set at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Setup {
-    /// Its number.
+    /// Number of this member.
     pub number: MemberId,
-    /// How many members there are.
+    /// Number of members in the fleet, this one included.
     pub members: MemberId,
-    /// The protocol period: one probe in each.
+    /// Protocol period, in microseconds: one probe is sent in each.
     pub period: Micros,
-    /// The probe timeout: after it, indirect probes are requested from other members.
+    /// Probe timeout, in microseconds, after which indirect probes are requested from other members.
     pub probe_timeout: Micros,
-    /// From how many other members indirect probes are requested.
+    /// Number of other members from which indirect probes are requested.
     pub indirect_probes: usize,
-    /// The suspicion multiplier: the shortest suspicion timeout in periods, for each power of ten of the live members.
+    /// Suspicion multiplier: the shortest suspicion timeout, in protocol periods, for each power of ten of
+    /// the live members.
     pub suspicion_multiplier: f64,
-    /// Whether the Lifeguard extensions lengthen timeouts: the local health multiplier and the longer timeout of a
-    /// suspicion that few members share.
+    /// Whether the Lifeguard extensions lengthen timeouts: the local health multiplier, and the longer
+    /// timeout of a suspicion that few members have confirmed.
     pub uses_local_health: bool,
-    /// The key that all members share.
+    /// Key that all members share; `None` if datagrams carry a checksum instead of a keyed digest.
     pub key: Option<[u8; 32]>,
-    /// The highest version of datagrams that is sent.
+    /// Highest datagram version that this member sends.
     pub max_version: u8,
-    /// The seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// The nonce of this instance, drawn anew at each start.
+    /// Nonce of this instance, drawn anew at each start of the process.
     pub nonce: u32,
 }
 
@@ -51,33 +52,34 @@
     }
 }
 
-/// An event that the machine handles.
+/// Input of the machine.
 #[derive(Debug, Clone, Copy)]
 pub enum Input<'b> {
-    /// A datagram arrived from the address of a member.
+    /// Datagram that arrived from the address of a member.
     Datagram(MemberId, &'b [u8]),
-    /// Time has passed.
+    /// Wake-up, due at the time that `Machine::next` returned.
     Wake,
-    /// A newer list of peers has this many members. Members keep their numbers: a shorter list changes nothing.
+    /// Newer list of peers with this many members. Members keep their numbers, so a shorter list changes
+    /// nothing.
     Members(MemberId),
-    /// The process is about to end.
+    /// The process is about to end: the member announces that it leaves.
     Leave,
 }
 
-/// A change of a member's state or instance.
+/// Change of a member's state or instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberEvent {
-    /// The state before; `None`: the member was unknown.
+    /// State before the change; `None` if the member was unknown.
     pub previous: Option<State>,
-    /// The record that holds now.
+    /// Record after the change.
     pub record: Record,
 }
 
-/// What the caller has to do.
+/// Outputs of the machine, for the caller to act on.
 #[derive(Debug, Default)]
 pub struct Outputs {
     /// Datagrams to send, each with its receiver.
     pub sends: VecDeque<(MemberId, Vec<u8>)>,
-    /// Membership changes, in their order.
+    /// Membership changes, in the order in which they happened.
     pub events: Vec<MemberEvent>,
 }
--- a/crates/stonevane-membership/src/machine/snapshot.rs
+++ b/crates/stonevane-membership/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! Queries: the states of members and the status of this one.
+//! Queries: the states of members and the status of this member.
 
 use super::Machine;
 use super::members::Member;
@@ -7,37 +7,38 @@
 use crate::status::{MemberStatus, Status};
 
 impl<F: Faults> Machine<F> {
-    /// The state of a member. While this member hears nobody at all, those that did not answer it count as suspected
-    /// here and this is not disseminated: it may be this member that is isolated.
+    /// Returns the state of a member. While no datagrams reach this member, members whose probes failed count
+    /// as suspected here. This suspicion is not disseminated, because this member itself may be isolated.
     pub fn state(&self, member: MemberId) -> Option<State> {
         let state = self.members.get(member)?.record()?.state;
-        let doubted = self.isolation.doubts(member) && state.is_live();
-        Some(if doubted { State::Suspect } else { state })
+        let locally_suspected = self.isolation.is_suspected_locally(member) && state.is_live();
+        Some(if locally_suspected { State::Suspect } else { state })
     }
 
-    /// How many members are live, this one included.
+    /// Returns the number of live members, this one included.
     pub fn living(&self) -> usize {
         self.members.live_count()
     }
 
-    /// How many members share the fleet's limits, or may: all that are known and have not left. One that was declared
-    /// dead may only be unreachable.
+    /// Returns the number of members that share the fleet's limits, or may share them: all known members that
+    /// have not left. A member that was declared dead counts, because it may only be unreachable.
     pub fn known(&self) -> usize {
         let records = self.members.iter().filter_map(|(_, member)| member.record());
         records.filter(|record| record.state != State::Left).count()
     }
 
-    /// Whether there are updates that it still disseminates.
+    /// Returns whether this member still disseminates updates.
     pub fn disseminates(&self) -> bool {
         !self.gossip.is_idle()
     }
 
-    /// The score of its local health, from 0: its probes and periods take longer by as many times.
+    /// Returns the local health score, 0 (healthy) to 8. Probe timeouts and protocol periods are multiplied
+    /// by the score plus 1, unless the Lifeguard extensions are disabled.
     pub fn health(&self) -> u8 {
         self.health.score()
     }
 
-    /// The status of this member and its view of all others.
+    /// Returns the status of this member and its view of all others.
     pub fn status(&self) -> Status {
         let own = self.own_record();
         Status {
@@ -57,12 +58,12 @@
             member: number,
             record: member.record(),
             state: self.state(number),
-            since: member.since,
-            heard: member.heard,
-            answered: member.answered,
-            unanswered: member.unanswered,
+            since: member.changed_at,
+            heard: member.last_received,
+            answered: member.last_answered,
+            unanswered: member.last_unanswered,
             health: member.health,
-            accusers: self.suspicions.accusers(number) as u8,
+            accusers: self.suspicions.reporter_count(number) as u8,
         }
     }
 }
--- a/crates/stonevane-membership/src/machine/suspicion.rs
+++ b/crates/stonevane-membership/src/machine/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicion: who suspects a member, and when it is declared dead unless it refutes. The timeout of a suspicion shrinks
-//! as further members confirm it (Lifeguard's dynamic suspicion timeout).
+//! Suspicion: which members suspect a member, and when it is declared dead unless it refutes the suspicion.
+//! The timeout shrinks as further members confirm the suspicion (Lifeguard's dynamic suspicion timeout).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,41 +8,42 @@
 use crate::faults::{Faults, Mutant};
 use crate::record::{MemberId, Record, State};
 
-/// Accusers beyond the first that shorten a suspicion.
-const CONFIRMATIONS: usize = 3;
-/// The timeout of an unconfirmed suspicion, in multiples of that of a confirmed one.
+/// Maximum number of confirmations, by members other than the first, that shorten a suspicion.
+const MAX_CONFIRMATIONS: usize = 3;
+/// Timeout of an unconfirmed suspicion, as a multiple of that of a fully confirmed one.
 const UNCONFIRMED_FACTOR: f64 = 4.0;
-/// Periods without any datagram after which this member could not have received a refutation either.
+/// Protocol periods without any datagram, after which a refutation could not have arrived either.
 const SILENT_PERIODS: u64 = 3;
 
-/// The suspicion of one member.
+/// Suspicion of one member.
 #[derive(Debug, Clone)]
 struct Suspicion {
-    begun: Micros,
-    accusers: Vec<MemberId>,
-    ends: Micros,
+    started_at: Micros,
+    reporters: Vec<MemberId>,
+    deadline: Micros,
 }
 
-/// The suspicion timeouts of a fleet.
+/// Parameters of the suspicion timeouts.
 #[derive(Debug, Clone)]
 struct Timeouts {
-    /// The suspicion multiplier: the shortest timeout in periods, for each power of ten of the live members.
+    /// Suspicion multiplier: the shortest timeout, in protocol periods, for each power of ten of the live
+    /// members.
     multiplier: f64,
-    /// The protocol period.
+    /// Protocol period, in microseconds.
     period: f64,
     /// Whether unconfirmed suspicions last longer.
     dynamic: bool,
 }
 
 impl Timeouts {
-    /// The timeout of a suspicion with so many accusers among so many live members.
-    fn timeout(&self, accusers: usize, live: usize) -> Micros {
+    /// Returns the timeout of a suspicion that `reporters` members share in a fleet of `live` live members.
+    fn timeout(&self, reporters: usize, live: usize) -> Micros {
         let shortest = self.shortest(live);
-        let confirmations = CONFIRMATIONS.min(live.saturating_sub(3));
+        let confirmations = MAX_CONFIRMATIONS.min(live.saturating_sub(3));
         if confirmations == 0 || !self.dynamic {
             return shortest as Micros;
         }
-        let confirmed = (accusers as f64).ln() / (confirmations as f64 + 1.0).ln();
+        let confirmed = (reporters as f64).ln() / (confirmations as f64 + 1.0).ln();
         let longest = UNCONFIRMED_FACTOR * shortest;
         (longest - (longest - shortest) * confirmed).max(shortest) as Micros
     }
@@ -52,7 +53,7 @@
     }
 }
 
-/// All present suspicions, with their deadlines.
+/// All current suspicions, with their deadlines.
 #[derive(Debug)]
 pub(super) struct Suspicions {
     timeouts: Timeouts,
@@ -61,7 +62,7 @@
 }
 
 impl Suspicions {
-    /// No suspicions yet.
+    /// Creates the state without suspicions.
     pub fn new(setup: &Setup) -> Suspicions {
         let timeouts = Timeouts {
             multiplier: setup.suspicion_multiplier,
@@ -71,50 +72,50 @@
         Suspicions { timeouts, by_member: BTreeMap::new(), deadlines: BTreeSet::new() }
     }
 
-    /// Starts the suspicion of a member, in a fleet of so many live members.
-    pub fn start(&mut self, now: Micros, member: MemberId, accuser: MemberId, live: usize) {
-        let ends = now + self.timeouts.timeout(1, live);
-        let suspicion = Suspicion { begun: now, accusers: vec![accuser], ends };
+    /// Starts the suspicion of a member in a fleet of `live` live members.
+    pub fn start(&mut self, now: Micros, member: MemberId, reporter: MemberId, live: usize) {
+        let deadline = now + self.timeouts.timeout(1, live);
+        let suspicion = Suspicion { started_at: now, reporters: vec![reporter], deadline };
         self.by_member.insert(member, suspicion);
-        self.deadlines.insert((ends, member));
+        self.deadlines.insert((deadline, member));
     }
 
     /// Ends the suspicion of a member, if there is one.
     pub fn cancel(&mut self, member: MemberId) {
         if let Some(suspicion) = self.by_member.remove(&member) {
-            self.deadlines.remove(&(suspicion.ends, member));
+            self.deadlines.remove(&(suspicion.deadline, member));
         }
     }
 
-    /// Adds an accuser to the suspicion of a member, which shortens it. Returns false where there is no suspicion, the
-    /// accuser is known, or there are enough.
-    pub fn confirm(&mut self, now: Micros, member: MemberId, accuser: MemberId, live: usize) -> bool {
+    /// Adds a reporter to the suspicion of a member, which shortens its timeout. Returns false if there is no
+    /// suspicion, the reporter is already counted, or there are enough confirmations.
+    pub fn confirm(&mut self, now: Micros, member: MemberId, reporter: MemberId, live: usize) -> bool {
         let Some(suspicion) = self.by_member.get_mut(&member) else { return false };
-        if suspicion.accusers.len() > CONFIRMATIONS || suspicion.accusers.contains(&accuser) {
+        if suspicion.reporters.len() > MAX_CONFIRMATIONS || suspicion.reporters.contains(&reporter) {
             return false;
         }
-        suspicion.accusers.push(accuser);
-        let timeout = self.timeouts.timeout(suspicion.accusers.len(), live);
-        self.deadlines.remove(&(suspicion.ends, member));
-        suspicion.ends = (suspicion.begun + timeout).max(now);
-        self.deadlines.insert((suspicion.ends, member));
+        suspicion.reporters.push(reporter);
+        let timeout = self.timeouts.timeout(suspicion.reporters.len(), live);
+        self.deadlines.remove(&(suspicion.deadline, member));
+        suspicion.deadline = (suspicion.started_at + timeout).max(now);
+        self.deadlines.insert((suspicion.deadline, member));
         true
     }
 
-    /// How many members suspect this one.
-    pub fn accusers(&self, member: MemberId) -> usize {
-        self.by_member.get(&member).map_or(0, |suspicion| suspicion.accusers.len())
+    /// Returns the number of members known to suspect `member`.
+    pub fn reporter_count(&self, member: MemberId) -> usize {
+        self.by_member.get(&member).map_or(0, |suspicion| suspicion.reporters.len())
     }
 
-    /// The earliest deadline.
+    /// Returns the earliest deadline.
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.deadlines.first().map(|(ends, _)| *ends)
+        self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Takes the earliest deadline that has passed, and returns its member.
+    /// Takes the earliest deadline if it has passed, and returns its member.
     fn pop_expired(&mut self, now: Micros) -> Option<MemberId> {
-        let (ends, member) = self.deadlines.first().copied()?;
-        if ends > now {
+        let (deadline, member) = self.deadlines.first().copied()?;
+        if deadline > now {
             return None;
         }
         self.deadlines.pop_first();
@@ -122,21 +123,21 @@
     }
 
     /// Sets a new deadline for a suspicion that has expired.
-    fn extend(&mut self, member: MemberId, ends: Micros) {
+    fn extend(&mut self, member: MemberId, deadline: Micros) {
         if let Some(suspicion) = self.by_member.get_mut(&member) {
-            suspicion.ends = ends;
-            self.deadlines.insert((ends, member));
+            suspicion.deadline = deadline;
+            self.deadlines.insert((deadline, member));
         }
     }
 
-    /// Moves all suspicions that have a deadline into the future by a time in which this member did not run.
+    /// Postpones all suspicions that have a deadline, because this member did not run for some time.
     pub fn postpone(&mut self, by: Micros) {
         let deadlines = std::mem::take(&mut self.deadlines);
-        for (ends, member) in deadlines {
+        for (deadline, member) in deadlines {
             let Some(suspicion) = self.by_member.get_mut(&member) else { continue };
-            suspicion.begun += by;
-            suspicion.ends = ends + by;
-            self.deadlines.insert((suspicion.ends, member));
+            suspicion.started_at += by;
+            suspicion.deadline = deadline + by;
+            self.deadlines.insert((suspicion.deadline, member));
         }
     }
 }
@@ -149,12 +150,12 @@
         }
     }
 
-    /// Declares a member dead that has not refuted its suspicion.
+    /// Declares a member dead that has not refuted its suspicion in time.
     fn suspicion_expired(&mut self, now: Micros, member: MemberId, out: &mut Outputs) {
         let Some(record) = self.members.record(member) else { return };
-        let silent = self.isolation.last_heard() + SILENT_PERIODS * self.setup.period < now;
+        let silent = self.isolation.silent_since() + SILENT_PERIODS * self.setup.period < now;
         if silent {
-            // Nobody is heard: a refutation would not have arrived either.
+            // No datagrams arrive, so a refutation would not have arrived either.
             self.suspicions.extend(member, now + self.setup.period);
             return;
         }
--- a/crates/stonevane-membership/src/machine/transmission.rs
+++ b/crates/stonevane-membership/src/machine/transmission.rs
@@ -1,4 +1,4 @@
-//! Sending: datagrams with their sequence numbers, the sender's own state and piggybacked updates.
+//! Transmission: sends datagrams with their sequence numbers, the sender's own state and piggybacked updates.
 
 use std::collections::VecDeque;
 
@@ -7,12 +7,13 @@
 use crate::record::{MemberId, Record};
 use crate::wire::{Kind, Message, record_capacity};
 
-/// The lowest version of datagrams: one that all members read.
+/// Lowest datagram version, which all members read.
 const FIRST_VERSION: u8 = 1;
-/// Datagrams that a member which replays them holds back.
+/// Number of datagrams that a member with the fault [`Mutant::Replays`] holds back before it sends the oldest
+/// again.
 const REPLAY_BACKLOG: usize = 100;
 
-/// The receiver of a datagram and what it is for.
+/// Receiver, kind and subject of a datagram.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Envelope {
     to: MemberId,
@@ -22,17 +23,18 @@
 }
 
 impl Envelope {
-    /// A datagram that belongs to the probe of a number and is about a member.
+    /// Creates the envelope of a datagram that belongs to the probe number `probe` and is about the member
+    /// `about`.
     pub fn new(to: MemberId, kind: Kind, probe: u32, about: MemberId) -> Envelope {
         Envelope { to, kind, probe, about }
     }
 }
 
-/// The sequence numbers of sent datagrams.
+/// Sequence numbers of sent datagrams.
 #[derive(Debug, Default)]
 pub(super) struct Transmitter {
     sequence: u64,
-    /// What a member with the fault [`Mutant::Replays`] has sent and will send again.
+    /// Datagrams that a member with the fault [`Mutant::Replays`] has sent and will send again.
     backlog: VecDeque<(MemberId, Vec<u8>)>,
 }
 
@@ -53,7 +55,8 @@
 }
 
 impl<F: Faults> Machine<F> {
-    /// The version of datagrams that a member reads. One that was not heard yet may read the first only.
+    /// Returns the datagram version to use for a member: the highest that both members support. A member from
+    /// which no datagram has arrived may support only the first version.
     pub(super) fn version_for(&self, to: MemberId) -> u8 {
         let reads = self.members[to].max_version.max(FIRST_VERSION);
         self.setup.max_version.min(reads)
@@ -68,12 +71,13 @@
         self.transmit(envelope, records, out);
     }
 
-    /// The records that precede piggybacked updates: that this member leaves, and what is known here of the receiver but
-    /// not to it, so that it can refute or supersede it.
+    /// Returns the records that precede piggybacked updates: this member's own record if it is leaving, and
+    /// the record of the receiver if the receiver may be unaware of it, so that the receiver can refute or
+    /// supersede it.
     fn leading_records(&self, to: MemberId) -> Vec<Record> {
         let receiver = &self.members[to];
         let leave = self.leaving.then(|| self.own_record());
-        let unknown_to_receiver = receiver.record().filter(|record| !receiver.knows(record));
+        let unknown_to_receiver = receiver.record().filter(|record| !receiver.is_aware_of(record));
         leave.into_iter().chain(unknown_to_receiver).collect()
     }
 
@@ -110,7 +114,7 @@
         }
     }
 
-    /// The number under which this member sends.
+    /// Returns the number under which this member sends.
     fn sender(&self) -> MemberId {
         let impersonates = self.faults.has(Mutant::ClaimsAnother);
         if impersonates { (self.setup.number + 1) % self.setup.members } else { self.setup.number }
--- a/crates/stonevane-membership/src/record.rs
+++ b/crates/stonevane-membership/src/record.rs
@@ -1,38 +1,39 @@
-//! What is known of a member, and which of two records of it is the later one. The order is total and the same at all
-//! nodes, so that tables which have merged the same records are equal, in whatever order these came.
+//! Membership records and their order of precedence. The order is total and the same at all nodes, so tables
+//! that have merged the same records are equal regardless of the order in which the records arrived.
 
-/// The number of a member: its place in `peers`.
+/// Number of a member: its index in the `peers` list.
 pub type MemberId = u16;
 
-/// One run of a member's process, from its start to its end.
+/// Instance of a member: one run of its process, from start to end.
 ///
-/// No disk counts the runs and no clock is trusted. A process draws a nonce at its start, which tells it apart from all
-/// other runs; the generation orders them. A process that learns of another instance of its own member that is later
-/// than itself takes the generation after that one. Until then nobody who knows the older instance believes the newer
-/// one, and each answer carries the record that it has to supersede.
+/// Instances are ordered without persistent storage and without trust in any clock. A process draws a nonce
+/// at its start, which distinguishes it from all other instances; the generation orders them. A process that
+/// learns of another instance of its own member that is later than itself takes the generation after that
+/// one. Until then, members that know the other instance keep its record and send it with every answer, so
+/// that the process can supersede it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Instance {
-    /// A lower bound of how many instances there were, this one included.
+    /// Lower bound on the number of instances so far, this one included.
     pub generation: u32,
-    /// The number drawn at the start.
+    /// Random number drawn at the start of the process.
     pub nonce: u32,
 }
 
-/// The state of a member.
+/// State of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It is alive.
+    /// The member takes part in the protocol and is not suspected.
     Alive,
-    /// It is suspected, and can still refute this.
+    /// The member is suspected of having failed, and can still refute this.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It has announced that it leaves.
+    /// The member has announced that it leaves.
     Left,
 }
 
 impl State {
-    /// Its name in tables and logs.
+    /// Returns the lower-case name for tables and logs.
     pub fn name(self) -> &'static str {
         match self {
             State::Alive => "alive",
@@ -42,40 +43,41 @@
         }
     }
 
-    /// Whether the member takes part in the protocol: it is alive or suspected.
+    /// Returns whether the member takes part in the protocol: it is alive or suspected.
     pub fn is_live(self) -> bool {
         self <= State::Suspect
     }
 }
 
-/// A membership update: the state of a member, as one member has stated it.
+/// Membership update: the state of a member, as reported by a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Record {
-    /// The member that it is about.
+    /// Member that the update is about.
     pub member: MemberId,
-    /// The instance of that member.
+    /// Instance of that member.
     pub instance: Instance,
-    /// The incarnation of that instance: only the member itself raises it, to refute a suspicion.
+    /// Incarnation of that instance. Only the member itself raises it, to refute a suspicion.
     pub incarnation: u32,
-    /// The state.
+    /// State of that instance at that incarnation.
     pub state: State,
-    /// The member that stated it first.
+    /// Member that reported the state; for a suspicion, a member that suspects.
     pub by: MemberId,
 }
 
 impl Record {
-    /// Where the record stands among all possible records of its member: by instance, then whether it has left, then by
-    /// incarnation, then by state.
+    /// Returns the key that orders all possible records of one member: by instance, then whether it has left,
+    /// then by incarnation, then by state.
     pub fn precedence(&self) -> (Instance, bool, u32, State) {
         (self.instance, self.state == State::Left, self.incarnation, self.state)
     }
 
-    /// Whether it is later than another record of the same member.
+    /// Returns whether the record takes precedence over `other`, a record of the same member.
     pub fn supersedes(&self, other: &Record) -> bool {
         self.precedence() > other.precedence()
     }
 
-    /// A digest that is the same at all nodes. A suspicion is transient and leaves the digest unchanged.
+    /// Returns a digest that is the same at all nodes. A suspicion is transient and leaves the digest
+    /// unchanged.
     pub fn digest(&self) -> u32 {
         let mut bytes = [0; 15];
         bytes[..2].copy_from_slice(&self.member.to_le_bytes());
--- a/crates/stonevane-membership/src/status.rs
+++ b/crates/stonevane-membership/src/status.rs
@@ -1,48 +1,49 @@
-//! The status of a member: its own, its view of the others, and its counters.
+//! Status of a member: its own state, its view of the others, and its counters.
 
 use crate::Micros;
 use crate::record::{Instance, MemberId, Record, State};
 use crate::wire::Refused;
 
-/// Counters of datagrams and events.
+/// Counters of datagrams and events since the start of the machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Bytes of those.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
     pub heard: u64,
-    /// Bytes of those.
+    /// Bytes of the datagrams accepted.
     pub heard_bytes: u64,
-    /// Refused: too short or too long.
+    /// Datagrams rejected because they are too short or too long.
     pub refused_length: u64,
-    /// Refused: an unknown version.
+    /// Datagrams rejected because of an unknown version.
     pub refused_version: u64,
-    /// Refused: a wrong checksum or keyed digest.
+    /// Datagrams rejected because of a wrong checksum or keyed digest.
     pub refused_digest: u64,
-    /// Refused: malformed.
+    /// Datagrams rejected because their contents are malformed.
     pub refused_form: u64,
-    /// Refused: the sender's number is not that of its address, or it is for another member.
+    /// Datagrams rejected because the sender's number is not that of its address, or because they are for
+    /// another member.
     pub refused_address: u64,
-    /// Refused: a replay, or too old to tell.
+    /// Datagrams rejected as replays, as too old to be checked, or as sent by an ended instance.
     pub refused_old: u64,
-    /// Probes that were not answered in their period.
+    /// Probes that were not acknowledged within their protocol period.
     pub probes_failed: u64,
-    /// Suspicions that it began.
+    /// Suspicions that this member started.
     pub accused: u64,
-    /// Suspicions of itself that it refuted.
+    /// Suspicions and declarations of its own death that this member refuted.
     pub refuted: u64,
-    /// Members that it declared dead.
+    /// Members that this member declared dead.
     pub declared: u64,
-    /// Pauses of its own process that it detected.
+    /// Pauses of its own process that this member detected.
     pub pauses: u64,
-    /// Times that another instance of its own member was later than itself.
+    /// Conflicts in which another instance of this member was later than itself.
     pub identity_conflicts: u64,
 }
 
 impl Counts {
-    /// Counts a datagram that was refused when it was read.
+    /// Counts a datagram that was rejected when it was read.
     pub(crate) fn refuse(&mut self, reason: Refused) {
         let count = match reason {
             Refused::Length => &mut self.refused_length,
@@ -55,64 +56,67 @@
     }
 }
 
-/// What is known of a member.
+/// View of one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberStatus {
-    /// Its number.
+    /// Number of the member.
     pub member: MemberId,
-    /// Its latest record; `None`: it is unknown.
+    /// Latest record of the member; `None` if the member is unknown.
     pub record: Option<Record>,
-    /// Its state, as this member sees it.
+    /// State of the member as this member sees it, local suspicions included; `None` if unknown.
     pub state: Option<State>,
-    /// Since when its state and instance are as they are.
+    /// Time of the last change of its state or instance.
     pub since: Micros,
-    /// When its newest datagram arrived.
+    /// Arrival time of its newest datagram.
     pub heard: Option<Micros>,
-    /// When it last answered a direct probe.
+    /// Time of its last ack to a direct probe.
     pub answered: Option<Micros>,
-    /// When it last did not answer a direct probe in time.
+    /// Time at which a direct probe of the member last timed out.
     pub unanswered: Option<Micros>,
-    /// The score of its local health, as it stated it.
+    /// Local health score that its newest datagram carried, 0 (healthy) to 8.
     pub health: u8,
-    /// How many members suspect it.
+    /// Number of members known to suspect it.
     pub accusers: u8,
 }
 
 impl MemberStatus {
-    /// Whether it answered the last direct probe.
+    /// Returns whether the member answered the last direct probe.
     pub fn answers(&self) -> bool {
         self.answered.is_some() && self.answered >= self.unanswered
     }
 
-    /// Whether its datagrams arrive although it does not answer: the path to it is cut.
+    /// Returns whether the path to the member is cut: its datagrams arrive although it does not answer
+    /// probes.
     pub fn outbound_cut(&self) -> bool {
         self.unanswered > self.answered && self.heard >= self.unanswered
     }
 
-    /// Whether others hold it alive although it neither answers nor is heard: the path from it is cut.
+    /// Returns whether the path from the member is cut: others report it alive although neither acks nor
+    /// other datagrams arrive from it.
     pub fn inbound_cut(&self) -> bool {
         let alive = self.state == Some(State::Alive);
         alive && self.unanswered > self.answered && self.heard < self.unanswered
     }
 }
 
-/// The status of a member.
+/// Status of this member.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// Its number.
+    /// Number of this member.
     pub number: MemberId,
-    /// Its instance.
+    /// Instance of this member's process.
     pub instance: Instance,
-    /// Its incarnation.
+    /// Incarnation of that instance.
     pub incarnation: u32,
-    /// The score of its local health.
+    /// Local health score, 0 (healthy) to 8.
     pub health: u8,
-    /// Since when it has heard nobody, where it doubts others for it.
+    /// Start of the isolation of this member: no datagram has arrived since, and a probe has failed
+    /// meanwhile. `None` if it is not isolated.
     pub isolated_since: Option<Micros>,
-    /// The digest of its member table: equal at members whose tables agree.
+    /// Digest of its member table; equal at members whose tables agree.
     pub digest: u32,
-    /// Every member, its own entry among them.
+    /// All members by number, this one included.
     pub members: Vec<MemberStatus>,
-    /// Its counters.
+    /// Counters of datagrams and events.
     pub counts: Counts,
 }
--- a/crates/stonevane-membership/src/wire/mod.rs
+++ b/crates/stonevane-membership/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The wire format: datagrams of at most 256 bytes, versioned, with a checksum, or with a keyed digest where the fleet
-//! has a key. A datagram that can't be read is an error with its reason, never a panic.
+//! Wire format: versioned datagrams of at most 256 bytes that end with a checksum, or with a keyed digest if
+//! the fleet has a key. Decoding a malformed datagram returns the reason as an error and never panics.
 //!
 //! | offset | field |
 //! | --- | --- |
@@ -10,14 +10,14 @@
 //! | 7, 11, 15 | the sender's generation, nonce and incarnation |
 //! | 19 | sequence number of the sender's instance, 8 bytes |
 //! | 27 | number of the probe |
-//! | 31 | the member that it is about |
+//! | 31 | number of the member that the datagram is about |
 //! | 33 | digest of the sender's member table |
 //! | 37 | version 2: the score of the sender's local health |
 //! | | digests of the partitions, 16 of 4 bytes, in `Digests` and `DigestsReply` |
-//! | | count of records, and the records: number 2, state 1, generation 4, nonce 4, incarnation 4, version 2: accuser 2 |
-//! | end | 8 bytes of XXH3 of all before, or 16 of BLAKE3 keyed |
+//! | | count of records, and the records: number 2, state 1, generation 4, nonce 4, incarnation 4, version 2: reporter 2 |
+//! | end | tag over all bytes before it: 8 bytes of XXH3, or 16 bytes of keyed BLAKE3 |
 //!
-//! Numbers are little-endian.
+//! All numbers are little-endian.
 
 mod reader;
 mod tag;
@@ -25,34 +25,35 @@
 use self::reader::Reader;
 use crate::record::{Instance, MemberId, Record, State};
 
-/// The longest datagram that the platform carries, in bytes.
+/// Length in bytes of the longest datagram that the platform carries.
 pub const MAX_DATAGRAM: usize = 256;
-/// The newest version of the format.
+/// Newest version of the format.
 pub const VERSION: u8 = 2;
-/// Partitions of the member table; each has a digest.
+/// Number of partitions of the member table; each has its own digest.
 pub const PARTITIONS: usize = 16;
 
-/// The kind of a datagram.
+/// Kind of a datagram. The order of the variants is that of their codes on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// A probe: to be answered by an ack.
+    /// Probe, to be answered by an ack.
     Ping,
-    /// The answer to a ping, possibly forwarded for another member.
+    /// Answer to a ping, possibly forwarded by a relay.
     Ack,
-    /// A request for an indirect probe.
+    /// Request for an indirect probe.
     PingReq,
-    /// The answer to a ping-req whose target has not answered yet.
+    /// Answer of a relay to a ping-req whose target has not answered yet.
     Nack,
     /// Membership updates only.
     Gossip,
-    /// Digests of the partitions: requests the records of those that differ, and the receiver's digests.
+    /// Partition digests of the sender: requests the records of partitions that differ, and the receiver's
+    /// digests.
     Digests,
-    /// The same in answer: requests the records of partitions that differ.
+    /// Partition digests in answer to `Digests`: requests the records of partitions that differ.
     DigestsReply,
 }
 
 impl Kind {
-    /// Whether datagrams of this kind carry the digests of the partitions.
+    /// Returns whether datagrams of this kind carry the digests of the partitions.
     pub fn carries_digests(self) -> bool {
         matches!(self, Kind::Digests | Kind::DigestsReply)
     }
@@ -64,40 +65,40 @@
 /// All states, in the order of their codes.
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// A datagram.
+/// Contents of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Message {
-    /// The version of its format.
+    /// Format version, 1 to [`VERSION`].
     pub version: u8,
-    /// The highest version that its sender reads.
+    /// Highest format version that the sender reads.
     pub max_version: u8,
-    /// Its kind.
+    /// Kind, which decides how the receiver handles the datagram.
     pub kind: Kind,
-    /// The sender.
+    /// Number of the sender.
     pub from: MemberId,
-    /// The receiver.
+    /// Number of the receiver.
     pub to: MemberId,
-    /// The sender's instance.
+    /// Instance of the sender's process.
     pub instance: Instance,
-    /// The sender's incarnation.
+    /// Incarnation of that instance.
     pub incarnation: u32,
-    /// Increases with each datagram of the sender's instance.
+    /// Sequence number, which increases with each datagram of the sender's instance.
     pub sequence: u64,
-    /// The number of the probe that it belongs to.
+    /// Number of the probe that the datagram belongs to; 0 in rounds of gossip.
     pub probe: u32,
-    /// The member that it is about: the target of a probe, or the sender.
+    /// Member that the datagram is about: the target of an indirect probe, or the sender.
     pub about: MemberId,
-    /// The digest of the sender's member table.
+    /// Digest of the sender's member table.
     pub digest: u32,
-    /// The score of the sender's local health.
+    /// Local health score of the sender, 0 (healthy) to 8; always 0 in version 1.
     pub health: u8,
-    /// Digests of the partitions of the sender's table, in `Digests` and `DigestsReply`.
+    /// Digests of the partitions of the sender's table; present in `Digests` and `DigestsReply` only.
     pub digests: Option<[u32; PARTITIONS]>,
-    /// Membership updates.
+    /// Membership updates that the datagram carries.
     pub records: Vec<Record>,
 }
 
-/// Why a datagram is refused.
+/// Reason for which a datagram is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refused {
     /// Too short or too long.
@@ -106,45 +107,45 @@
     Version,
     /// Wrong checksum or keyed digest.
     Digest,
-    /// Malformed.
+    /// Malformed contents, or a member number outside the fleet.
     Form,
-    /// The sender's number is not that of its address, or it is for another member.
+    /// Sender number that does not belong to the source address, or another receiver than this member.
     Address,
 }
 
 /// Bytes of the header in version 1.
-const HEADER: usize = 37;
+const HEADER_BYTES: usize = 37;
 /// Bytes of the sender's health, which version 2 adds to the header.
-const HEALTH: usize = 1;
+const HEALTH_BYTES: usize = 1;
 /// Bytes of the digests of all partitions.
-const DIGESTS: usize = 4 * PARTITIONS;
+const DIGESTS_BYTES: usize = 4 * PARTITIONS;
 /// Bytes of the count of records.
-const RECORD_COUNT: usize = 1;
+const RECORD_COUNT_BYTES: usize = 1;
 /// Bytes of a record in version 1.
-const RECORD: usize = 15;
-/// Bytes of the accuser, which version 2 adds to a record.
-const ACCUSER: usize = 2;
-
-/// Bytes of a datagram without its records.
-fn overhead(version: u8, digests: bool, keyed: bool) -> usize {
-    let health = if version >= 2 { HEALTH } else { 0 };
-    let digests = if digests { DIGESTS } else { 0 };
-    HEADER + health + digests + RECORD_COUNT + tag::length(keyed)
+const RECORD_BYTES: usize = 15;
+/// Bytes of the reporter, which version 2 adds to a record.
+const REPORTER_BYTES: usize = 2;
+
+/// Returns the bytes of a datagram without its records.
+fn overhead_bytes(version: u8, digests: bool, keyed: bool) -> usize {
+    let health = if version >= 2 { HEALTH_BYTES } else { 0 };
+    let digests = if digests { DIGESTS_BYTES } else { 0 };
+    HEADER_BYTES + health + digests + RECORD_COUNT_BYTES + tag::length(keyed)
 }
 
-/// Bytes of a record.
-fn record_size(version: u8) -> usize {
-    let accuser = if version >= 2 { ACCUSER } else { 0 };
-    RECORD + accuser
+/// Returns the bytes of one record.
+fn record_bytes(version: u8) -> usize {
+    let reporter = if version >= 2 { REPORTER_BYTES } else { 0 };
+    RECORD_BYTES + reporter
 }
 
-/// How many records fit into a datagram.
+/// Returns how many records fit into a datagram.
 pub fn record_capacity(version: u8, digests: bool, keyed: bool) -> usize {
-    (MAX_DATAGRAM - overhead(version, digests, keyed)) / record_size(version)
+    (MAX_DATAGRAM - overhead_bytes(version, digests, keyed)) / record_bytes(version)
 }
 
 impl Message {
-    /// Its bytes. Records that do not fit are left out.
+    /// Encodes the datagram, tag included. Records that do not fit are omitted.
     pub fn bytes(&self, key: Option<&[u8; 32]>) -> Vec<u8> {
         let mut out = Vec::with_capacity(MAX_DATAGRAM);
         out.extend([self.version, self.max_version, self.kind as u8]);
@@ -180,12 +181,12 @@
         out
     }
 
-    /// Reads a datagram in a fleet of so many members.
+    /// Decodes a datagram in a fleet of `members` members. Records of members outside the fleet are dropped.
     ///
     /// # Errors
-    /// Why it is refused.
+    /// Returns the reason for which the datagram is rejected.
     pub fn read(bytes: &[u8], key: Option<&[u8; 32]>, members: MemberId) -> Result<Message, Refused> {
-        if bytes.len() > MAX_DATAGRAM || bytes.len() < overhead(1, false, key.is_some()) {
+        if bytes.len() > MAX_DATAGRAM || bytes.len() < overhead_bytes(1, false, key.is_some()) {
             return Err(Refused::Length);
         }
         let version = bytes[0];
@@ -198,7 +199,7 @@
             message.digests = Some(reader.digests()?);
         }
         let count = reader.u8()?;
-        if reader.remaining() != usize::from(count) * record_size(version) {
+        if reader.remaining() != usize::from(count) * record_bytes(version) {
             return Err(Refused::Form);
         }
         for _ in 0..count {
@@ -209,7 +210,7 @@
         Ok(message)
     }
 
-    /// Reads all fields before the digests and records.
+    /// Decodes all fields before the digests and records.
     fn read_header(reader: &mut Reader<'_>) -> Result<Message, Refused> {
         let version = reader.u8()?;
         let max_version = reader.u8()?.max(version);
@@ -232,8 +233,8 @@
         })
     }
 
-    /// Drops records of members that are not in this node's list of peers, which may be older than the sender's. A
-    /// suspicion by such a member counts as the sender's.
+    /// Drops records of members that are not in this node's list of peers, which may be older than the
+    /// sender's. A record reported by such a member counts as reported by the sender.
     fn restrict_to(&mut self, members: MemberId) -> Result<(), Refused> {
         let known = |number: MemberId| number < members;
         if !known(self.from) || !known(self.to) || !known(self.about) {
--- a/crates/stonevane-membership/tests/dissemination.rs
+++ b/crates/stonevane-membership/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! The dissemination queue by itself.
+//! Tests of the dissemination queue.
 #![allow(missing_docs)]
 
 use stonevane_membership::dissemination::UpdateQueue;
@@ -8,11 +8,11 @@
     let mut queue = UpdateQueue::new(10);
     (0..4).for_each(|member| queue.push(member));
     let mut counts = [0; 10];
-    for turn in 0.. {
+    for datagram in 0.. {
         if queue.is_empty() {
             break;
         }
-        if turn == 2 {
+        if datagram == 2 {
             queue.push(9);
             assert!(queue.take(3, 3).contains(&9));
             counts[9] += 1;
--- a/crates/stonevane-membership/tests/health.rs
+++ b/crates/stonevane-membership/tests/health.rs
@@ -1,10 +1,10 @@
-//! Local health by itself.
+//! Tests of the local health score and multiplier.
 #![allow(missing_docs)]
 
 use stonevane_membership::health::LocalHealth;
 
 #[test]
-fn it_stays_between_healthy_and_worst_and_counts_only_where_it_is_enabled() {
+fn the_score_stays_within_its_bounds_and_the_multiplier_is_one_unless_enabled() {
     let mut health = LocalHealth::new(true);
     health.recover();
     assert_eq!((health.score(), health.multiplier()), (0, 1));
@@ -13,7 +13,7 @@
     assert_eq!((health.score(), health.multiplier()), (8, 9));
     health.recover();
     assert_eq!(health.multiplier(), 8);
-    let mut ignored = LocalHealth::new(false);
-    ignored.penalize(5);
-    assert_eq!((ignored.score(), ignored.multiplier()), (5, 1));
+    let mut disabled = LocalHealth::new(false);
+    disabled.penalize(5);
+    assert_eq!((disabled.score(), disabled.multiplier()), (5, 1));
 }
--- a/crates/stonevane-membership/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The wire format: what is written is read, and nothing else is accepted.
+//! Tests of the wire format: an encoded message decodes to itself, and nothing else is accepted.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
@@ -11,8 +11,8 @@
     [Kind::Ping, Kind::Ack, Kind::PingReq, Kind::Nack, Kind::Gossip, Kind::Digests, Kind::DigestsReply];
 const STATES: [State; 4] = [State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// Appends the checksum of a fleet without a key.
-fn seal(bytes: &mut Vec<u8>) {
+/// Appends the checksum that a fleet without a key uses.
+fn append_checksum(bytes: &mut Vec<u8>) {
     let checksum = xxhash_rust::xxh3::xxh3_64(bytes);
     bytes.extend_from_slice(&checksum.to_le_bytes());
 }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_datagram_has_room_for_a_dozen_records_whatever_the_key() {
+fn record_capacity_depends_on_version_digests_and_key() {
     assert_eq!(
         (record_capacity(2, false, false), record_capacity(2, false, true), record_capacity(1, false, true)),
         (12, 11, 13)
@@ -76,49 +76,49 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whoever has an older list of peers hears all that is said of those in it, and nothing of others.
+    /// A node with an older list of peers reads the records of members in its list and drops those of others.
     #[test]
-    fn what_is_said_of_members_that_are_not_in_an_older_list_is_left_out(message in message(), listed in 1..50u16) {
+    fn records_of_members_outside_an_older_peer_list_are_dropped(message in message(), listed in 1..50u16) {
         let known = |number: u16| number < listed;
         let read = Message::read(&message.bytes(None), None, listed);
         if !known(message.from) || !known(message.to) || !known(message.about) {
             prop_assert_eq!(read, Err(Refused::Form));
         } else {
-            let mut heard = message.clone();
-            heard.records.retain(|record| known(record.member));
-            heard.records.iter_mut().filter(|r| !known(r.by)).for_each(|r| r.by = message.from);
-            prop_assert_eq!(read, Ok(heard));
+            let mut expected = message.clone();
+            expected.records.retain(|record| known(record.member));
+            expected.records.iter_mut().filter(|r| !known(r.by)).for_each(|r| r.by = message.from);
+            prop_assert_eq!(read, Ok(expected));
         }
     }
 
     #[test]
-    fn what_is_written_is_read_and_no_longer_than_a_datagram(message in message(), key in any::<Option<[u8; 32]>>()) {
+    fn an_encoded_message_fits_into_a_datagram_and_decodes_to_itself(message in message(), key in any::<Option<[u8; 32]>>()) {
         let bytes = message.bytes(key.as_ref());
         prop_assert!(bytes.len() <= MAX_DATAGRAM);
         prop_assert_eq!(Message::read(&bytes, key.as_ref(), 50), Ok(message));
     }
 
     #[test]
-    fn what_is_spoilt_cut_or_sealed_with_another_key_is_not_heard(
+    fn corrupted_truncated_and_differently_keyed_datagrams_are_rejected(
         message in message(), key in any::<Option<[u8; 32]>>(), at in any::<usize>(), bit in 0..8u8, other in any::<[u8; 32]>(),
     ) {
         let bytes = message.bytes(key.as_ref());
-        let mut spoilt = bytes.clone();
-        let at = at % spoilt.len();
-        spoilt[at] ^= 1 << bit;
-        prop_assert!(Message::read(&spoilt, key.as_ref(), 50).is_err());
+        let mut corrupted = bytes.clone();
+        let at = at % corrupted.len();
+        corrupted[at] ^= 1 << bit;
+        prop_assert!(Message::read(&corrupted, key.as_ref(), 50).is_err());
         prop_assert!(Message::read(&bytes[..at], key.as_ref(), 50).is_err());
         prop_assert!(key == Some(other) || Message::read(&bytes, Some(&other), 50).is_err());
         prop_assert!(key.is_none() || Message::read(&bytes, None, 50).is_err());
     }
 
-    /// Whoever has the key may still send nonsense.
+    /// A sender that has the key can still send malformed contents.
     #[test]
-    fn nothing_that_is_sealed_makes_it_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), version in 0..4u8) {
+    fn malformed_contents_with_a_correct_checksum_do_not_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), version in 0..4u8) {
         if let Some(first) = bytes.first_mut() {
             *first = version;
         }
-        seal(&mut bytes);
+        append_checksum(&mut bytes);
         if let Ok(message) = Message::read(&bytes, None, 50) {
             prop_assert!(message.records.len() <= 14);
             prop_assert_eq!(Message::read(&message.bytes(None), None, 50), Ok(message));
--- a/crates/stonevane-server-model/src/lib.rs
+++ b/crates/stonevane-server-model/src/lib.rs
@@ -1,5 +1,5 @@
-//! The behaviour of the servers around a node, without I/O or clock. Two drivers share it: the emulators, behind
-//! sockets, and the simulation, so that a server is as busy in the one as in the other.
+//! Model of the servers around a node, without I/O or clock. The emulators, behind sockets, and the
+//! simulation share it, so that the same work keeps a server equally busy in both.
 
 pub mod service;
 pub mod value;
--- a/crates/stonevane-server-model/src/work.rs
+++ b/crates/stonevane-server-model/src/work.rs
@@ -1,4 +1,4 @@
-//! The work of a server: its cores, its queue, and the window in which it becomes overloaded.
+//! Work of a server: its cores, its queue, and the window that decides whether it is overloaded.
 
 use std::collections::VecDeque;
 
@@ -6,8 +6,9 @@
 pub use stonevane_audit::work_capacity;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The work of one request: log-normal with this mean and coefficient of variation, drawn from the request's id alone,
-/// so that the same request is the same work wherever it goes. Without variation, the mean.
+/// Returns the work of one request, in microseconds: log-normal with this mean and coefficient of variation,
+/// drawn from the request's id alone, so that the same request is the same work at every server. Without
+/// variation it is the mean.
 pub fn drawn(mean_us: u64, coefficient_of_variation: f64, request: &str) -> u64 {
     if coefficient_of_variation <= 0.0 {
         return mean_us;
@@ -18,37 +19,38 @@
     (mean_us as f64 * (normal * variance.sqrt() - variance / 2.0).exp()) as u64
 }
 
-/// A normal deviate by Box and Muller.
+/// Returns a standard normal deviate (Box-Muller transform).
 fn standard_normal(rng: &mut Rand64) -> f64 {
     let (radius, angle) = (1.0 - rng.rand_float(), rng.rand_float());
     (-2.0 * radius.ln()).sqrt() * (std::f64::consts::TAU * angle).cos()
 }
 
-/// The cores of a server.
+/// Cores of a server.
 pub struct Cores {
-    /// Until when each is busy, in microseconds.
+    /// Time until which each core is busy, in microseconds.
     busy_until: Vec<u64>,
 }
 
 impl Cores {
-    /// So many idle cores, one at the least.
+    /// Creates `count` idle cores, at least one.
     pub fn new(count: usize) -> Self {
         Cores { busy_until: vec![0; count.max(1)] }
     }
 
-    /// Queues work on the core that is free first, and returns when it is done; `None` where it would wait for longer
-    /// than a limit. Work goes on also when its caller has cancelled.
-    pub fn take(&mut self, now: u64, work_us: u64, longest_wait_us: u64) -> Option<u64> {
+    /// Queues work on the core that is free first, and returns the time at which it is done. Returns `None`
+    /// if the work would wait for longer than `max_wait_us`. Accepted work continues even if its caller has
+    /// cancelled.
+    pub fn take(&mut self, now: u64, work_us: u64, max_wait_us: u64) -> Option<u64> {
         let core = self.busy_until.iter_mut().min()?;
         let begin = (*core).max(now);
-        if begin - now > longest_wait_us {
+        if begin - now > max_wait_us {
             return None;
         }
         *core = begin + work_us;
         Some(*core)
     }
 
-    /// Stops all cores until a moment.
+    /// Stops all cores until the time `until`, in microseconds.
     pub fn stop_until(&mut self, until: u64) {
         for core in &mut self.busy_until {
             *core = (*core).max(until);
@@ -56,23 +58,23 @@
     }
 }
 
-/// The work of one moment.
+/// Work that arrived at one time.
 struct Arrival {
     at: u64,
     work_us: u64,
 }
 
-/// The work that arrived within a sliding window.
+/// Work that arrived within a sliding window.
 #[derive(Default)]
 pub struct Window {
     arrivals: VecDeque<Arrival>,
     sum_us: u64,
-    /// The most work that a window has held, in microseconds.
+    /// Largest amount of work that the window has held, in microseconds.
     pub peak: u64,
 }
 
 impl Window {
-    /// Adds work, and returns all of the window that ends now.
+    /// Adds work, and returns the work that has arrived within the window that ends now, in microseconds.
     pub fn add(&mut self, now: u64, work_us: u64, window_us: u64) -> u64 {
         self.arrivals.push_back(Arrival { at: now, work_us });
         self.sum_us += work_us;
@@ -83,7 +85,7 @@
         self.sum_us
     }
 
-    /// Forgets all but the peak.
+    /// Clears the window and keeps the peak.
     pub fn clear(&mut self) {
         self.arrivals.clear();
         self.sum_us = 0;
