--- a/crates/stonevane-membership/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -5,7 +5,8 @@
 //!
 //! There is no I/O and no clock: the caller passes in datagrams and times, and receives datagrams to send,
 //! the time of the next wake-up and membership changes. Members are numbered by their index in one closed
-//! list, `peers`, which is the same at all nodes. Datagrams from other senders are rejected.
+//! list, `peers`, which all nodes share; a node may still have an older, shorter version of it. Datagrams from
+//! senders outside the list are rejected.
 //!
 //! ```
 //! use stonevane_membership::{NoFaults, Input, Machine, Outputs, Setup, State};
--- a/crates/stonevane-membership/src/machine/gossip.rs
+++ b/crates/stonevane-membership/src/machine/gossip.rs
@@ -17,7 +17,7 @@
 const ROUNDS_PER_PERIOD: Micros = 4;
 /// A new update waits for the protocol period divided by this, so that other updates can share its datagram.
 const FIRST_ROUND_DIVISOR: Micros = 8;
-/// Transmissions of an update for each power of ten of the live members.
+/// Transmissions of an update for each decimal digit of the number of live members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
 
 /// Queued updates, and the time of the next round of gossip.
--- a/crates/stonevane-membership/src/machine/probing.rs
+++ b/crates/stonevane-membership/src/machine/probing.rs
@@ -92,7 +92,7 @@
         if !direct && message.about != probe.member {
             return AckOutcome::Mismatched;
         }
-        // Relays have no reason to send a nack any more.
+        // Relays have no reason to send further nacks, so missing ones do not count.
         probe.missing_nacks = 0;
         let first = !std::mem::replace(&mut probe.answered, true);
         AckOutcome::Answered { direct, first }
--- a/crates/stonevane-membership/src/machine/process_pause.rs
+++ b/crates/stonevane-membership/src/machine/process_pause.rs
@@ -1,6 +1,6 @@
 //! Process pauses: the process was not scheduled when the machine was due, for instance because the process
-//! or its host was suspended. Acks and other datagrams missed during a pause are attributed to this member,
-//! not to the others.
+//! or its host was suspended. This member attributes acks and other datagrams missed during a pause to
+//! itself, not to the others.
 
 use super::{Machine, Outputs};
 use crate::Micros;
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -18,8 +18,8 @@
     pub probe_timeout: Micros,
     /// Number of other members from which indirect probes are requested.
     pub indirect_probes: usize,
-    /// Suspicion multiplier: the shortest suspicion timeout, in protocol periods, for each power of ten of
-    /// the live members.
+    /// Suspicion multiplier: the shortest suspicion timeout, in protocol periods, is this times the decimal
+    /// logarithm of the number of live members, or this alone if the logarithm is below 1.
     pub suspicion_multiplier: f64,
     /// Whether the Lifeguard extensions lengthen timeouts: the local health multiplier, and the longer
     /// timeout of a suspicion that few members have confirmed.
--- a/crates/stonevane-membership/src/machine/suspicion.rs
+++ b/crates/stonevane-membership/src/machine/suspicion.rs
@@ -8,7 +8,7 @@
 use crate::faults::{Faults, Mutant};
 use crate::record::{MemberId, Record, State};
 
-/// Maximum number of confirmations, by members other than the first, that shorten a suspicion.
+/// Maximum number of confirmations, by members other than the first reporter, that shorten a suspicion.
 const MAX_CONFIRMATIONS: usize = 3;
 /// Timeout of an unconfirmed suspicion, as a multiple of that of a fully confirmed one.
 const UNCONFIRMED_FACTOR: f64 = 4.0;
@@ -26,8 +26,8 @@
 /// Parameters of the suspicion timeouts.
 #[derive(Debug, Clone)]
 struct Timeouts {
-    /// Suspicion multiplier: the shortest timeout, in protocol periods, for each power of ten of the live
-    /// members.
+    /// Suspicion multiplier: the shortest timeout, in protocol periods, is this times the decimal logarithm of
+    /// the number of live members, or this alone if the logarithm is below 1.
     multiplier: f64,
     /// Protocol period, in microseconds.
     period: f64,
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Postpones all suspicions that have a deadline, because this member did not run for some time.
+    /// Postpones all suspicions that have a deadline by `by`, to make up for time in which this member did
+    /// not run.
     pub fn postpone(&mut self, by: Micros) {
         let deadlines = std::mem::take(&mut self.deadlines);
         for (deadline, member) in deadlines {
--- a/crates/stonevane-membership/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -112,7 +112,7 @@
         prop_assert!(key.is_none() || Message::read(&bytes, None, 50).is_err());
     }
 
-    /// A sender that has the key can still send malformed contents.
+    /// A correct checksum does not imply well-formed contents: a sender that has the key can send anything.
     #[test]
     fn malformed_contents_with_a_correct_checksum_do_not_panic(mut bytes in proptest::collection::vec(any::<u8>(), 0..300), version in 0..4u8) {
         if let Some(first) = bytes.first_mut() {
