--- a/crates/stonevane-audit/src/audit.rs
+++ b/crates/stonevane-audit/src/audit.rs
@@ -1,4 +1,4 @@
-//! Audits a history from its text.
+//! Audits the text of a history: restores the order of its records and passes them to the [`Auditor`].
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,10 +8,10 @@
 use crate::history::{self, HistoryError, HistoryRecord};
 use crate::report::Report;
 
-/// Records may stand this much out of order, microseconds.
-const REORDER_US: u64 = 500_000;
+/// Maximum distance by which records may be out of order, in microseconds.
+const REORDER_WINDOW_US: u64 = 500_000;
 
-/// A record on its way to the auditor; compared by its latest time, then by its line.
+/// A record in the reorder buffer, ordered by its latest time, then by its line.
 struct Pending {
     latest: u64,
     line: usize,
@@ -44,10 +44,11 @@
     }
 }
 
-/// Audits a history from its text. Memory grows with what is in flight, not with the history.
+/// Audits the text of a history. Memory use depends on the number of requests in flight, not on the length of
+/// the history.
 ///
 /// # Errors
-/// [`HistoryError`] where the text can't be read or is no history.
+/// [`HistoryError`] if the text can't be read or is not a valid history.
 pub fn audit(text: impl BufRead) -> Result<Report, HistoryError> {
     let mut auditor: Option<Auditor> = None;
     let mut pending: BinaryHeap<Reverse<Pending>> = BinaryHeap::new();
@@ -60,7 +61,7 @@
         let latest = record.time.latest;
         newest = newest.max(latest);
         pending.push(Reverse(Pending { latest, line, record: Box::new(record) }));
-        while pending.peek().is_some_and(|Reverse(first)| first.latest + REORDER_US < newest) {
+        while pending.peek().is_some_and(|Reverse(first)| first.latest + REORDER_WINDOW_US < newest) {
             let Some(Reverse(first)) = pending.pop() else { break };
             auditor.handle_record(first.line, *first.record);
         }
--- a/crates/stonevane-audit/src/auditor/attempt_integrity.rs
+++ b/crates/stonevane-audit/src/auditor/attempt_integrity.rs
@@ -1,20 +1,22 @@
-//! Attempts carry what was asked: sent by a node that has the request, with its key, class, idempotency key and value.
+//! The integrity rule for attempts: an attempt is sent by a node that has received the request, with the
+//! request's key, class, idempotency key and value.
 
-use super::evidence::{Accusation, NumberedRecord};
-use super::{Auditor, RETENTION_US, SETTLED_US};
+use super::evidence::{NumberedRecord, Violation};
+use super::{Auditor, REQUEST_RETENTION_US, SETTLING_DELAY_US};
 use crate::report::Rule;
 
 impl Auditor {
-    /// Judges a request's attempts, when nothing more can come of it.
+    /// Checks the attempts of a request, once no further record of it can follow.
     pub(super) fn check_attempts(&mut self, id: &str, history_over: bool) {
         let Some(request) = self.requests.get(id) else { return };
-        // The last moments of a history that breaks off may lack what was asked.
+        // The end of a truncated history may lack the record of the request.
         let is_settled = |attempt: &&NumberedRecord| {
-            !history_over || self.ended || attempt.time.latest + SETTLED_US < self.now
+            !history_over || self.ended || attempt.time.latest + SETTLING_DELAY_US < self.now
         };
-        // One that was seen so late that its request may be forgotten proves nothing.
+        // An attempt proves nothing if its last byte arrived so late that its request may no longer be
+        // tracked.
         let is_certain = |attempt: &&NumberedRecord| {
-            attempt.time.latest.saturating_sub(attempt.first_byte_time().earliest) < RETENTION_US / 2
+            attempt.time.latest.saturating_sub(attempt.first_byte_time().earliest) < REQUEST_RETENTION_US / 2
         };
         let attempts = request.attempts.iter().filter(is_settled).filter(is_certain);
         let attempts: Vec<NumberedRecord> = attempts.cloned().collect();
@@ -22,7 +24,7 @@
         let replies = request.replies.clone();
         let Some(sent) = sends.first() else {
             if let Some(attempt) = attempts.first() {
-                self.accuse_attempt("unasked", "no client asked for it".to_owned(), attempt);
+                self.report_attempt("unasked", "no client sent this request".to_owned(), attempt);
             }
             return;
         };
@@ -33,28 +35,28 @@
         self.check_limits(id, &sends, &attempts, &replies);
     }
 
-    fn accuse_attempt(&mut self, code: &'static str, what: String, attempt: &NumberedRecord) {
-        let accusation = Accusation::new(Rule::AttemptIntegrity, code, what, vec![attempt.clone()]);
-        self.accuse(accusation.about(&attempt.request));
+    fn report_attempt(&mut self, code: &'static str, what: String, attempt: &NumberedRecord) {
+        let violation = Violation::new(Rule::AttemptIntegrity, code, what, vec![attempt.clone()]);
+        self.report_violation(violation.about(&attempt.request));
     }
 
     fn check_sender(&mut self, sends: &[NumberedRecord], attempt: &NumberedRecord) {
         let to_node = sends.iter().filter(|sent| sent.node == attempt.node);
         match to_node.map(|sent| sent.time.earliest).min() {
             None => {
-                let what = format!("sent by node {}, which was not asked", attempt.node);
-                self.accuse_attempt("wrong-node", what, attempt);
+                let what = format!("sent by node {}, which did not receive the request", attempt.node);
+                self.report_attempt("wrong-node", what, attempt);
             }
             Some(sent) if attempt.time.latest < sent => {
-                let what = format!("sent {} us before it was asked", sent - attempt.time.latest);
-                self.accuse_attempt("too-early", what, attempt);
+                let what = format!("sent {} us before its request", sent - attempt.time.latest);
+                self.report_attempt("too-early", what, attempt);
             }
             Some(_) => {}
         }
     }
 
     fn check_content(&mut self, sent: &NumberedRecord, attempt: &NumberedRecord) {
-        // A value's digest is known only where its client writes one down.
+        // The digest is compared only if the client recorded one.
         let digest = if sent.digest.is_empty() { "" } else { attempt.digest.as_str() };
         let parts = [
             ("wrong-key", "key", &sent.key, attempt.key.as_str()),
@@ -62,10 +64,10 @@
             ("wrong-token", "token", &sent.idempotency_key, attempt.idempotency_key.as_str()),
             ("wrong-body", "value's digest", &sent.digest, digest),
         ];
-        for (code, part, asked, got) in parts {
-            if asked != got {
-                let what = format!("sent with the {part} `{got}`, asked with `{asked}`");
-                self.accuse_attempt(code, what, attempt);
+        for (code, part, requested, sent) in parts {
+            if requested != sent {
+                let what = format!("sent with the {part} `{sent}`; the request has `{requested}`");
+                self.report_attempt(code, what, attempt);
             }
         }
     }
--- a/crates/stonevane-audit/src/auditor/attempts.rs
+++ b/crates/stonevane-audit/src/auditor/attempts.rs
@@ -1,11 +1,11 @@
-//! Attempts at servers: each is handed to the rules that judge attempts.
+//! Passes the attempts at servers to the checks that concern them.
 
 use super::Auditor;
 use super::evidence::NumberedRecord;
 use crate::history::Effect;
 
 impl Auditor {
-    /// An attempt has come to a server.
+    /// Handles the arrival of an attempt at a server.
     pub(super) fn attempt_received(&mut self, attempt: NumberedRecord) {
         self.report.attempts += 1;
         let effect = attempt.effect.unwrap_or(Effect::Ran);
@@ -32,21 +32,21 @@
             self.check_server_dedup(&class, &attempt);
         }
         let server = self.server_of(&attempt);
-        server.highest_attempt = server.highest_attempt.max(attempt.number);
+        server.highest_attempt_number = server.highest_attempt_number.max(attempt.number);
         let request = self.requests.track(&attempt);
         request.attempts = earlier;
         request.attempts.push(attempt);
     }
 
-    /// A server has answered an attempt.
+    /// Handles a server's answer to an attempt.
     pub(super) fn attempt_answered(&mut self, reply: &NumberedRecord) {
         self.check_reply(reply);
         self.requests.track(reply).replies.push(reply.clone());
-        self.values.note(&reply.value, &reply.request);
+        self.values.add(&reply.value, &reply.request);
         self.check_blind_repeat(reply);
     }
 
-    /// An attempt has ended without an answer.
+    /// Handles the end of an attempt without an answer.
     pub(super) fn attempt_ended(&mut self, end: NumberedRecord) {
         self.requests.track(&end).replies.push(end);
     }
--- a/crates/stonevane-audit/src/auditor/draining.rs
+++ b/crates/stonevane-audit/src/auditor/draining.rs
@@ -1,64 +1,70 @@
-//! The draining rule: nothing new to a server that drains or is gone, past a grace period.
+//! The draining rule: no new attempts at a server that drains or is gone, after a grace period.
 
-use super::evidence::{Accusation, NumberedRecord};
-use super::{Auditor, SETTLED_US};
+use super::evidence::{NumberedRecord, Violation};
+use super::{Auditor, SETTLING_DELAY_US};
 use crate::report::Rule;
 
-/// An attempt that may break the rule, judged once all that could clear it has been read.
-pub(super) struct DrainSuspicion {
+/// An attempt that may violate the rule. The check finishes once every record that could refute the violation
+/// has been read.
+pub(super) struct PendingDrainCheck {
     pub due: u64,
     attempt: NumberedRecord,
     announcement: NumberedRecord,
-    /// Whether the node was notified of the drain, or only counts as notified.
+    /// `true` if the node was notified of the drain, `false` if it only counts as notified.
     was_notified: bool,
 }
 
 impl Auditor {
-    /// Suspects an attempt that came too late after its server's drain was announced.
+    /// Schedules a check of an attempt that arrived too late after its server's drain was announced.
     pub(super) fn check_drain(&mut self, attempt: &NumberedRecord) {
         let grace = self.rules.drain_grace_us + self.rules.answer_slack_us;
         let (node, server) = (attempt.node.as_str(), attempt.server_name());
         let sent = attempt.first_byte_time().earliest;
         let notified = self.discovery.drain_known_to(node, server);
         if let Some(notified) = notified.filter(|notified| sent > notified.time.latest + grace) {
-            return self.suspect_drain(attempt, notified, true);
+            return self.schedule_drain_check(attempt, notified, true);
         }
         let assumed_after = self.rules.assumed_notified_us;
         let Some(update) = self.discovery.drain_of(server) else { return };
-        // A node that has just started with an old list is given the same time.
+        // A node that has just started may have an old list, so it gets the same time from its start.
         let ready = self.nodes.get(node).and_then(|node| node.ready).map_or(0, |ready| ready.latest);
         let known_at = update.time.latest.max(ready) + assumed_after;
         if assumed_after > 0 && sent > known_at + grace {
-            self.suspect_drain(attempt, update, false);
+            self.schedule_drain_check(attempt, update, false);
         }
     }
 
-    fn suspect_drain(&mut self, attempt: &NumberedRecord, announcement: NumberedRecord, was_notified: bool) {
-        let due = attempt.time.latest + SETTLED_US;
+    fn schedule_drain_check(
+        &mut self,
+        attempt: &NumberedRecord,
+        announcement: NumberedRecord,
+        was_notified: bool,
+    ) {
+        let due = attempt.time.latest + SETTLING_DELAY_US;
         let attempt = attempt.clone();
-        self.drain_suspicions.push_back(DrainSuspicion { due, attempt, announcement, was_notified });
+        self.pending_drain_checks.push_back(PendingDrainCheck { due, attempt, announcement, was_notified });
     }
 
-    /// Judges a suspicion, now that all that could clear it has been read.
-    pub(super) fn judge_drain(&mut self, suspicion: DrainSuspicion) {
-        let DrainSuspicion { attempt, announcement, was_notified, .. } = suspicion;
+    /// Finishes a check, once every record that could refute the violation has been read.
+    pub(super) fn finish_drain_check(&mut self, check: PendingDrainCheck) {
+        let PendingDrainCheck { attempt, announcement, was_notified, .. } = check;
         let (node, server) = (attempt.node.as_str(), attempt.server_name());
-        // It may have been announced as active before the attempt was sent.
+        // The server may have been announced as active again before the attempt was sent.
         let (from, until) = (announcement.time.earliest, attempt.time.latest);
-        let cleared = match was_notified {
+        let may_be_active = match was_notified {
             true => self.discovery.may_be_notified_active(node, server, from, until),
             false => self.discovery.may_be_active(server, from, until),
         };
-        if cleared {
+        if may_be_active {
             return;
         }
         let late = attempt.first_byte_time().earliest - announcement.time.latest;
-        let how = if was_notified { "was told" } else { "counts as told" };
+        let how = if was_notified { "was notified" } else { "counts as told" };
         let status = &announcement.status;
         let what = format!("sent to {server} at least {late} us after node {node} {how} of its {status}");
-        let judgement = if was_notified { "drained" } else { "drained-deemed" };
+        let check = if was_notified { "drained" } else { "drained-deemed" };
         let request = attempt.request.clone();
-        let accusation = Accusation::new(Rule::Draining, "drained", what, vec![announcement, attempt]);
-        self.accuse(accusation.about(&request).judged_by(judgement));
+        let violation = Violation::new(Rule::Draining, "drained", what, vec![announcement, attempt]);
+        self.report_violation(violation.about(&request).with_check(check));
     }
 }
--- a/crates/stonevane-audit/src/auditor/duplicate_effects.rs
+++ b/crates/stonevane-audit/src/auditor/duplicate_effects.rs
@@ -1,47 +1,48 @@
-//! The rule against duplicate effects: what may have run goes out again only where its class allows it.
+//! The rule against duplicate effects: a request that may have run is sent again only if its class allows it.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord};
+use super::evidence::{NumberedRecord, Violation};
 use crate::history::{Effect, HistoryRecord, Outcome};
 use crate::report::Rule;
 use crate::rules::{ClassRule, DedupScope, Idempotency};
 
-/// An idempotency key is remembered for this long after it last ran, microseconds.
+/// Time in microseconds for which an idempotency key is kept after its last execution.
 const KEY_RETENTION_US: u64 = 60_000_000;
 
-/// Where an idempotency key has run.
+/// Executions of an idempotency key.
 #[derive(Default)]
 struct Execution {
-    forget_at: u64,
-    /// Server and attempt number.
+    expires_at: u64,
+    /// Attempts that ran, as server name and attempt number.
     attempts: HashSet<String>,
 }
 
-/// Idempotency keys that ran a short time ago.
+/// Idempotency keys that ran within [`KEY_RETENTION_US`].
 #[derive(Default)]
 pub(super) struct Executions {
     by_key: HashMap<String, Execution>,
+    /// Keys with the times at which they expire, in the order of execution.
     expiry: VecDeque<(u64, String)>,
 }
 
 impl Executions {
-    /// Notes that a key ran; returns whether this is the second time.
+    /// Adds an execution of a key; returns whether it is the second one.
     fn add(&mut self, attempt: &NumberedRecord) -> bool {
-        let forget_at = attempt.time.latest + KEY_RETENTION_US;
+        let expires_at = attempt.time.latest + KEY_RETENTION_US;
         let execution = self.by_key.entry(attempt.idempotency_key.clone()).or_default();
-        execution.forget_at = forget_at;
+        execution.expires_at = expires_at;
         execution.attempts.insert(format!("{}#{}", attempt.server_name(), attempt.number));
-        self.expiry.push_back((forget_at, attempt.idempotency_key.clone()));
+        self.expiry.push_back((expires_at, attempt.idempotency_key.clone()));
         execution.attempts.len() == 2
     }
 
-    /// Forgets what expires by a time.
+    /// Removes the keys that expire by `now`.
     pub fn expire(&mut self, now: u64) {
-        while self.expiry.front().is_some_and(|(forget_at, _)| *forget_at <= now) {
+        while self.expiry.front().is_some_and(|(expires_at, _)| *expires_at <= now) {
             let Some((_, key)) = self.expiry.pop_front() else { break };
-            if self.by_key.get(&key).is_some_and(|execution| execution.forget_at <= now) {
+            if self.by_key.get(&key).is_some_and(|execution| execution.expires_at <= now) {
                 self.by_key.remove(&key);
             }
         }
@@ -49,26 +50,26 @@
 }
 
 impl Auditor {
-    /// Counts effects that happened more than once, whoever is to blame.
+    /// Counts the effects that happened more than once, regardless of who sent the repeat.
     pub(super) fn count_execution(&mut self, attempt: &NumberedRecord) {
         if self.executions.add(attempt) {
             self.report.duplicate_effects += 1;
         }
     }
 
-    /// A rejection promises that a retry does no harm.
+    /// Checks that a request that was rejected has not run: a rejection states that a retry is safe.
     pub(super) fn check_rejection(&mut self, id: &str, class: &ClassRule, answer: NumberedRecord) {
         let attempts = self.requests.get(id).map_or(&[][..], |request| &request.attempts);
         let ran = attempts.iter().find(|attempt| attempt.effect == Some(Effect::Ran));
-        if let Some(ran) = ran.filter(|_| class.refusal_harms()).cloned() {
-            let what = "refused, as if a retry did no harm, though it has run".to_owned();
+        if let Some(ran) = ran.filter(|_| class.forbids_rejection_after_run()).cloned() {
+            let what = "rejected, which states that a retry is safe, after it had run".to_owned();
             let evidence = vec![ran, answer];
-            let accusation = Accusation::new(Rule::DuplicateEffects, "refused-after-run", what, evidence);
-            self.accuse(accusation.about(id));
+            let violation = Violation::new(Rule::DuplicateEffects, "refused-after-run", what, evidence);
+            self.report_violation(violation.about(id));
         }
     }
 
-    /// An attempt that runs after its request was rejected.
+    /// Checks that an attempt does not run after its request was rejected.
     pub(super) fn check_run_after_rejection(
         &mut self,
         class: &ClassRule,
@@ -76,16 +77,17 @@
         answer: Option<NumberedRecord>,
     ) {
         let rejection = answer.filter(|answer| answer.outcome == Some(Outcome::Rejected));
-        let harms = class.refusal_harms() && attempt.effect.unwrap_or(Effect::Ran) == Effect::Ran;
-        if let Some(rejection) = rejection.filter(|_| harms) {
-            let what = "refused, as if a retry did no harm, though it ran".to_owned();
+        let ran_unsafely =
+            class.forbids_rejection_after_run() && attempt.effect.unwrap_or(Effect::Ran) == Effect::Ran;
+        if let Some(rejection) = rejection.filter(|_| ran_unsafely) {
+            let what = "rejected, which states that a retry is safe, and ran afterwards".to_owned();
             let evidence = vec![rejection, attempt.clone()];
-            let accusation = Accusation::new(Rule::DuplicateEffects, "refused-after-run", what, evidence);
-            self.accuse(accusation.about(&attempt.request).judged_by("ran-after-refusal"));
+            let violation = Violation::new(Rule::DuplicateEffects, "refused-after-run", what, evidence);
+            self.report_violation(violation.about(&attempt.request).with_check("ran-after-refusal"));
         }
     }
 
-    /// An attempt after earlier ones that ran.
+    /// Checks an attempt against the earlier attempts of its request that ran.
     pub(super) fn check_repeats(
         &mut self,
         class: &ClassRule,
@@ -93,8 +95,8 @@
         attempt: &NumberedRecord,
     ) {
         for ran in earlier.iter().filter(|earlier| earlier.effect == Some(Effect::Ran)) {
-            if let Some(accusation) = self.repeat_violation(class, ran, attempt) {
-                self.accuse(accusation.about(&attempt.request));
+            if let Some(violation) = self.repeat_violation(class, ran, attempt) {
+                self.report_violation(violation.about(&attempt.request));
             }
         }
     }
@@ -104,34 +106,41 @@
         class: &ClassRule,
         ran: &NumberedRecord,
         attempt: &NumberedRecord,
-    ) -> Option<Accusation> {
+    ) -> Option<Violation> {
         let sent = attempt.first_byte_time().earliest;
         let is_repeat = attempt.effect.unwrap_or(Effect::Ran) == Effect::Ran || sent > ran.time.latest;
-        let accusation = |code, what| {
+        let violation = |code, what| {
             let evidence = vec![ran.clone(), attempt.clone()];
-            Some(Accusation::new(Rule::DuplicateEffects, code, what, evidence))
+            Some(Violation::new(Rule::DuplicateEffects, code, what, evidence))
         };
         match class.kind {
             Idempotency::NonIdempotent if is_repeat => {
-                let what = "an unsafe request was sent again after it had run";
-                accusation("unsafe-again", what.to_owned())
+                let what = "a request that is not idempotent was sent again after it had run";
+                violation("unsafe-again", what.to_owned())
             }
             Idempotency::Idempotent | Idempotency::NonIdempotent => None,
             Idempotency::WithKey if is_repeat && !self.dedups_together(class.scope, ran, attempt) => {
-                let what = format!("sent again to {}, which can't know it", attempt.server_name());
-                accusation("group", what)
+                let what = format!(
+                    "sent again to {}, which does not share idempotency keys with the server where it ran",
+                    attempt.server_name()
+                );
+                violation("group", what)
             }
             Idempotency::WithKey => {
                 let (late, window_us) = (sent.saturating_sub(ran.time.latest), class.window_us);
                 if late <= window_us + self.rules.answer_slack_us {
                     return None;
                 }
-                accusation("window", format!("sent again {late} us after it ran, past the {window_us} us"))
+                violation(
+                    "window",
+                    format!("sent again {late} us after it ran; repeats are dropped for {window_us} us"),
+                )
             }
         }
     }
 
-    /// Whether two servers drop each other's repeats; nothing is proven of servers whose place is not known.
+    /// Returns whether two servers drop each other's repeats; `true` if the zone and cell of one are unknown,
+    /// as nothing is proven then.
     fn dedups_together(&self, scope: DedupScope, one: &HistoryRecord, other: &HistoryRecord) -> bool {
         let known = |record: &HistoryRecord| {
             self.servers.get(record.server_name()).filter(|server| server.start.is_some())
@@ -144,8 +153,8 @@
         }
     }
 
-    /// A reply shows that an attempt was in flight while its request was sent again, though nobody could know that it
-    /// had not run.
+    /// Checks that a request that is not idempotent was not sent again while an attempt was in flight. The
+    /// reply to that attempt proves that the node could not know whether it had run.
     pub(super) fn check_blind_repeat(&mut self, reply: &NumberedRecord) {
         let Some(request) = self.requests.get(&reply.request) else { return };
         if request.class(&self.rules).kind != Idempotency::NonIdempotent {
@@ -160,9 +169,10 @@
                 && attempt.effect != Some(Effect::NotReceived)
         };
         let Some(blind) = request.attempts.iter().find(is_blind) else { return };
-        let what = "an unsafe request was sent again while its first attempt was out".to_owned();
+        let what = "a request that is not idempotent was sent again while its first attempt was in flight"
+            .to_owned();
         let evidence = vec![first.clone(), blind.clone(), reply.clone()];
-        let accusation = Accusation::new(Rule::DuplicateEffects, "unsafe-again", what, evidence);
-        self.accuse(accusation.about(&reply.request).judged_by("unsafe-blind"));
+        let violation = Violation::new(Rule::DuplicateEffects, "unsafe-again", what, evidence);
+        self.report_violation(violation.about(&reply.request).with_check("unsafe-blind"));
     }
 }
--- a/crates/stonevane-audit/src/auditor/evidence.rs
+++ b/crates/stonevane-audit/src/auditor/evidence.rs
@@ -1,4 +1,4 @@
-//! Records with their line numbers, and how they are quoted as proof.
+//! Records with their line numbers, and their quotation as evidence.
 
 use std::ops::Deref;
 use std::rc::Rc;
@@ -7,10 +7,10 @@
 use crate::interval::TimeInterval;
 use crate::report::{Evidence, Rule};
 
-/// Lines quoted in one finding, at most.
+/// Maximum number of lines that one finding quotes.
 const MAX_EVIDENCE_LINES: usize = 12;
-/// Of a long series, so many records are quoted from its beginning and as many from its end.
-const ABRIDGED_END: usize = 3;
+/// Number of records quoted from each end of a long series.
+const ABRIDGED_RECORDS_PER_END: usize = 3;
 
 /// A record and the number of its line in the history.
 #[derive(Clone)]
@@ -28,46 +28,46 @@
 }
 
 impl NumberedRecord {
-    /// When an attempt's first byte came to its server.
+    /// Returns the bounds on the moment at which an attempt's first byte reached its server.
     pub fn first_byte_time(&self) -> TimeInterval {
         self.first_byte.unwrap_or(self.time)
     }
 
-    /// Whether both speak of one attempt; a server numbers its attempts.
+    /// Returns whether both records concern the same attempt: each server numbers its attempts.
     pub fn is_same_attempt(&self, other: &HistoryRecord) -> bool {
         self.server_name() == other.server_name() && self.number == other.number
     }
 }
 
-/// A finding in the making.
-pub(super) struct Accusation {
+/// A violation, before it is added to the report as a finding.
+pub(super) struct Violation {
     pub rule: Rule,
     pub code: &'static str,
-    /// One of [`super::Auditor::JUDGEMENTS`]; several may share a code.
-    pub judgement: &'static str,
-    /// Empty where it is about no request.
+    /// Name of the check, one of [`super::Auditor::CHECKS`]; several checks may share a code.
+    pub check: &'static str,
+    /// Id of the request; empty if the violation concerns no single request.
     pub request: String,
     pub what: String,
     pub evidence: Vec<NumberedRecord>,
 }
 
-impl Accusation {
-    pub fn new(rule: Rule, code: &'static str, what: String, evidence: Vec<NumberedRecord>) -> Accusation {
-        Accusation { rule, code, judgement: code, request: String::new(), what, evidence }
+impl Violation {
+    pub fn new(rule: Rule, code: &'static str, what: String, evidence: Vec<NumberedRecord>) -> Violation {
+        Violation { rule, code, check: code, request: String::new(), what, evidence }
     }
 
-    /// Names the request that it is about.
-    pub fn about(self, request: &str) -> Accusation {
-        Accusation { request: request.into(), ..self }
+    /// Sets the request that the violation concerns.
+    pub fn about(self, request: &str) -> Violation {
+        Violation { request: request.into(), ..self }
     }
 
-    /// Names the judgement where it differs from the code.
-    pub fn judged_by(self, judgement: &'static str) -> Accusation {
-        Accusation { judgement, ..self }
+    /// Sets the name of the check, if it differs from the code.
+    pub fn with_check(self, check: &'static str) -> Violation {
+        Violation { check, ..self }
     }
 }
 
-/// Quotes records in their order, each once, up to [`MAX_EVIDENCE_LINES`].
+/// Quotes records in the order of the history, each once, up to [`MAX_EVIDENCE_LINES`].
 pub(super) fn quote(mut records: Vec<NumberedRecord>) -> Vec<Evidence> {
     records.sort_by_key(|record| record.line);
     records.dedup_by_key(|record| record.line);
@@ -80,10 +80,10 @@
         .collect()
 }
 
-/// The beginning and the end of a long series.
+/// Keeps the first and the last [`ABRIDGED_RECORDS_PER_END`] records of a long series.
 pub(super) fn abridge(mut records: Vec<NumberedRecord>) -> Vec<NumberedRecord> {
-    if records.len() > 2 * ABRIDGED_END {
-        records.drain(ABRIDGED_END..records.len() - ABRIDGED_END);
+    if records.len() > 2 * ABRIDGED_RECORDS_PER_END {
+        records.drain(ABRIDGED_RECORDS_PER_END..records.len() - ABRIDGED_RECORDS_PER_END);
     }
     records
 }
--- a/crates/stonevane-audit/src/auditor/limits.rs
+++ b/crates/stonevane-audit/src/auditor/limits.rs
@@ -1,14 +1,14 @@
-//! The deployment's limits: attempts for a request, hedged requests, the time of a graceful shutdown.
+//! The limits of the deployment: attempts per request, hedged requests, duration of a graceful shutdown.
 
 use std::collections::BTreeSet;
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord};
+use super::evidence::{NumberedRecord, Violation};
 use crate::history::Effect;
 use crate::report::Rule;
 
 impl Auditor {
-    /// Judges a request's attempts, node by node.
+    /// Checks the attempts of a request, node by node.
     pub(super) fn check_limits(
         &mut self,
         id: &str,
@@ -30,10 +30,12 @@
     }
 
     fn check_attempt_count(&mut self, id: &str, node: &str, times_sent: usize, attempts: &[NumberedRecord]) {
-        let most = self.rules.max_attempts as usize;
-        if most > 0 && attempts.len() > most * times_sent {
-            let what = format!("{} attempts by node {node}, {most} at the most", attempts.len());
-            self.accuse(Accusation::new(Rule::Limits, "too-many", what, attempts.to_vec()).about(id));
+        let max_attempts = self.rules.max_attempts as usize;
+        if max_attempts > 0 && attempts.len() > max_attempts * times_sent {
+            let what = format!("{} attempts by node {node}; the limit is {max_attempts}", attempts.len());
+            self.report_violation(
+                Violation::new(Rule::Limits, "too-many", what, attempts.to_vec()).about(id),
+            );
         }
     }
 
@@ -43,23 +45,31 @@
             let Some(first) = earlier.clone().find(|first| is_in_flight(first, second, replies)) else {
                 continue;
             };
-            let what = format!("a second copy while the first was out at {}", first.server_name());
+            let what = format!(
+                "a hedged request was sent while the first attempt was in flight at {}",
+                first.server_name()
+            );
             let evidence = vec![first.clone(), second.clone()];
-            return self.accuse(Accusation::new(Rule::Limits, "second-copy", what, evidence).about(id));
+            return self
+                .report_violation(Violation::new(Rule::Limits, "second-copy", what, evidence).about(id));
         }
     }
 
-    /// A node has ended long after SIGTERM, by a kill.
+    /// Checks the time between SIGTERM and the kill of a node that had not exited.
     pub(super) fn check_shutdown_time(&mut self, term: NumberedRecord, kill: NumberedRecord, took_us: u64) {
         let limit = self.rules.shutdown_limit_us;
         if limit > 0 && took_us > limit {
-            let what = format!("node {} had not ended {took_us} us after SIGTERM", kill.node);
-            self.accuse(Accusation::new(Rule::Limits, "lingers", what, vec![term, kill]));
+            let what = format!(
+                "node {} had not exited {took_us} us after SIGTERM; the limit is {limit} us",
+                kill.node
+            );
+            self.report_violation(Violation::new(Rule::Limits, "lingers", what, vec![term, kill]));
         }
     }
 }
 
-/// Whether an attempt was certainly in flight when a second was sent: received before it, and ended later or never.
+/// Returns whether an attempt was certainly in flight when a second one was sent: it was received earlier,
+/// and ended later or never.
 fn is_in_flight(first: &NumberedRecord, second: &NumberedRecord, replies: &[NumberedRecord]) -> bool {
     let mut ends = replies.iter().filter(|reply| reply.is_same_attempt(first));
     first.time.latest < second.first_byte_time().earliest
--- a/crates/stonevane-audit/src/auditor/load_window.rs
+++ b/crates/stonevane-audit/src/auditor/load_window.rs
@@ -1,33 +1,33 @@
-//! Work that came to a server within a sliding window.
+//! Work that a server received within a sliding window.
 
 use std::collections::VecDeque;
 
 use super::evidence::NumberedRecord;
 
-/// Work that came to a server.
+/// Arrival of an attempt at a server.
 pub(super) struct Arrival {
     pub record: NumberedRecord,
-    /// It counts towards the share that makes an overload a node's fault.
+    /// Its work counts towards the share that attributes an overload to nodes.
     pub attributable: bool,
 }
 
-/// Sums over a window that ends with the newest arrival.
+/// Sums over a window that ends with the newest arrival, in microseconds.
 #[derive(Clone, Copy)]
 pub(super) struct WindowLoad {
-    /// The earliest moment of the window's first arrival.
+    /// Earliest possible moment of the first arrival in the window.
     pub from: u64,
     pub work_us: u64,
     pub attributable_us: u64,
 }
 
-/// Arrivals within the window, by their earliest moments.
+/// Arrivals within the window, in the order of their earliest possible moments.
 #[derive(Default)]
 pub(super) struct LoadWindow {
     arrivals: VecDeque<Arrival>,
 }
 
 impl LoadWindow {
-    /// Adds an arrival and forgets those that certainly came more than a window before it.
+    /// Adds an arrival and removes those that may have come more than a window before it.
     pub fn add(&mut self, arrival: Arrival, window_us: u64) {
         let time = arrival.record.time;
         let is_old = |old: &Arrival| old.record.time.earliest + window_us < time.latest;
@@ -38,7 +38,7 @@
         self.arrivals.insert(position, arrival);
     }
 
-    /// The load of each window that ends with the newest arrival, the shortest first.
+    /// Returns the load of each window that ends with the newest arrival, the shortest window first.
     pub fn loads(&self) -> impl Iterator<Item = WindowLoad> {
         let empty = WindowLoad { from: 0, work_us: 0, attributable_us: 0 };
         self.arrivals.iter().rev().scan(empty, |load, arrival| {
@@ -49,12 +49,12 @@
         })
     }
 
-    /// Records of the arrivals.
+    /// Returns the records of all arrivals.
     pub fn records(&self) -> impl Iterator<Item = &NumberedRecord> {
         self.arrivals.iter().map(|arrival| &arrival.record)
     }
 
-    /// Records of the arrivals that count towards the blame.
+    /// Returns the records of the attributable arrivals.
     pub fn attributable(&self) -> Vec<NumberedRecord> {
         let attributable = self.arrivals.iter().filter(|arrival| arrival.attributable);
         attributable.map(|arrival| arrival.record.clone()).collect()
--- a/crates/stonevane-audit/src/auditor/members.rs
+++ b/crates/stonevane-audit/src/auditor/members.rs
@@ -1,27 +1,27 @@
-//! What the membership rules are told of a history.
+//! Passes the records that concern membership to the membership rules.
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord};
+use super::evidence::{NumberedRecord, Violation};
 use crate::report::Rule;
 
 impl Auditor {
-    /// The state of a node's process has changed.
+    /// Handles a change of the state of a node's process.
     pub(super) fn member_state(&mut self, record: &NumberedRecord) {
         if let Some(member) = self.membership.number(&record.node) {
             self.membership.process_state(record.time, member, &record.state);
         }
     }
 
-    /// What a node holds of the others was read.
-    pub(super) fn membership_view(&mut self, record: &NumberedRecord) {
+    /// Handles a reading of a node's member table.
+    pub(super) fn view_read(&mut self, record: &NumberedRecord) {
         let Some(observer) = self.membership.number(&record.node) else { return };
         for breach in self.membership.view(record.time, observer, &record.state) {
             let what = format!("n{} in the view of {}: {}", breach.member, record.node, breach.what);
-            self.accuse(Accusation::new(Rule::Membership, breach.code, what, vec![record.clone()]));
+            self.report_violation(Violation::new(Rule::Membership, breach.code, what, vec![record.clone()]));
         }
     }
 
-    /// Datagrams from one node to another are cut, or pass again.
+    /// Handles the begin or end of a partition from one node to another.
     pub(super) fn partition(&mut self, record: &NumberedRecord) {
         let ends = [&record.node, &record.server].map(|name| self.membership.number(name));
         if let [Some(from), Some(to)] = ends {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The network between nodes degrades, or recovers.
+    /// Handles the begin or end of degraded network conditions between nodes.
     pub(super) fn network_conditions(&mut self, record: &NumberedRecord) {
         let begins = !record.state.ends_with("-ends");
         let is_mild = record.state.starts_with("mild");
--- a/crates/stonevane-audit/src/auditor/mod.rs
+++ b/crates/stonevane-audit/src/auditor/mod.rs
@@ -1,7 +1,8 @@
-//! The auditor: records in, findings out, in one pass.
+//! The auditor: takes the records of a history in one pass and collects findings.
 //!
-//! Each rule has a module of its own. Every accusation uses the bound of each interval that speaks for the accused: an
-//! answer is late when the earliest moment at which it can have come is past the latest at which it was due.
+//! Each rule has a module of its own. A check uses the bound of each interval that favors the audited node:
+//! an answer is late only if the earliest moment at which it can have arrived is past the latest moment at
+//! which it was due.
 
 mod attempt_integrity;
 mod attempts;
@@ -28,24 +29,27 @@
 use crate::report::{Finding, Report};
 use crate::rules::Rules;
 use discovery::DiscoveryState;
-use draining::DrainSuspicion;
+use draining::PendingDrainCheck;
 use duplicate_effects::Executions;
-use evidence::{Accusation, NumberedRecord, quote};
+use evidence::{NumberedRecord, Violation, quote};
 use nodes::Node;
 use requests::Requests;
 use servers::Server;
 use values::{Commits, Values};
 
-/// A request is tracked for this long past its deadline, for what may still come of it, microseconds.
-const RETENTION_US: u64 = 5_000_000;
-/// All that could clear a suspicion has been read this much later, microseconds.
-const SETTLED_US: u64 = 1_000_000;
+/// Time in microseconds for which a request is tracked past its deadline, because late records of it may
+/// still follow.
+const REQUEST_RETENTION_US: u64 = 5_000_000;
+/// Delay in microseconds after which every record that could refute a suspected violation has been read.
+const SETTLING_DELAY_US: u64 = 1_000_000;
 
-/// The auditor; see the crate's page.
+/// Audits the records of a history in one pass; see the crate's documentation.
 pub struct Auditor {
     rules: Rc<Rules>,
     report: Report,
+    /// Latest time of the records so far, in microseconds.
     now: u64,
+    /// Whether [`Event::End`] was read: the history is complete.
     ended: bool,
     requests: Requests,
     values: Values,
@@ -54,15 +58,17 @@
     servers: HashMap<String, Server>,
     nodes: HashMap<String, Node>,
     discovery: DiscoveryState,
-    drain_suspicions: VecDeque<DrainSuspicion>,
+    pending_drain_checks: VecDeque<PendingDrainCheck>,
     membership: Membership,
-    /// The judgement that is left out, to see that tests miss it.
-    left_out: Option<&'static str>,
+    /// The check that a mutant skips; see [`Auditor::mutant`].
+    disabled_check: Option<&'static str>,
 }
 
 impl Auditor {
-    /// Each judgement, by the code of what it accuses of or, after `excuse-`, what it excuses.
-    pub const JUDGEMENTS: [&'static str; 37] = [
+    /// Names of all checks: the code of the finding that the check reports, a more specific name where
+    /// several checks share a code, or `excuse-` and the reason that excuses an unanswered request or an
+    /// unread notification.
+    pub const CHECKS: [&'static str; 37] = [
         "twice",
         "stray",
         "late",
@@ -102,16 +108,16 @@
         "excuse-untold",
     ];
 
-    /// An auditor that leaves one judgement of [`Auditor::JUDGEMENTS`] out, for mutation tests of tests.
-    pub fn mutant(rules: Rules, without: &'static str) -> Self {
-        Auditor { left_out: Some(without), ..Auditor::new(rules) }
+    /// Creates an auditor that skips one check of [`Auditor::CHECKS`], for mutation testing of the tests.
+    pub fn mutant(rules: Rules, disabled_check: &'static str) -> Self {
+        Auditor { disabled_check: Some(disabled_check), ..Auditor::new(rules) }
     }
 
-    fn judges(&self, judgement: &str) -> bool {
-        self.left_out != Some(judgement)
+    fn is_enabled(&self, check: &str) -> bool {
+        self.disabled_check != Some(check)
     }
 
-    /// An auditor of these rules.
+    /// Creates an auditor with these rules.
     pub fn new(rules: Rules) -> Self {
         Auditor {
             membership: Membership::new(rules.membership.clone()),
@@ -126,12 +132,12 @@
             servers: HashMap::new(),
             nodes: HashMap::new(),
             discovery: DiscoveryState::default(),
-            drain_suspicions: VecDeque::new(),
-            left_out: None,
+            pending_drain_checks: VecDeque::new(),
+            disabled_check: None,
         }
     }
 
-    /// Takes the next record; they come in the order of their `time.latest`.
+    /// Takes the record of line `number`. Records must arrive in the order of their `time.latest`.
     pub fn handle_record(&mut self, number: usize, record: HistoryRecord) {
         self.report.events += 1;
         self.now = self.now.max(record.time.latest);
@@ -158,16 +164,16 @@
                 self.node_state(record);
             }
             Event::Committed => self.version_committed(record),
-            Event::View => self.membership_view(&record),
+            Event::View => self.view_read(&record),
             Event::Partition => self.partition(&record),
             Event::NetworkConditions => self.network_conditions(&record),
             Event::End => self.ended = true,
-            // Faults and calls to discovery break no rule.
+            // No rule concerns injected faults or calls to discovery.
             Event::Begin | Event::Fault | Event::Call => {}
         }
     }
 
-    /// The verdict, once the last record was taken.
+    /// Settles all open requests after the last record and returns the report.
     pub fn finish(mut self) -> Report {
         self.settle(u64::MAX, true);
         self.report.peak_requests = self.requests.peak;
@@ -175,19 +181,19 @@
         self.report
     }
 
-    /// A node was notified of a server, unless it has no process that could have read it.
+    /// Records a notification, unless the node has no process that could have read it.
     fn node_notified(&mut self, record: NumberedRecord) {
         let is_gone = self.nodes.get(&record.node).is_some_and(|node| node.is_gone);
-        if !(is_gone && self.judges("excuse-untold")) {
+        if !(is_gone && self.is_enabled("excuse-untold")) {
             self.discovery.notified(record);
         }
     }
 
-    /// Settles what is due by a time.
+    /// Finishes the checks and settles the requests that are due by `now`.
     fn settle(&mut self, now: u64, history_over: bool) {
-        while self.drain_suspicions.front().is_some_and(|suspicion| suspicion.due <= now) {
-            let Some(suspicion) = self.drain_suspicions.pop_front() else { break };
-            self.judge_drain(suspicion);
+        while self.pending_drain_checks.front().is_some_and(|check| check.due <= now) {
+            let Some(check) = self.pending_drain_checks.pop_front() else { break };
+            self.finish_drain_check(check);
         }
         while let Some((due, id)) = self.requests.pop_due(now) {
             self.settle_request(&id, due, history_over);
@@ -195,10 +201,10 @@
         self.executions.expire(now);
     }
 
-    /// Adds a finding, once for each request and code.
-    fn accuse(&mut self, accusation: Accusation) {
-        let Accusation { rule, code, judgement, request, what, evidence } = accusation;
-        if !self.judges(judgement) {
+    /// Adds a finding to the report, at most once per request and code.
+    fn report_violation(&mut self, violation: Violation) {
+        let Violation { rule, code, check, request, what, evidence } = violation;
+        if !self.is_enabled(check) {
             return;
         }
         let tracked = self.requests.get_mut(&request);
@@ -213,7 +219,7 @@
         if self.report.findings.len() >= Report::MAX_REPORTED {
             return;
         }
-        // A request's own first record tells what it was.
+        // The first record of the request shows its class, key and deadline.
         let evidence = quote(evidence.into_iter().chain(first_sent).collect());
         self.report.findings.push(Finding { rule, code, request, what, evidence });
     }
--- a/crates/stonevane-audit/src/auditor/nodes.rs
+++ b/crates/stonevane-audit/src/auditor/nodes.rs
@@ -1,71 +1,75 @@
-//! What became of each node's process.
+//! State of each node's process: kills, outages and pauses, which excuse unanswered requests.
 
 use std::collections::VecDeque;
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord};
+use super::evidence::{NumberedRecord, Violation};
 use crate::interval::TimeInterval;
 use crate::report::Rule;
 
-/// Kills, outages and pauses of a node that are remembered, at most each.
-const MAX_REMEMBERED: usize = 8;
-/// After a pause a process has to catch up first: what it does may be this late, microseconds.
+/// Maximum number of kills, of outages and of pauses that are kept per node.
+const MAX_ENTRIES_PER_KIND: usize = 8;
+/// Time in microseconds after a pause during which a process may still be late, because it works off its
+/// backlog.
 const CATCH_UP_US: u64 = 500_000;
 
-/// A stretch of time, `until` being `u64::MAX` while it lasts.
-struct Stretch {
+/// A period of time in microseconds; `until` is `u64::MAX` while it lasts.
+struct Period {
     from: u64,
     until: u64,
 }
 
-impl Stretch {
+impl Period {
     fn overlaps(&self, from: u64, until: u64) -> bool {
         self.from <= until && self.until >= from
     }
 }
 
-fn remember(stretches: &mut VecDeque<Stretch>, from: u64) {
-    stretches.push_back(Stretch { from, until: u64::MAX });
-    if stretches.len() > MAX_REMEMBERED {
-        stretches.pop_front();
+fn push_open_period(periods: &mut VecDeque<Period>, from: u64) {
+    periods.push_back(Period { from, until: u64::MAX });
+    if periods.len() > MAX_ENTRIES_PER_KIND {
+        periods.pop_front();
     }
 }
 
-/// A node's process.
+/// State of a node's process.
 #[derive(Default)]
 pub(super) struct Node {
     pub ready: Option<TimeInterval>,
     term: Option<NumberedRecord>,
-    /// Kills that excuse what they find unanswered.
-    kills: Vec<NumberedRecord>,
-    /// There is no process: what discovery writes to it is read by nobody.
+    /// Kills that excuse the requests that they leave unanswered.
+    excusing_kills: Vec<NumberedRecord>,
+    /// There is no process, so no notification from discovery is read.
     pub is_gone: bool,
-    outages: VecDeque<Stretch>,
-    /// Times in which it was stopped, or had a small part of its time only.
-    pauses: VecDeque<Stretch>,
+    /// Periods without a ready process.
+    outages: VecDeque<Period>,
+    /// Periods in which the process was stopped or limited to a small share of CPU time.
+    pauses: VecDeque<Period>,
+    /// Pauses that overlap and have not ended.
     active_pauses: usize,
 }
 
 impl Node {
-    /// Whether what a client wrote within an interval may have come to no process.
+    /// Returns whether bytes that a client wrote within an interval may have reached no process.
     pub fn may_be_down(&self, written: TimeInterval) -> bool {
         self.outages.iter().any(|outage| outage.overlaps(written.earliest, written.latest))
     }
 
-    /// Whether it may have been paused in some of a time: what it owed then could not be answered.
+    /// Returns whether the process may have been paused during part of a period, and so unable to answer in
+    /// time.
     pub fn may_be_paused(&self, from: u64, until: u64) -> bool {
         self.pauses.iter().any(|pause| pause.overlaps(from, until))
     }
 
-    /// Whether it may have been killed between a moment and a deadline.
+    /// Returns whether the process may have been killed between `from` and `until`.
     pub fn may_be_killed(&self, from: u64, until: u64) -> bool {
-        self.kills.iter().any(|kill| kill.time.latest >= from && kill.time.earliest <= until)
+        self.excusing_kills.iter().any(|kill| kill.time.latest >= from && kill.time.earliest <= until)
     }
 
     fn pause(&mut self, time: TimeInterval) {
         self.active_pauses += 1;
         if self.active_pauses == 1 {
-            remember(&mut self.pauses, time.earliest);
+            push_open_period(&mut self.pauses, time.earliest);
         }
     }
 
@@ -93,21 +97,21 @@
             self.resume(time);
         }
         self.is_gone = true;
-        // An end that is noted twice is one.
+        // A history may record the same end twice.
         if self.outages.back().is_none_or(|outage| outage.until < u64::MAX) {
-            remember(&mut self.outages, time.earliest);
+            push_open_period(&mut self.outages, time.earliest);
         }
     }
 
-    fn excuse_by_kill(&mut self, kill: NumberedRecord) {
-        self.kills.push(kill);
-        let excess = self.kills.len().saturating_sub(MAX_REMEMBERED);
-        self.kills.drain(..excess);
+    fn add_excusing_kill(&mut self, kill: NumberedRecord) {
+        self.excusing_kills.push(kill);
+        let excess = self.excusing_kills.len().saturating_sub(MAX_ENTRIES_PER_KIND);
+        self.excusing_kills.drain(..excess);
     }
 }
 
 impl Auditor {
-    /// The state of a node's process has changed.
+    /// Handles a change of the state of a node's process.
     pub(super) fn node_state(&mut self, record: NumberedRecord) {
         let node = self.nodes.entry(record.node.clone()).or_default();
         match record.state.as_str() {
@@ -119,9 +123,9 @@
             "killed" => self.node_killed(record),
             "exited" => self.node_exited(record),
             "crashed" => {
-                let what = format!("node {} did not exit with 0 after SIGTERM", record.node);
-                let accusation = Accusation::new(Rule::FinalAnswer, "crashed", what, vec![record]);
-                self.accuse(accusation.judged_by("crashed-after-term"));
+                let what = format!("node {} exited with a code other than 0 after SIGTERM", record.node);
+                let violation = Violation::new(Rule::FinalAnswer, "crashed", what, vec![record]);
+                self.report_violation(violation.with_check("crashed-after-term"));
             }
             _ => {}
         }
@@ -134,7 +138,7 @@
         let term = node.term.clone();
         let since_term = term.as_ref().map(|term| kill.time.earliest.saturating_sub(term.time.latest));
         if since_term.is_none_or(|since_term| since_term <= kill_grace) {
-            node.excuse_by_kill(kill.clone());
+            node.add_excusing_kill(kill.clone());
         }
         self.discovery.forget_node(&kill.node);
         if let Some((term, since_term)) = term.zip(since_term) {
@@ -145,11 +149,11 @@
     fn node_exited(&mut self, exit: NumberedRecord) {
         let node = self.nodes.entry(exit.node.clone()).or_default();
         node.ended(exit.time);
-        let was_asked_to = node.term.is_some();
+        let had_sigterm = node.term.is_some();
         self.discovery.forget_node(&exit.node);
-        if !was_asked_to {
-            let what = format!("node {} ended by itself", exit.node);
-            self.accuse(Accusation::new(Rule::FinalAnswer, "crashed", what, vec![exit]));
+        if !had_sigterm {
+            let what = format!("node {} exited without SIGTERM", exit.node);
+            self.report_violation(Violation::new(Rule::FinalAnswer, "crashed", what, vec![exit]));
         }
     }
 }
--- a/crates/stonevane-audit/src/auditor/requests.rs
+++ b/crates/stonevane-audit/src/auditor/requests.rs
@@ -1,26 +1,26 @@
-//! Requests in flight and those settled a moment ago.
+//! Tracked requests: those in flight and those whose deadline has passed recently.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-use super::RETENTION_US;
+use super::REQUEST_RETENTION_US;
 use super::evidence::NumberedRecord;
 use crate::rules::{ClassRule, Rules};
 
-/// What is known of a request.
+/// Records of a request.
 #[derive(Default)]
 pub(super) struct Request {
-    /// Each time that a client sent it.
+    /// Sends by the client: the first one and any resends.
     pub sends: Vec<NumberedRecord>,
     pub answer: Option<NumberedRecord>,
     pub client_left: Option<NumberedRecord>,
     pub closed: Option<NumberedRecord>,
     pub attempts: Vec<NumberedRecord>,
-    /// Replies to attempts and ends of attempts without one.
+    /// Replies to attempts, and ends of attempts without a reply.
     pub replies: Vec<NumberedRecord>,
-    /// It missed at a cold server.
+    /// An attempt missed at a cold server.
     pub cold_miss: bool,
-    /// Codes that it was accused of; each is reported once.
+    /// Codes of its findings; each is reported once.
     pub reported: Vec<&'static str>,
 }
 
@@ -30,7 +30,7 @@
         rules.class(known.map_or("", |record| record.class.as_str()))
     }
 
-    /// All records of it.
+    /// Returns all records of the request.
     pub fn records(&self) -> Vec<NumberedRecord> {
         let series = [&self.sends[..], &self.attempts, &self.replies];
         let mut records: Vec<NumberedRecord> = series.into_iter().flatten().cloned().collect();
@@ -39,22 +39,22 @@
     }
 }
 
-/// All requests, and when each is due to be settled.
+/// All tracked requests, and the moments at which they are due to be settled.
 #[derive(Default)]
 pub(super) struct Requests {
     by_id: HashMap<String, Request>,
     due: BinaryHeap<Reverse<(u64, String)>>,
-    /// The most that were tracked at once.
+    /// Maximum number of requests that were tracked at once.
     pub peak: usize,
 }
 
 impl Requests {
-    /// The request that a record speaks of, tracked from now on.
+    /// Returns the request that a record names, and tracks it from now on.
     pub fn track(&mut self, record: &NumberedRecord) -> &mut Request {
         let id = &record.request;
         if !self.by_id.contains_key(id) {
-            // Until its client's deadline is known.
-            self.due.push(Reverse((record.time.latest + 2 * RETENTION_US, id.clone())));
+            // A provisional time; the record of the client's send sets the actual one.
+            self.due.push(Reverse((record.time.latest + 2 * REQUEST_RETENTION_US, id.clone())));
             self.by_id.insert(id.clone(), Request::default());
             self.peak = self.peak.max(self.by_id.len());
         }
@@ -73,12 +73,12 @@
         self.by_id.remove(id)
     }
 
-    /// Has a request settled at a time; one may be due several times.
+    /// Schedules a request for settling; a request may be scheduled several times.
     pub fn settle_at(&mut self, due: u64, id: &str) {
         self.due.push(Reverse((due, id.to_owned())));
     }
 
-    /// The next one that is due by a time, and when it was.
+    /// Removes and returns the next request that is due by `now`, with the time at which it was due.
     pub fn pop_due(&mut self, now: u64) -> Option<(u64, String)> {
         let is_due = self.due.peek().is_some_and(|Reverse((due, _))| *due <= now);
         if is_due { self.due.pop().map(|Reverse(entry)| entry) } else { None }
--- a/crates/stonevane-audit/src/auditor/servers.rs
+++ b/crates/stonevane-audit/src/auditor/servers.rs
@@ -1,4 +1,4 @@
-//! What is known of each server: its place, its warm-up, its load and the edits it has run.
+//! State of each server: zone and cell, warm-up, load and executed idempotency keys.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -7,20 +7,21 @@
 use super::load_window::LoadWindow;
 use crate::rules::work_capacity;
 
-/// Idempotency keys that are remembered for a server, at most.
+/// Maximum number of idempotency keys that are kept per server.
 const MAX_KEYS_PER_SERVER: usize = 4_096;
 
-/// How a server warms up.
+/// Warm-up of a server; times in microseconds.
 pub(super) struct WarmUp {
     pub started_at: u64,
     pub duration_us: u64,
-    /// Microseconds of work a second when warm.
+    /// Capacity of the warm server, in microseconds of work per second.
     capacity_us_per_s: f64,
+    /// Share of that capacity at the start, 0 to 1.
     initial_share: f64,
 }
 
 impl WarmUp {
-    /// Work that it can do within a window, microseconds.
+    /// Returns the work that the server can do within a window, in microseconds.
     pub fn capacity_within(&self, from: u64, window_us: u64) -> f64 {
         let (capacity, share) = (self.capacity_us_per_s, self.initial_share);
         work_capacity(capacity, share, self.started_at, self.duration_us, from, window_us)
@@ -35,28 +36,29 @@
     }
 }
 
-/// A server.
+/// State of a server since its last start.
 #[derive(Default)]
 pub(super) struct Server {
     pub zone: String,
     pub cell: u64,
     pub start: Option<NumberedRecord>,
     pub load: LoadWindow,
-    /// When its last overload began that no node is to blame for.
-    pub unblamed_overload: Option<u64>,
-    pub highest_attempt: u64,
-    /// Idempotency keys that ran here since it started.
+    /// Moment of the last counted overload that is not attributed to nodes, in microseconds.
+    pub last_unattributed_overload: Option<u64>,
+    pub highest_attempt_number: u64,
+    /// Last execution of each idempotency key on this server since its start.
     executed: HashMap<String, NumberedRecord>,
+    /// Keys of `executed`, the oldest first.
     executed_order: VecDeque<String>,
 }
 
 impl Server {
-    /// Its warm-up; `None` for one that starts warm or has no known capacity.
+    /// Returns the server's warm-up; `None` if it starts warm or its capacity is unknown.
     pub fn warm_up(&self) -> Option<WarmUp> {
         let start = self.start.as_ref()?;
         let warms = start.warm_us > 0 && start.capacity_us_per_s > 0.0;
         warms.then_some(WarmUp {
-            // The earliest possible start leaves it the most capacity.
+            // The earliest possible start gives the highest capacity, so it favors the nodes.
             started_at: start.time.earliest,
             duration_us: start.warm_us,
             capacity_us_per_s: start.capacity_us_per_s,
@@ -68,8 +70,8 @@
         self.warm_up().is_some_and(|warm_up| warm_up.ends_after(time))
     }
 
-    /// Notes that an idempotency key ran here; returns the last time that it did.
-    pub fn note_execution(&mut self, attempt: &NumberedRecord) -> Option<NumberedRecord> {
+    /// Records an execution of an idempotency key; returns the previous one on this server.
+    pub fn record_execution(&mut self, attempt: &NumberedRecord) -> Option<NumberedRecord> {
         let key = &attempt.idempotency_key;
         let before = self.executed.insert(key.clone(), attempt.clone());
         if before.is_none() {
@@ -84,7 +86,7 @@
 }
 
 impl Auditor {
-    /// The server that a record speaks of.
+    /// Returns the state of the server that a record names.
     pub(super) fn server_of(&mut self, record: &NumberedRecord) -> &mut Server {
         self.servers.entry(record.server_name().into()).or_default()
     }
@@ -94,7 +96,7 @@
         *server = Server {
             zone: record.zone.clone(),
             cell: record.cell,
-            unblamed_overload: server.unblamed_overload,
+            last_unattributed_overload: server.last_unattributed_overload,
             start: Some(record),
             ..Server::default()
         };
--- a/crates/stonevane-audit/src/auditor/slow_start.rs
+++ b/crates/stonevane-audit/src/auditor/slow_start.rs
@@ -1,14 +1,15 @@
-//! The slow-start rule: nodes don't overload a server that warms up, nor the origin through misses at such servers.
+//! The slow-start rule: nodes overload neither a server that is warming up nor, through misses at such
+//! servers, the origin.
 
 use std::collections::HashSet;
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord, abridge};
+use super::evidence::{NumberedRecord, Violation, abridge};
 use super::load_window::Arrival;
 use crate::report::Rule;
 
 impl Auditor {
-    /// Work has come to a server.
+    /// Adds an attempt to its server's load and checks for an overload.
     pub(super) fn check_overload(&mut self, attempt: &NumberedRecord, cold_miss: bool) {
         if attempt.origin {
             self.check_origin_overload(attempt, cold_miss);
@@ -39,7 +40,7 @@
         evidence.extend(abridge(server.load.attributable()));
         let nodes: HashSet<&str> = server.load.records().map(|record| record.node.as_str()).collect();
         let what = format!(
-            "{} cold got {} ms of work in {} ms from {} nodes, {:.0} ms at the most",
+            "cold server {} received {} ms of work in {} ms from {} nodes (limit {:.0} ms)",
             attempt.server_name(),
             load.work_us / 1_000,
             window_us / 1_000,
@@ -47,10 +48,10 @@
             limit / 1e3
         );
         server.load.clear();
-        self.accuse(Accusation::new(Rule::SlowStart, "cold-server", what, evidence));
+        self.report_violation(Violation::new(Rule::SlowStart, "cold-server", what, evidence));
     }
 
-    /// Whether the attempt's node knew of the server's start, or counts as if it did.
+    /// Returns whether the attempt's node was notified of the server's start, or counts as notified.
     fn node_knew_of_start(&self, attempt: &NumberedRecord) -> bool {
         let server = self.servers.get(attempt.server_name());
         let Some(start) = server.and_then(|server| server.start.as_ref()) else { return false };
@@ -77,9 +78,11 @@
             .copied();
         let Some(load) = from_cold else {
             let latest = attempt.time.latest;
-            // Counted once a window.
-            if !over.is_empty() && server.unblamed_overload.is_none_or(|since| since + window_us < latest) {
-                server.unblamed_overload = Some(latest);
+            // Counted at most once per window.
+            if !over.is_empty()
+                && server.last_unattributed_overload.is_none_or(|since| since + window_us < latest)
+            {
+                server.last_unattributed_overload = Some(latest);
                 self.report.origin_overruns += 1;
             }
             return;
@@ -87,12 +90,12 @@
         let evidence = abridge(server.load.attributable());
         server.load.clear();
         let what = format!(
-            "the origin got {} ms of work in {} ms, {:.0} ms at the most, {} ms of it from misses at cold servers",
+            "the origin received {} ms of work in {} ms (limit {:.0} ms), {} ms of it from misses at cold servers",
             load.work_us / 1_000,
             window_us / 1_000,
             limit / 1e3,
             load.attributable_us / 1_000
         );
-        self.accuse(Accusation::new(Rule::SlowStart, "origin", what, evidence));
+        self.report_violation(Violation::new(Rule::SlowStart, "origin", what, evidence));
     }
 }
--- a/crates/stonevane-audit/src/auditor/values.rs
+++ b/crates/stonevane-audit/src/auditor/values.rs
@@ -1,54 +1,55 @@
-//! Values: an answer's is one that was made for its request, and no older than an edit that was acknowledged before.
+//! Checks of served values: a value was produced for its request or committed, and is not older than an edit
+//! that was acknowledged before the request.
 
 use std::collections::{HashMap, VecDeque};
 
 use super::Auditor;
-use super::evidence::{Accusation, NumberedRecord};
+use super::evidence::{NumberedRecord, Violation};
 use crate::history::HistoryRecord;
 use crate::report::Rule;
 use crate::rules::{ClassRule, Idempotency};
 
-/// Versions of a key in the store of record that are remembered, at most.
+/// Maximum number of committed versions that are kept per key.
 const MAX_VERSIONS_PER_KEY: usize = 256;
-/// Idempotency keys of committed edits that are remembered, at most.
+/// Maximum number of idempotency keys of committed edits that are kept.
 const MAX_COMMITTED_KEYS: usize = 65_536;
-/// Acknowledged edits of a key that are remembered, at most.
+/// Maximum number of acknowledged edits that are kept per key.
 const MAX_ACKNOWLEDGED_EDITS: usize = 16;
 
-/// An edit whose client has its receipt.
+/// An edit whose client has received the receipt.
 #[derive(Clone)]
 struct AcknowledgedEdit {
-    /// At the latest.
+    /// Latest possible moment of the acknowledgement, in microseconds.
     acknowledged_at: u64,
     version: u64,
     record: NumberedRecord,
 }
 
 impl AcknowledgedEdit {
-    /// Whether it says all that another does: newer, and acknowledged no later.
+    /// Returns whether this edit makes the other redundant: it is newer and was acknowledged no later.
     fn supersedes(&self, other: &AcknowledgedEdit) -> bool {
         self.acknowledged_at <= other.acknowledged_at && self.version > other.version
     }
 }
 
-/// Values that servers made, and edits that clients have receipts for.
+/// Values that servers produced, and edits that clients have receipts for.
 #[derive(Default)]
 pub(super) struct Values {
-    /// For which request each was made.
-    made_for: HashMap<String, String>,
-    /// By key.
+    /// Request for which each value was produced.
+    request_by_value: HashMap<String, String>,
+    /// Acknowledged edits by key.
     acknowledged: HashMap<String, Vec<AcknowledgedEdit>>,
 }
 
 impl Values {
-    pub fn note(&mut self, value: &str, request: &str) {
+    pub fn add(&mut self, value: &str, request: &str) {
         if !value.is_empty() {
-            self.made_for.insert(value.to_owned(), request.to_owned());
+            self.request_by_value.insert(value.to_owned(), request.to_owned());
         }
     }
 
-    pub fn forget(&mut self, value: &str) {
-        self.made_for.remove(value);
+    pub fn remove(&mut self, value: &str) {
+        self.request_by_value.remove(value);
     }
 
     fn acknowledge(&mut self, key: &str, edit: AcknowledgedEdit) {
@@ -62,25 +63,27 @@
         *edits = needed.split_off(excess);
     }
 
-    /// The newest edit of a key past a version that was acknowledged before a moment.
-    fn newer(&self, key: &str, version: u64, before: u64) -> Option<AcknowledgedEdit> {
+    /// Returns the newest edit of a key that is newer than `version` and was acknowledged before a moment.
+    fn newer_edit(&self, key: &str, version: u64, before: u64) -> Option<AcknowledgedEdit> {
         let edits = self.acknowledged.get(key).into_iter().flatten();
         let newer = edits.filter(|edit| edit.acknowledged_at < before && edit.version > version);
         newer.max_by_key(|edit| edit.version).cloned()
     }
 }
 
-/// What the store of record has committed.
+/// Commits of the store of record.
 #[derive(Default)]
 pub(super) struct Commits {
-    /// The newest last.
+    /// Commits of each key, the newest last.
     by_key: HashMap<String, VecDeque<NumberedRecord>>,
+    /// Last commit of each idempotency key.
     by_idempotency_key: HashMap<String, NumberedRecord>,
+    /// Keys of `by_idempotency_key`, the oldest first.
     idempotency_keys: VecDeque<String>,
 }
 
 impl Commits {
-    /// Notes a commit; returns an earlier one of the same edit.
+    /// Adds a commit; returns an earlier commit of the same edit, if there is one.
     fn add(&mut self, commit: &NumberedRecord) -> Option<NumberedRecord> {
         let versions = self.by_key.entry(commit.key.clone()).or_default();
         versions.push_back(commit.clone());
@@ -104,7 +107,7 @@
         None
     }
 
-    /// The version that an answer shows; `None` where the store had not committed it by then.
+    /// Returns the committed version that an answer shows; `None` if it shows no version committed by then.
     fn version_shown(&self, class: &ClassRule, sent: &HistoryRecord, answer: &HistoryRecord) -> Option<u64> {
         let in_time = |commit: &&NumberedRecord| commit.time.earliest <= answer.time.latest;
         if class.kind != Idempotency::Idempotent {
@@ -112,7 +115,7 @@
             let is_receipt = commit.key == sent.key && commit.version.to_string() == answer.value;
             return is_receipt.then_some(commit.version);
         }
-        // A key that was never edited is empty.
+        // A key that was never edited has the empty value, at version 0.
         let never_edited = answer.value.is_empty().then_some(0);
         let versions = self.by_key.get(&sent.key).into_iter().flatten().rev();
         let shown = versions.filter(in_time).find(|commit| commit.value == answer.value);
@@ -121,25 +124,30 @@
 }
 
 impl Auditor {
-    /// The store of record has committed a version; an idempotency key is committed once.
+    /// Handles a commit of the store of record; each idempotency key may be committed only once.
     pub(super) fn version_committed(&mut self, commit: NumberedRecord) {
         let Some(earlier) = self.commits.add(&commit) else { return };
         let (edit, first, second) = (&commit.idempotency_key, earlier.version, commit.version);
-        let what = format!("the edit {edit} was carried out twice: {first} and {second}");
-        self.accuse(Accusation::new(Rule::DuplicateEffects, "edit-twice", what, vec![earlier, commit]));
+        let what = format!("the edit {edit} was committed twice, as versions {first} and {second}");
+        self.report_violation(Violation::new(
+            Rule::DuplicateEffects,
+            "edit-twice",
+            what,
+            vec![earlier, commit],
+        ));
     }
 
-    /// A request was served: its value is its own, and not stale.
+    /// Checks that a served value belongs to its request and is not stale.
     pub(super) fn check_value(&mut self, id: &str, class: &ClassRule, answer: NumberedRecord) {
         let Some(request) = self.requests.get(id) else { return };
         let sent = request.sends.first().cloned();
         let is_own = |reply: &&NumberedRecord| reply.value == answer.value && !reply.value.is_empty();
-        let made = request.replies.iter().find(is_own).map(|reply| reply.version);
+        let produced = request.replies.iter().find(is_own).map(|reply| reply.version);
         let committed = || {
             let sent = sent.as_ref().filter(|_| self.rules.store)?;
             self.commits.version_shown(class, sent, &answer)
         };
-        let Some(version) = made.or_else(committed) else { return self.accuse_foreign_value(id, answer) };
+        let Some(version) = produced.or_else(committed) else { return self.report_foreign_value(id, answer) };
         let Some(sent) = sent else { return };
         if class.kind == Idempotency::Idempotent {
             self.check_staleness(id, version, &sent, answer);
@@ -150,25 +158,27 @@
         }
     }
 
-    fn accuse_foreign_value(&mut self, id: &str, answer: NumberedRecord) {
-        let judgement = if self.rules.store { "store-value" } else { "value" };
-        let what = match self.values.made_for.get(&answer.value) {
-            Some(other) => format!("served with the value made for request {other}"),
-            None => "served with a value that no server made".to_owned(),
+    fn report_foreign_value(&mut self, id: &str, answer: NumberedRecord) {
+        let check = if self.rules.store { "store-value" } else { "value" };
+        let what = match self.values.request_by_value.get(&answer.value) {
+            Some(other) => format!("served with the value produced for request {other}"),
+            None => "served with a value that no server produced".to_owned(),
         };
         let mut evidence = self.requests.get(id).map_or_else(Vec::new, |request| request.replies.clone());
         evidence.push(answer);
-        let accusation = Accusation::new(Rule::FinalAnswer, "value", what, evidence);
-        self.accuse(accusation.about(id).judged_by(judgement));
+        let violation = Violation::new(Rule::FinalAnswer, "value", what, evidence);
+        self.report_violation(violation.about(id).with_check(check));
     }
 
     fn check_staleness(&mut self, id: &str, version: u64, sent: &NumberedRecord, answer: NumberedRecord) {
         let visible_before = sent.time.earliest.saturating_sub(self.rules.write_visible_us);
-        if let Some(edit) = self.values.newer(&sent.key, version, visible_before) {
+        if let Some(edit) = self.values.newer_edit(&sent.key, version, visible_before) {
             let newer = edit.version;
-            let what = format!("served version {version} of a key that was at {newer} before it was asked");
+            let what = format!(
+                "served version {version} of a key whose version {newer} was acknowledged before the request"
+            );
             let evidence = vec![edit.record, answer];
-            self.accuse(Accusation::new(Rule::FinalAnswer, "stale", what, evidence).about(id));
+            self.report_violation(Violation::new(Rule::FinalAnswer, "stale", what, evidence).about(id));
         }
     }
 }
--- a/crates/stonevane-audit/src/history.rs
+++ b/crates/stonevane-audit/src/history.rs
@@ -1,8 +1,9 @@
-//! The history of a run: JSON lines, a record each, in the order in which they were written.
+//! The history of a run: JSON lines, one record per line, in the order of writing.
 //!
-//! A line's `t` is `[earliest, latest]` in microseconds of one monotonic clock for all processes of a machine: the
-//! event happened at some moment between the two, both included. A last line that was cut off, as by a kill
-//! during its write, is left out; any other line that can't be read is an error with its number.
+//! The key `t` of a line is `[earliest, latest]` in microseconds of one monotonic clock for all processes of
+//! a machine: the event happened at some moment between the two, both included. A truncated last line, as a
+//! kill during the write leaves it, is skipped; any other line that can't be read is an error with its line
+//! number.
 
 use std::io::{BufRead, Read};
 
@@ -11,203 +12,208 @@
 use crate::interval::TimeInterval;
 use crate::rules::Rules;
 
-/// The longest line that is read, in bytes.
-pub const MAX_LINE: usize = 1 << 20;
+/// Maximum length of a line, in bytes.
+pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// What happened.
+/// Kind of event that a record describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// The first line: the rules.
+    /// The first line of a history; it carries the rules.
     #[default]
     Begin,
-    /// A client has written a request's last byte to a node.
+    /// A client has written the last byte of a request to a node.
     #[serde(rename = "ask")]
     Request,
-    /// A client has read a request's complete final answer.
+    /// A client has read the complete final answer to a request.
     Answer,
-    /// A client has left before its answer.
+    /// A client has left without waiting for its answer.
     #[serde(rename = "gone")]
     ClientLeft,
     /// A node closed a client's connection without a complete answer to this request.
     Closed,
-    /// A node sent a response that answers no request; `request` is the last one answered on its connection.
+    /// A node sent a response that belongs to no request; `request` is the last one answered on the
+    /// connection.
     #[serde(rename = "stray")]
     UnsolicitedResponse,
     /// A server has received the last byte of an attempt.
     Attempt,
     /// A server writes the answer to an attempt.
     Reply,
-    /// An attempt is no longer in flight though no complete answer was written: its connection has ended, or a fault
-    /// spoilt the answer.
+    /// An attempt has ended without a complete answer: its connection was closed, or an injected fault made
+    /// the response malformed.
     #[serde(rename = "over")]
     AttemptEnded,
-    /// A server has started, cold.
+    /// A server has started; `capacity_us_per_s`, `cold_share` and `warm_us` describe its warm-up.
     Start,
-    /// A server was killed, or fell over under its load.
+    /// A server was killed, or stopped because it was overloaded.
     Down,
-    /// Discovery knows of a change.
+    /// Discovery has registered a change of a server's status.
     Change,
-    /// Discovery has notified a node of a server.
+    /// Discovery has notified a node of a server's status.
     #[serde(rename = "told")]
     Notified,
-    /// A node has called discovery: `state` is `taken`, or `turned-away` where discovery sheds the call.
+    /// A node has called discovery: `state` is `taken`, or `turned-away` if discovery rejected the call.
     Call,
-    /// The state of a node's process has changed: `state` is `starting`, `ready`, `term`, `killed`, `exited`, or
-    /// `crashed` where it exited with another code than 0 after SIGTERM, `paused` and `resumed` where it was stopped,
-    /// `slowed` and `steady` where it was given a small part of its time. From `killed` or `exited` on until it is
-    /// `ready` again there is no process that could take a request.
+    /// The state of a node's process has changed. `state` is one of `starting`, `ready`, `term`, `killed`,
+    /// `exited`; `crashed` for an exit code other than 0 after SIGTERM; `paused` and `resumed` for a stopped
+    /// process; `slowed` and `steady` for a process limited to a small share of CPU time. From `killed` or
+    /// `exited` until the next `ready` no process can accept a request.
     Node,
-    /// The store of record has committed a version of a key: `key`, `version`, `value` and, of an edit with an
-    /// idempotency key, `token`.
+    /// The store of record has committed a version of a key: `key`, `version`, `value` and, for an edit with
+    /// an idempotency key, `token`.
     #[serde(rename = "stored")]
     Committed,
     /// A fault was injected or removed.
     Fault,
-    /// A node's view of all others was read: `state` has a letter for each, `a`live, `s`uspect, `d`ead, `l`eft, `?`.
+    /// The member table of a node was read: `state` has one letter per member, `a`live, `s`uspect, `d`ead,
+    /// `l`eft or `?` for unknown.
     View,
-    /// Datagrams from `node` to `server`, another node, are all lost (`state` is `cut`) or pass again (`passes`).
+    /// All datagrams from `node` to `server`, another node, are lost (`state` is `cut`) or pass again
+    /// (`passes`).
     #[serde(rename = "cut")]
     Partition,
-    /// Datagrams between nodes begin to be lost, duplicated or late, or no longer are: `state` is `mild` or `severe`, with
-    /// `-ends` behind it at the end.
+    /// Loss, duplication and delay of datagrams between nodes begin or end: `state` is `mild` or `severe`,
+    /// with the suffix `-ends` at the end.
     #[serde(rename = "weather")]
     NetworkConditions,
-    /// The last line.
+    /// The last line of a complete history.
     End,
 }
 
-/// A final answer.
+/// Outcome of a request, as its final answer states it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
     /// Answered with a value or receipt.
     Served,
-    /// Rejected: a retry does no harm.
+    /// Rejected; a retry is safe.
     #[serde(rename = "refused")]
     Rejected,
-    /// Failed: it may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
-/// What a server did with an attempt.
+/// Effect of an attempt at its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Effect {
-    /// It ran, or began to run.
+    /// The attempt ran, or started to run.
     Ran,
-    /// A repeat, dropped by its idempotency key: the first receipt is given again.
+    /// A repeat, deduplicated by its idempotency key: the server returned the first receipt again.
     #[serde(rename = "dropped")]
     Deduplicated,
-    /// The server lacks the key.
+    /// A cache miss: the server does not have the key.
     Miss,
-    /// Rejected before it was read.
+    /// The server rejected the attempt before reading it.
     Busy,
-    /// The server was dead or silent when the bytes came.
+    /// The server was down or unresponsive when the bytes arrived.
     #[serde(rename = "void")]
     NotReceived,
 }
 
-/// One line of a history. Fields that an event has no use for are left out.
+/// One line of a history. A line omits the fields that its event does not use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct HistoryRecord {
-    /// When it happened.
+    /// Bounds on the moment of the event.
     #[serde(rename = "t")]
     pub time: TimeInterval,
-    /// Which process wrote it.
+    /// Name of the process that wrote the record.
     #[serde(rename = "who")]
     pub recorder: String,
-    /// What happened.
+    /// Kind of event.
     pub event: Event,
-    /// The request's id.
+    /// Id of the request; a client's retry has a new one.
     #[serde(skip_serializing_if = "is_default")]
     pub request: String,
-    /// The node concerned.
+    /// Name of the node concerned, such as `n0`.
     #[serde(skip_serializing_if = "is_default")]
     pub node: String,
-    /// The server concerned; where empty, the recorder.
+    /// Name of the server concerned; if empty, the recorder is the server.
     #[serde(skip_serializing_if = "is_default")]
     pub server: String,
-    /// The request's class.
+    /// Class of the request; see [`Rules::classes`].
     #[serde(skip_serializing_if = "is_default")]
     pub class: String,
-    /// The request's tenant.
+    /// Tenant of the request.
     #[serde(skip_serializing_if = "is_default")]
     pub tenant: String,
-    /// The request's key.
+    /// Key that the request reads or edits.
     #[serde(skip_serializing_if = "is_default")]
     pub key: String,
-    /// Its idempotency key.
+    /// Idempotency key of the request.
     #[serde(rename = "token", skip_serializing_if = "is_default")]
     pub idempotency_key: String,
-    /// A digest of the value that an edit carries.
+    /// Digest of the value that an edit carries.
     #[serde(skip_serializing_if = "is_default")]
     pub digest: String,
-    /// Until when its client waits for an answer.
+    /// Moment until which the client waits for an answer, in microseconds.
     #[serde(rename = "until", skip_serializing_if = "is_default")]
     pub deadline: u64,
-    /// The final answer.
+    /// Outcome of the final answer.
     #[serde(skip_serializing_if = "is_default")]
     pub outcome: Option<Outcome>,
-    /// When a rejected client is to retry, milliseconds.
+    /// Delay after which a rejected client should retry, in milliseconds.
     #[serde(rename = "advice_ms", skip_serializing_if = "is_default")]
     pub retry_after_ms: u64,
-    /// What a server did with an attempt.
+    /// Effect of an attempt at its server.
     #[serde(skip_serializing_if = "is_default")]
     pub effect: Option<Effect>,
-    /// The value, or its beginning: unique to the request that it was made for.
+    /// The value or a prefix of it, unique to the request for which it was produced.
     #[serde(skip_serializing_if = "is_default")]
     pub value: String,
-    /// The version of the key that a value shows or an edit made.
+    /// Version of the key that a value belongs to or that an edit created.
     #[serde(skip_serializing_if = "is_default")]
     pub version: u64,
-    /// When a server received an attempt's first byte.
+    /// Bounds on the moment at which a server received the first byte of an attempt.
     #[serde(rename = "first", skip_serializing_if = "is_default")]
     pub first_byte: Option<TimeInterval>,
-    /// An attempt's number at its server, to tell attempts of one request apart.
+    /// Number of an attempt at its server; it distinguishes the attempts of one request.
     #[serde(skip_serializing_if = "is_default")]
     pub number: u64,
-    /// The work of an attempt, microseconds.
+    /// Work that an attempt costs its server, in microseconds.
     #[serde(skip_serializing_if = "is_default")]
     pub work_us: u64,
-    /// A server's capacity when warm: microseconds of work a second.
+    /// Capacity of a warm server, in microseconds of work per second.
     #[serde(skip_serializing_if = "is_default")]
     pub capacity_us_per_s: f64,
-    /// The share of it that the server starts with.
+    /// Share of the warm capacity that the server starts with, 0 to 1.
     #[serde(skip_serializing_if = "is_default")]
     pub cold_share: f64,
-    /// How long it warms up, microseconds.
+    /// Duration of the warm-up, in microseconds.
     #[serde(skip_serializing_if = "is_default")]
     pub warm_us: u64,
-    /// A server's zone.
+    /// Zone of a server.
     #[serde(skip_serializing_if = "is_default")]
     pub zone: String,
-    /// A server's cell.
+    /// Cell of a server.
     #[serde(skip_serializing_if = "is_default")]
     pub cell: u64,
-    /// `active`, `leaving` or `left`.
+    /// Status of a server in discovery: `active`, `leaving` or `left`.
     #[serde(skip_serializing_if = "is_default")]
     pub status: String,
-    /// Which start of a server an entry of the list speaks of: the moment of that start, 0 for long ago.
+    /// Moment of the server start that an entry of the server list refers to, in microseconds; 0 for a server
+    /// that started before the run.
     #[serde(rename = "since", skip_serializing_if = "is_default")]
     pub started_at: u64,
-    /// The state of a node's process, a view, or which fault it is.
+    /// State of a node's process, of a discovery call, of a partition or of the network; the letters of a
+    /// view; or the description of a fault.
     #[serde(skip_serializing_if = "is_default")]
     pub state: String,
-    /// Whether a request is sent once more because a node's close crossed it on the network.
+    /// Whether a request is sent again because the node's close of the connection crossed it on the network.
     #[serde(rename = "again", skip_serializing_if = "is_default")]
     pub resent: bool,
-    /// Whether the connection had answered a request before, or the node was ending.
+    /// Whether the connection had already carried an answer, or the node was shutting down.
     #[serde(rename = "kept", skip_serializing_if = "is_default")]
     pub reused_connection: bool,
     /// Whether the server is the origin.
     #[serde(skip_serializing_if = "is_default")]
     pub origin: bool,
-    /// Whether it is a client's retry.
+    /// Whether the request is a client's retry.
     #[serde(skip_serializing_if = "is_default")]
     pub retry: bool,
-    /// The rules.
+    /// Rules of the run; the first record carries them.
     #[serde(skip_serializing_if = "is_default")]
     pub rules: Option<Box<Rules>>,
 }
@@ -217,74 +223,74 @@
 }
 
 impl HistoryRecord {
-    /// The line as it stands in a history, with its newline.
+    /// Returns the record as a line of a history, with its newline.
     pub fn to_json_line(&self) -> String {
         let mut text = serde_json::to_string(self).unwrap_or_default();
         text.push('\n');
         text
     }
 
-    /// The server concerned.
+    /// Returns the name of the server concerned: `server`, or the recorder if that is empty.
     pub fn server_name(&self) -> &str {
         if self.server.is_empty() { &self.recorder } else { &self.server }
     }
 }
 
-/// Why a history can't be read.
+/// Error of reading a history.
 #[derive(Debug, thiserror::Error)]
 pub enum HistoryError {
-    /// Its file can't be read.
+    /// The text can't be read.
     #[error("cannot be read: {0}")]
     Io(#[from] std::io::Error),
-    /// A line, counted from 1, is no record; other than a last one that was cut off.
+    /// A line is not a valid record; a truncated last line is not an error.
     #[error("line {line}: {reason}")]
     Malformed {
-        /// Its number.
+        /// Line number, from 1.
         line: usize,
-        /// What is wrong with it.
+        /// Fault of the line.
         reason: MalformedLine,
     },
-    /// It has no line at all.
-    #[error("line 1: an empty history")]
+    /// The history has no lines.
+    #[error("line 1: the history is empty; its first line must be the event `begin` with the rules")]
     Empty,
-    /// It does not begin with the rules.
-    #[error("line 1: a history begins with the event `begin` and its rules")]
+    /// The first record is not `begin` with the rules.
+    #[error("line 1: the first line of a history must be the event `begin` with the rules")]
     NoRules,
 }
 
-/// Why a line is no record.
+/// Fault of a line that is not a valid record.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedLine {
-    /// It is longer than [`MAX_LINE`].
-    #[error("longer than {MAX_LINE} bytes")]
+    /// The line is longer than [`MAX_LINE_BYTES`].
+    #[error("longer than {MAX_LINE_BYTES} bytes")]
     TooLong,
-    /// It is no JSON, or lacks a field or has one too many.
+    /// The line is not JSON, or has a missing, unknown or invalid field.
     #[error("column {}: {}", .0.column(), without_position(.0))]
     Json(#[source] serde_json::Error),
 }
 
-/// The parser's message; its own line number counts from the record's start.
+/// Returns the parser's message without its position: the parser counts lines from the start of the record.
 fn without_position(error: &serde_json::Error) -> String {
     let text = error.to_string();
     text.split(" at line ").next().unwrap_or("").to_owned()
 }
 
-/// Reads a history line by line, each with its number from 1. A last line that was cut off, as by a kill during
-/// its write, is left out: what stands before it is complete.
+/// Reads a history line by line and passes each record with its line number, from 1, to `each`. A truncated
+/// last line, as a kill during the write leaves it, is skipped; the lines before it are complete.
 ///
 /// # Errors
-/// [`HistoryError`] where the text can't be read or is no history.
+/// [`HistoryError`] if the text can't be read or is not a valid history.
 pub fn read(mut text: impl BufRead, mut each: impl FnMut(usize, HistoryRecord)) -> Result<(), HistoryError> {
     let mut buffer = Vec::new();
     let mut line = 0;
     let mut has_rules = false;
     loop {
         buffer.clear();
-        if (&mut text).take(MAX_LINE as u64 + 1).read_until(b'\n', &mut buffer)? == 0 {
+        if (&mut text).take(MAX_LINE_BYTES as u64 + 1).read_until(b'\n', &mut buffer)? == 0 {
             return if has_rules { Ok(()) } else { Err(HistoryError::Empty) };
         }
         line += 1;
-        if buffer.len() > MAX_LINE {
+        if buffer.len() > MAX_LINE_BYTES {
             return Err(HistoryError::Malformed { line, reason: MalformedLine::TooLong });
         }
         if buffer.trim_ascii().is_empty() {
--- a/crates/stonevane-audit/src/interval.rs
+++ b/crates/stonevane-audit/src/interval.rs
@@ -1,14 +1,14 @@
-//! Time with its uncertainty: the bounds between which an event happened.
+//! Time intervals: bounds on the moment at which an event happened.
 
 use serde::{Deserialize, Serialize};
 
-/// The moments between which an event happened, both included, in microseconds of one monotonic clock.
+/// Bounds on the moment of an event, both included, in microseconds of one monotonic clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize, Default)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct TimeInterval {
-    /// It had not happened before this.
+    /// Lower bound: the event did not happen before this moment.
     pub earliest: u64,
-    /// It had happened by this.
+    /// Upper bound: the event had happened by this moment.
     pub latest: u64,
 }
 
--- a/crates/stonevane-audit/src/lib.rs
+++ b/crates/stonevane-audit/src/lib.rs
@@ -1,9 +1,9 @@
-//! The auditor: checks a history of a run against the rules.
+//! Audits the history of a run against the rules.
 //!
-//! Emulators and clients write down what they saw as a [`history`]; the [`Auditor`] reads it once from its first record
-//! to its last and proves breaches from these records alone. It knows nothing of a node and has no clock: each record
-//! carries the [`TimeInterval`] in which its event happened, and a breach is a [`Finding`] only where it holds for every
-//! order of events that the intervals allow.
+//! Emulators and clients record the events that they observe in a [`history`]. The [`Auditor`] reads it once,
+//! from the first record to the last, and proves violations from these records alone: it has no access to a
+//! node's state and no clock. Each record carries the [`TimeInterval`] in which its event happened, and a
+//! violation is a [`Finding`] only if it holds for every order of events that the intervals allow.
 //!
 //! ```
 //! use stonevane_audit::{audit, Rule};
--- a/crates/stonevane-audit/src/membership/detection.rs
+++ b/crates/stonevane-audit/src/membership/detection.rs
@@ -1,4 +1,4 @@
-//! How soon deaths are detected, and how often a healthy member is declared dead.
+//! Measures the detection times of deaths, and counts healthy members that are declared dead.
 
 use serde::Serialize;
 
@@ -6,24 +6,25 @@
 use super::{Member, Membership};
 use crate::interval::TimeInterval;
 
-/// Figures of membership, beside the rules.
+/// Measurements of the membership protocol; the rules do not depend on them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct MembershipFigures {
-    /// Views that were read.
+    /// Number of views read.
     pub views: usize,
-    /// Processes that ended without a word.
+    /// Number of processes that ended without announcing that they leave.
     pub deaths: usize,
-    /// For each that was seen: microseconds until the first healthy view had it as dead or suspected.
+    /// For each death that was detected: microseconds until the first healthy view showed it as dead or
+    /// suspected.
     pub first_us: Vec<u64>,
-    /// For each that all healthy views saw: until the last of them had.
+    /// For each death that all healthy views detected: microseconds until the last of them did.
     pub last_us: Vec<u64>,
-    /// Times that a member became dead in some view, where it and the view's owner had been healthy for the bound on
-    /// accuracy.
+    /// Number of times that a member was declared dead in some view although it and the view's owner had been
+    /// healthy for longer than [`crate::MembershipRules::accuse_us`].
     pub false_deaths: usize,
 }
 
 impl MembershipFigures {
-    /// A quantile of some times; `None` where there are none.
+    /// Returns a quantile, 0 to 1, of times; `None` if there are none.
     pub fn quantile(times: &[u64], quantile: f64) -> Option<u64> {
         let mut times = times.to_vec();
         times.sort_unstable();
@@ -31,16 +32,18 @@
     }
 }
 
-/// A process that ended without a word, and who knows of it.
+/// A process that ended without announcing that it leaves, and the members that have detected its end.
 #[derive(Debug, Clone)]
 pub(super) struct Death {
     pub member: usize,
-    at: u64,
-    known_to: Vec<bool>,
-    /// Microseconds until the first healthy view showed it, and until all had.
+    ended_at: u64,
+    /// For each member, whether its view has shown the death.
+    detected_by: Vec<bool>,
+    /// Microseconds until the first healthy view showed it.
     first_us: Option<u64>,
+    /// Microseconds until all healthy views had shown it.
     last_us: Option<u64>,
-    /// The member has started anew.
+    /// The member has started again.
     is_over: bool,
 }
 
@@ -51,14 +54,21 @@
 }
 
 impl Membership {
-    /// A member's process has ended without a word.
-    pub(super) fn note_death(&mut self, member: usize, at: u64) {
-        let known_to = vec![false; self.members.len()];
+    /// Records the end of a process that did not announce that it leaves.
+    pub(super) fn record_death(&mut self, member: usize, ended_at: u64) {
+        let detected_by = vec![false; self.members.len()];
         self.figures.deaths += 1;
-        self.deaths.push(Death { member, at, known_to, first_us: None, last_us: None, is_over: false });
+        self.deaths.push(Death {
+            member,
+            ended_at,
+            detected_by,
+            first_us: None,
+            last_us: None,
+            is_over: false,
+        });
     }
 
-    /// Measures a view of a healthy observer.
+    /// Measures a view, if its observer is healthy.
     pub(super) fn measure(&mut self, time: TimeInterval, observer: usize, states: &[ViewState]) {
         if self.members[observer].healthy_since.is_none() {
             return;
@@ -70,7 +80,7 @@
     }
 
     fn count_false_death(&mut self, time: TimeInterval, observer: usize, member: usize, state: ViewState) {
-        // So long that it can't be what was known of it before.
+        // After this time the view can't show a death from before the member became healthy.
         let bound = self.rules.accuse_us;
         let is_settled = |member: &Member| {
             member.healthy_since.is_some_and(|since| time.earliest > since.saturating_add(bound))
@@ -96,16 +106,17 @@
             if is_undetected || death.member == observer {
                 continue;
             }
-            let took_us = time.earliest.saturating_sub(death.at);
+            let elapsed_us = time.earliest.saturating_sub(death.ended_at);
             if death.first_us.is_none() {
-                death.first_us = Some(took_us);
-                self.figures.first_us.push(took_us);
+                death.first_us = Some(elapsed_us);
+                self.figures.first_us.push(elapsed_us);
             }
-            death.known_to[observer] = true;
-            let knows = |other: usize| death.known_to[other] || self.members[other].healthy_since.is_none();
-            if (0..count).all(knows) {
-                death.last_us = Some(took_us);
-                self.figures.last_us.push(took_us);
+            death.detected_by[observer] = true;
+            let is_done =
+                |other: usize| death.detected_by[other] || self.members[other].healthy_since.is_none();
+            if (0..count).all(is_done) {
+                death.last_us = Some(elapsed_us);
+                self.figures.last_us.push(elapsed_us);
             }
         }
     }
--- a/crates/stonevane-audit/src/membership/mod.rs
+++ b/crates/stonevane-audit/src/membership/mod.rs
@@ -1,9 +1,10 @@
-//! The membership rules: each member's view of the others is compared with what is known of processes and of the network
-//! between them. Members have no say in who is alive.
+//! The membership rules: compares each member's view of the others with the recorded state of the processes
+//! and of the network between them. What members report of themselves is no evidence of who is alive.
 //!
-//! A member is *healthy* while its process runs, is not paused, and datagrams pass in both directions between it and
-//! most of the others that run; one that is left alone is not, for it can't tell the others' end from its own
-//! partition. What a view may show is bounded in time since its owner and those that it shows were last unhealthy.
+//! A member is *healthy* while its process runs, is not paused, and datagrams pass in both directions between
+//! it and most of the other running members. A member without running peers is not healthy, because it can't
+//! distinguish the end of the others from its own partition. The bounds on what a view may show count from
+//! the last moment at which its owner, the observer, or the member shown changed its state of health.
 
 mod detection;
 #[cfg(test)]
@@ -17,36 +18,37 @@
 use crate::interval::TimeInterval;
 use crate::rules::MembershipRules;
 
-/// A membership rule that is broken.
+/// A violation of a membership rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Breach {
-    /// Which rule:
-    /// - `undetected`: a member that is gone is dead or suspected in every healthy view;
+    /// Rule that is violated:
+    /// - `undetected`: a member whose process has ended is dead or suspected in every healthy view;
     /// - `accused`: a healthy member is not dead in any healthy view;
-    /// - `hounded`: a healthy member is not falsely suspected again and again in fair or mild conditions;
-    /// - `unrefuted`: a suspicion of a healthy member ends;
-    /// - `diverged`: once all faults have ended, views are equal and right;
+    /// - `hounded`: a healthy member is not falsely suspected repeatedly in normal or mildly degraded network
+    ///   conditions;
+    /// - `unrefuted`: a suspicion of a healthy member is refuted in time;
+    /// - `diverged`: once all faults have ended, every view matches the state of the processes;
     /// - `stranger`: an unknown peer, which never was a member, is not alive in any view;
-    /// - `risen`: an incarnation that ended is not alive again.
+    /// - `risen`: an incarnation that was declared dead after its end is not alive again.
     pub code: &'static str,
-    /// Whose view shows it.
+    /// Number of the member whose view shows the violation.
     pub observer: usize,
-    /// Of whom.
+    /// Number of the member that the view shows wrongly.
     pub member: usize,
-    /// In a sentence.
+    /// Description of the violation.
     pub what: String,
 }
 
 #[derive(Debug, Clone, Default)]
 struct Member {
-    /// Since when it has had no process, at the latest; `None` while there is one.
+    /// Latest possible moment at which its process ended; `None` while there is a process.
     down_since: Option<u64>,
     ever_started: bool,
-    /// It was sent SIGTERM, and may announce that it leaves.
+    /// It was sent SIGTERM and may announce that it leaves.
     terminating: bool,
-    /// Reasons why it can't be expected to answer: it starts, ends or is paused.
+    /// Number of current reasons why it need not respond: it starts, shuts down or is paused.
     suspensions: u32,
-    /// At the latest; `None` while it is unhealthy.
+    /// Latest possible moment at which it became healthy; `None` while it is unhealthy.
     healthy_since: Option<u64>,
 }
 
@@ -56,36 +58,38 @@
     }
 }
 
-/// Compares members' views with the state of processes and network. Events come in the order of their latest times.
+/// Compares the views of members with the state of processes and network. Events must arrive in the order of
+/// their latest times.
 #[derive(Debug)]
 pub struct Membership {
     rules: MembershipRules,
     members: Vec<Member>,
     deaths: Vec<Death>,
-    /// For each member, how many views have it dead though it is healthy.
+    /// Number of views, for each member, that show it dead although it is healthy.
     false_death_views: Vec<usize>,
     figures: MembershipFigures,
-    /// How many partitions are in force from one member to another: a row for each sender.
+    /// Number of active partitions from one member to another: a matrix with a row per sender.
     partitions: Vec<u16>,
-    /// Pairs with a partition in force.
+    /// Number of ordered pairs with an active partition.
     partitioned_pairs: usize,
-    /// Degradations of the network in force, and those of them that are severe.
+    /// Number of active degradations of the network, mild and severe.
     degradations: usize,
+    /// Number of active degradations that are severe.
     severe_degradations: usize,
-    /// When a process or the network last changed.
+    /// Latest possible moment of the last change of a process or the network, in microseconds.
     changed_at: u64,
-    /// A row for each observer.
+    /// Entries of all views: a matrix with a row per observer.
     views: Vec<ViewEntry>,
 }
 
 impl Membership {
-    /// Rules for a fleet of which nothing has started.
+    /// Creates the state of a fleet in which no member has started.
     pub fn new(rules: MembershipRules) -> Membership {
         let count = rules.members;
-        let gone = Member { down_since: Some(0), ..Member::default() };
+        let not_started = Member { down_since: Some(0), ..Member::default() };
         Membership {
             rules,
-            members: vec![gone; count],
+            members: vec![not_started; count],
             deaths: Vec::new(),
             false_death_views: vec![0; count],
             figures: MembershipFigures::default(),
@@ -98,45 +102,45 @@
         }
     }
 
-    /// The number of a member, by its name.
+    /// Returns the number of a member from its name, such as 3 for `n3`; `None` if there is no such member.
     pub fn number(&self, name: &str) -> Option<usize> {
         name.strip_prefix('n')?.parse().ok().filter(|number| *number < self.members.len())
     }
 
-    /// The figures measured so far.
+    /// Returns the measurements so far.
     pub fn figures(&self) -> &MembershipFigures {
         &self.figures
     }
 
-    /// What became of a member's process: the states of the history's `node`.
+    /// Handles a change of a member's process; `state` is that of the event [`crate::Event::Node`].
     pub fn process_state(&mut self, time: TimeInterval, member: usize, state: &str) {
-        let Some(known) = self.members.get_mut(member) else { return };
+        let Some(process) = self.members.get_mut(member) else { return };
         match state {
-            // It may speak as soon as it is started, and counts as running once it is ready.
+            // A starting process may already send datagrams, but counts as running only once it is ready.
             "starting" => {
-                known.ever_started = true;
-                known.down_since = None;
-                known.healthy_since = None;
-                known.suspensions = known.suspensions.max(1);
+                process.ever_started = true;
+                process.down_since = None;
+                process.healthy_since = None;
+                process.suspensions = process.suspensions.max(1);
             }
             "ready" => {
-                known.ever_started = true;
-                known.terminating = false;
-                known.down_since = None;
-                known.suspensions = 0;
+                process.ever_started = true;
+                process.terminating = false;
+                process.down_since = None;
+                process.suspensions = 0;
             }
             "term" => {
-                known.terminating = true;
-                known.suspensions += 1;
+                process.terminating = true;
+                process.suspensions += 1;
             }
-            "paused" => known.suspensions += 1,
-            "resumed" => known.suspensions = known.suspensions.saturating_sub(1),
-            "killed" | "exited" | "crashed" if known.down_since.is_none() => {
-                known.down_since = Some(time.latest);
-                known.suspensions = 0;
-                // One that was sent SIGTERM has announced that it leaves.
-                if !std::mem::take(&mut known.terminating) {
-                    self.note_death(member, time.latest);
+            "paused" => process.suspensions += 1,
+            "resumed" => process.suspensions = process.suspensions.saturating_sub(1),
+            "killed" | "exited" | "crashed" if process.down_since.is_none() => {
+                process.down_since = Some(time.latest);
+                process.suspensions = 0;
+                // A process that was sent SIGTERM has announced that it leaves, so its end is not a death.
+                if !std::mem::take(&mut process.terminating) {
+                    self.record_death(member, time.latest);
                 }
             }
             _ => return,
@@ -147,7 +151,7 @@
         }
     }
 
-    /// Datagrams from one member to another are lost, or pass again.
+    /// Handles the begin or end of a partition: datagrams from one member to another are lost while it lasts.
     pub fn partition(&mut self, time: TimeInterval, from: usize, to: usize, begins: bool) {
         let count = self.members.len();
         if from >= count || to >= count {
@@ -164,13 +168,14 @@
         self.recompute_health(time);
     }
 
-    /// Datagrams begin to be lost, duplicated or late, or no longer are. Mild conditions lose no more than one in ten
-    /// and delay by no more than a tenth of a probe's time: nobody is declared dead for them.
+    /// Handles the begin or end of degraded network conditions, in which datagrams are lost, duplicated or
+    /// late. Mild conditions lose no more than one datagram in ten and delay by no more than a tenth of a
+    /// probe's time, so no member may be declared dead because of them.
     pub fn network_conditions(&mut self, time: TimeInterval, begins: bool, is_mild: bool) {
-        let step = |count: usize| if begins { count + 1 } else { count.saturating_sub(1) };
-        self.degradations = step(self.degradations);
+        let updated = |count: usize| if begins { count + 1 } else { count.saturating_sub(1) };
+        self.degradations = updated(self.degradations);
         if !is_mild {
-            self.severe_degradations = step(self.severe_degradations);
+            self.severe_degradations = updated(self.severe_degradations);
         }
         self.recompute_health(time);
     }
@@ -179,12 +184,13 @@
         self.changed_at = self.changed_at.max(time.latest);
         for member in 0..self.members.len() {
             let is_healthy = self.members[member].is_running() && self.reaches_most(member);
-            let known = &mut self.members[member];
-            known.healthy_since = is_healthy.then(|| known.healthy_since.unwrap_or(time.latest));
+            let process = &mut self.members[member];
+            process.healthy_since = is_healthy.then(|| process.healthy_since.unwrap_or(time.latest));
         }
     }
 
-    /// Whether datagrams pass in both directions between a member and most of the others that run.
+    /// Returns whether datagrams pass in both directions between a member and most of the other running
+    /// members.
     fn reaches_most(&self, member: usize) -> bool {
         let count = self.members.len();
         let others = (0..count).filter(|other| *other != member && self.members[*other].is_running());
@@ -202,7 +208,8 @@
             || self.partitions[one * count + other] == 0 && self.partitions[other * count + one] == 0
     }
 
-    /// A member has started anew: what was shown of its last incarnation is over, and its own view is empty.
+    /// Begins a new incarnation of a member: clears what views showed of the last one, and the member's own
+    /// view.
     fn begin_incarnation(&mut self, member: usize) {
         let count = self.members.len();
         self.deaths.iter_mut().filter(|death| death.member == member).for_each(Death::end);
--- a/crates/stonevane-audit/src/membership/views.rs
+++ b/crates/stonevane-audit/src/membership/views.rs
@@ -1,14 +1,16 @@
-//! Members' views, and what each may show.
+//! Views of members, and the checks of what they show.
 
 use super::{Breach, Member, Membership};
 use crate::interval::TimeInterval;
 
-/// So many suspicions of a healthy member within [`FALSE_SUSPICION_WINDOW`], in fair or mild conditions, are too many.
+/// Number of suspicions of a healthy member, in normal or mildly degraded network conditions, that is a
+/// violation if they fall within one window; see [`FALSE_SUSPICION_WINDOW_FACTOR`].
 const MAX_FALSE_SUSPICIONS: u32 = 4;
-/// In multiples of the bound on one suspicion.
-const FALSE_SUSPICION_WINDOW: u64 = 4;
+/// Length of the window for counting false suspicions, in multiples of the bound on the duration of one
+/// suspicion.
+const FALSE_SUSPICION_WINDOW_FACTOR: u64 = 4;
 
-/// What a view shows of a member.
+/// State of a member in a view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ViewState {
     Alive,
@@ -19,7 +21,7 @@
 }
 
 impl ViewState {
-    /// A history has a letter for each member.
+    /// Returns the state for a letter of a recorded view.
     pub fn of_letter(letter: u8) -> ViewState {
         match letter {
             b'a' => ViewState::Alive,
@@ -49,40 +51,42 @@
     }
 }
 
-/// A member in a view, as it was last read.
+/// Entry of a view: a member as the last reading showed it.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ViewEntry {
     pub state: Option<ViewState>,
-    /// At the latest.
+    /// Latest possible moment since which the view shows `state`.
     since: u64,
-    /// It was shown gone since its process ended, too late to be known from before.
+    /// The view showed the member dead or left so long after its process ended that this refers to the ended
+    /// incarnation.
     pub was_declared_dead: bool,
-    /// A breach is reported once for each stretch of time.
+    /// The current violation is already reported; each one is reported once while it lasts.
     is_reported: bool,
-    /// It is shown dead though it is healthy, and counted.
+    /// The entry is counted as a false death: it shows a healthy member as dead.
     pub is_false_death: bool,
-    /// Suspicions while nothing had happened, and when the first of them came.
+    /// Suspicions without a cause within the current window.
     false_suspicions: u32,
+    /// Moment of the first of them, in microseconds.
     false_suspicions_since: u64,
 }
 
-/// One member of a view that was read, and what is known of both ends.
+/// One entry of a view that was read, with the conditions under which it was read.
 struct Observation {
     observer: usize,
     member: usize,
     state: ViewState,
-    /// The view was read no earlier than this.
+    /// Earliest possible moment of the reading, in microseconds.
     now: u64,
-    /// The state differs from that of the last reading.
+    /// The state differs from that in the last reading.
     has_changed: bool,
-    /// The conditions are fair or mild, and nothing has happened for long.
+    /// Network conditions are normal or mild, and nothing has changed for the bound on false deaths.
     is_quiet: bool,
-    /// All faults have ended for long.
+    /// All faults ended longer ago than the bound on convergence.
     has_converged: bool,
 }
 
 impl Observation {
-    /// Whether it has certainly lasted for longer than a bound.
+    /// Returns whether the time since a moment is certainly longer than a bound.
     fn exceeds(&self, since: u64, bound_us: u64) -> bool {
         self.now > since.saturating_add(bound_us)
     }
@@ -92,7 +96,7 @@
     }
 }
 
-/// A rule that is broken: the code of [`Breach::code`], and a sentence.
+/// A violation by an entry: the code, one of [`Breach::code`], and a description.
 struct Violation {
     code: &'static str,
     what: String,
@@ -103,8 +107,8 @@
 }
 
 impl Membership {
-    /// Takes a view that was read: a letter for each member, `a`live, `s`uspect, `d`ead, `l`eft or `?`. A breach is
-    /// returned once for each stretch of time.
+    /// Checks a view that was read: one letter per member, `a`live, `s`uspect, `d`ead, `l`eft or `?` for
+    /// unknown. A violation that lasts over several readings is returned once.
     pub fn view(&mut self, time: TimeInterval, observer: usize, states: &str) -> Vec<Breach> {
         let mut breaches = Vec::new();
         let count = self.members.len();
@@ -115,12 +119,12 @@
         self.figures.views += 1;
         self.measure(time, observer, &states);
         let has_converged = self.has_converged(time);
-        // A view may lack members: its owner's list of them is shorter.
+        // A view may lack members at its end, if its owner's list of members is shorter.
         let padded = states.into_iter().chain(std::iter::repeat(ViewState::Unknown));
         for (member, state) in padded.take(count).enumerate() {
-            let broken = self.check_entry(time, observer, member, state, has_converged);
+            let found = self.check_entry(time, observer, member, state, has_converged);
             let entry = &mut self.views[observer * count + member];
-            match broken {
+            match found {
                 Some(Violation { code, what }) if !entry.is_reported => {
                     entry.is_reported = true;
                     breaches.push(Breach { code, observer, member, what });
@@ -133,10 +137,10 @@
     }
 
     fn has_converged(&self, time: TimeInterval) -> bool {
-        let is_calm = self.partitioned_pairs == 0
+        let no_active_faults = self.partitioned_pairs == 0
             && self.degradations == 0
             && !self.members.iter().any(|member| member.suspensions > 0);
-        is_calm && time.earliest > self.changed_at + self.rules.converge_us
+        no_active_faults && time.earliest > self.changed_at + self.rules.converge_us
     }
 
     fn check_entry(
@@ -155,23 +159,23 @@
         let now = time.earliest;
         let is_quiet = self.severe_degradations == 0 && now > self.changed_at + self.rules.accuse_us;
         let seen = Observation { observer, member, state, now, has_changed, is_quiet, has_converged };
-        let about = self.members[member].clone();
-        if !about.ever_started && state.is_live() {
-            return Some(violation("stranger", "it is in the view and never was a member".into()));
+        let subject = self.members[member].clone();
+        if !subject.ever_started && state.is_live() {
+            return Some(violation("stranger", "in the view though it never was a member".into()));
         }
-        let gone = about.down_since.and_then(|down_since| self.check_gone(&seen, down_since));
-        if gone.is_some() || member == observer {
-            return gone;
+        let found = subject.down_since.and_then(|down_since| self.check_gone(&seen, down_since));
+        if found.is_some() || member == observer {
+            return found;
         }
-        let healthy = self.check_healthy(&seen, &about);
-        healthy.or_else(|| self.check_convergence(&seen, &about))
+        let found = self.check_healthy(&seen, &subject);
+        found.or_else(|| self.check_convergence(&seen, &subject))
     }
 
     fn entry(&mut self, seen: &Observation) -> &mut ViewEntry {
         &mut self.views[seen.observer * self.members.len() + seen.member]
     }
 
-    /// A member without a process: it is detected in time, and stays gone.
+    /// Checks a member without a process: views show its end in time, and do not show it alive again.
     fn check_gone(&mut self, seen: &Observation, down_since: u64) -> Option<Violation> {
         let detect_us = self.rules.detect_us;
         let healthy_since = self.members[seen.observer].healthy_since;
@@ -180,7 +184,7 @@
             let ms = seen.ms_since(down_since);
             return Some(violation(
                 "risen",
-                format!("shown dead, then alive, {ms} ms after its process ended"),
+                format!("shown alive again after it was shown dead, {ms} ms after its process ended"),
             ));
         }
         if seen.state.is_gone() && seen.exceeds(down_since, detect_us) {
@@ -189,23 +193,24 @@
         let since = down_since.max(healthy_since.unwrap_or(u64::MAX));
         let is_undetected = seen.state == ViewState::Alive && seen.exceeds(since, detect_us);
         let ms = seen.ms_since(down_since);
-        is_undetected.then(|| violation("undetected", format!("alive {ms} ms after its process ended")))
+        is_undetected.then(|| violation("undetected", format!("shown alive {ms} ms after its process ended")))
     }
 
-    /// A healthy member in a healthy view: it is not declared dead, and suspicions are refuted and rare.
-    fn check_healthy(&mut self, seen: &Observation, about: &Member) -> Option<Violation> {
-        let (own, other) = self.members[seen.observer].healthy_since.zip(about.healthy_since)?;
+    /// Checks a healthy member in a healthy view: it is not declared dead, and suspicions are refuted and
+    /// rare.
+    fn check_healthy(&mut self, seen: &Observation, subject: &Member) -> Option<Violation> {
+        let (own, other) = self.members[seen.observer].healthy_since.zip(subject.healthy_since)?;
         let (accuse_us, refute_us) = (self.rules.accuse_us, self.rules.refute_us);
         let since = own.max(other).max(self.entry(seen).since);
         let ms = seen.ms_since(since);
         if seen.state.is_gone() {
             if seen.has_changed && seen.is_quiet {
-                let what = "declared dead while it runs and is reached, and nothing has happened";
+                let what = "declared dead without a recent fault, though it runs and is reachable";
                 return Some(violation("accused", what.into()));
             }
-            let is_accused = seen.exceeds(since, accuse_us);
-            return is_accused.then(|| {
-                violation("accused", format!("dead in the view for {ms} ms while it runs and is reached"))
+            let is_falsely_dead = seen.exceeds(since, accuse_us);
+            return is_falsely_dead.then(|| {
+                violation("accused", format!("shown dead for {ms} ms, though it runs and is reachable"))
             });
         }
         if seen.state != ViewState::Suspect {
@@ -213,16 +218,17 @@
         }
         if seen.has_changed
             && seen.is_quiet
-            && let Some(broken) = self.count_false_suspicion(seen)
+            && let Some(violation) = self.count_false_suspicion(seen)
         {
-            return Some(broken);
+            return Some(violation);
         }
-        seen.exceeds(since, refute_us)
-            .then(|| violation("unrefuted", format!("suspected for {ms} ms while it runs and is reached")))
+        seen.exceeds(since, refute_us).then(|| {
+            violation("unrefuted", format!("suspected for {ms} ms, though it runs and is reachable"))
+        })
     }
 
     fn count_false_suspicion(&mut self, seen: &Observation) -> Option<Violation> {
-        let window_us = FALSE_SUSPICION_WINDOW * self.rules.refute_us;
+        let window_us = FALSE_SUSPICION_WINDOW_FACTOR * self.rules.refute_us;
         let entry = self.entry(seen);
         let first = entry.false_suspicions_since;
         if seen.exceeds(first, window_us) {
@@ -234,18 +240,19 @@
         let times = entry.false_suspicions;
         let ms = seen.ms_since(first);
         (times >= MAX_FALSE_SUSPICIONS)
-            .then(|| violation("hounded", format!("suspected {times} times in {ms} ms with no reason")))
+            .then(|| violation("hounded", format!("suspected {times} times in {ms} ms without a cause")))
     }
 
-    /// Once all faults have ended, views are as the processes are. A suspicion that passes is another rule's.
-    fn check_convergence(&self, seen: &Observation, about: &Member) -> Option<Violation> {
+    /// Checks that views match the state of the processes once all faults have ended. A suspected member
+    /// counts as alive here, because another rule bounds suspicions.
+    fn check_convergence(&self, seen: &Observation, subject: &Member) -> Option<Violation> {
         if !seen.has_converged || self.members[seen.observer].healthy_since.is_none() {
             return None;
         }
-        let is_right = about.down_since.is_none() == seen.state.is_live();
+        let is_right = subject.down_since.is_none() == seen.state.is_live();
         let ms = seen.ms_since(self.changed_at);
         let letter = seen.state.letter();
         (!is_right)
-            .then(|| violation("diverged", format!("`{letter}` in the view {ms} ms after all faults ended")))
+            .then(|| violation("diverged", format!("shown as `{letter}` {ms} ms after all faults ended")))
     }
 }
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -1,6 +1,6 @@
-//! What an audit found: breaches of the rules with their proof, and counts.
+//! The report of an audit: findings with their evidence, and counts.
 //!
-//! The texts are read by people and tools; their words are those of the operators' pages.
+//! People and tools read the texts; their wording matches the operators' documentation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,28 +9,28 @@
 
 use crate::membership::MembershipFigures;
 
-/// A rule.
+/// A rule that a history is audited against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// Each request gets exactly one final answer, in time, with a value that was made for it.
+    /// Each request gets exactly one final answer, in time, with a value that was produced for it.
     #[serde(rename = "answered")]
     FinalAnswer,
-    /// What may have run is sent again only where its class allows it.
+    /// A request that may have run is sent again only if its class allows it.
     #[serde(rename = "once")]
     DuplicateEffects,
-    /// Nothing new goes to a server that drains, past its grace period.
+    /// A draining server receives no new attempts after the grace period.
     #[serde(rename = "drained")]
     Draining,
-    /// No server that warms up is overloaded, nor the origin through misses at such servers.
+    /// Nodes overload neither a server that is warming up nor, through misses at such servers, the origin.
     #[serde(rename = "cold")]
     SlowStart,
-    /// Each attempt is what a client asked of that node, with its key, class, idempotency key and value.
+    /// Each attempt matches a request that a client sent to that node: key, class, idempotency key and value.
     #[serde(rename = "tied")]
     AttemptIntegrity,
-    /// The deployment's limits: attempts for a request, hedged requests, the time to end after SIGTERM.
+    /// The limits of the deployment: attempts per request, hedged requests, time to exit after SIGTERM.
     Limits,
-    /// Members' views of one another.
+    /// The rules for the members' views of each other; see [`crate::Breach::code`].
     #[serde(rename = "members")]
     Membership,
 }
@@ -49,27 +49,27 @@
     }
 }
 
-/// A line that proves a finding.
+/// A line of the history that proves a finding.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Evidence {
-    /// Its number in the history, from 1.
+    /// Line number in the history, from 1.
     pub line: usize,
-    /// The line, as far as it matters.
+    /// Text of the record, without its newline.
     pub text: String,
 }
 
-/// A rule broken, and the proof.
+/// A violation of a rule, with its evidence.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Finding {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// Which way of breaking it.
+    /// Kind of violation.
     pub code: &'static str,
-    /// The request, where it is about one.
+    /// Id of the request; empty if the finding concerns no single request.
     pub request: String,
-    /// What happened, in a sentence.
+    /// Description of the violation.
     pub what: String,
-    /// The lines that prove it, in their order.
+    /// Lines that prove the finding, in the order of the history.
     pub evidence: Vec<Evidence>,
 }
 
@@ -84,22 +84,23 @@
     }
 }
 
-/// A fault of an emulated server, which is a witness: it, and not a node, did what it must not.
+/// A fault of an emulated server. The auditor relies on the records of emulators, so such a fault is reported
+/// apart from the findings on nodes.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct EmulatorFault {
-    /// The server.
+    /// Name of the emulated server.
     pub server: String,
-    /// Which fault.
+    /// Kind of fault.
     pub code: &'static str,
-    /// What happened, in a sentence.
+    /// Description of the fault.
     pub what: String,
-    /// The lines that prove it, in their order.
+    /// Lines that prove the fault, in the order of the history.
     pub evidence: Vec<Evidence>,
 }
 
 impl fmt::Display for EmulatorFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the stand-in {} is at fault, {}: {}", self.server, self.code, self.what)?;
+        write!(f, "the emulator {} is at fault, {}: {}", self.server, self.code, self.what)?;
         write_lines(f, &self.evidence)
     }
 }
@@ -108,47 +109,49 @@
     evidence.iter().try_for_each(|line| write!(f, "\n    line {}: {}", line.line, line.text))
 }
 
-/// The verdict on a history.
+/// Result of an audit.
 #[derive(Debug, Clone, PartialEq, Serialize, Default)]
 pub struct Report {
-    /// Rules broken, in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
+    /// Findings in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
     pub findings: Vec<Finding>,
-    /// How many there were in all.
+    /// Total number of findings, including those that were not kept.
     pub broken: usize,
-    /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
+    /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MAX_REPORTED`]
+    /// are kept.
     pub faults: Vec<EmulatorFault>,
-    /// How many there were in all. A verdict on nodes is worth little where there are any.
+    /// Total number of faults, including those that were not kept. If it is not 0, the findings and their
+    /// absence are unreliable.
     pub faulty: usize,
-    /// Events read.
+    /// Records read, without the first one.
     pub events: usize,
-    /// Requests that clients sent.
+    /// Requests that clients sent; a resend of the same request does not count.
     pub requests: usize,
     /// Attempts that servers received.
     pub attempts: usize,
-    /// Requests without an answer when the history ended, their deadline not over yet.
+    /// Requests without an answer whose deadline had not passed when the history ended.
     #[serde(rename = "unsettled")]
     pub pending: usize,
-    /// Requests that need no answer: their client left, or their node was killed, paused or not running.
+    /// Requests that need no answer: the client left, or the node was killed, paused or not running.
     pub excused: usize,
-    /// Idempotency keys that ran more than once, whoever sent the repeat.
+    /// Idempotency keys that ran more than once, regardless of who sent the repeat.
     #[serde(rename = "tokens_run_twice")]
     pub duplicate_effects: usize,
-    /// Overloads of the origin that no node is to blame for.
+    /// Overloads of the origin that are not attributed to nodes.
     pub origin_overruns: usize,
-    /// The most requests that were tracked at once.
+    /// Maximum number of requests that were tracked at once.
     #[serde(rename = "held_at_most")]
     pub peak_requests: usize,
-    /// What was measured of membership.
+    /// Measurements of the membership protocol.
     pub membership: MembershipFigures,
-    /// Answers by class and outcome.
+    /// Number of answers by class; the array is indexed by [`crate::Outcome`]: served, rejected, failed.
     pub answers: BTreeMap<String, [usize; 3]>,
 }
 
 impl Report {
-    /// Findings, and faults, that are kept with their proof, at most each.
+    /// Maximum number of findings, and of faults, that a report keeps with their evidence.
     pub const MAX_REPORTED: usize = 100;
 
-    /// Whether no rule is broken.
+    /// Returns whether no rule is violated.
     pub fn holds(&self) -> bool {
         self.broken == 0
     }
@@ -168,6 +171,6 @@
             "{verdict}: {} breaches in {} events, {} requests, {} attempts ({} excused, {} not settled at the end)",
             self.broken, self.events, self.requests, self.attempts, self.excused, self.pending
         )?;
-        if self.faulty > 0 { write!(f, "; {} faults of stand-ins", self.faulty) } else { Ok(()) }
+        if self.faulty > 0 { write!(f, "; {} faults of emulators", self.faulty) } else { Ok(()) }
     }
 }
--- a/crates/stonevane-audit/src/rules.rs
+++ b/crates/stonevane-audit/src/rules.rs
@@ -1,18 +1,19 @@
-//! The rules' limits, as a history's first record states them.
+//! Limits of the rules, as the first record of a history states them.
 //!
-//! Stored keys keep their names; a field's name is the field's own term.
+//! Stored histories fix the keys; where a field's name differs, `serde(rename)` keeps the stored key.
 
 use serde::{Deserialize, Serialize};
 
-/// What a repeat of a request does to a server's state.
+/// Effect of a repeated request on a server's state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// A repeat does nothing.
+    /// A repeat has no further effect.
     #[default]
     #[serde(rename = "safe")]
     Idempotent,
-    /// Servers within a [`DedupScope`] drop a repeat of its idempotency key for a while.
+    /// Servers within a [`DedupScope`] drop a repeat with the same idempotency key for
+    /// [`ClassRule::window_us`].
     #[serde(rename = "keyed")]
     WithKey,
     /// A repeat runs again.
@@ -20,46 +21,47 @@
     NonIdempotent,
 }
 
-/// Which servers know an idempotency key that one of them has run.
+/// Set of servers that drop a repeat of an idempotency key that one of them has run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScope {
-    /// Every server.
+    /// All servers.
     #[default]
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// A class of requests.
+/// Rule for a class of requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClassRule {
-    /// Its name.
+    /// Name of the class, as requests state it.
     pub name: String,
-    /// What a repeat of its requests does.
+    /// Effect of a repeat of its requests.
     pub kind: Idempotency,
-    /// Where repeats are dropped, for classes with an idempotency key.
+    /// Servers that drop each other's repeats, for classes with an idempotency key.
     pub scope: DedupScope,
-    /// For how long, microseconds from the first send that may have run.
+    /// Duration for which repeats are dropped, in microseconds from the first attempt that may have run.
     pub window_us: u64,
 }
 
-/// The origin's budget.
+/// Capacity limit of the origin.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct OriginRule {
-    /// Its capacity in microseconds of work a second; 0: the origin has no budget.
+    /// Capacity in microseconds of work per second; 0: the origin has no limit.
     pub capacity_us_per_s: f64,
-    /// It stops when sent more than this multiple of its capacity ...
+    /// The origin is overloaded if it receives more than this multiple of its capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... within this window, in microseconds.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
-    /// Nodes are to blame where at least this share of the load comes from misses at cold servers.
+    /// An overload is attributed to nodes if at least this share of the work, 0 to 1, comes from misses at
+    /// cold servers.
     #[serde(rename = "cold_part")]
     pub cold_share: f64,
 }
@@ -75,66 +77,73 @@
     }
 }
 
-/// The bounds on members' views.
+/// Bounds on the views of members; see [`crate::Breach::code`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipRules {
-    /// How many members there are, named `n0` and so on.
+    /// Number of members; their names are `n0`, `n1` and so on.
     pub members: usize,
-    /// A member whose process is gone this long is not alive in any healthy member's view.
+    /// Time in microseconds after the end of a member's process from which no healthy view shows it as alive.
     pub detect_us: u64,
-    /// A healthy member is not dead in a healthy member's view for longer than this.
+    /// Maximum time in microseconds for which a healthy view shows a healthy member as dead.
     pub accuse_us: u64,
-    /// A healthy member is not suspected without a break for longer than this.
+    /// Maximum time in microseconds for which a healthy view suspects a healthy member without interruption.
     pub refute_us: u64,
-    /// Once all faults have ended for this long, every view is as the processes are.
+    /// Time in microseconds after the end of all faults from which every view matches the state of the
+    /// processes.
     pub converge_us: u64,
 }
 
-/// The limits of all rules.
+/// Limits of all rules.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Rules {
-    /// Tolerance for the delays of real sockets, on top of each time limit.
+    /// Tolerance for the delays of real sockets, in microseconds, added to each time limit.
     pub answer_slack_us: u64,
-    /// Nothing new goes to a server later than this after the node was notified of its drain or end.
+    /// Time in microseconds after a node's notification of a server's drain or end during which it may still
+    /// send new attempts to that server.
     pub drain_grace_us: u64,
-    /// Nodes count as notified of a change this long after discovery knows of it; 0: only real notifications count.
+    /// Time in microseconds after discovery registered a change from which a node counts as notified; 0: only
+    /// actual notifications count.
     #[serde(rename = "deemed_told_us")]
     pub assumed_notified_us: u64,
-    /// A server that warms up falls over when sent more than this multiple of its present capacity ...
+    /// A server that is warming up is overloaded if it receives more than this multiple of its current
+    /// capacity ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// ... within this window, in microseconds.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
     /// Tolerance for a load that exceeds the limit by chance, as a share of the limit.
     pub cold_slack: f64,
-    /// Nodes are to blame where at least this share of an overload comes from those that know of the start.
+    /// An overload is attributed to nodes if at least this share of its work, 0 to 1, comes from nodes that
+    /// know of the server's start.
     #[serde(rename = "informed_part")]
     pub informed_share: f64,
-    /// A kill later than this after SIGTERM doesn't excuse requests without an answer.
+    /// Time in microseconds after SIGTERM; a later kill does not excuse unanswered requests.
     #[serde(rename = "term_us")]
     pub kill_grace_us: u64,
-    /// A node has ended this long after SIGTERM; 0: no limit.
+    /// Maximum time in microseconds from SIGTERM to the end of a node; 0: no limit.
     #[serde(rename = "exit_us")]
     pub shutdown_limit_us: u64,
-    /// Attempts of a node for a request, at most, those that a dead server never received left out; 0: no limit.
+    /// Maximum number of attempts of a node per request, without those that a dead server never received; 0:
+    /// no limit.
     pub max_attempts: u32,
-    /// Whether a hedged request may be sent while the first attempt is in flight.
+    /// Whether nodes may send a hedged request while the first attempt is in flight.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
-    /// The classes; a class not named here counts as idempotent.
+    /// Rules of the classes; a class that is not listed counts as idempotent.
     pub classes: Vec<ClassRule>,
-    /// The origin's budget.
+    /// Capacity limit of the origin.
     pub origin: OriginRule,
-    /// Whether the origin is a store of record whose commits stand in the history: what it holds may be served to
-    /// every client, and an edit's receipt is its version.
+    /// Whether the origin is a store of record whose commits are in the history: every client may be served a
+    /// committed value, and the receipt of an edit is its version.
     pub store: bool,
-    /// An edit shows in every answer to a request sent later than this after its receipt.
+    /// Time in microseconds after the receipt of an edit; answers to requests sent later must reflect the
+    /// edit.
     #[serde(rename = "visible_us")]
     pub write_visible_us: u64,
-    /// The bounds on members' views; none where there are no members.
+    /// Bounds on the views of members; not checked if there are no members.
     pub membership: MembershipRules,
 }
 
@@ -162,7 +171,7 @@
 }
 
 impl Rules {
-    /// The rule of a class.
+    /// Returns the rule of a class; a class that is not listed counts as idempotent.
     pub fn class(&self, name: &str) -> ClassRule {
         let known = self.classes.iter().find(|class| class.name == name);
         known.cloned().unwrap_or_else(|| ClassRule { name: name.into(), ..ClassRule::default() })
@@ -170,16 +179,18 @@
 }
 
 impl ClassRule {
-    /// Whether a rejection of what has run would do harm, as a retry may run again.
-    pub fn refusal_harms(&self) -> bool {
+    /// Returns whether a request that has run must not be rejected, because the client's retry may run again.
+    pub fn forbids_rejection_after_run(&self) -> bool {
         self.kind == Idempotency::NonIdempotent
             || self.kind == Idempotency::WithKey && self.scope != DedupScope::All
     }
 }
 
-/// Work that a server can do within a window, microseconds, while it warms up evenly from its cold share: the integral
-/// of `share + (1 - share) * min(1, (t - started_at) / warm_us)`. `capacity` is that of a warm server, in microseconds
-/// of work a second; one that takes no time to warm up is warm.
+/// Returns the work, in microseconds, that a server can do from the moment `from` on within `window_us`.
+///
+/// The capacity rises linearly from its cold share, so the work is the integral of
+/// `share + (1 - share) * min(1, (t - started_at) / warm_us)`. `capacity` is that of a warm server, in
+/// microseconds of work per second. A server with a `warm_us` of 0 is always warm.
 pub fn work_capacity(
     capacity: f64,
     cold_share: f64,
--- a/crates/stonevane-audit/tests/model/model.rs
+++ b/crates/stonevane-audit/tests/model/model.rs
@@ -1,25 +1,25 @@
-//! A slow and obvious auditor: the whole history is searched anew for each question.
+//! A slow, simple reference model of the auditor: it searches the whole history for each question.
 
 use std::collections::BTreeSet;
 
 use stonevane_audit::*;
 
-use crate::generator::{MS, SLACK};
+use crate::generator::{ANSWER_SLACK_US, MS};
 
-pub type Found = BTreeSet<(String, String)>;
+pub type Findings = BTreeSet<(String, String)>;
 
 pub fn has_run(attempt: &HistoryRecord) -> bool {
     attempt.effect == Some(Effect::Ran)
 }
 
-/// The whole history, searched anew for each question.
+/// Reference model of the auditor over a whole history.
 pub struct Model<'a> {
     pub rules: &'a Rules,
     pub lines: &'a [HistoryRecord],
 }
 
 impl<'a> Model<'a> {
-    /// The lines of an event and a request that stand before a place.
+    /// Returns the lines of an event and a request before a position, with their positions.
     fn of(&self, event: Event, request: &str, before: usize) -> Vec<(usize, &'a HistoryRecord)> {
         let all = self.lines.iter().enumerate().take(before);
         all.filter(|(_, record)| record.event == event && record.request == request).collect()
@@ -35,34 +35,36 @@
         self.rules.class(sent.or(attempt).map_or("", |(_, record)| &record.class))
     }
 
-    /// The version that an answer showed, where a server made it for this request.
-    fn shown(&self, answer: usize) -> Option<u64> {
+    /// Returns the version that an answer shows, if a server produced its value for this request.
+    fn version_shown(&self, answer: usize) -> Option<u64> {
         let record = &self.lines[answer];
         let replies = self.of(Event::Reply, &record.request, answer);
         replies.into_iter().find(|(_, reply)| reply.value == record.value).map(|(_, reply)| reply.version)
     }
 
-    /// Whether it is its request's first answer, and served.
-    fn served(&self, at: usize) -> bool {
+    /// Returns whether a line is the first answer to its request, and served.
+    fn is_served(&self, at: usize) -> bool {
         let record = &self.lines[at];
         record.event == Event::Answer
             && record.outcome == Some(Outcome::Served)
             && self.all(Event::Answer, &record.request)[0].0 == at
     }
 
-    /// Whether an answer shows a version older than one that was acknowledged before its request was sent.
-    fn stale(&self, at: usize, version: u64) -> bool {
+    /// Returns whether an answer shows a version older than one that was acknowledged before its request was
+    /// sent.
+    fn is_stale(&self, at: usize, version: u64) -> bool {
         let sent = |at: usize| self.of(Event::Request, &self.lines[at].request, at).into_iter().next();
         let Some((_, read)) = sent(at) else { return false };
         (0..at).any(|edit| {
-            self.served(edit)
+            self.is_served(edit)
                 && self.class(&self.lines[edit].request, edit).kind != Idempotency::Idempotent
                 && sent(edit).is_some_and(|(_, write)| write.key == read.key)
                 && self.lines[edit].time.latest < read.time.earliest
-                && self.shown(edit).is_some_and(|newer| newer > version)
+                && self.version_shown(edit).is_some_and(|newer| newer > version)
         })
     }
 
+    /// Returns the zone of the server of a line, if the server has a known start.
     fn zone(line: &HistoryRecord) -> Option<&'static str> {
         match line.server_name() {
             "s0" => Some("a"),
@@ -71,10 +73,11 @@
         }
     }
 
-    pub fn found(&self) -> Found {
-        let mut found = Found::new();
+    /// Returns all findings.
+    pub fn findings(&self) -> Findings {
+        let mut findings = Findings::new();
         let mut add = |code: &str, request: &str| {
-            found.insert((code.into(), request.into()));
+            findings.insert((code.into(), request.into()));
         };
         for (at, record) in self.lines.iter().enumerate() {
             let id = record.request.as_str();
@@ -91,20 +94,20 @@
                 _ => {}
             }
         }
-        self.ends(&mut add);
-        self.ties(&mut add);
+        self.missing_answers(&mut add);
+        self.attempt_integrity(&mut add);
         for server in ["s0", "o"] {
-            self.budget(server, &mut add);
+            self.overloads(server, &mut add);
         }
-        found
+        findings
     }
 
-    /// The attempts of a record's request that stand before it.
+    /// Returns the attempts of a record's request before it.
     fn attempts_before(&self, at: usize) -> Vec<(usize, &'a HistoryRecord)> {
         self.of(Event::Attempt, &self.lines[at].request, at)
     }
 
-    /// The class of a record's request, and whether a rejection of it must not follow a run.
+    /// Returns the class of a record's request, and whether the request must not be rejected once it has run.
     fn class_at(&self, at: usize) -> (ClassRule, bool) {
         let class = self.class(&self.lines[at].request, at + 1);
         let harmful = class.kind == Idempotency::NonIdempotent
@@ -112,7 +115,7 @@
         (class, harmful)
     }
 
-    /// Whether a request is sent once more after a close that had read it.
+    /// Returns whether a request is sent again after its node had read it and closed the connection.
     fn resent_after_reading(&self, at: usize) -> bool {
         let record = &self.lines[at];
         let id = record.request.as_str();
@@ -126,21 +129,21 @@
         !sends.is_empty() && closed && read
     }
 
-    /// A request's first answer.
+    /// Checks the first answer to a request.
     fn answer(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
         let record = &self.lines[at];
         let id = record.request.as_str();
         let (class, harmful) = self.class_at(at);
         let sends = self.of(Event::Request, id, at);
-        if sends.last().is_some_and(|(_, sent)| record.time.earliest > sent.deadline + SLACK) {
+        if sends.last().is_some_and(|(_, sent)| record.time.earliest > sent.deadline + ANSWER_SLACK_US) {
             add("late", id);
         }
         let has_run = || self.attempts_before(at).iter().any(|(_, attempt)| has_run(attempt));
-        match (record.outcome, self.shown(at)) {
+        match (record.outcome, self.version_shown(at)) {
             (Some(Outcome::Rejected), _) if harmful && has_run() => add("refused-after-run", id),
             (Some(Outcome::Served), None) => add("value", id),
             (Some(Outcome::Served), Some(version))
-                if class.kind == Idempotency::Idempotent && self.stale(at, version) =>
+                if class.kind == Idempotency::Idempotent && self.is_stale(at, version) =>
             {
                 add("stale", id);
             }
@@ -157,12 +160,12 @@
         if answer.outcome == Some(Outcome::Rejected) && harmful && has_run(record) {
             add("refused-after-run", id);
         }
-        if answer.time.latest + SLACK < record.time.earliest {
+        if answer.time.latest + ANSWER_SLACK_US < record.time.earliest {
             add("sent-after-answer", id);
         }
     }
 
-    /// An attempt behind earlier ones that ran.
+    /// Checks an attempt against the earlier attempts of its request that ran.
     fn repeats(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
         let record = &self.lines[at];
         let id = record.request.as_str();
@@ -177,14 +180,15 @@
             if class.kind == Idempotency::WithKey && is_repeat && apart {
                 add("group", id);
             } else if class.kind == Idempotency::WithKey
-                && record.time.earliest > earlier.time.latest + class.window_us + SLACK
+                && record.time.earliest > earlier.time.latest + class.window_us + ANSWER_SLACK_US
             {
                 add("window", id);
             }
         }
     }
 
-    /// Whether a reply shows that its request was sent again while nobody could know that this attempt had not run.
+    /// Returns whether a reply shows that its request was sent again before the node could know whether this
+    /// attempt ran.
     fn shows_blind_repeat(&self, at: usize) -> bool {
         let record = &self.lines[at];
         let attempts = self.attempts_before(at);
@@ -201,7 +205,7 @@
             && own.is_some_and(|(_, own)| attempts.iter().any(|(_, attempt)| is_blind(attempt, own)))
     }
 
-    /// Whether what discovery wrote to a node came to a process that still runs at a later line.
+    /// Returns whether a notification reached a process of the node that still runs at the position `until`.
     fn is_known(&self, notified: usize, until: usize) -> bool {
         let node = &self.lines[notified].node;
         let of_node = |record: &&HistoryRecord| record.event == Event::Node && record.node == *node;
@@ -213,8 +217,8 @@
 
     fn drain(&self, at: usize, add: &mut impl FnMut(&str, &str)) {
         let attempt = &self.lines[at];
-        let judged_at = attempt.time.latest + 1_000 * MS;
-        let judged = self.lines.partition_point(|record| record.time.latest < judged_at);
+        let checked_at = attempt.time.latest + 1_000 * MS;
+        let until_checked = self.lines.partition_point(|record| record.time.latest < checked_at);
         let is_known_by = |notified: usize, until: usize| {
             let record = &self.lines[notified];
             record.event == Event::Notified
@@ -230,7 +234,7 @@
             return;
         };
         let (from, until) = (down.time.earliest, attempt.time.latest);
-        let mut known_later = (0..judged).filter(|notified| is_known_by(*notified, judged));
+        let mut known_later = (0..until_checked).filter(|notified| is_known_by(*notified, until_checked));
         let is_cleared = known_later.any(|notified| {
             is_active(&notified) && (from..=until).contains(&self.lines[notified].time.earliest)
         });
@@ -239,13 +243,14 @@
         }
     }
 
-    /// Whether a request's node was killed in time for its answer, or may have had no process when it was sent.
+    /// Returns whether a request's node was killed before the answer was due, or may have had no process when
+    /// the request was sent.
     fn is_excused_by_node(&self, sent: &HistoryRecord) -> bool {
         let has_state = |record: &HistoryRecord, state: &str| {
             record.event == Event::Node && record.node == sent.node && record.state == state
         };
         let is_in_time = |kill: &HistoryRecord| {
-            kill.time.latest >= sent.time.earliest && kill.time.earliest <= sent.deadline + SLACK
+            kill.time.latest >= sent.time.earliest && kill.time.earliest <= sent.deadline + ANSWER_SLACK_US
         };
         let killed = self.lines.iter().any(|record| has_state(record, "killed") && is_in_time(record));
         // From its first kill since it was ready until it is ready again.
@@ -262,7 +267,7 @@
         killed || kills.any(is_down_from)
     }
 
-    fn ends(&self, add: &mut impl FnMut(&str, &str)) {
+    fn missing_answers(&self, add: &mut impl FnMut(&str, &str)) {
         let ids: BTreeSet<&str> = self.lines.iter().map(|record| record.request.as_str()).collect();
         for id in ids {
             let Some((at, sent)) = self.all(Event::Request, id).last().copied() else { continue };
@@ -275,8 +280,8 @@
         }
     }
 
-    /// Each attempt beside all that was sent by clients.
-    fn ties(&self, add: &mut impl FnMut(&str, &str)) {
+    /// Checks each attempt against the sends of its request.
+    fn attempt_integrity(&self, add: &mut impl FnMut(&str, &str)) {
         let attempts = self.lines.iter().enumerate().filter(|(_, record)| record.event == Event::Attempt);
         for (at, attempt) in attempts {
             let id = attempt.request.as_str();
@@ -285,10 +290,10 @@
                 add("unasked", id);
                 continue;
             };
-            let own: Vec<_> = sends.iter().filter(|(_, sent)| sent.node == attempt.node).collect();
-            if own.is_empty() {
+            let sends_to_node: Vec<_> = sends.iter().filter(|(_, sent)| sent.node == attempt.node).collect();
+            if sends_to_node.is_empty() {
                 add("wrong-node", id);
-            } else if own.iter().all(|(_, sent)| attempt.time.latest < sent.time.earliest) {
+            } else if sends_to_node.iter().all(|(_, sent)| attempt.time.latest < sent.time.earliest) {
                 add("too-early", id);
             }
             let parts = [
@@ -297,15 +302,15 @@
                 ("wrong-token", &sent.idempotency_key, &attempt.idempotency_key),
                 ("wrong-body", &sent.digest, &attempt.digest),
             ];
-            let wrong = parts.into_iter().filter(|(_, asked, got)| asked != got);
+            let wrong = parts.into_iter().filter(|(_, requested, sent)| requested != sent);
             wrong.for_each(|(code, ..)| add(code, id));
-            if attempt.effect != Some(Effect::NotReceived) && !own.is_empty() {
-                self.limits(at, own.len(), add);
+            if attempt.effect != Some(Effect::NotReceived) && !sends_to_node.is_empty() {
+                self.limits(at, sends_to_node.len(), add);
             }
         }
     }
 
-    /// An attempt beside the others of its node.
+    /// Checks an attempt against the other attempts of its node for the same request.
     fn limits(&self, at: usize, times_sent: usize, add: &mut impl FnMut(&str, &str)) {
         let attempt = &self.lines[at];
         let id = attempt.request.as_str();
@@ -329,7 +334,8 @@
         }
     }
 
-    /// Work that a server may be sent in a window: an integral in small steps, for those who don't trust the other.
+    /// Returns the work in microseconds that a server may receive in a window. It integrates numerically in
+    /// steps of 10 ms, independently of the closed form in `work_capacity`.
     fn allowed_work(server: &str, from: u64, window: u64) -> f64 {
         if server == "o" {
             return window as f64 * 0.1 * 2.5;
@@ -339,7 +345,7 @@
         (0..window / 10_000).map(work).sum::<f64>() * 3.0 * 1.05
     }
 
-    /// Whether an arrival counts towards the share that makes an overload a breach.
+    /// Returns whether an arrival counts towards the share that attributes an overload to nodes.
     fn is_attributable(&self, at: usize, arrival: &HistoryRecord) -> bool {
         if arrival.server_name() == "o" {
             return self.all(Event::Attempt, &arrival.request).iter().any(|(other, attempt)| {
@@ -359,8 +365,8 @@
         })
     }
 
-    /// Every window of a server, from each arrival on.
-    fn budget(&self, server: &str, add: &mut impl FnMut(&str, &str)) {
+    /// Checks every window of a server that starts with one arrival and ends with another.
+    fn overloads(&self, server: &str, add: &mut impl FnMut(&str, &str)) {
         let is_arrival = |record: &HistoryRecord| {
             record.event == Event::Attempt
                 && record.server_name() == server
@@ -368,7 +374,7 @@
         };
         let arrivals = self.lines.iter().enumerate().filter(|(_, record)| is_arrival(record));
         let arrivals: Vec<_> = arrivals.collect();
-        let (code, window, blamed_share) = match server {
+        let (code, window, attributable_share) = match server {
             "o" => ("origin", self.rules.origin.overload_window_us, 1.0 / 3.0),
             _ => ("cold-server", self.rules.overload_window_us, 2.0 / 3.0),
         };
@@ -385,7 +391,9 @@
                     let counts = self.is_attributable(*at, arrival);
                     attributable += if counts { arrival.work_us as f64 } else { 0.0 };
                 }
-                if work > Self::allowed_work(server, from, window) && attributable >= blamed_share * work {
+                if work > Self::allowed_work(server, from, window)
+                    && attributable >= attributable_share * work
+                {
                     add(code, "");
                 }
             }
--- a/crates/stonevane-audit/tests/rules/builder.rs
+++ b/crates/stonevane-audit/tests/rules/builder.rs
@@ -5,33 +5,36 @@
 
 use stonevane_audit::{Auditor, Report, audit, history};
 
+/// Microseconds in a millisecond.
 pub const MS: u64 = 1_000;
 
-/// The rules: three classes, 500 ms of grace, servers that fall over at three times their capacity.
+/// The first record, with the rules: four classes and an origin with 1 s of work per second; all other limits
+/// have their defaults, such as 500 ms of grace for drains and an overload at three times a server's
+/// capacity.
 pub const BEGIN: &str = r#"{"t":[0,0],"who":"lab","event":"begin","rules":{"classes":[{"name":"read"},{"name":"edit","kind":"keyed","scope":"all","window_us":200000},{"name":"near","kind":"keyed","scope":"zone","window_us":200000},{"name":"once","kind":"unsafe"}],"origin":{"capacity_us_per_s":1000000}}}"#;
 
-/// A history in the making.
+/// Builder of a history.
 #[derive(Default, Clone)]
 pub struct History {
-    /// Lines with their moments.
+    /// Lines and the moments by which they are sorted, in microseconds.
     pub lines: Vec<(u64, String)>,
-    /// The class of each request.
+    /// Class of each request.
     pub classes: HashMap<String, String>,
-    /// The number of each request's last attempt at each server.
+    /// Number of the last attempt for each request and server.
     pub last_attempts: HashMap<String, usize>,
 }
 
 thread_local! {
-    /// The judgement that is left out, and whether a test missed a finding for it.
-    pub static MUTANT: Cell<(Option<&'static str>, bool)> = const { Cell::new((None, false)) };
+    /// The check that is disabled, if any, and whether a test has seen other findings than expected.
+    pub static MUTATION: Cell<(Option<&'static str>, bool)> = const { Cell::new((None, false)) };
 }
 
-/// The verdict on a text, by the auditor or by the mutant that is being tried.
-pub fn judged(text: &str) -> Report {
-    let Some(without) = MUTANT.get().0 else { return audit(text.as_bytes()).unwrap() };
+/// Audits the text of a history with the auditor, or with the mutant that [`MUTATION`] names.
+pub fn audit_text(text: &str) -> Report {
+    let Some(disabled_check) = MUTATION.get().0 else { return audit(text.as_bytes()).unwrap() };
     let mut auditor = None;
     let read = history::read(text.as_bytes(), |number, mut line| match &mut auditor {
-        None => auditor = line.rules.take().map(|rules| Auditor::mutant(*rules, without)),
+        None => auditor = line.rules.take().map(|rules| Auditor::mutant(*rules, disabled_check)),
         Some(auditor) => auditor.handle_record(number, line),
     });
     read.unwrap();
@@ -49,9 +52,9 @@
         self
     }
 
-    /// Adds an event that happened at some moment between two.
-    pub fn between(mut self, (b, e): (u64, u64), rest: &str) -> Self {
-        self.lines.push((e, format!(r#"{{"t":[{b},{e}],"who":"x",{rest}}}"#)));
+    /// Adds an event that happened at some moment within bounds.
+    pub fn between(mut self, (earliest, latest): (u64, u64), rest: &str) -> Self {
+        self.lines.push((latest, format!(r#"{{"t":[{earliest},{latest}],"who":"x",{rest}}}"#)));
         self
     }
 
@@ -68,7 +71,8 @@
         self.sent((t, t), r, "n0", server, &format!(r#""effect":"{effect}","work_us":10000"#))
     }
 
-    /// An attempt from its first byte on, as it must be for what was asked; `rest` comes on top.
+    /// Adds an attempt that matches its request, with the moments of its first and last byte; `rest` has
+    /// further keys.
     pub fn sent(mut self, t: (u64, u64), r: &str, node: &str, server: &str, rest: &str) -> Self {
         let number = self.lines.len() + 1;
         self.last_attempts.insert(format!("{r} {server}"), number);
@@ -80,7 +84,7 @@
         self.at(t.1, &rest)
     }
 
-    /// What becomes of the last attempt of a request at a server.
+    /// Adds an event of the last attempt of a request at a server, such as its reply.
     pub fn then(self, t: u64, r: &str, server: &str, event: &str, rest: &str) -> Self {
         let number = self.last_attempts.get(&format!("{r} {server}")).copied().unwrap_or(999);
         let rest =
@@ -108,7 +112,7 @@
         self.at(t, &format!(r#""event":"told","node":"n0","server":"{server}","status":"{status}""#))
     }
 
-    /// A read as it is to be: sent, hit, served.
+    /// Adds a correct read: requested, a hit at a server, served.
     pub fn read(self, t: u64, r: &str) -> Self {
         let value = format!("v-{r}");
         self.request(t, r, "read").attempt(t + 10, r, "s1", "ran").reply(t + 20, r, "s1", &value, 0).served(
@@ -130,25 +134,32 @@
     }
 
     pub fn report(&self) -> Report {
-        judged(&self.text())
+        audit_text(&self.text())
     }
 
     #[track_caller]
     pub fn has_findings(self, codes: &[&str]) {
-        self.at_fault(codes, &[]);
+        self.has_findings_and_faults(codes, &[]);
     }
 
-    /// The codes of all findings, and of all faults of stand-ins.
+    /// Asserts the codes of all findings, and of all faults of emulated servers. With a check disabled, it
+    /// records whether the findings differ instead.
     #[track_caller]
-    pub fn at_fault(self, codes: &[&str], faults: &[&str]) {
+    pub fn has_findings_and_faults(self, codes: &[&str], faults: &[&str]) {
         let report = self.report();
         let found: Vec<_> = report.findings.iter().map(|f| f.code).collect();
         let faulty: Vec<_> = report.faults.iter().map(|f| f.code).collect();
-        if let (Some(without), missed) = MUTANT.get() {
-            return MUTANT.set((Some(without), missed || found != codes));
+        if let (Some(disabled_check), differed) = MUTATION.get() {
+            return MUTATION.set((Some(disabled_check), differed || found != codes));
         }
         assert_eq!((found, faulty), (codes.to_vec(), faults.to_vec()), "{report}");
-        assert!(report.findings.iter().all(|f| !f.evidence.is_empty()), "each is proven by lines: {report}");
-        assert!(report.faults.iter().all(|f| !f.evidence.is_empty()), "each is proven by lines: {report}");
+        assert!(
+            report.findings.iter().all(|f| !f.evidence.is_empty()),
+            "each finding and fault needs evidence: {report}"
+        );
+        assert!(
+            report.faults.iter().all(|f| !f.evidence.is_empty()),
+            "each finding and fault needs evidence: {report}"
+        );
     }
 }
--- a/crates/stonevane-audit/tests/rules/final_answer.rs
+++ b/crates/stonevane-audit/tests/rules/final_answer.rs
@@ -1,11 +1,12 @@
-//! One final answer in time, and what excuses a request without one.
+//! Exactly one final answer in time, and the excuses for a request without one.
 
 use crate::builder::{History, MS};
 
 #[test]
 pub fn a_correct_run_has_no_findings() {
-    let day = (0..50).fold(History::new(), |day, i| day.read(i * 10 * MS, &format!("r{i}")));
-    day.request(9, "b", "read")
+    let history = (0..50).fold(History::new(), |history, i| history.read(i * 10 * MS, &format!("r{i}")));
+    history
+        .request(9, "b", "read")
         .answered(90, "b", "refused")
         .request(9, "f", "once")
         .answered(99, "f", "failed")
@@ -13,7 +14,7 @@
 }
 
 #[test]
-pub fn an_answer_twice_late_or_never_is_a_finding() {
+pub fn a_repeated_late_or_missing_answer_is_a_finding() {
     History::new().read(0, "a").answered(50, "a", "failed").has_findings(&["twice"]);
     History::new()
         .read(0, "a")
@@ -33,11 +34,11 @@
 #[test]
 pub fn answers_within_each_bound_and_clients_that_left_are_no_findings() {
     History::new().request(0, "a", "read").answered(1_050 * MS, "a", "failed").has_findings(&[]);
-    // It may have come in time: nothing is proven.
+    // The answer may have come in time, so nothing is proven.
     let rest = r#""event":"answer","request":"a","outcome":"failed""#;
     History::new().request(0, "a", "read").between((1_050 * MS, 1_400 * MS), rest).has_findings(&[]);
     History::new().request(0, "a", "read").at(500, r#""event":"gone","request":"a""#).has_findings(&[]);
-    // A client gone before its answer, which came all the same.
+    // The client left, and its answer still arrived.
     let gone = History::new().request(0, "a", "read").at(500, r#""event":"gone","request":"a""#);
     gone.answered(600, "a", "failed").has_findings(&[]);
     let term = r#""event":"node","node":"n0","state":"term""#;
@@ -49,7 +50,7 @@
         .at(100 * MS, term)
         .at(800 * MS + 1, killed)
         .has_findings(&["unanswered"]);
-    // Killed before it was asked, and ready again: another life owes the answer.
+    // The node was killed before the request and was ready again, so the new process must answer.
     History::new().at(1, killed).node(2, "ready").request(3, "a", "read").has_findings(&["unanswered"]);
     let exited = r#""event":"node","node":"n0","state":"exited""#;
     History::new().request(0, "a", "read").at(1, term).at(700 * MS, exited).has_findings(&["unanswered"]);
@@ -65,7 +66,7 @@
     let read =
         History::new().request(0, "a", "read").attempt(20, "a", "s1", "ran").at(50, closed).at(60, again);
     read.reply(80, "a", "s1", "v", 0).served(90, "a", "v").has_findings(&["lost"]);
-    // It may have been the second sending that brought the attempt about.
+    // The resend, not the first send, may have caused the attempt.
     let either = History::new().request(0, "a", "read").at(50, closed).between((58, 70), again);
     let either = either.attempt(62, "a", "s1", "ran").reply(80, "a", "s1", "v", 0);
     either.served(90, "a", "v").has_findings(&[]);
@@ -81,28 +82,29 @@
 
 #[test]
 pub fn requests_to_a_process_that_ended_or_is_not_ready_are_excused() {
-    // On a connection kept from before, which the client has not seen to be closed.
+    // The client reuses a connection and has not yet noticed that it is closed.
     let closed = r#""event":"closed","request":"a","node":"n0","kept":true"#;
     let dead =
         |state| History::new().node(1, "ready").node(10, state).request(810, "a", "read").at(820, closed);
     dead("killed").has_findings(&[]);
     let term = History::new().node(1, "ready").node(2, "term").node(10, "exited");
     term.clone().request(810, "a", "read").at(820, closed).has_findings(&[]);
-    // While it starts it need not answer; once it is ready it must.
+    // A starting node need not answer; a ready one must.
     let starting = History::new().node(1, "killed").node(2, "starting");
     starting.clone().request(810, "a", "read").node(900, "ready").has_findings(&[]);
     starting.clone().node(800, "ready").request(810, "a", "read").has_findings(&["unanswered"]);
-    // It never came back: nothing is owed.
+    // The node never became ready again, so it need not answer.
     starting.request(810, "a", "read").at(820, closed).has_findings(&[]);
-    // It may have been dead already when it was written, and had certainly not been.
+    // The process may have ended before the request was written; one microsecond earlier it certainly ran.
     let ended = r#""event":"node","node":"n0","state":"exited""#;
-    let noticed = |ask| History::new().node(1, "term").request(ask, "a", "read").between((500, 900), ended);
-    noticed(500).has_findings(&[]);
-    noticed(499).has_findings(&["unanswered"]);
-    // Another node's end excuses nothing.
+    let ended_around =
+        |ask| History::new().node(1, "term").request(ask, "a", "read").between((500, 900), ended);
+    ended_around(500).has_findings(&[]);
+    ended_around(499).has_findings(&["unanswered"]);
+    // The end of another node excuses nothing.
     let other = r#""event":"node","node":"n1","state":"killed""#;
     History::new().at(10, other).request(810, "a", "read").at(820, closed).has_findings(&["lost"]);
-    // A kill while it starts, and another start: the first end counts until it is ready.
+    // A second kill during the start: the outage lasts from the first end until the node is ready.
     let twice = History::new().node(1, "killed").node(5, "starting").node(9, "killed").node(11, "starting");
     twice.request(20, "a", "read").node(30, "ready").has_findings(&[]);
 }
--- a/crates/stonevane-audit/tests/stored_history.rs
+++ b/crates/stonevane-audit/tests/stored_history.rs
@@ -1,9 +1,10 @@
-//! Histories stored by earlier versions are read, and written again to the same bytes.
+//! Compatibility with histories stored by earlier versions: they are read, and written again to the same
+//! bytes.
 #![allow(missing_docs)]
 
 use stonevane_audit::{HistoryRecord, audit, history};
 
-/// Lines of histories as version 0.2.0 wrote them, of each event and with each field.
+/// Lines as version 0.2.0 wrote them; together they contain every event and every field.
 const STORED: &str = r#"{"t":[0,0],"who":"lab","event":"begin","rules":{"answer_slack_us":50000,"drain_grace_us":500000,"deemed_told_us":6000000,"fall_multiple":3.0,"fall_us":2000000,"cold_slack":0.05,"informed_part":0.6666666666666666,"term_us":1950000,"exit_us":3200000,"max_attempts":4,"second_copies":true,"classes":[{"name":"zone-lookup","kind":"safe","scope":"all","window_us":200000},{"name":"zone-edit","kind":"keyed","scope":"all","window_us":200000},{"name":"zone-move","kind":"unsafe","scope":"all","window_us":200000}],"origin":{"capacity_us_per_s":4000000.0,"fall_multiple":2.5,"fall_us":3000000,"cold_part":0.3333333333333333},"store":false,"visible_us":0,"membership":{"members":0,"detect_us":0,"accuse_us":0,"refute_us":0,"converge_us":0}}}
 {"t":[0,0],"who":"s-0","event":"start","capacity_us_per_s":4000000.0,"cold_share":0.35,"zone":"a"}
 {"t":[5,9],"who":"lab","event":"start","server":"s-1","capacity_us_per_s":4000000.0,"cold_share":0.35,"warm_us":4000000,"zone":"b","cell":3,"since":5}
@@ -44,13 +45,13 @@
 }
 
 #[test]
-fn stored_records_are_written_again_to_the_same_bytes() {
+fn records_of_version_0_2_0_are_written_back_to_the_same_bytes() {
     let written: String = records().iter().map(HistoryRecord::to_json_line).collect();
     assert_eq!(written, STORED);
 }
 
 #[test]
-fn stored_histories_are_audited() {
+fn a_history_of_version_0_2_0_is_audited() {
     let report = audit(STORED.as_bytes()).unwrap();
     assert_eq!((report.events, report.requests, report.attempts), (30, 4, 5));
     let json = serde_json::to_value(&report).unwrap();
