--- a/crates/stonevane-sim/src/client.rs
+++ b/crates/stonevane-sim/src/client.rs
@@ -1,21 +1,21 @@
-//! Clients: what they request, how long they wait, and when they retry.
+//! Client requests: their classes, deadlines and retry limits.
 
 use oorandom::Rand64;
 
 use crate::plan::Plan;
 use crate::stream::StreamId;
 
-/// A class of requests.
+/// A request class.
 pub struct RequestKind {
     pub name: &'static str,
     pub deadline_us: u64,
     pub is_write: bool,
     pub has_idempotency_key: bool,
-    /// Whether a client may retry what failed.
+    /// Whether the client may retry a failed request.
     pub may_retry: bool,
 }
 
-/// The classes: reads, edits with an idempotency key, and moves that must not run twice.
+/// The request classes: reads, edits with an idempotency key, and moves that must not run twice.
 pub const REQUEST_KINDS: [RequestKind; 3] = [
     RequestKind {
         name: "zone-lookup",
@@ -39,35 +39,35 @@
         may_retry: false,
     },
 ];
-/// The number of each class.
+/// Index of each class in [`REQUEST_KINDS`].
 pub const READ: usize = 0;
 const EDIT: usize = 1;
 const MOVE: usize = 2;
 
-/// Attempts of a client at one request, at most.
+/// Maximum number of attempts of a client at one request.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// A client retries after this where it was given no other time, microseconds.
+/// Backoff before a retry if the answer names none, microseconds.
 pub const BACKOFF_US: u64 = 60_000;
-/// A new attempt needs this much time, microseconds.
+/// Minimum time left before the request expires for an attempt to be sent, microseconds.
 const MIN_ATTEMPT_TIME_US: u64 = 20_000;
-/// What is sent once more needs this much time, microseconds.
+/// Minimum time left before the attempt's deadline for it to be resent, microseconds.
 pub const MIN_RESEND_TIME_US: u64 = 5_000;
 
-/// A request of a client.
+/// A client's request and the state of its current attempt.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
     pub number: u64,
-    /// An index of [`REQUEST_KINDS`].
+    /// Index into [`REQUEST_KINDS`].
     pub kind: usize,
     pub key: String,
     pub node: usize,
     pub created_at: u64,
-    /// When its client needs it no more, whatever the attempt.
+    /// Deadline over all attempts.
     pub expires_at: u64,
     pub attempts: u32,
-    /// The attempt is sent once more, as a close crossed it.
+    /// Whether the current attempt is being resent because the node's close crossed it.
     pub is_resent: bool,
-    /// Until when the current attempt is waited for.
+    /// Deadline of the current attempt.
     pub attempt_deadline: u64,
     pub stream: Option<StreamId>,
     pub is_over: bool,
@@ -75,7 +75,7 @@
 }
 
 impl ClientRequest {
-    /// Draws a request.
+    /// Draws a request's class, key and node.
     pub fn generate(number: u64, now: u64, plan: &Plan, rng: &mut Rand64) -> ClientRequest {
         let share = rng.rand_float();
         let kind = if share < plan.edit_share {
@@ -108,17 +108,17 @@
         &REQUEST_KINDS[self.kind]
     }
 
-    /// The id of the current attempt.
+    /// Returns the id of the current attempt.
     pub fn id(&self) -> String {
         format!("{:x}-{}", self.number, self.attempts)
     }
 
-    /// Its idempotency key, empty where its class has none.
+    /// Returns the idempotency key, which is empty if the class has none.
     pub fn idempotency_key(&self) -> String {
         if self.kind().has_idempotency_key { format!("t{:x}", self.number) } else { String::new() }
     }
 
-    /// Whether too little time is left to send it.
+    /// Whether too little time is left to send the current attempt.
     pub fn is_too_late(&self, now: u64) -> bool {
         self.expires_at.saturating_sub(now) < MIN_ATTEMPT_TIME_US
             || self.is_resent && self.attempt_deadline < now + MIN_RESEND_TIME_US
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -1,47 +1,47 @@
-//! The discovery service: which servers there are, since which version, and how long calls take.
+//! Model of the discovery service: a versioned server list, and a queue that handles one call at a time.
 
 use stonevane_core::{Endpoint, EndpointList};
 use stonevane_server_model::service::Turns;
 
 use crate::server::Server;
 
-/// A call that has waited for so long fails, microseconds.
+/// Time after which an unanswered call fails, microseconds.
 const CALL_TIMEOUT_US: u64 = 2_000_000;
-/// A call is rejected where those before it take more than so many timeouts.
+/// Maximum work queued ahead of a call, in call timeouts; a call with more ahead of it is rejected.
 const MAX_QUEUED_TIMEOUTS: u64 = 4;
 
-/// One entry, and the version at which it last changed.
+/// An entry of the server list, and the list version at which it last changed.
 #[derive(Debug, Clone)]
 pub struct Entry {
     pub name: String,
     pub address: String,
     pub is_origin: bool,
     pub status: &'static str,
-    /// The moment of its start in the run, 0 for long ago, microseconds.
+    /// Start time in the run, microseconds; 0 if the server started long before the run.
     pub started_at: u64,
     pub version: u64,
 }
 
-/// How a call to discovery ends, and when.
+/// Outcome of a call to discovery, and its time in microseconds.
 pub enum CallOutcome {
     Answered { at: u64 },
     Failed { at: u64 },
 }
 
-/// What discovery knows.
+/// State of the discovery service.
 pub struct Discovery {
     pub entries: Vec<Entry>,
     pub version: u64,
-    /// It answers no calls.
+    /// Whether calls fail.
     pub is_down: bool,
-    /// It sends watch events out of order.
+    /// Whether a stale watch event follows each new one.
     pub sends_stale_events: bool,
     calls: Turns,
 }
 
 impl Discovery {
-    /// One that knows these servers, all active and started long ago.
-    pub fn of(servers: &[Server]) -> Discovery {
+    /// Creates a list of `servers`, all active and started long before the run.
+    pub fn new(servers: &[Server]) -> Discovery {
         let entries = servers.iter().map(|server| Entry {
             name: server.name.clone(),
             address: server.address.to_string(),
@@ -59,7 +59,8 @@
         }
     }
 
-    /// A call comes, to be worked on after those before it, also where their callers wait no more.
+    /// Queues a call and returns its outcome. Earlier calls are worked on first, even if their callers timed
+    /// out.
     pub fn take_call(&mut self, now: u64, work_us: u64) -> CallOutcome {
         match self.calls.take(now, work_us, MAX_QUEUED_TIMEOUTS * CALL_TIMEOUT_US) {
             None => CallOutcome::Failed { at: now },
@@ -68,7 +69,7 @@
         }
     }
 
-    /// It learns of a change.
+    /// Changes a server's status, and its start time if one is given, and increments the list version.
     pub fn change(&mut self, name: &str, status: &'static str, started_at: Option<u64>) {
         self.version += 1;
         if let Some(entry) = self.entries.iter_mut().find(|entry| entry.name == name) {
@@ -77,13 +78,14 @@
         }
     }
 
-    /// The entries that changed after a version, or all of them after version 0.
+    /// Returns the entries that changed after `version`, or all entries for version 0.
     pub fn changed_after(&self, version: u64) -> Vec<Entry> {
-        let is_new = |entry: &&Entry| version == 0 || entry.version > version;
-        self.entries.iter().filter(is_new).cloned().collect()
+        let is_newer = |entry: &&Entry| version == 0 || entry.version > version;
+        self.entries.iter().filter(is_newer).cloned().collect()
     }
 
-    /// The same as nodes are sent it; `epoch_us`: the moment 0 of the run in Unix time.
+    /// Returns the same entries as a list for nodes. `epoch_us` is the Unix time of the run's start,
+    /// microseconds.
     pub fn list_after(&self, version: u64, epoch_us: u64) -> EndpointList {
         let endpoints = self.changed_after(version).into_iter().map(|entry| Endpoint {
             name: entry.name,
--- a/crates/stonevane-sim/src/lib.rs
+++ b/crates/stonevane-sim/src/lib.rs
@@ -1,8 +1,9 @@
-//! A fleet in one process and one seed: nodes that run the daemon's own core ([`stonevane_core`]), models of caches, the
-//! origin, discovery and clients, and a network of streams, with faults that are drawn from the seed.
+//! Deterministic simulation of a fleet in one process. Nodes run the daemon's own core ([`stonevane_core`]);
+//! caches, the origin, discovery and clients are models, connected by a simulated network of streams. Faults
+//! are drawn from a seed.
 //!
-//! The same [`Plan`] gives the same history to the byte. Each run is checked twice: its history by the auditor
-//! ([`stonevane_audit`]), and each step by the simulation's [`Invariant`]s.
+//! The same [`Plan`] gives the same history to the byte. Each run is checked twice: the auditor
+//! ([`stonevane_audit`]) checks its history, and the simulation checks its [`Invariant`]s after each step.
 
 mod client;
 mod discovery;
--- a/crates/stonevane-sim/src/members/mod.rs
+++ b/crates/stonevane-sim/src/members/mod.rs
@@ -1,6 +1,7 @@
-//! Simulated fleets of members: the machine of [`stonevane_membership`], a network that loses, duplicates, delays and
-//! cuts datagrams, processes that are killed, restarted, paused and slowed, all drawn from one seed. Views are judged by
-//! [`stonevane_audit::Membership`], which knows the processes and the network.
+//! Deterministic simulation of a fleet of members, each of which runs the state machine of
+//! [`stonevane_membership`]. The network loses, duplicates, delays and partitions datagrams; processes are
+//! killed, restarted, paused and slowed. All faults are drawn from one seed. [`stonevane_audit::Membership`]
+//! checks the members' views against the true state of the processes and the network.
 
 mod plan;
 mod shrink;
--- a/crates/stonevane-sim/src/members/plan/mod.rs
+++ b/crates/stonevane-sim/src/members/plan/mod.rs
@@ -1,17 +1,17 @@
-//! What is simulated of membership, drawn from a seed or read from a file.
+//! Plans of membership simulations, drawn from a seed or read from a JSON file.
 //!
-//! Plans are JSON files: each field keeps the key that it had in the first of them.
+//! The keys of the file format are stable: a renamed field keeps its first key.
 
 mod generate;
 
 use serde::{Deserialize, Serialize};
 use stonevane_audit::MembershipRules;
 
-/// A second, in microseconds.
+/// Microseconds per second.
 const SECOND_US: u64 = 1_000_000;
-/// The duration of a fault that never ends.
+/// Duration of a fault that never ends, microseconds.
 pub const FOREVER_US: u64 = u64::MAX / 2;
-/// A fleet has this many members at most, and a plan lasts this long, microseconds.
+/// Maximum number of members and maximum duration of a plan, microseconds.
 const MAX_MEMBERS: usize = 2_000;
 const MAX_DURATION_US: u64 = 3_600 * SECOND_US;
 
@@ -19,57 +19,57 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum MemberFaultKind {
-    /// A process is killed, and starts again at the fault's end.
+    /// A process is killed, and restarts at the fault's end.
     Kill {
-        /// Which.
+        /// Index of the member, from 0.
         member: usize,
     },
-    /// A process is sent SIGTERM, and starts again at the fault's end.
+    /// A process is sent SIGTERM, and restarts at the fault's end.
     Term {
-        /// Which.
+        /// Index of the member, from 0.
         member: usize,
     },
     /// A process is paused.
     Pause {
-        /// Which.
+        /// Index of the member, from 0.
         member: usize,
     },
-    /// A process runs one part in ten of its time.
+    /// A process runs for only a tenth of the time.
     Slow {
-        /// Which.
+        /// Index of the member, from 0.
         member: usize,
     },
-    /// Datagrams from some to others are lost.
+    /// Datagrams from some members to others are lost; those in the other direction are not.
     #[serde(rename = "cut")]
     Partition {
-        /// From whom.
+        /// Indexes of the senders.
         from: Vec<usize>,
-        /// To whom.
+        /// Indexes of the receivers.
         to: Vec<usize>,
     },
-    /// Datagrams are lost, duplicated and late.
+    /// Datagrams between all members are lost, duplicated and delayed.
     #[serde(rename = "weather")]
     NetworkConditions {
-        /// Share lost.
+        /// Share of datagrams that are lost.
         loss: f64,
-        /// Share duplicated.
+        /// Share of datagrams that are duplicated.
         #[serde(rename = "doubled")]
         duplicated: f64,
-        /// The longest delay, microseconds.
+        /// Longest added delay, microseconds.
         #[serde(rename = "delay")]
         delay_us: u64,
     },
-    /// Random bytes come under a member's address.
+    /// Random bytes arrive at a member under another member's address.
     Flood {
-        /// To whom.
+        /// Index of the receiver, from 0.
         member: usize,
-        /// How many datagrams a second.
+        /// Datagrams per second.
         per_s: u64,
     },
 }
 
 impl MemberFaultKind {
-    /// The members that it names.
+    /// Returns the indexes of the members that the fault targets.
     fn members(&self) -> Vec<usize> {
         match self {
             MemberFaultKind::Kill { member }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// How many times slower members detect and refute while it lasts: one that loses half of its datagrams, or gets
-    /// them late, doubts its own health.
+    /// Returns the factor by which members may detect and refute more slowly during the fault: a member that
+    /// loses half of its datagrams, or receives them late, doubts its own health.
     fn slowdown(&self) -> u64 {
         match self {
             MemberFaultKind::NetworkConditions { loss, delay_us, .. }
@@ -100,38 +100,38 @@
     }
 }
 
-/// A fault, and when.
+/// A fault and its time in the run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberFault {
-    /// When it begins, microseconds.
+    /// Start time in the run, microseconds.
     #[serde(rename = "at")]
     pub start_us: u64,
-    /// For how long, microseconds; `u64::MAX` divided by 2: forever.
+    /// Duration, microseconds; from `u64::MAX / 2` on the fault never ends.
     #[serde(rename = "lasts")]
     pub duration_us: u64,
-    /// What it is.
+    /// Kind and targets.
     #[serde(rename = "what")]
     pub kind: MemberFaultKind,
 }
 
 impl MemberFault {
-    /// When it ends, where it does; else when it began.
+    /// Returns the time when the fault ends, or when it begins if it never ends.
     fn last_change_us(&self) -> u64 {
         if self.duration_us >= FOREVER_US { self.start_us } else { self.start_us + self.duration_us }
     }
 }
 
-/// The rules' bounds, in protocol periods.
+/// Bounds of the membership rules, in protocol periods of one second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64, u64)", into = "(u64, u64, u64, u64)")]
 pub struct Bounds {
-    /// Until a member that is gone is not alive in a view.
+    /// Longest time for which a view may show a member alive after it is gone.
     pub detection: u64,
-    /// How long a healthy member may be dead in a view.
+    /// Longest time for which a view may show a healthy member dead.
     pub accuracy: u64,
-    /// How long a healthy member may be suspected.
+    /// Longest time for which a healthy member may stay suspected.
     pub refutation: u64,
-    /// Until views are right after the last fault.
+    /// Longest time after the last fault until all views are right.
     pub convergence: u64,
 }
 
@@ -147,77 +147,81 @@
     }
 }
 
-/// A fleet of members and its faults.
+/// All inputs of a run: a fleet of members, its network and its faults.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MemberPlan {
     /// The seed of all random numbers within the run.
     pub seed: u64,
-    /// Members; the last of them, so many as are unknown peers, never start.
+    /// Number of members, from 1 to 2000, including the unknown peers, which are the last ones.
     pub members: usize,
-    /// Members that never start.
+    /// Number of members that never start.
     #[serde(rename = "strangers")]
     pub unknown_peers: usize,
-    /// Members start within this, microseconds.
+    /// Time within which all members start, microseconds.
     #[serde(rename = "starts")]
     pub start_window_us: u64,
-    /// Datagrams take up to this in fair conditions, microseconds.
+    /// Longest network delay without faults, microseconds.
     #[serde(rename = "delay")]
     pub delay_us: u64,
-    /// Share of them that is lost even then.
+    /// Share of datagrams lost without faults.
     pub loss: f64,
     /// Whether datagrams are authenticated with a key.
     #[serde(rename = "keyed")]
     pub has_key: bool,
-    /// Members that speak only the first version of datagrams.
+    /// Number of members, from index 0 on, that support only version 1 of the datagram format.
     #[serde(rename = "old")]
     pub first_version_members: usize,
-    /// Whether members heed their own health.
+    /// Whether the Lifeguard extensions lengthen members' timeouts, such as the local health multiplier.
     pub heeds_health: bool,
-    /// The faults, in the order of their beginnings.
+    /// Faults, ordered by start time.
     pub faults: Vec<MemberFault>,
-    /// When it ends, microseconds.
+    /// Duration of the run, microseconds; an hour at most.
     #[serde(rename = "length")]
     pub duration_us: u64,
-    /// The rules' bounds.
+    /// Bounds that the views are judged by.
     pub bounds: Bounds,
 }
 
-/// Why a plan can't be played.
+/// Reason why a plan is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberPlanError {
-    /// It is no JSON, or lacks a field or has one too many.
-    #[error("{0}")]
+    /// The text is not JSON, or a field is missing or unknown.
+    #[error("invalid plan: {0}")]
     Json(#[from] serde_json::Error),
-    /// Its members or its duration.
-    #[error("1 to 2000 members, one of them at least no stranger, and an hour at most")]
+    /// The number of members, the number of unknown peers or the duration is out of range.
+    #[error(
+        "`members` must be from 1 to 2000, `strangers` fewer than `members`, and `length` at most an hour \
+         (3600000000 us)"
+    )]
     OutOfRange,
-    /// A fault's target.
-    #[error("a fault names member {member}, and {starting} start")]
+    /// A fault's target never starts.
+    #[error("a fault targets member {member}, but only members below {starting} start")]
     NoSuchMember {
-        /// Whom it names.
+        /// Index of the target.
         member: usize,
-        /// How many start.
+        /// Number of members that start.
         starting: usize,
     },
 }
 
 impl MemberPlan {
-    /// Members that start.
+    /// Returns the number of members that start.
     pub fn starting_members(&self) -> usize {
         self.members.saturating_sub(self.unknown_peers)
     }
 
-    /// Sets the duration and the bounds to what the faults ask for.
-    pub fn settle(&mut self) {
+    /// Sets the duration and the bounds according to the faults.
+    pub fn set_duration_and_bounds(&mut self) {
         let first_moment = 10 * SECOND_US;
         let last_change = self.faults.iter().map(MemberFault::last_change_us).max();
         let last_change = last_change.unwrap_or(first_moment).max(first_moment);
         let slowdown = self.faults.iter().map(|fault| fault.kind.slowdown()).max().unwrap_or(1);
-        // A member doubts its health the more the more of its probes go to members that are gone at once.
+        // The more members are gone at the same time, the more probes fail and the more a member doubts its
+        // own health.
         let is_flood = |fault: &&MemberFault| matches!(fault.kind, MemberFaultKind::Flood { .. });
-        let disturbing = (self.faults.len() - self.faults.iter().filter(is_flood).count()) as u64;
-        let slowdown = slowdown.max(1 + disturbing.min(24) / 3);
+        let disruptive_faults = (self.faults.len() - self.faults.iter().filter(is_flood).count()) as u64;
+        let slowdown = slowdown.max(1 + disruptive_faults.min(24) / 3);
         let spread = (self.members as f64).log2().ceil() as u64;
         self.bounds = Bounds {
             detection: (12 + spread) * slowdown,
@@ -228,7 +232,7 @@
         self.duration_us = last_change + (self.bounds.convergence + 8) * SECOND_US;
     }
 
-    /// The bounds as the rules take them.
+    /// Returns the auditor's rules with these bounds.
     pub fn rules(&self) -> MembershipRules {
         MembershipRules {
             members: self.members,
@@ -239,15 +243,15 @@
         }
     }
 
-    /// The plan as a file holds it.
+    /// Formats the plan as JSON, which [`MemberPlan::parse`] reads.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// Reads a file.
+    /// Parses the text of a plan file.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Returns the first invalid field or fault.
     pub fn parse(text: &str) -> Result<MemberPlan, MemberPlanError> {
         let plan: MemberPlan = serde_json::from_str(text)?;
         let starting = plan.starting_members();
@@ -255,8 +259,8 @@
         if !is_possible || plan.duration_us > MAX_DURATION_US {
             return Err(MemberPlanError::OutOfRange);
         }
-        let mut named = plan.faults.iter().flat_map(|fault| fault.kind.members());
-        match named.find(|member| *member >= starting) {
+        let mut targets = plan.faults.iter().flat_map(|fault| fault.kind.members());
+        match targets.find(|member| *member >= starting) {
             Some(member) => Err(MemberPlanError::NoSuchMember { member, starting }),
             None => Ok(plan),
         }
--- a/crates/stonevane-sim/src/members/shrink.rs
+++ b/crates/stonevane-sim/src/members/shrink.rs
@@ -1,42 +1,43 @@
-//! Makes a plan that fails smaller, as long as it fails by the same rule: faults go first, by halves and then one by
-//! one, then members.
+//! Shrinks a failing plan while it still breaks the same rule. Faults are removed first, in halves and then
+//! one by one; then members.
 
 use super::plan::MemberPlan;
 use super::simulation::{MemberOptions, play};
 use crate::shrink::remove_by_halves;
 
-/// A plan keeps so many members.
+/// Smallest fleet that shrinking leaves.
 const MIN_MEMBERS: usize = 3;
 
-struct Search {
+struct Shrinker {
     options: MemberOptions,
     code: &'static str,
     runs: usize,
     max_runs: usize,
 }
 
-impl Search {
-    /// Takes another plan where it still fails in the same way.
-    fn accept(&mut self, plan: &mut MemberPlan, other: MemberPlan) -> bool {
+impl Shrinker {
+    /// Replaces the plan by a candidate that still breaks the same rule; returns whether it did.
+    fn try_change(&mut self, plan: &mut MemberPlan, candidate: MemberPlan) -> bool {
         self.runs += 1;
-        let is_better = self.runs <= self.max_runs
-            && other != *plan
-            && play(&other, self.options).code() == Some(self.code);
-        if is_better {
-            *plan = other;
+        let is_accepted = self.runs <= self.max_runs
+            && candidate != *plan
+            && play(&candidate, self.options).code() == Some(self.code);
+        if is_accepted {
+            *plan = candidate;
         }
-        is_better
+        is_accepted
     }
 }
 
-/// Shrinks a plan that fails, in so many runs at most; `None` where it does not fail. Returns what still fails too.
+/// Shrinks a failing plan in at most `max_runs` runs. Returns the smaller plan and the code of the rule that
+/// it breaks; `None` if `plan` breaks no rule.
 pub fn shrink_members(
     plan: &MemberPlan,
     options: MemberOptions,
     max_runs: usize,
 ) -> Option<(MemberPlan, &'static str)> {
     let code = play(plan, options).code()?;
-    let mut search = Search { options, code, runs: 1, max_runs };
+    let mut shrinker = Shrinker { options, code, runs: 1, max_runs };
     let mut plan = plan.clone();
     let faults = plan.faults.len();
     remove_by_halves(
@@ -44,14 +45,14 @@
         faults,
         |plan| plan.faults.len(),
         |plan, range| {
-            let mut other = plan.clone();
-            other.faults.drain(range);
-            search.accept(plan, other)
+            let mut candidate = plan.clone();
+            candidate.faults.drain(range);
+            shrinker.try_change(plan, candidate)
         },
     );
     while plan.members > MIN_MEMBERS {
-        let other = MemberPlan { members: plan.members - 1, ..plan.clone() };
-        if MemberPlan::parse(&other.to_json()).is_err() || !search.accept(&mut plan, other) {
+        let candidate = MemberPlan { members: plan.members - 1, ..plan.clone() };
+        if MemberPlan::parse(&candidate.to_json()).is_err() || !shrinker.try_change(&mut plan, candidate) {
             break;
         }
     }
--- a/crates/stonevane-sim/src/members/simulation/faults.rs
+++ b/crates/stonevane-sim/src/members/simulation/faults.rs
@@ -1,14 +1,14 @@
-//! Faults of the plan, as they begin and end.
+//! Applies the plan's faults at their start and end.
 
 use super::network::Degradation;
 use super::{Event, PERIOD_US, Simulation};
 use crate::members::plan::{FOREVER_US, MemberFaultKind};
 
-/// Mild conditions lose no more than this share, and delay by no more than this.
+/// Largest loss (as a share) and delay (in microseconds) of mild network conditions.
 const MAX_MILD_LOSS: f64 = 0.1;
 const MAX_MILD_DELAY_US: u64 = PERIOD_US / 20;
 
-/// Whether conditions are as mild as the membership rules have it.
+/// Whether network conditions are mild in the sense of the membership rules.
 fn is_mild(loss: f64, delay_us: u64) -> bool {
     loss <= MAX_MILD_LOSS && delay_us <= MAX_MILD_DELAY_US
 }
@@ -29,7 +29,7 @@
             }
             MemberFaultKind::Pause { member } => {
                 self.processes[*member].pauses += 1;
-                self.note_state(*member, "paused");
+                self.record_state(*member, "paused");
             }
             MemberFaultKind::Slow { member } => {
                 self.processes[*member].slowdowns += 1;
@@ -57,7 +57,7 @@
             }
             MemberFaultKind::Pause { member } => {
                 self.processes[*member].pauses -= 1;
-                self.note_state(*member, "resumed");
+                self.record_state(*member, "resumed");
                 self.resume(*member);
             }
             MemberFaultKind::Slow { member } => {
--- a/crates/stonevane-sim/src/members/simulation/mod.rs
+++ b/crates/stonevane-sim/src/members/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! The run of a plan: events in a total order, and members' views read at intervals.
+//! Runs a plan: handles events in a total order, and checks the members' views at regular intervals.
 
 mod faults;
 mod network;
@@ -13,61 +13,62 @@
 use network::Degradation;
 use process::{Datagram, Process};
 
-/// The protocol period, microseconds.
+/// Protocol period, microseconds.
 const PERIOD_US: u64 = 1_000_000;
-/// Views are read at this interval, microseconds.
+/// Interval at which views are checked, microseconds.
 const VIEW_INTERVAL_US: u64 = PERIOD_US / 2;
-/// Breaches that are kept, at most.
-const MAX_BREACHES: usize = 20;
+/// Maximum number of rule violations that are kept.
+const MAX_KEPT_BREACHES: usize = 20;
 
-/// How a plan is played.
+/// Options of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MemberOptions {
-    /// A deliberate fault: of one member where it is a faulty one's, of all where it is the protocol's.
+    /// A deliberate bug (mutation testing): in member 0 only if it models a single faulty member, else in all
+    /// members.
     pub mutant: Option<Mutant>,
 }
 
-/// A rule that was broken, and when.
+/// A rule violation and its time.
 #[derive(Debug, Clone)]
 pub struct TimedBreach {
-    /// In simulated microseconds.
+    /// Simulated time, microseconds.
     pub at_us: u64,
-    /// What was broken.
+    /// The rule and the members concerned.
     pub breach: Breach,
 }
 
-/// What a run shows.
+/// Result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct MemberVerdict {
-    /// Rules broken; at most 20 are kept.
+    /// Rule violations in the order of their detection; at most 20 are kept.
     pub breaches: Vec<TimedBreach>,
-    /// How many there were.
+    /// Number of all rule violations.
     pub broken: usize,
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub datagrams: u64,
-    /// Bytes of those.
+    /// Number of bytes sent in datagrams.
     pub bytes: u64,
-    /// Seconds that members ran, in all.
+    /// Total running time of all members, seconds.
     pub member_s: f64,
-    /// What was measured.
+    /// Detection times and false suspicions, as the auditor measured them.
     pub figures: MembershipFigures,
-    /// A digest of all datagrams.
+    /// Digest of all datagrams with their senders, receivers and times.
     pub digest: u64,
 }
 
 impl MemberVerdict {
-    /// Whether no rule is broken.
+    /// Whether no rule was broken.
     pub fn holds(&self) -> bool {
         self.broken == 0
     }
 
-    /// The code of the first rule that is broken.
+    /// Returns the code of the first rule that was broken.
     pub fn code(&self) -> Option<&'static str> {
         self.breaches.first().map(|broken| broken.breach.code)
     }
 }
 
-/// What happens.
+/// A scheduled event.
 enum Event {
     FaultBegins(usize),
     FaultEnds(usize),
@@ -79,26 +80,27 @@
         member: usize,
         incarnation: u32,
     },
-    /// A process that was sent SIGTERM has drained.
+    /// A process has drained after SIGTERM.
     Drained {
         member: usize,
         incarnation: u32,
     },
-    /// A slow process gets or loses its time slice.
+    /// A slow process's time slice begins or ends.
     TimeSlice(usize),
     Flood(usize),
-    ReadViews,
+    CheckViews,
     Start(usize),
 }
 
-/// A run.
+/// State of a run.
 struct Simulation<'a> {
     plan: &'a MemberPlan,
     options: MemberOptions,
     queue: EventQueue<Event>,
     rng: Rand64,
     processes: Vec<Process>,
-    /// How many partitions are in force from one member to another: a row for each sender.
+    /// Number of partitions in force from each member to each other: one row per sender, one column per
+    /// receiver.
     partitions: Vec<u16>,
     degradations: Vec<Degradation>,
     membership: Membership,
@@ -106,7 +108,7 @@
     outputs: Outputs,
 }
 
-/// Plays a plan to its end.
+/// Runs a plan to its end.
 pub fn play(plan: &MemberPlan, options: MemberOptions) -> MemberVerdict {
     let mut simulation = Simulation::new(plan, options);
     simulation.begin();
@@ -140,7 +142,7 @@
         for (number, fault) in self.plan.faults.iter().enumerate() {
             self.schedule(fault.start_us, Event::FaultBegins(number));
         }
-        self.schedule(VIEW_INTERVAL_US, Event::ReadViews);
+        self.schedule(VIEW_INTERVAL_US, Event::CheckViews);
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -152,7 +154,7 @@
             Event::Drained { member, incarnation } => self.drained(member, incarnation),
             Event::TimeSlice(member) => self.switch_time_slice(member),
             Event::Flood(member) => self.flood(member),
-            Event::ReadViews => self.read_views(),
+            Event::CheckViews => self.check_views(),
             Event::Start(member) => self.start(member),
         }
     }
@@ -171,7 +173,7 @@
         self.queue.now()
     }
 
-    /// The present moment, as the rules take it.
+    /// Returns the simulated time as the auditor takes it.
     fn time(&self) -> TimeInterval {
         TimeInterval { earliest: self.now(), latest: self.now() }
     }
@@ -180,28 +182,28 @@
         self.queue.schedule(at, event);
     }
 
-    fn note_state(&mut self, member: usize, state: &str) {
+    fn record_state(&mut self, member: usize, state: &str) {
         let time = self.time();
         self.membership.process_state(time, member, state);
     }
 
-    /// Reads the view of each process; a slow one answers too, a little late, and a paused one does not.
-    fn read_views(&mut self) {
+    /// Checks the view of each process, including slow ones; paused processes have none.
+    fn check_views(&mut self) {
         let time = self.time();
         for observer in 0..self.plan.starting_members() {
             let Some(view) = self.view_of(observer) else { continue };
             self.verdict.member_s += VIEW_INTERVAL_US as f64 / 1e6;
             for breach in self.membership.view(time, observer, &view) {
                 self.verdict.broken += 1;
-                if self.verdict.breaches.len() < MAX_BREACHES {
+                if self.verdict.breaches.len() < MAX_KEPT_BREACHES {
                     self.verdict.breaches.push(TimedBreach { at_us: time.latest, breach });
                 }
             }
         }
-        self.schedule(self.now() + VIEW_INTERVAL_US, Event::ReadViews);
+        self.schedule(self.now() + VIEW_INTERVAL_US, Event::CheckViews);
     }
 
-    /// A letter for each member.
+    /// Returns an observer's view: one letter per member, `?` for a member without a known state.
     fn view_of(&self, observer: usize) -> Option<String> {
         let process = &self.processes[observer];
         let machine = process.machine.as_ref().filter(|_| process.pauses == 0)?;
--- a/crates/stonevane-sim/src/members/simulation/network.rs
+++ b/crates/stonevane-sim/src/members/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network between members: datagrams are lost, duplicated, late or cut.
+//! The network between members, which loses, duplicates, delays and partitions datagrams.
 
 use stonevane_membership::wire::MAX_DATAGRAM;
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,14 +7,14 @@
 use super::{Event, PERIOD_US, Simulation};
 use crate::members::plan::{MemberFault, MemberFaultKind};
 
-/// The shortest time that a datagram takes, microseconds.
+/// Shortest network delay, microseconds.
 const MIN_DELAY_US: u64 = 200;
-/// The longest datagram of a flood, bytes.
+/// Upper bound of a flood's datagram length (exclusive), bytes.
 const MAX_FLOOD_BYTES: u64 = 300;
 
-/// A degradation of the network in force.
+/// Network conditions in force, from one fault.
 pub struct Degradation {
-    /// The fault that brought it.
+    /// Index of the fault in the plan.
     pub fault: usize,
     pub loss: f64,
     pub duplicated: f64,
@@ -24,10 +24,10 @@
 impl Simulation<'_> {
     pub(super) fn send(&mut self, from: usize, to: usize, bytes: &[u8]) {
         self.digest_datagram(from, to, bytes);
-        let (mut delivery, mut copies, mut longest_us) = (1.0 - self.plan.loss, 1, 0);
+        let (mut delivery_probability, mut copies, mut max_added_delay_us) = (1.0 - self.plan.loss, 1, 0);
         for degradation in &self.degradations {
-            delivery *= 1.0 - degradation.loss;
-            longest_us = longest_us.max(degradation.delay_us);
+            delivery_probability *= 1.0 - degradation.loss;
+            max_added_delay_us = max_added_delay_us.max(degradation.delay_us);
             if self.rng.rand_float() < degradation.duplicated {
                 copies += 1;
             }
@@ -36,22 +36,24 @@
             return;
         }
         for _ in 0..copies {
-            if self.rng.rand_float() >= delivery {
+            if self.rng.rand_float() >= delivery_probability {
                 continue;
             }
-            let late_us = if longest_us > 0 { self.rng.rand_range(0..longest_us) } else { 0 };
+            let added_delay_us =
+                if max_added_delay_us > 0 { self.rng.rand_range(0..max_added_delay_us) } else { 0 };
             let travel_us = self.rng.rand_range(0..self.plan.delay_us.max(1));
-            let at = self.now() + MIN_DELAY_US + travel_us + late_us;
+            let at = self.now() + MIN_DELAY_US + travel_us + added_delay_us;
             let datagram = Datagram { from, bytes: bytes.to_vec() };
             self.schedule(at, Event::Deliver { to, datagram });
         }
     }
 
-    /// Digests of earlier versions stay comparable only while this keeps its form.
+    /// Adds a datagram to the run's digest. Any change here makes digests incomparable with those of earlier
+    /// versions.
     fn digest_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.now();
-        let ends = (from as u64) << 32 ^ (to as u64) << 48;
-        let hash = (xxh3_64(bytes) ^ now ^ ends).rotate_left(now as u32 % 63);
+        let endpoints = (from as u64) << 32 ^ (to as u64) << 48;
+        let hash = (xxh3_64(bytes) ^ now ^ endpoints).rotate_left(now as u32 % 63);
         self.verdict.digest = self.verdict.digest.wrapping_mul(31).wrapping_add(hash);
     }
 
@@ -64,14 +66,15 @@
         }
     }
 
-    /// Random bytes come to a member under another's address, while a flood lasts.
+    /// Delivers random bytes to a member under another's address, and schedules the next ones while the flood
+    /// lasts.
     pub(super) fn flood(&mut self, member: usize) {
         let now = self.now();
-        let is_on = |fault: &MemberFault| {
+        let is_active = |fault: &MemberFault| {
             fault.start_us <= now && now < fault.start_us.saturating_add(fault.duration_us)
         };
         let rate = self.plan.faults.iter().find_map(|fault| match fault.kind {
-            MemberFaultKind::Flood { member: flooded, per_s } if flooded == member && is_on(fault) => {
+            MemberFaultKind::Flood { member: flooded, per_s } if flooded == member && is_active(fault) => {
                 Some(per_s)
             }
             _ => None,
--- a/crates/stonevane-sim/src/members/simulation/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -1,4 +1,4 @@
-//! Members' processes: started, killed, paused, slowed and woken.
+//! Members' processes: starts, kills, pauses, slows and wakes them, and delivers their datagrams.
 
 use std::collections::VecDeque;
 
@@ -6,38 +6,38 @@
 
 use super::{Event, PERIOD_US, Simulation};
 
-/// Datagrams that wait for a process that does not run, at most: what a socket's buffer holds.
+/// Maximum number of datagrams queued for a process that isn't running: the capacity of a socket's buffer.
 const MAX_INBOX: usize = 250;
-/// A slow process runs for the first of these times in each of the second, microseconds.
+/// A slow process runs for the first of these times in each period of the second, microseconds.
 const TIME_SLICE_US: u64 = 10_000;
 const TIME_SLICE_PERIOD_US: u64 = 100_000;
-/// A process that was sent SIGTERM drains for this long, microseconds.
+/// Time for which a process drains after SIGTERM, microseconds.
 const DRAIN_US: u64 = PERIOD_US / 2;
 
-/// A datagram that waits to be read.
+/// A datagram at its receiver.
 pub struct Datagram {
     pub from: usize,
     pub bytes: Vec<u8>,
 }
 
-/// A member's process.
+/// State of a member's process.
 pub struct Process {
     /// `None` while there is no process.
     pub machine: Option<Machine<Option<Mutant>>>,
     pub incarnation: u32,
-    /// Faults in force that keep it down, pause it and slow it.
+    /// Number of faults in force that keep the process down, pause it and slow it.
     pub kills: u32,
     pub pauses: u32,
     pub slowdowns: u32,
-    /// Whether a slow one runs now.
+    /// Whether a slow process is in its time slice.
     has_time_slice: bool,
     inbox: VecDeque<Datagram>,
-    /// When it is woken next, as scheduled.
+    /// Time of the scheduled wake, microseconds; `u64::MAX` for none.
     wake_at: u64,
 }
 
 impl Process {
-    /// One that has not started.
+    /// Creates a process that has not started.
     pub fn new() -> Process {
         Process {
             machine: None,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether a mutant is one faulty member's, the others being correct.
+/// Whether a mutant makes a single member faulty, so that all others stay correct.
 fn is_single_member_fault(mutant: Mutant) -> bool {
     matches!(
         mutant,
@@ -69,7 +69,7 @@
 }
 
 impl Simulation<'_> {
-    /// Starts a member's process, unless it runs or a fault keeps it down.
+    /// Starts a member's process unless it is running or a fault keeps it down.
     pub(super) fn start(&mut self, member: usize) {
         if self.processes[member].machine.is_some() || self.processes[member].kills > 0 {
             return;
@@ -97,19 +97,19 @@
         process.inbox.clear();
         process.wake_at = u64::MAX;
         let is_paused = process.pauses > 0;
-        self.note_state(member, "starting");
-        self.note_state(member, "ready");
+        self.record_state(member, "starting");
+        self.record_state(member, "ready");
         if is_paused {
-            self.note_state(member, "paused");
+            self.record_state(member, "paused");
         }
         self.wake_machine(member);
     }
 
-    /// A member's process ends without a word.
+    /// Ends a member's process without notice to the others.
     pub(super) fn kill(&mut self, member: usize) {
         if let Some(machine) = self.processes[member].machine.take() {
             self.count_sent(machine.status().counts);
-            self.note_state(member, "killed");
+            self.record_state(member, "killed");
         }
     }
 
@@ -118,7 +118,7 @@
         self.verdict.bytes += counts.sent_bytes;
     }
 
-    /// A member is sent SIGTERM: it announces that it leaves, drains for a moment and ends.
+    /// Sends a member SIGTERM: it announces that it leaves, drains for [`DRAIN_US`] and exits.
     pub(super) fn terminate(&mut self, member: usize) {
         let now = self.now();
         let process = &mut self.processes[member];
@@ -126,11 +126,11 @@
         let Some(machine) = &mut process.machine else { return };
         machine.handle(now, Input::Leave, &mut self.outputs);
         self.perform(member);
-        self.note_state(member, "term");
+        self.record_state(member, "term");
         self.schedule(now + DRAIN_US, Event::Drained { member, incarnation });
     }
 
-    /// A member that was sent SIGTERM has drained.
+    /// Ends a process that has drained after SIGTERM.
     pub(super) fn drained(&mut self, member: usize, incarnation: u32) {
         let process = &self.processes[member];
         if process.incarnation == incarnation && process.kills > 0 {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// A member's timer is due.
+    /// Handles a member's scheduled wake, unless it is obsolete.
     pub(super) fn wake(&mut self, member: usize, incarnation: u32) {
         let now = self.now();
         let process = &mut self.processes[member];
@@ -151,7 +151,7 @@
         }
     }
 
-    /// A slow process gets its time slice, or loses it.
+    /// Begins or ends a slow process's time slice, and schedules the next switch.
     pub(super) fn switch_time_slice(&mut self, member: usize) {
         let process = &mut self.processes[member];
         if process.slowdowns == 0 {
@@ -159,40 +159,40 @@
         }
         process.has_time_slice = !process.has_time_slice;
         let has_time_slice = process.has_time_slice;
-        let lasts_us = if has_time_slice { TIME_SLICE_US } else { TIME_SLICE_PERIOD_US - TIME_SLICE_US };
-        self.schedule(self.now() + lasts_us, Event::TimeSlice(member));
+        let duration_us = if has_time_slice { TIME_SLICE_US } else { TIME_SLICE_PERIOD_US - TIME_SLICE_US };
+        self.schedule(self.now() + duration_us, Event::TimeSlice(member));
         if has_time_slice {
             self.resume(member);
         }
     }
 
-    /// A datagram arrives: it is read, or waits for a process that does not run.
+    /// Delivers a datagram to a running process, or queues it until the process runs.
     pub(super) fn deliver(&mut self, to: usize, datagram: Datagram) {
         let process = &mut self.processes[to];
         if process.is_running() {
-            self.give_datagram(to, &datagram);
+            self.handle_datagram(to, &datagram);
         } else if process.machine.is_some() && process.inbox.len() < MAX_INBOX {
             process.inbox.push_back(datagram);
         }
     }
 
-    /// A process goes on: what came meanwhile is read, and its timers are due.
+    /// Resumes a process: it reads the queued datagrams and handles its due timers.
     pub(super) fn resume(&mut self, member: usize) {
         while self.processes[member].is_running()
             && let Some(datagram) = self.processes[member].inbox.pop_front()
         {
-            self.give_datagram(member, &datagram);
+            self.handle_datagram(member, &datagram);
         }
         if self.processes[member].is_running() {
             self.wake_machine(member);
         }
     }
 
-    fn give_datagram(&mut self, member: usize, datagram: &Datagram) {
+    fn handle_datagram(&mut self, member: usize, datagram: &Datagram) {
         self.handle(member, Input::Datagram(datagram.from as u16, &datagram.bytes));
     }
 
-    /// Gives a member the time.
+    /// Lets a member handle its due timers.
     fn wake_machine(&mut self, member: usize) {
         self.handle(member, Input::Wake);
     }
@@ -205,7 +205,7 @@
         }
     }
 
-    /// Does what a member says, and schedules its next wake.
+    /// Performs a member's outputs, and schedules its next wake.
     fn perform(&mut self, member: usize) {
         self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
--- a/crates/stonevane-sim/src/plan/generate.rs
+++ b/crates/stonevane-sim/src/plan/generate.rs
@@ -1,25 +1,29 @@
-//! Plans drawn from a seed. The order of draws is part of a plan.
+//! Plans drawn from a seed. The order of draws must not change: it determines the plan of each seed.
 
 use oorandom::Rand64;
 
 use super::{Fault, FaultKind, Plan};
 
-/// From the last fault's end to the end of the load: time to recover, microseconds.
+/// Time to recover, from the last fault's end to the end of the load, microseconds.
 const RECOVERY_US: u64 = 9_000_000;
-/// The first fault begins at this moment at the earliest, microseconds.
+/// Earliest start of a fault, microseconds.
 const FIRST_FAULT_US: u64 = 500_000;
-/// Kinds of faults, as they are numbered here.
+/// Number of fault kinds; [`Plan::draw_fault`] numbers them.
 const FAULT_KINDS: u64 = 17;
+/// Number of [`FaultKind::DrainCache`].
 const DRAIN: u64 = 4;
-/// A plan has a kind of faults with this probability.
+/// Probability that a plan has faults of a given kind.
 const KIND_PROBABILITY: f64 = 0.3;
-/// A drain lasts so long, microseconds, that it outlasts what a node may not have heard of, with this probability.
+/// Duration of a long drain, microseconds, and the probability that a drain is long. It exceeds the time for
+/// which a node's server list may be out of date.
 const LONG_DRAIN_US: u64 = 9_000_000;
 const LONG_DRAIN_PROBABILITY: f64 = 0.3;
-/// A node with more requests a second than this needs so many sockets: rejected clients that retry keep them in use.
+/// A node with more requests per second than this gets at least this many sockets, because the retries of
+/// rejected clients keep sockets in use.
 const BUSY_NODE_REQUESTS_PER_S: f64 = 60.0;
 const MIN_BUSY_NODE_SOCKETS: usize = 96;
-/// Longer answers shorten what is read of a pipeline, so that requests are late by their client's doing.
+/// Longest value with which requests are pipelined, bytes. With longer answers a node reads less of a
+/// pipeline at a time, so requests are late through their client's fault.
 const MAX_PIPELINED_VALUE_BYTES: usize = 400;
 
 fn pick<T: Copy>(rng: &mut Rand64, choices: &[T]) -> T {
@@ -31,8 +35,8 @@
 }
 
 impl Plan {
-    /// The plan of a seed: each has a random subset of the faults switched on, with random rates (swarm testing;
-    /// Groce et al., 2012).
+    /// Draws the plan of a seed. Each plan has a random subset of the fault kinds (swarm testing; Groce et
+    /// al., 2012), and one to three faults of each.
     pub fn generate(seed: u64) -> Plan {
         let mut rng = Rand64::new(u128::from(seed) << 1 | 1);
         let nodes = rng.rand_range(1..5) as usize;
@@ -110,16 +114,17 @@
         Fault { start_us, duration_us, kind }
     }
 
-    /// Puts faults in order, and sets the load to outlast them.
+    /// Sorts the faults by start time, and ends the load [`RECOVERY_US`] after the last fault's end.
     fn finish(&mut self) {
         self.faults.sort_by_key(|fault| fault.start_us);
         self.load_duration_us = self.last_fault_end_us() + RECOVERY_US;
     }
 
-    /// A large fleet: 100 nodes before 60 caches, an origin whose table has fewer slots than there are nodes, and a
-    /// discovery that takes 8 s for a call of each. All watches break while six in ten nodes are killed and come back,
-    /// a zone of caches is lost and returns cold, more than half of the others are replaced within 7 s, and of the rest
-    /// some are faulty; which is when is drawn.
+    /// Draws the plan of a large fleet: 100 nodes and 60 caches, an origin whose connection table has fewer
+    /// slots than there are nodes, and a discovery service that takes 8 s to handle one call of each node.
+    /// All watches are cut off while 60 nodes are killed and restart, 12 caches (a zone) are lost and return
+    /// cold, 36 more are replaced within 7 s, and 4 of the rest are faulty. The times of the faults are drawn
+    /// from the seed.
     pub fn generate_large(seed: u64) -> Plan {
         let (nodes, caches) = (100, 60);
         let mut plan = Plan {
--- a/crates/stonevane-sim/src/plan/mod.rs
+++ b/crates/stonevane-sim/src/plan/mod.rs
@@ -1,199 +1,200 @@
-//! What is simulated: the fleet, its load and its faults, drawn from a seed or read from a file.
+//! Simulation plans: the fleet, its load and its faults, drawn from a seed or read from a JSON file.
 //!
-//! Plans are JSON files: each field keeps the key that it had in the first of them.
+//! The keys of the file format are stable: a renamed field keeps its first key.
 
 mod generate;
 
 use serde::{Deserialize, Serialize};
 
-/// A kind of fault. Histories and the command name it by its debug form.
+/// A kind of fault. Histories and the command line show its `Debug` form.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum FaultKind {
-    /// A cache is killed, and starts again cold.
+    /// A cache is killed and restarts cold at the fault's end.
     KillCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A cache's process is replaced by a cold one at the same address, of which discovery hears late.
+    /// A cache's process is replaced by a cold one at the same address; discovery learns of it late.
     ReplaceCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A cache reads requests and answers nothing.
+    /// A cache's process hangs: it accepts connections, but reads no request and sends no answer.
     SilentCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A cache's machine is unreachable: nothing is answered, no connection is established.
+    /// A cache's machine is unreachable: no request is answered and no connection is established.
     VanishCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// Discovery says that a cache drains; when it ends, that it is active.
+    /// Discovery lists a cache as draining, and as active again at the fault's end.
     DrainCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A cache resets connections in the middle of an answer.
+    /// A cache closes connections in the middle of an answer.
     TearCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
-        /// Of so many answers, one.
+        /// Interval, in answers: 1 for each answer, 2 for each second one.
         every: u64,
     },
-    /// A cache sends bytes behind a whole answer.
+    /// A cache sends extra bytes after each complete answer.
     NoisyCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
     /// A cache's answers are corrupted.
     GarbleCache {
-        /// Which.
+        /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A node is killed, and starts again with the list of the run's beginning.
+    /// A node is killed, and restarts at the fault's end with the server list of the run's beginning.
     KillNode {
-        /// Which.
+        /// Index of the node, from 0.
         node: usize,
     },
-    /// A node is sent SIGTERM, and starts again when it has ended.
+    /// A node is sent SIGTERM, and restarts after it has exited.
     TermNode {
-        /// Which.
+        /// Index of the node, from 0.
         node: usize,
     },
-    /// A node's process is paused, with all its timers.
+    /// A node's process is paused, including its timers.
     PauseNode {
-        /// Which.
+        /// Index of the node, from 0.
         node: usize,
     },
     /// The origin does no work.
     StallOrigin,
-    /// The origin resets connections without an answer, though the request has run.
+    /// The origin closes connections without an answer after it has run the request.
     TearOrigin {
-        /// Of so many answers, one.
+        /// Interval, in answers: 1 for each answer, 2 for each second one.
         every: u64,
     },
-    /// Calls to discovery fail, and its watches break.
+    /// Calls to discovery fail, and open watches are cut off.
     NoDiscovery,
-    /// Discovery sends a stale watch event behind each new one.
+    /// Discovery sends a stale watch event after each new one.
     OldNews,
-    /// Clients leave long before their deadline.
+    /// Clients close their connections long before the deadline, with probability 0.5 for each attempt.
     Impatient,
     /// Clients connect and send nothing.
     Crowd {
-        /// So many a second.
+        /// New connections per second.
         per_s: u64,
     },
 }
 
-/// A fault, and when.
+/// A fault and its time in the run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it begins, microseconds.
+    /// Start time in the run, microseconds.
     #[serde(rename = "at")]
     pub start_us: u64,
-    /// For how long, microseconds.
+    /// Duration, microseconds.
     #[serde(rename = "lasts")]
     pub duration_us: u64,
-    /// What it is.
+    /// Kind and target.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// All that a run depends on.
+/// All inputs of a run: the same plan always gives the same run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
     /// The seed of all random numbers within the run.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes, from 1 to 200.
     pub nodes: usize,
-    /// Caches.
+    /// Number of caches, from 1 to 200; there is one origin beside them.
     pub caches: usize,
-    /// How long clients send requests, microseconds.
+    /// Time during which clients send new requests, microseconds.
     #[serde(rename = "length")]
     pub load_duration_us: u64,
-    /// Requests a second, over all nodes.
+    /// Mean rate of new requests over all nodes, requests per second.
     #[serde(rename = "per_s")]
     pub requests_per_s: f64,
-    /// Share of them that are edits with an idempotency key.
+    /// Share of the requests that are edits with an idempotency key.
     #[serde(rename = "edits")]
     pub edit_share: f64,
-    /// Share of them that must not run twice.
+    /// Share of the requests that are moves, which must not run twice.
     #[serde(rename = "moves")]
     pub move_share: f64,
-    /// Keys.
+    /// Number of distinct keys.
     pub keys: u64,
     /// Share of the keys that caches hold at the beginning.
     #[serde(rename = "warm")]
     pub cached_share: f64,
-    /// Share of the requests that are pipelined behind others on their connection.
+    /// Probability that a request is pipelined on a connection that has requests in flight, if there is one.
     #[serde(rename = "pipelined")]
     pub pipelined_share: f64,
-    /// The network's shortest and longest delay, microseconds.
+    /// Shortest and longest network delay, microseconds.
     #[serde(rename = "delay")]
     pub delay_us: (u64, u64),
-    /// Share of the writes that arrive in several pieces.
+    /// Share of writes that arrive in several pieces.
     #[serde(rename = "split")]
     pub fragmented_share: f64,
-    /// Share of a node's writes that its machine takes late.
+    /// Share of a node's writes whose last piece its machine takes late.
     #[serde(rename = "slow")]
     pub late_flush_share: f64,
-    /// How much each node's clock runs too fast, as a share.
+    /// Drift of each node's clock, as a share: 0.01 runs 1 % fast, a negative value slow.
     #[serde(rename = "clocks")]
     pub clock_drifts: Vec<f64>,
-    /// A node's limit of sockets.
+    /// Socket limit of each node.
     #[serde(rename = "sockets")]
     pub max_sockets: usize,
-    /// A node's limit of memory, megabytes.
+    /// Memory limit of each node, megabytes.
     pub memory_mb: usize,
-    /// The length of values, bytes.
+    /// Length of values, bytes.
     #[serde(rename = "value")]
     pub value_bytes: usize,
-    /// Slots of the origin's connection table: requests on other connections are rejected; no limit where it is left
-    /// out.
+    /// Slots of the origin's connection table; requests on connections beyond it are rejected. Unlimited if
+    /// missing.
     #[serde(rename = "places", default, skip_serializing_if = "Option::is_none")]
     pub origin_connections: Option<usize>,
-    /// How long discovery, which handles calls in turn, takes for one, microseconds; no time where it is left out.
+    /// Time that discovery, which handles one call at a time, takes for a call, microseconds. No time if
+    /// missing.
     #[serde(rename = "call", default, skip_serializing_if = "Option::is_none")]
     pub discovery_call_us: Option<u64>,
-    /// The faults, in the order of their beginnings.
+    /// Faults, ordered by start time.
     pub faults: Vec<Fault>,
 }
 
-/// Why a plan can't be played.
+/// Reason why a plan is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// It is no JSON, or lacks a field or has one too many.
-    #[error("{0}")]
+    /// The text is not JSON, or a field is missing or unknown.
+    #[error("invalid plan: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field's value.
-    #[error("`{field}` is {value}, and is to be from {least} to {most}")]
+    /// A field's value is out of range.
+    #[error("`{field}` is {value}, but must be from {least} to {most}")]
     OutOfRange {
-        /// Its key in the file.
+        /// The field's key in the file.
         field: &'static str,
-        /// What it is.
+        /// The value in the file.
         value: f64,
-        /// The least that it may be.
+        /// The least accepted value.
         least: f64,
-        /// The most that it may be.
+        /// The greatest accepted value.
         most: f64,
     },
-    /// Clocks or delays.
-    #[error("`clocks` are to be from -0.5 to 0.5, and `delay` the shortest first")]
+    /// A clock's drift is out of range, or the shortest delay exceeds the longest.
+    #[error("each of `clocks` must be from -0.5 to 0.5, and `delay` must hold the shortest delay first")]
     ClocksOrDelay,
-    /// A fault's target.
-    #[error("fault {number}: there is no such cache or node: {kind:?}")]
+    /// A fault's target doesn't exist.
+    #[error("fault {number} has a target beyond the plan's `caches` or `nodes`: {kind:?}")]
     NoSuchTarget {
-        /// Its number, from 1.
+        /// The fault's number, from 1.
         number: usize,
-        /// What it is.
+        /// Kind and target of the fault.
         kind: FaultKind,
     },
 }
 
-/// A field of a plan, by its key, and the range that its value is to be in.
+/// A field of a plan, by its key, and its accepted range.
 struct FieldRange {
     field: &'static str,
     value: f64,
@@ -201,24 +202,24 @@
     most: f64,
 }
 
-/// Clocks drift by this share at most.
+/// Maximum clock drift in either direction, as a share.
 const MAX_CLOCK_DRIFT: f64 = 0.5;
 
 impl Plan {
-    /// When its last fault has ended, microseconds.
+    /// Returns the time when the last fault ends, microseconds; 0 without faults.
     pub fn last_fault_end_us(&self) -> u64 {
         self.faults.iter().map(|fault| fault.start_us + fault.duration_us).max().unwrap_or(0)
     }
 
-    /// The plan as a file holds it.
+    /// Formats the plan as JSON, which [`Plan::parse`] reads.
     pub fn to_json(&self) -> String {
         serde_json::to_string_pretty(self).unwrap_or_default()
     }
 
-    /// Reads a file.
+    /// Parses the text of a plan file.
     ///
     /// # Errors
-    /// What is wrong with it; of wrong JSON its line.
+    /// Returns the first invalid field or fault; for invalid JSON with its line.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_str(text)?;
         for FieldRange { field, value, least, most } in plan.ranges() {
@@ -226,8 +227,8 @@
                 return Err(PlanError::OutOfRange { field, value, least, most });
             }
         }
-        let is_wrong = |drift: &f64| !(-MAX_CLOCK_DRIFT..=MAX_CLOCK_DRIFT).contains(drift);
-        if plan.clock_drifts.iter().any(is_wrong) || plan.delay_us.0 > plan.delay_us.1 {
+        let is_out_of_range = |drift: &f64| !(-MAX_CLOCK_DRIFT..=MAX_CLOCK_DRIFT).contains(drift);
+        if plan.clock_drifts.iter().any(is_out_of_range) || plan.delay_us.0 > plan.delay_us.1 {
             return Err(PlanError::ClocksOrDelay);
         }
         for (index, fault) in plan.faults.iter().enumerate() {
@@ -241,7 +242,7 @@
         Ok(plan)
     }
 
-    /// Each field that has a range.
+    /// Returns the fields with a limited range.
     fn ranges(&self) -> [FieldRange; 17] {
         let nodes = self.nodes as f64;
         let range = |field, value, least, most| FieldRange { field, value, least, most };
@@ -268,7 +269,7 @@
 }
 
 impl FaultKind {
-    /// The cache that it concerns.
+    /// Returns the index of the target if it is a cache.
     pub fn cache(self) -> Option<usize> {
         match self {
             FaultKind::KillCache { cache }
@@ -283,7 +284,7 @@
         }
     }
 
-    /// The node that it concerns.
+    /// Returns the index of the target if it is a node.
     pub fn node(self) -> Option<usize> {
         match self {
             FaultKind::KillNode { node } | FaultKind::TermNode { node } | FaultKind::PauseNode { node } => {
--- a/crates/stonevane-sim/src/server/mod.rs
+++ b/crates/stonevane-sim/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! Models of caches and the origin: what they hold and how they handle requests. Time is an argument, and work is drawn
-//! from a request's id alone.
+//! Models of caches and the origin: the keys that they hold and how they handle requests. Time is an
+//! argument, in simulated microseconds. The work of a request is drawn from its id alone.
 
 pub mod protocol;
 
@@ -10,80 +10,81 @@
 use stonevane_audit::{Effect, work_capacity};
 use stonevane_server_model::work::{Cores, drawn};
 
-/// Cores of a cache and of the origin.
+/// CPU cores of each cache and of the origin.
 const CORES: usize = 4;
-/// The mean work of a read at a cache, of a fetch and of an edit at the origin, microseconds.
+/// Mean work of a read at a cache, of a fetch at the origin and of an edit at the origin, microseconds.
 const CACHE_READ_US: u64 = 8_000;
 const ORIGIN_READ_US: u64 = 12_000;
 const ORIGIN_WRITE_US: u64 = 12_000;
-/// Its coefficient of variation.
+/// Coefficient of variation of the work of a request.
 const WORK_VARIATION: f64 = 0.3;
-/// A miss costs one part in so many of a hit's work.
+/// A miss costs a hit's work divided by this.
 const MISS_WORK_DIVISOR: u64 = 10;
-/// Work that would wait longer is rejected, microseconds.
+/// Longest wait for a core, microseconds; a request that would wait longer is rejected.
 const MAX_QUEUE_US: u64 = 400_000;
-/// Share of its capacity that a cold server has.
+/// Share of its full capacity that a server has right after a cold start.
 pub const COLD_SHARE: f64 = 0.35;
-/// Time until a cold server is warm, microseconds.
+/// Time from a cold start until the server is warmed up, microseconds.
 pub const WARM_UP_US: u64 = 4_000_000;
-/// How long the origin drops a repeat of an idempotency key, microseconds.
+/// Time for which the origin deduplicates requests with the same idempotency key, microseconds.
 pub const DEDUP_WINDOW_US: u64 = 200_000;
-/// Idempotency keys that the origin remembers before it forgets those past their window.
+/// Number of remembered idempotency keys above which the origin removes those past their window.
 const MAX_DEDUP_KEYS: usize = 1_024;
-/// Requests whose misses a cache remembers, at most.
+/// Maximum number of requests whose misses a cache remembers.
 const MAX_MISSES: usize = 4_096;
 
-/// How a server handles a request.
+/// Result of handling a request at a server.
 #[derive(Debug, Clone)]
 pub struct Work {
     pub effect: Effect,
     pub version: u64,
     /// The attempt's number at this server.
     pub number: u64,
-    /// Of a warm server's time, microseconds.
+    /// Work as a warmed-up server takes for it, microseconds.
     pub cost_us: u64,
     pub answered_at: u64,
 }
 
-/// An edit that the origin has run.
+/// An applied edit, kept to deduplicate requests with its idempotency key.
 struct DedupEntry {
     expires_at: u64,
     version: u64,
 }
 
-/// A server.
+/// State of a cache or of the origin.
 pub struct Server {
     pub name: String,
     pub address: SocketAddr,
     pub is_origin: bool,
-    /// Its process runs.
+    /// Whether the process runs.
     pub is_up: bool,
-    /// It reads and answers nothing.
+    /// Whether the process neither reads requests nor answers them.
     pub is_silent: bool,
-    /// Its machine is unreachable.
+    /// Whether the machine is unreachable.
     pub is_unreachable: bool,
-    /// Of so many answers, one is torn.
-    pub tear_every: Option<u64>,
-    /// It sends bytes behind its answers.
-    pub is_noisy: bool,
-    /// It corrupts its answers.
-    pub is_garbling: bool,
+    /// Interval, in answers, at which one is truncated and its connection closed; `None` for never.
+    pub truncate_every: Option<u64>,
+    /// Whether extra bytes follow each answer.
+    pub sends_extra_bytes: bool,
+    /// Whether each answer is corrupted.
+    pub corrupts_answers: bool,
     pub incarnation: u64,
-    /// When it started cold.
+    /// Time of the last cold start; `None` if the server was warm from the beginning.
     pub started_at: Option<u64>,
-    /// Versions of the keys that it holds.
+    /// Version of each key that the server holds.
     pub versions: BTreeMap<String, u64>,
     cores: Cores,
     dedup: BTreeMap<String, DedupEntry>,
     attempts: u64,
     answers: u64,
-    /// Keys of requests that missed, to be filled by the origin's answers.
+    /// Keys of requests that missed, by request id; the origin's answers fill them.
     misses: BTreeMap<String, String>,
+    /// Ids of those requests, oldest first.
     miss_order: VecDeque<String>,
 }
 
 impl Server {
-    /// One that holds nothing.
+    /// Creates a running server that holds no keys.
     pub fn new(name: &str, address: SocketAddr, is_origin: bool) -> Server {
         Server {
             name: name.into(),
@@ -92,9 +93,9 @@
             is_up: true,
             is_silent: false,
             is_unreachable: false,
-            tear_every: None,
-            is_noisy: false,
-            is_garbling: false,
+            truncate_every: None,
+            sends_extra_bytes: false,
+            corrupts_answers: false,
             incarnation: 0,
             started_at: None,
             versions: BTreeMap::new(),
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Its process starts anew, cold and empty; the origin keeps what it holds.
+    /// Restarts the process. A cache starts cold and empty; the origin keeps its data.
     pub fn restart(&mut self, now: u64) {
         self.is_up = true;
         self.incarnation += 1;
@@ -120,28 +121,28 @@
         }
     }
 
-    /// Microseconds of work a second that a warm server can do.
+    /// Capacity of a warmed-up server, microseconds of work per second.
     pub fn capacity_us_per_s() -> f64 {
         CORES as f64 * 1e6
     }
 
-    /// Whether it reads what comes.
+    /// Whether the server reads requests.
     pub fn is_reading(&self) -> bool {
         self.is_up && !self.is_unreachable && !self.is_silent
     }
 
-    /// Does no work before a moment.
+    /// Stops all work until `until`.
     pub fn stall(&mut self, until: u64) {
         self.cores.stop_until(until);
     }
 
-    /// A request has come on a connection without a slot.
+    /// Rejects a request that came on a connection without a slot in the connection table.
     pub fn reject(&mut self, now: u64) -> Work {
         self.attempts += 1;
         Work { effect: Effect::Busy, version: 0, number: self.attempts, cost_us: 0, answered_at: now }
     }
 
-    /// A complete request has come.
+    /// Handles a complete request: draws its work, occupies a core and applies its effect.
     pub fn handle(&mut self, now: u64, request: &ServerRequest) -> Work {
         self.attempts += 1;
         let number = self.attempts;
@@ -169,18 +170,18 @@
         }
     }
 
-    /// Share of a warm server's speed.
+    /// Current speed as a share of a warmed-up server's.
     fn speed(&self, now: u64) -> f64 {
         let share = |started_at| work_capacity(1e6, COLD_SHARE, started_at, WARM_UP_US, now, 1).max(0.01);
         self.started_at.map_or(1.0, share)
     }
 
-    /// What becomes of a request where there is capacity for it, and the version that it shows or makes.
+    /// Returns the effect of a request if there is capacity for it, and the version that it reads or creates.
     fn effect_of(&self, now: u64, request: &ServerRequest, number: u64) -> (Effect, u64) {
         if request.is_write {
-            let known = self.dedup.get(&request.idempotency_key);
-            let known = known.filter(|edit| edit.expires_at > now && !request.idempotency_key.is_empty());
-            return known.map_or((Effect::Ran, number), |edit| (Effect::Deduplicated, edit.version));
+            let earlier = self.dedup.get(&request.idempotency_key);
+            let earlier = earlier.filter(|edit| edit.expires_at > now && !request.idempotency_key.is_empty());
+            return earlier.map_or((Effect::Ran, number), |edit| (Effect::Deduplicated, edit.version));
         }
         match self.versions.get(&request.key) {
             Some(version) => (Effect::Ran, *version),
@@ -211,16 +212,16 @@
         }
     }
 
-    /// The origin has answered a request: a cache that missed its key for it holds it now.
+    /// Fills the cache from the origin's answer to a request, if the request missed `key` here.
     pub fn fill(&mut self, request: &str, key: &str, version: u64) {
         if self.misses.remove(request).is_some_and(|missed| missed == key) {
             self.versions.insert(key.to_owned(), version);
         }
     }
 
-    /// Counts an answer; returns whether it is torn.
-    pub fn tears_next_answer(&mut self) -> bool {
+    /// Counts an answer and returns whether it is to be truncated.
+    pub fn truncates_next_answer(&mut self) -> bool {
         self.answers += 1;
-        self.tear_every.is_some_and(|every| self.answers.is_multiple_of(every))
+        self.truncate_every.is_some_and(|every| self.answers.is_multiple_of(every))
     }
 }
--- a/crates/stonevane-sim/src/server/protocol.rs
+++ b/crates/stonevane-sim/src/server/protocol.rs
@@ -1,4 +1,5 @@
-//! Servers' protocols: requests taken off a byte stream, and the bytes of answers.
+//! Server protocols: parses requests from a byte stream (RESP2 at caches, HTTP/1.1 at the origin) and encodes
+//! answers.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A request at a server.
+/// A request as a server parses it.
 #[derive(Debug, Clone)]
 pub struct ServerRequest {
     pub is_write: bool,
@@ -17,53 +18,53 @@
     pub id: String,
     pub class: String,
     pub idempotency_key: String,
-    /// Of the value that an edit carries.
+    /// Digest of an edit's value; empty for reads.
     pub digest: String,
-    /// Whether it came over HTTP, as the origin has it.
+    /// Whether the request came over HTTP, which the origin speaks, rather than RESP2.
     pub is_http: bool,
 }
 
-/// Bytes that are no request: the node sent what no server understands.
+/// Bytes from a node that are not a valid request.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// The framing is wrong.
-    #[error("{0}")]
+    /// The bytes are not a RESP2 command.
+    #[error("a malformed RESP2 command: {0}")]
     Framing(String),
-    /// A command that caches don't know.
-    #[error("a command that caches don't know: {0:?}")]
+    /// A command that caches don't support.
+    #[error("an unknown command, not OBJ.GET or OBJ.SET: {0:?}")]
     UnknownCommand(Vec<Bytes>),
-    /// A command with too many or too few arguments.
-    #[error("{0} words")]
+    /// A command with too many or too few arguments, its name included.
+    #[error("a command of {0} arguments: OBJ.GET takes 4 and OBJ.SET takes 5, the name included")]
     WrongLength(usize),
-    /// A request line that is none.
-    #[error("no request: {0}")]
+    /// An invalid HTTP request line.
+    #[error("an invalid request line, not GET or PUT with a path and HTTP/1.1: {0}")]
     RequestLine(String),
 }
 
-/// Takes a complete request off the front of what came; `None` where more has to come.
+/// Takes a complete request off the front of the input; `None` if more bytes are needed.
 pub fn take_request(input: &mut BytesMut, is_origin: bool) -> Result<Option<ServerRequest>, RequestError> {
     if is_origin { take_http(input) } else { take_resp(input) }
 }
 
 fn take_resp(input: &mut BytesMut) -> Result<Option<ServerRequest>, RequestError> {
     let command = resp::take_command(input).map_err(|error| RequestError::Framing(error.0.to_owned()))?;
-    let Some(words) = command else { return Ok(None) };
-    let (is_write, length) = match words.first().map(AsRef::as_ref) {
+    let Some(arguments) = command else { return Ok(None) };
+    let (is_write, length) = match arguments.first().map(AsRef::as_ref) {
         Some(b"OBJ.GET") => (false, 4),
         Some(b"OBJ.SET") => (true, 5),
-        _ => return Err(RequestError::UnknownCommand(words)),
+        _ => return Err(RequestError::UnknownCommand(arguments)),
     };
-    if words.len() != length {
-        return Err(RequestError::WrongLength(words.len()));
+    if arguments.len() != length {
+        return Err(RequestError::WrongLength(arguments.len()));
     }
-    let facts = text(&words[3]);
+    let metadata = text(&arguments[3]);
     Ok(Some(ServerRequest {
         is_write,
-        key: text(&words[1]),
-        id: text(&words[2]),
-        class: fact(&facts, "c").into(),
-        idempotency_key: fact(&facts, "k").into(),
-        digest: words.get(4).map_or(String::new(), |value| digest(value)),
+        key: text(&arguments[1]),
+        id: text(&arguments[2]),
+        class: metadata_value(&metadata, "c").into(),
+        idempotency_key: metadata_value(&metadata, "k").into(),
+        digest: arguments.get(4).map_or(String::new(), |value| digest(value)),
         is_http: false,
     }))
 }
@@ -91,28 +92,29 @@
     }
     input.advance(end + HEAD_END.len());
     let body = input.split_to(length);
-    let facts = header("x-facts");
+    let metadata = header("x-facts");
     Ok(Some(ServerRequest {
         is_write,
         key,
         id: header("x-correlation-id"),
-        class: fact(&facts, "c").into(),
-        idempotency_key: fact(&facts, "k").into(),
+        class: metadata_value(&metadata, "c").into(),
+        idempotency_key: metadata_value(&metadata, "k").into(),
         digest: if is_write { digest(&body) } else { String::new() },
         is_http: true,
     }))
 }
 
-fn fact<'a>(facts: &'a str, name: &str) -> &'a str {
-    let mut pairs = facts.split(',').filter_map(|fact| fact.split_once('='));
-    pairs.find(|(known, _)| *known == name).map_or("", |(_, value)| value)
+/// Returns a value of the comma-separated `name=value` pairs that a request carries; empty if it is missing.
+fn metadata_value<'a>(metadata: &'a str, name: &str) -> &'a str {
+    let mut pairs = metadata.split(',').filter_map(|pair| pair.split_once('='));
+    pairs.find(|(key, _)| *key == name).map_or("", |(_, value)| value)
 }
 
 fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The bytes of an answer, with a value where there is one.
+/// Encodes an answer in the request's protocol.
 pub fn answer(request: &ServerRequest, effect: Effect, value: Option<&str>) -> Vec<u8> {
     if request.is_http { http_answer(effect, value) } else { resp_answer(effect, value) }
 }
--- a/crates/stonevane-sim/src/shrink.rs
+++ b/crates/stonevane-sim/src/shrink.rs
@@ -1,37 +1,38 @@
-//! Makes a plan that fails smaller, as long as it fails in the same way: faults go first, by halves and then one by one
-//! (delta debugging; Zeller and Hildebrandt, 2002), then nodes, caches, load, network and time.
+//! Shrinks a failing plan while it still fails with the same code. Faults are removed first, in halves and
+//! then one by one (delta debugging; Zeller and Hildebrandt, 2002); then load duration, nodes, caches,
+//! request rate, network conditions and fault durations are reduced.
 
 use std::ops::Range;
 
 use crate::plan::{FaultKind, Plan};
 use crate::simulation::{Options, run};
 
-/// A fault isn't shortened below this, microseconds.
+/// Faults of this duration or less aren't shortened, microseconds.
 const MIN_FAULT_US: u64 = 50_000;
-/// The load isn't reduced below this.
+/// Loads of this rate or less aren't reduced, requests per second.
 const MIN_REQUESTS_PER_S: f64 = 4.0;
-/// How long the load goes on behind the last fault, the shortest first, microseconds.
-const TAILS_US: [u64; 3] = [200_000, 1_000_000, 3_000_000];
+/// Durations of load after the last fault's end that are tried, in this order, microseconds.
+const LOAD_TAILS_US: [u64; 3] = [200_000, 1_000_000, 3_000_000];
 
-/// What is left of a plan that fails.
+/// Result of shrinking a failing plan.
 #[derive(Debug, Clone)]
 pub struct Shrunk {
-    /// The smallest plan that was found.
+    /// The smallest failing plan that was found.
     pub plan: Plan,
-    /// What fails, as with the first one.
+    /// Failure code, which is the original plan's too; see [`Verdict::code`](crate::Verdict::code).
     pub code: String,
-    /// Runs that were made.
+    /// Number of simulation runs.
     pub runs: usize,
 }
 
-struct Search {
+struct Shrinker {
     options: Options,
     code: String,
     runs: usize,
     max_runs: usize,
 }
 
-impl Search {
+impl Shrinker {
     fn fails(&mut self, plan: &Plan) -> bool {
         if self.runs >= self.max_runs {
             return false;
@@ -40,18 +41,18 @@
         run(plan, self.options).code().as_deref() == Some(&self.code)
     }
 
-    /// Takes a change where the plan still fails with it.
-    fn accept(&mut self, plan: &mut Plan, change: impl FnOnce(&mut Plan)) -> bool {
-        let mut other = plan.clone();
-        change(&mut other);
-        let is_better = other != *plan && self.fails(&other);
-        if is_better {
-            *plan = other;
+    /// Applies a change if the changed plan still fails with the same code; returns whether it was applied.
+    fn try_change(&mut self, plan: &mut Plan, change: impl FnOnce(&mut Plan)) -> bool {
+        let mut candidate = plan.clone();
+        change(&mut candidate);
+        let is_accepted = candidate != *plan && self.fails(&candidate);
+        if is_accepted {
+            *plan = candidate;
         }
-        is_better
+        is_accepted
     }
 
-    /// One round of all changes; returns whether any was taken.
+    /// Tries each change once; returns whether any was applied.
     fn shrink_once(&mut self, plan: &mut Plan) -> bool {
         let before = plan.clone();
         let faults = plan.faults.len();
@@ -59,18 +60,18 @@
             plan,
             faults,
             |plan| plan.faults.len(),
-            |plan, range| self.accept(plan, |plan| drop(plan.faults.drain(range))),
+            |plan, range| self.try_change(plan, |plan| drop(plan.faults.drain(range))),
         );
         self.shorten_load(plan);
-        while plan.nodes > 1 && self.accept(plan, remove_last_node) {}
-        while plan.caches > 1 && self.accept(plan, remove_last_cache) {}
-        while plan.requests_per_s > MIN_REQUESTS_PER_S && self.accept(plan, |plan| plan.requests_per_s /= 2.0)
-        {
-        }
+        while plan.nodes > 1 && self.try_change(plan, remove_last_node) {}
+        while plan.caches > 1 && self.try_change(plan, remove_last_cache) {}
+        while plan.requests_per_s > MIN_REQUESTS_PER_S
+            && self.try_change(plan, |plan| plan.requests_per_s /= 2.0)
+        {}
         self.simplify(plan);
         for fault in 0..plan.faults.len() {
             while plan.faults[fault].duration_us > MIN_FAULT_US
-                && self.accept(plan, |plan| plan.faults[fault].duration_us /= 2)
+                && self.try_change(plan, |plan| plan.faults[fault].duration_us /= 2)
             {}
         }
         *plan != before
@@ -78,40 +79,40 @@
 
     fn shorten_load(&mut self, plan: &mut Plan) {
         if self.code == "progress" {
-            // Clients need their time to be served again.
+            // `Invariant::Progress` needs enough load after the last fault to judge recovery.
             return;
         }
         let last_fault_end = plan.last_fault_end_us();
-        for tail_us in TAILS_US {
+        for tail_us in LOAD_TAILS_US {
             let end = last_fault_end + tail_us;
-            if self.accept(plan, |plan| plan.load_duration_us = plan.load_duration_us.min(end)) {
+            if self.try_change(plan, |plan| plan.load_duration_us = plan.load_duration_us.min(end)) {
                 break;
             }
         }
     }
 
     fn simplify(&mut self, plan: &mut Plan) {
-        self.accept(plan, |plan| plan.fragmented_share = 0.0);
-        self.accept(plan, |plan| plan.late_flush_share = 0.0);
-        self.accept(plan, |plan| plan.pipelined_share = 0.0);
-        self.accept(plan, |plan| plan.clock_drifts.fill(0.0));
-        self.accept(plan, |plan| plan.delay_us = (100, 100));
-        self.accept(plan, |plan| plan.value_bytes = 24);
-        self.accept(plan, |plan| (plan.max_sockets, plan.memory_mb) = (256, 64));
-        self.accept(plan, |plan| plan.edit_share = 0.0);
-        self.accept(plan, |plan| plan.move_share = 0.0);
+        self.try_change(plan, |plan| plan.fragmented_share = 0.0);
+        self.try_change(plan, |plan| plan.late_flush_share = 0.0);
+        self.try_change(plan, |plan| plan.pipelined_share = 0.0);
+        self.try_change(plan, |plan| plan.clock_drifts.fill(0.0));
+        self.try_change(plan, |plan| plan.delay_us = (100, 100));
+        self.try_change(plan, |plan| plan.value_bytes = 24);
+        self.try_change(plan, |plan| (plan.max_sockets, plan.memory_mb) = (256, 64));
+        self.try_change(plan, |plan| plan.edit_share = 0.0);
+        self.try_change(plan, |plan| plan.move_share = 0.0);
     }
 }
 
-/// Tries to remove items from a plan, in stretches of so many and then of half as many, down to one by one. `remove`
-/// takes a stretch out where the plan still fails without it, and returns whether it did.
+/// Tries to remove items from a plan in ranges of `max_length`, then of half that length, down to single
+/// items. `remove` takes a range out if the plan still fails without it, and returns whether it did.
 pub(crate) fn remove_by_halves<P>(
     plan: &mut P,
-    longest: usize,
+    max_length: usize,
     count: impl Fn(&P) -> usize,
     mut remove: impl FnMut(&mut P, Range<usize>) -> bool,
 ) {
-    let mut length = longest;
+    let mut length = max_length;
     while length > 0 {
         let mut from = 0;
         while from < count(plan) {
@@ -141,12 +142,12 @@
     keep_faults(plan, |kind| kind.cache().is_none_or(|cache| cache < caches));
 }
 
-/// Shrinks a plan that fails, in so many runs at most; `None` where it does not fail.
+/// Shrinks a failing plan in at most `max_runs` runs; returns `None` if the plan doesn't fail.
 pub fn shrink(plan: &Plan, options: Options, max_runs: usize) -> Option<Shrunk> {
     let options = Options { history: false, ..options };
     let code = run(plan, options).code()?;
-    let mut search = Search { options, code, runs: 1, max_runs };
+    let mut shrinker = Shrinker { options, code, runs: 1, max_runs };
     let mut plan = plan.clone();
-    while search.shrink_once(&mut plan) && search.runs < search.max_runs {}
-    Some(Shrunk { plan, code: search.code, runs: search.runs })
+    while shrinker.shrink_once(&mut plan) && shrinker.runs < shrinker.max_runs {}
+    Some(Shrunk { plan, code: shrinker.code, runs: shrinker.runs })
 }
--- a/crates/stonevane-sim/src/simulation/clients.rs
+++ b/crates/stonevane-sim/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' ends of streams: requests are sent, answered, retried and given up.
+//! The clients' ends of streams: sends requests, reads answers, retries and gives up.
 
 use bytes::Bytes;
 use stonevane_audit::{Event as RecordedEvent, HistoryRecord, Outcome};
@@ -12,23 +12,24 @@
 use crate::plan::FaultKind;
 use crate::stream::{Chunk, Peer, Stream, StreamId};
 
-/// A client that had no answer closes its connection so long after the deadline, microseconds.
+/// Time after the deadline at which a client without an answer closes its connection, microseconds.
 const ANSWER_GRACE_US: u64 = 300_000;
-/// An impatient client leaves after this, microseconds, with this probability.
+/// Time after which an impatient client closes its connection, microseconds, and the probability that a
+/// client is impatient while [`FaultKind::Impatient`] is in force.
 const IMPATIENT_TIMEOUT_US: u64 = 30_000;
 const IMPATIENT_PROBABILITY: f64 = 0.5;
-/// A connection that no node accepts is given up after this, microseconds.
+/// Time after which a connection that the node has not accepted is given up, microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// An answer in time may come this much later than the deadline, microseconds.
+/// Time after the deadline within which a punctual answer may still arrive, microseconds.
 const ANSWER_SLACK_US: u64 = 60_000;
-/// Requests on one connection, at most, where they are pipelined.
+/// Maximum number of pipelined requests on a connection.
 const MAX_PIPELINED: usize = 12;
-/// The longest value that clients read, bytes.
-const MAX_VALUE: usize = 1 << 24;
-/// A node's word that no complete command came in time: it answers no request.
+/// Longest value that clients accept, bytes.
+const MAX_VALUE_BYTES: usize = 1 << 24;
+/// Error with which a node reports that no complete command came in time; it answers no request.
 const INCOMPLETE_COMMAND: &[u8] = b"ERR no whole command";
 
-/// An answer.
+/// A node's answer to a request.
 struct Answer {
     outcome: Outcome,
     value: String,
@@ -36,7 +37,7 @@
 }
 
 impl Answer {
-    fn of(reply: &Value) -> Answer {
+    fn from_reply(reply: &Value) -> Answer {
         let empty = |outcome| Answer { outcome, value: String::new(), retry_after_ms: 0 };
         match reply {
             Value::Bulk(Some(value)) => {
@@ -55,7 +56,7 @@
 }
 
 impl Simulation<'_> {
-    /// The next request comes, and the one behind it is scheduled.
+    /// Generates a request, attempts it and schedules the next arrival.
     pub(super) fn request_arrival(&mut self) {
         if self.now() >= self.plan.load_duration_us {
             return;
@@ -69,10 +70,10 @@
         self.schedule_in(wait_us, Event::RequestArrival);
     }
 
-    /// Sends a request, on a connection that is there or a new one.
+    /// Sends a request on an open connection or a new one.
     pub(super) fn attempt(&mut self, number: usize) {
         let request = &self.requests[number];
-        // One attempt at a time.
+        // A request has one attempt at a time.
         if request.is_over || request.stream.is_some() {
             return;
         }
@@ -89,7 +90,7 @@
         }
     }
 
-    /// A front layer: a client's own node, or another where that takes no connection.
+    /// Chooses a node as a front layer does: the preferred node, or the next one that accepts connections.
     fn node_for(&self, preferred: usize) -> Option<usize> {
         let count = self.nodes.len();
         (0..count).map(|offset| (preferred + offset) % count).find(|node| {
@@ -98,7 +99,7 @@
         })
     }
 
-    /// A new connection: its request is sent once the node has accepted it.
+    /// Opens a connection; the request is sent once the node has accepted it.
     fn connect(&mut self, number: usize, node: usize) {
         let stream = Stream::new(node, self.nodes[node].incarnation, 0, Peer::Client);
         let id = self.open_stream(Stream { waiting_request: Some(number), ..stream });
@@ -110,7 +111,7 @@
         self.schedule_in(CONNECT_TIMEOUT_US, Event::ConnectTimeout { request: number, attempt });
     }
 
-    /// A request is given up. One that a close had crossed is left, where it can't be sent once more in time.
+    /// Gives up a request. If it was to be resent after a crossing close, its client counts as having left.
     fn give_up(&mut self, number: usize) {
         self.requests[number].is_over = true;
         if self.requests[number].is_resent {
@@ -124,7 +125,7 @@
         self.record(HistoryRecord { request, node: node::name(from), ..left });
     }
 
-    /// Sends a request on a stream that its node has accepted.
+    /// Sends a request on a stream that the node has accepted.
     pub(super) fn send_request(&mut self, number: usize, id: StreamId) {
         let Some(stream) = self.streams.get(&id).filter(|stream| stream.is_peer_open) else { return };
         let node = stream.node;
@@ -143,16 +144,16 @@
         let request = &self.requests[number];
         let (attempt, deadline) = (request.attempts, request.attempt_deadline);
         let is_impatient = self.impatience_faults > 0 && self.rng.rand_float() < IMPATIENT_PROBABILITY;
-        let patient_us = deadline.saturating_sub(now) + ANSWER_GRACE_US;
-        let timeout_us = if is_impatient { IMPATIENT_TIMEOUT_US } else { patient_us };
+        let full_timeout_us = deadline.saturating_sub(now) + ANSWER_GRACE_US;
+        let timeout_us = if is_impatient { IMPATIENT_TIMEOUT_US } else { full_timeout_us };
         self.schedule_in(timeout_us, Event::AnswerTimeout { request: number, attempt });
     }
 
-    /// Sets an attempt's deadline; returns the command.
+    /// Sets an attempt's deadline and returns its command.
     fn begin_attempt(&mut self, number: usize, id: StreamId, node: usize) -> Bytes {
         let now = self.now();
         let request = &mut self.requests[number];
-        // What is sent once more keeps its id and deadline.
+        // A resent attempt keeps its id and deadline.
         let left_us = match request.is_resent {
             true => request.attempt_deadline.saturating_sub(now),
             false => request.expires_at.saturating_sub(now),
@@ -162,7 +163,7 @@
         }
         (request.stream, request.node) = (Some(id), node);
         let command = command(&self.requests[number], left_us, &self.value);
-        // Answers come in order: a pipelined request waits at least for those before it.
+        // Answers come in order, so a pipelined request waits at least as long as those before it.
         let before = self.streams.get(&id).into_iter().flat_map(|stream| &stream.in_flight);
         let latest = before.map(|before| self.requests[*before].attempt_deadline).max();
         let request = &mut self.requests[number];
@@ -191,7 +192,8 @@
         self.record(sent);
     }
 
-    /// A connection to a node that may be used: one with requests in flight, where they are pipelined, or an idle one.
+    /// Returns an open connection to a node: one with requests in flight if the request is to be pipelined,
+    /// else an idle one.
     fn reusable_stream(&mut self, node: usize) -> Option<StreamId> {
         if self.draw_chance(self.plan.pipelined_share) {
             let incarnation = self.nodes[node].incarnation;
@@ -215,7 +217,7 @@
         None
     }
 
-    /// A client reads the answers that have come on a stream.
+    /// Reads the answers that have arrived on a client's stream.
     pub(super) fn client_reads(&mut self, id: StreamId) {
         loop {
             let Some(stream) = self.streams.get_mut(&id) else { return };
@@ -223,18 +225,19 @@
             if stream.peer_inbox.is_empty() {
                 break;
             }
-            let reply = match resp::take_value(&mut stream.peer_inbox, MAX_VALUE) {
+            let reply = match resp::take_value(&mut stream.peer_inbox, MAX_VALUE_BYTES) {
                 Ok(Some(reply)) => reply,
                 Ok(None) => return,
                 Err(error) => {
-                    return self.violate(Invariant::ClientProtocol, format!("node {node} sent {error:?}"));
+                    return self
+                        .record_violation(Invariant::ClientProtocol, format!("node {node} sent {error:?}"));
                 }
             };
             let Some(number) = stream.in_flight.pop_front() else {
                 return self.unsolicited_reply(id, &reply);
             };
             stream.last_answered = Some(number);
-            self.answered(number, node, Answer::of(&reply));
+            self.answered(number, node, Answer::from_reply(&reply));
         }
         let Some(stream) = self.streams.get(&id) else { return };
         let idle = &mut self.nodes[stream.node].idle_clients;
@@ -283,7 +286,7 @@
         self.retry(number, backoff_us);
     }
 
-    /// Schedules another attempt, while there are any.
+    /// Schedules another attempt unless the maximum is reached.
     fn retry(&mut self, number: usize, backoff_us: u64) {
         let request = &mut self.requests[number];
         request.attempts += 1;
@@ -294,7 +297,7 @@
         }
     }
 
-    /// A node has closed a client's stream.
+    /// Handles the close of a client's stream by the node.
     pub(super) fn client_stream_closed(&mut self, closed: ClosedStream) {
         if let Some(number) = closed.waiting_request {
             self.attempt_later(number);
@@ -307,13 +310,13 @@
         }
     }
 
-    /// The connection of a request that was not sent yet is gone.
+    /// Schedules another attempt for a request whose connection closed before it was sent.
     fn attempt_later(&mut self, number: usize) {
         self.requests[number].stream = None;
         self.schedule_in(BACKOFF_US, Event::Attempt(number));
     }
 
-    /// A node has closed a client's connection without an answer; the close may have crossed the request.
+    /// Handles a close without an answer. An attempt that the close may have crossed is resent once.
     fn closed_without_answer(&mut self, number: usize, from: usize, may_cross: bool) {
         let request = self.requests[number].id();
         self.record(HistoryRecord {
@@ -341,20 +344,20 @@
         }
     }
 
-    /// The stream of a request's attempt, while that is under way.
+    /// Returns the stream of a request's attempt while the attempt is in flight.
     fn stream_of_attempt(&self, number: usize, attempt: u32) -> Option<StreamId> {
         let request = &self.requests[number];
         request.stream.filter(|_| request.attempts == attempt && !request.is_over)
     }
 
-    /// A client waits for an answer no longer: it closes its connection, and leaves all that was sent on it.
+    /// Closes a client's connection when an answer is overdue, which abandons all requests in flight on it.
     pub(super) fn answer_timeout(&mut self, number: usize, attempt: u32) {
         if let Some(stream) = self.stream_of_attempt(number, attempt) {
-            self.leave(stream);
+            self.disconnect_client(stream);
         }
     }
 
-    /// A connection that no node has accepted is given up, and another node is tried.
+    /// Gives up a connection that the node has not accepted, and tries the next node.
     pub(super) fn connect_timeout(&mut self, number: usize, attempt: u32) {
         let Some(id) = self.stream_of_attempt(number, attempt) else { return };
         let is_pending = |stream: &Stream| stream.waiting_request.is_some() || !stream.is_peer_open;
@@ -372,8 +375,8 @@
         self.attempt(number);
     }
 
-    /// A client closes its connection; what it had sent is over.
-    pub(super) fn leave(&mut self, id: StreamId) {
+    /// Closes a client's connection and abandons its requests in flight.
+    pub(super) fn disconnect_client(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.is_peer_open = false;
         let in_flight = std::mem::take(&mut stream.in_flight);
@@ -383,29 +386,29 @@
             self.attempt_later(number);
         }
         for number in in_flight {
-            self.leave_request(number, node);
+            self.abandon_request(number, node);
         }
         self.send_to_node(id, Chunk::End);
     }
 
-    fn leave_request(&mut self, number: usize, node: usize) {
+    fn abandon_request(&mut self, number: usize, node: usize) {
         let now = self.now();
         let request = &mut self.requests[number];
         request.is_over = true;
         request.stream = None;
         let id = request.id();
-        // An answer in time may still be on its way.
-        let is_early = now < request.attempt_deadline + ANSWER_SLACK_US;
-        // A paused node can't see it.
+        // A punctual answer may still be in flight.
+        let may_be_answered = now < request.attempt_deadline + ANSWER_SLACK_US;
+        // A paused node can't see that the client has left.
         if !self.nodes[node].is_paused && !self.received.contains(&id) {
             self.abandoned.insert(id, now);
         }
-        if is_early {
+        if may_be_answered {
             self.record_client_left(number, node);
         }
     }
 
-    /// A client of a crowd connects and says nothing.
+    /// Opens a connection of a crowd, which never sends a request, and schedules the next one.
     pub(super) fn crowd_arrival(&mut self, fault: usize) {
         let FaultKind::Crowd { per_s } = self.plan.faults[fault].kind else { return };
         if self.crowd_faults == 0 {
@@ -424,28 +427,28 @@
         self.schedule_in(1_000_000 / per_s.max(1), Event::CrowdArrival { fault });
     }
 
-    /// The clients of a crowd leave: a crowd that stays would be a siege.
-    pub(super) fn crowd_leaves(&mut self) {
+    /// Disconnects the clients of a crowd, which would otherwise hold their connections until the run's end.
+    pub(super) fn disconnect_crowd(&mut self) {
         for id in self.streams_where(|stream| stream.is_open_client() && stream.is_silent) {
-            self.leave(id);
+            self.disconnect_client(id);
         }
     }
 }
 
-/// A request's command, with what is left of its time.
+/// Encodes a request's command, which carries the time left until its deadline.
 fn command(request: &ClientRequest, left_us: u64, value: &str) -> Bytes {
     let kind = request.kind();
-    let mut facts = format!("c={},t=all,d={}", kind.name, left_us / 1_000);
+    let mut metadata = format!("c={},t=all,d={}", kind.name, left_us / 1_000);
     if kind.has_idempotency_key {
-        facts.push_str(",k=");
-        facts.push_str(&request.idempotency_key());
+        metadata.push_str(",k=");
+        metadata.push_str(&request.idempotency_key());
     }
     if request.attempts > 0 {
-        facts.push_str(",r=1");
+        metadata.push_str(",r=1");
     }
     let (key, id) = (request.key.as_bytes(), request.id());
     match kind.is_write {
-        true => resp::command(&[b"OBJ.SET", key, id.as_bytes(), facts.as_bytes(), value.as_bytes()]),
-        false => resp::command(&[b"OBJ.GET", key, id.as_bytes(), facts.as_bytes()]),
+        true => resp::command(&[b"OBJ.SET", key, id.as_bytes(), metadata.as_bytes(), value.as_bytes()]),
+        false => resp::command(&[b"OBJ.GET", key, id.as_bytes(), metadata.as_bytes()]),
     }
 }
--- a/crates/stonevane-sim/src/simulation/discovery.rs
+++ b/crates/stonevane-sim/src/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery and watch events.
+//! Handles nodes' calls to discovery, and delivers server lists and watch events.
 
 use stonevane_audit::{Event as RecordedEvent, HistoryRecord};
 use stonevane_core::{DiscoveryRequest, EndpointList, Input};
@@ -9,11 +9,11 @@
 use super::{EPOCH_US, Simulation, node};
 use crate::discovery::{CallOutcome, Entry};
 
-/// A stale event comes so long behind the new one, microseconds.
+/// Delay of a stale event after the new one, microseconds.
 const STALE_EVENT_DELAY_US: u64 = 50_000;
 
 impl Simulation<'_> {
-    /// Discovery learns of a change, and notifies the nodes that watch.
+    /// Applies a server's change at discovery and notifies the nodes that watch.
     pub(super) fn discovery_update(&mut self, server: String, status: &'static str, started_at: Option<u64>) {
         self.discovery.change(&server, status, started_at);
         let entry = self.discovery.entries.iter().find(|entry| entry.name == server);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Notifies a node that watches of what it does not know.
+    /// Sends a watching node the entries that changed after the version that it has.
     fn notify_watch(&mut self, node: usize) {
         let Some(watch) = self.nodes[node].watch else { return };
         if self.discovery.is_down || watch.version >= self.discovery.version {
@@ -35,11 +35,11 @@
         let entries = self.discovery.changed_after(watch.version);
         let list = self.discovery.list_after(watch.version, EPOCH_US);
         let at = self.now() + self.draw_delay();
-        let watching = &mut self.nodes[node];
-        watching.watch = Some(Watch { version: list.index, ..watch });
-        let at = at.max(watching.last_watch_delivery);
-        watching.last_watch_delivery = at;
-        let call = DiscoveryCall { node, incarnation: watching.incarnation, epoch: watch.epoch };
+        let watcher = &mut self.nodes[node];
+        watcher.watch = Some(Watch { version: list.index, ..watch });
+        let at = at.max(watcher.last_watch_delivery);
+        watcher.last_watch_delivery = at;
+        let call = DiscoveryCall { node, incarnation: watcher.incarnation, epoch: watch.epoch };
         self.record_notified(node, &entries);
         self.schedule(at, Event::DiscoveryAnswer(call.clone(), Some(list)));
         if self.discovery.sends_stale_events {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// All entries as they were before a version.
+    /// Returns a stale update: all entries as active, under an index below `version`.
     fn stale_list(&self, version: u64) -> EndpointList {
         let mut list = self.discovery.list_after(0, EPOCH_US);
         list.index = version.saturating_sub(1);
@@ -71,14 +71,14 @@
         }
     }
 
-    /// A call reaches discovery, which may be down, or has to work on it first.
+    /// Queues a call that reaches discovery. It is done at once if discovery is down or calls take no time.
     pub(super) fn discovery_call_arrived(&mut self, call: DiscoveryCall, request: DiscoveryRequest) {
         let caller = &mut self.nodes[call.node];
         if !caller.runs(call.incarnation) {
             return;
         }
         self.totals.discovery_calls += 1;
-        // A fleet that was started before its clients came is left out of discovery's account.
+        // A node's first call takes no time, because the fleet counts as started long before the run.
         let is_first = !std::mem::replace(&mut caller.has_called_discovery, true);
         let work_us = self.plan.discovery_call_us.filter(|_| !is_first && !self.discovery.is_down);
         let Some(work_us) = work_us else { return self.discovery_call_done(call, request) };
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Discovery has worked on a call, and answers it.
+    /// Answers a call that discovery has worked on.
     pub(super) fn discovery_call_done(&mut self, call: DiscoveryCall, request: DiscoveryRequest) {
         if !self.nodes[call.node].runs(call.incarnation) {
             return;
@@ -99,7 +99,7 @@
         }
         self.totals.discovery_answers += 1;
         if let DiscoveryRequest::Watch { after } = request {
-            // A complete list where the node has none.
+            // Version 0 gives a complete list, for a node that has none.
             let watch = Watch { epoch: call.epoch, version: after.unwrap_or(0) };
             self.nodes[call.node].watch = Some(watch);
             return self.notify_watch(call.node);
@@ -111,14 +111,14 @@
         self.schedule_in(delay, Event::DiscoveryAnswer(call, Some(list)));
     }
 
-    /// A list or a watch event reaches a node, or the failure of its call.
+    /// Delivers a list or a watch event to a node, or the failure of its call.
     pub(super) fn discovery_answer(&mut self, call: DiscoveryCall, list: Option<EndpointList>) {
         let node = &mut self.nodes[call.node];
         if !node.runs(call.incarnation) {
             return;
         }
         if node.is_paused {
-            return node.missed.push(Event::DiscoveryAnswer(call, list));
+            return node.deferred.push(Event::DiscoveryAnswer(call, list));
         }
         let input = match list {
             Some(list) => Input::List(call.epoch, list),
--- a/crates/stonevane-sim/src/simulation/event.rs
+++ b/crates/stonevane-sim/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulation.
+//! Events of the simulation.
 
 use stonevane_core::{DiscoveryRequest, EndpointList};
 
@@ -11,23 +11,23 @@
 pub struct DiscoveryCall {
     pub node: usize,
     pub incarnation: u64,
-    /// The node's own number of the call.
+    /// The node's number of the call.
     pub epoch: u64,
 }
 
-/// An event.
+/// A scheduled event.
 pub enum Event {
-    /// Something arrives at a stream's node, or at its peer.
+    /// A chunk arrives at the node's end of a stream, or at the peer's end.
     DeliverToNode(StreamId, Chunk),
     DeliverToPeer(StreamId, Chunk),
-    /// A connection to a server is established, or refused.
+    /// A node's connection to a server is established or refused.
     Connected {
         stream: StreamId,
         is_accepted: bool,
     },
-    /// A node's machine takes the rest of what it wrote.
+    /// A node's machine takes the last piece of a write.
     Flushed(StreamId),
-    /// A half-closed stream is read no longer.
+    /// The read time of a half-closed stream is over.
     HalfCloseExpired(StreamId),
     /// A client's connection reaches a node's machine.
     Connect(StreamId),
@@ -36,30 +36,30 @@
         node: usize,
         incarnation: u64,
     },
-    /// A server's work is done.
+    /// A server's work on a request is done.
     WorkDone {
         stream: StreamId,
         incarnation: u64,
         request: Box<ServerRequest>,
         work: Work,
     },
-    /// A server sends bytes behind an answer.
+    /// A server sends extra bytes after an answer.
     ExtraBytes(StreamId, Vec<u8>),
-    /// A client's next request.
+    /// The next client request is generated.
     RequestArrival,
-    /// A client sends a request, or retries it.
+    /// A client sends or retries a request.
     Attempt(usize),
-    /// A connection for a request was not accepted in time.
+    /// The time for a request's connection to be accepted is over.
     ConnectTimeout {
         request: usize,
         attempt: u32,
     },
-    /// A client waits for an answer no longer.
+    /// The time that a client waits for an answer is over.
     AnswerTimeout {
         request: usize,
         attempt: u32,
     },
-    /// A fault of the plan begins, or ends.
+    /// A fault of the plan begins or ends.
     Fault {
         fault: usize,
         begins: bool,
@@ -71,13 +71,13 @@
         status: &'static str,
         started_at: Option<u64>,
     },
-    /// A list or a watch event reaches a node; `None`: its call has failed.
+    /// A list or a watch event reaches a node; `None` if its call has failed.
     DiscoveryAnswer(DiscoveryCall, Option<EndpointList>),
     /// A call reaches discovery.
     DiscoveryCallArrived(DiscoveryCall, DiscoveryRequest),
     /// Discovery has worked on a call.
     DiscoveryCallDone(DiscoveryCall, DiscoveryRequest),
-    /// A client of a crowd connects and says nothing.
+    /// A client of a crowd connects; it never sends a request.
     CrowdArrival {
         fault: usize,
     },
--- a/crates/stonevane-sim/src/simulation/faults.rs
+++ b/crates/stonevane-sim/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the plan, as they begin and end.
+//! Applies the plan's faults at their start and end.
 
 use stonevane_audit::{Event as RecordedEvent, HistoryRecord};
 use stonevane_core::Input;
@@ -8,19 +8,19 @@
 use super::recorder::record;
 use crate::plan::FaultKind;
 
-/// How late discovery learns of a change, microseconds.
+/// Delay with which discovery learns of a server's change, microseconds.
 const DISCOVERY_LAG_US: u64 = 1_000_000;
 
-/// Counts a fault in or out of those of its kind that are in force.
+/// Adjusts the number of faults in force of a kind when one begins or ends.
 fn count(faults: &mut u32, begins: bool) {
     *faults = faults.saturating_add_signed(if begins { 1 } else { -1 });
 }
 
 impl Simulation<'_> {
-    /// A fault begins, or ends.
+    /// Applies the start or the end of a fault.
     pub(super) fn apply_fault(&mut self, number: usize, begins: bool) {
         let fault = self.plan.faults[number];
-        // Histories and operators' pages name a fault by its debug form.
+        // Histories and the operators' documentation name a fault by its `Debug` form.
         let state = format!("{:?} {}", fault.kind, if begins { "begins" } else { "ends" });
         self.record(HistoryRecord { state, ..record("lab", RecordedEvent::Fault) });
         match fault.kind {
@@ -29,18 +29,18 @@
             }
             FaultKind::SilentCache { cache } => {
                 self.servers[cache].is_silent = begins;
-                self.forget_unread(cache, begins);
+                self.drop_unread(cache, begins);
             }
             FaultKind::VanishCache { cache } => {
                 self.servers[cache].is_unreachable = begins;
-                self.forget_unread(cache, begins);
+                self.drop_unread(cache, begins);
             }
             FaultKind::DrainCache { cache } => self.drain_cache(cache, begins),
             FaultKind::TearCache { cache, every } => {
-                self.servers[cache].tear_every = begins.then_some(every);
+                self.servers[cache].truncate_every = begins.then_some(every);
             }
-            FaultKind::NoisyCache { cache } => self.servers[cache].is_noisy = begins,
-            FaultKind::GarbleCache { cache } => self.servers[cache].is_garbling = begins,
+            FaultKind::NoisyCache { cache } => self.servers[cache].sends_extra_bytes = begins,
+            FaultKind::GarbleCache { cache } => self.servers[cache].corrupts_answers = begins,
             FaultKind::KillNode { node } => self.kill_node(node, begins),
             FaultKind::TermNode { node } => self.terminate_node(node, begins),
             FaultKind::PauseNode { node } => self.pause_node(node, begins),
@@ -52,7 +52,7 @@
             }
             FaultKind::TearOrigin { every } => {
                 if let Some(origin) = self.servers.last_mut() {
-                    origin.tear_every = begins.then_some(every);
+                    origin.truncate_every = begins.then_some(every);
                 }
             }
             FaultKind::NoDiscovery => self.discovery_outage(begins),
@@ -63,20 +63,20 @@
                 if begins {
                     self.crowd_arrival(number);
                 } else {
-                    self.crowd_leaves();
+                    self.disconnect_crowd();
                 }
             }
         }
     }
 
-    /// A cache is killed; at the fault's end it starts again, cold.
+    /// Kills a cache when the fault begins, and restarts it cold when the fault ends.
     fn kill_cache(&mut self, cache: usize, begins: bool) {
         let server = self.servers[cache].name.clone();
         let is_up = self.servers[cache].is_up;
         if begins && is_up {
             self.record(record(&server, RecordedEvent::Down));
             self.servers[cache].is_up = false;
-            self.reset_connections(cache);
+            self.close_connections(cache);
             let update = Event::DiscoveryUpdate { server, status: "left", started_at: None };
             self.schedule_in(DISCOVERY_LAG_US, update);
         } else if !begins && !is_up {
@@ -88,10 +88,11 @@
         }
     }
 
-    /// What a cache was sent while it read nothing is never read.
-    fn forget_unread(&mut self, cache: usize, begins: bool) {
+    /// Closes a cache's connections at the end of a fault during which it read nothing: unread requests are
+    /// lost.
+    fn drop_unread(&mut self, cache: usize, begins: bool) {
         if !begins {
-            self.reset_connections(cache);
+            self.close_connections(cache);
         }
     }
 
@@ -110,7 +111,7 @@
         }
     }
 
-    /// A node is sent SIGTERM; it starts again by itself.
+    /// Sends a node SIGTERM; the node restarts after its exit, whenever the fault ends.
     fn terminate_node(&mut self, node: usize, begins: bool) {
         if begins && self.nodes[node].core.is_some() && !self.nodes[node].is_paused {
             self.record_node_state(node, "term");
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Calls to discovery fail, and its watches break.
+    /// Starts or ends an outage of discovery. Calls fail during it, and open watches break at its start.
     fn discovery_outage(&mut self, begins: bool) {
         count(&mut self.discovery_faults, begins);
         self.discovery.is_down = self.discovery_faults > 0;
--- a/crates/stonevane-sim/src/simulation/mod.rs
+++ b/crates/stonevane-sim/src/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! The simulation of one run: everything that happens has a moment and a place in the order of that moment, and nothing
-//! depends on anything else but the plan.
+//! The simulation of one run. Events are totally ordered by their time and the order in which they were
+//! scheduled, and the run depends on nothing but the plan.
 //!
-//! [`Simulation`] dispatches events. What they do is in a module for each part: nodes and their outputs, the network,
-//! servers, clients, discovery, faults. Random numbers are drawn from one generator, so that the order of draws is part
-//! of a run: a change of it gives other histories for the same plan.
+//! [`Simulation`] dispatches events to one module per part: nodes and their outputs, the network, servers,
+//! clients, discovery and faults. All random numbers come from one generator, so the order of draws is part
+//! of a run: changing it gives other histories for the same plan.
 
 mod clients;
 mod discovery;
@@ -36,18 +36,18 @@
 use recorder::{Recorder, record};
 pub use verdict::{FleetTotals, Invariant, Options, Verdict, Violation};
 
-/// Unix time at the moment 0 of a run, microseconds.
+/// Unix time of a run's start, microseconds.
 const EPOCH_US: u64 = 1_790_000_000_000_000;
-/// After the load, until all must be quiet, microseconds.
-const QUIET_US: u64 = 4_000_000;
-/// When the first client comes, microseconds.
+/// Time from the end of the load to the end of the run, when nodes must hold nothing, microseconds.
+const QUIET_PERIOD_US: u64 = 4_000_000;
+/// Time of the first request, microseconds.
 const FIRST_REQUEST_US: u64 = 10_000;
-/// Events of one run, at most: more is a loop.
+/// Maximum number of events of a run; a run with more is taken for an endless loop.
 const MAX_STEPS: u64 = 20_000_000;
-/// The port of all servers.
+/// Port of all servers.
 const SERVER_PORT: u16 = 6_379;
 
-/// Plays a plan.
+/// Runs a plan to its end.
 pub fn run(plan: &Plan, options: Options) -> Verdict {
     let mut simulation = Simulation::new(plan, options);
     simulation.begin();
@@ -55,14 +55,14 @@
     simulation.finish()
 }
 
-/// A run.
+/// State of a run.
 struct Simulation<'a> {
     plan: &'a Plan,
     options: Options,
     queue: EventQueue<Event>,
     rng: Rand64,
     nodes: Vec<Node>,
-    /// The origin is the last.
+    /// The caches in the order of their indexes, then the origin.
     servers: Vec<Server>,
     discovery: Discovery,
     streams: HashMap<StreamId, Stream>,
@@ -70,17 +70,17 @@
     requests: Vec<ClientRequest>,
     recorder: Recorder,
     violations: Vec<Violation>,
-    /// Faults of these kinds in force.
+    /// Number of faults in force of these kinds: `Impatient`, `Crowd` and `NoDiscovery`.
     impatience_faults: u32,
     crowd_faults: u32,
     discovery_faults: u32,
     totals: FleetTotals,
-    /// Attempts whose clients left before a server received them, and when.
+    /// Attempts whose clients left before a server received them, with the time when they left.
     abandoned: HashMap<String, u64>,
     /// Attempts that a server has received.
     received: HashSet<String>,
     steps: u64,
-    /// The value that edits carry.
+    /// Value of all edits.
     value: String,
     value_digest: String,
 }
@@ -95,7 +95,7 @@
             queue: EventQueue::new(),
             rng: Rand64::new(u128::from(plan.seed) ^ 0x5eed),
             nodes: (0..plan.nodes).map(|node| Node::new(plan, node)).collect(),
-            discovery: Discovery::of(&servers),
+            discovery: Discovery::new(&servers),
             servers,
             streams: HashMap::new(),
             next_stream: 1,
@@ -137,7 +137,7 @@
     }
 
     fn end_us(&self) -> u64 {
-        self.plan.load_duration_us + QUIET_US
+        self.plan.load_duration_us + QUIET_PERIOD_US
     }
 
     fn play(&mut self) {
@@ -145,7 +145,7 @@
         while let Some(event) = self.queue.next_until(end) {
             self.steps += 1;
             if self.steps > MAX_STEPS {
-                self.violate(Invariant::Termination, format!("{MAX_STEPS} steps"));
+                self.record_violation(Invariant::Termination, format!("more than {MAX_STEPS} events"));
                 break;
             }
             self.handle_event(event);
@@ -172,7 +172,7 @@
             Event::AnswerTimeout { request, attempt } => self.answer_timeout(request, attempt),
             Event::Fault { fault, begins } => self.apply_fault(fault, begins),
             Event::StartNode(node) => {
-                // The end of a fault may have started it already.
+                // The end of a fault may have started the node already.
                 if self.nodes[node].core.is_none() {
                     self.start_node(node);
                 }
@@ -211,7 +211,7 @@
         self.queue.now()
     }
 
-    /// Schedules an event, now at the earliest.
+    /// Schedules an event; one in the past is scheduled for now.
     fn schedule(&mut self, at: u64, event: Event) {
         self.queue.schedule(at.max(self.now()), event);
     }
@@ -224,27 +224,27 @@
         self.recorder.add(self.queue.now(), record);
     }
 
-    /// Draws a delay of the network.
+    /// Draws a network delay, microseconds.
     fn draw_delay(&mut self) -> u64 {
         let (shortest, longest) = self.plan.delay_us;
         self.rng.rand_range(shortest..longest.max(shortest) + 1)
     }
 
-    /// Draws whether something of a probability happens; no number is drawn for what never does.
+    /// Returns `true` with the given probability. Draws no number if the probability is 0.
     fn draw_chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.rand_float() < probability
     }
 
-    /// Streams of some kind, in the order in which they were opened.
-    fn streams_where(&self, is_wanted: impl Fn(&Stream) -> bool) -> Vec<StreamId> {
-        let wanted = self.streams.iter().filter(|(_, stream)| is_wanted(stream));
-        let mut ids: Vec<StreamId> = wanted.map(|(id, _)| *id).collect();
+    /// Returns the streams that match, in the order in which they were opened.
+    fn streams_where(&self, matches: impl Fn(&Stream) -> bool) -> Vec<StreamId> {
+        let matching = self.streams.iter().filter(|(_, stream)| matches(stream));
+        let mut ids: Vec<StreamId> = matching.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
     }
 }
 
-/// The caches and the origin of a plan, each cache with its part of the keys.
+/// Creates the caches and the origin of a plan. All caches hold the same keys at the beginning.
 fn servers_of(plan: &Plan) -> Vec<Server> {
     let address = |network: u8, number: usize| {
         let host = Ipv4Addr::new(10, network, (number / 200) as u8, (number % 200 + 1) as u8);
--- a/crates/stonevane-sim/src/simulation/network.rs
+++ b/crates/stonevane-sim/src/simulation/network.rs
@@ -1,4 +1,4 @@
-//! The network: streams at the node's end, and what is on its way.
+//! The network: opens, accepts and closes streams at the node's end, and delivers chunks at both ends.
 
 use std::net::SocketAddr;
 
@@ -8,12 +8,12 @@
 use super::event::Event;
 use crate::stream::{Chunk, Peer, Stream, StreamId};
 
-/// Pieces of one write that are cut off its front, at most.
+/// Maximum number of pieces that are cut off the front of a write.
 const MAX_PIECES: usize = 6;
-/// A machine takes the rest of a write late by up to this, microseconds.
+/// Upper bound of the delay with which a machine takes the last piece of a write, microseconds.
 const MAX_FLUSH_DELAY_US: u64 = 20_000;
-/// What a node reads at once before it writes a request.
-const READ_BEFORE_WRITE: usize = 4_096;
+/// Maximum number of bytes that a node reads at once before it writes a request.
+const READ_BEFORE_WRITE_BYTES: usize = 4_096;
 
 impl Simulation<'_> {
     pub(super) fn open_stream(&mut self, stream: Stream) -> StreamId {
@@ -39,7 +39,7 @@
         self.schedule(at, Event::DeliverToPeer(id, chunk));
     }
 
-    /// Bytes as they travel: in one piece or several.
+    /// Splits bytes into the pieces in which they arrive, one or several.
     pub(super) fn fragment(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
         if bytes.len() < 2 || !self.draw_chance(self.plan.fragmented_share) {
             return vec![bytes.to_vec()];
@@ -58,7 +58,7 @@
         pieces
     }
 
-    /// A node opens a connection to a server.
+    /// Opens a node's connection to a server.
     pub(super) fn open_server_connection(&mut self, node: usize, connection: ConnId, address: SocketAddr) {
         let number = self.servers.iter().position(|server| server.address == address).unwrap_or(0);
         let incarnation = self.nodes[node].incarnation;
@@ -69,7 +69,7 @@
             let is_counted = |stream: &&Stream| {
                 stream.peer == peer && stream.has_server_slot && stream.is_node_open && stream.is_peer_open
             };
-            // The new one is counted already.
+            // The count includes the new stream.
             let has_server_slot = self.streams.values().filter(is_counted).count() <= slots;
             self.streams.entry(id).and_modify(|stream| stream.has_server_slot = has_server_slot);
         }
@@ -82,12 +82,12 @@
         }
     }
 
-    /// A connection to a server is established, or refused.
+    /// Reports to a node that its connection to a server is established or refused.
     pub(super) fn server_connected(&mut self, id: StreamId, is_accepted: bool) {
         let Some(stream) = self.streams.get(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, connection) = (stream.node, stream.connection);
         if self.nodes[node].is_paused {
-            return self.nodes[node].missed.push(Event::Connected { stream: id, is_accepted });
+            return self.nodes[node].deferred.push(Event::Connected { stream: id, is_accepted });
         }
         if is_accepted {
             return self.feed(node, Input::Opened(connection));
@@ -97,23 +97,23 @@
         self.feed(node, Input::Closed(connection));
     }
 
-    /// A client's connection reaches a node's machine.
+    /// Adds a client's connection to a node's backlog, or closes it if the node's process no longer listens.
     pub(super) fn client_connects(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, incarnation) = (stream.node, stream.incarnation);
-        let reached = &mut self.nodes[node];
-        if reached.incarnation != incarnation || !reached.is_listening {
+        let target = &mut self.nodes[node];
+        if target.incarnation != incarnation || !target.is_listening {
             return self.close_node_end(id);
         }
-        reached.backlog.push_back(id);
-        if !reached.is_paused {
+        target.backlog.push_back(id);
+        if !target.is_paused {
             let mut outputs = Outputs::new();
             self.accept_backlog(node, &mut outputs);
             self.perform(node, outputs);
         }
     }
 
-    /// A node writes to a connection; its machine may take the last piece late.
+    /// Writes a node's bytes to a connection. The node's machine may take the last piece late.
     pub(super) fn node_writes(
         &mut self,
         node: usize,
@@ -123,7 +123,7 @@
     ) {
         let Some(id) = self.nodes[node].streams.get(&connection).copied() else { return };
         if self.streams.get(&id).is_none_or(|stream| !stream.is_peer_open) {
-            // The write fails, as the peer is gone already.
+            // The write fails because the peer has closed its end.
             return self.node_end_closed(node, connection, id, outputs);
         }
         let mut pieces = self.fragment(bytes);
@@ -138,15 +138,15 @@
             let delay = self.rng.rand_range(1..MAX_FLUSH_DELAY_US);
             return self.schedule_in(delay, Event::Flushed(id));
         }
-        self.feed_more(node, Input::Flushed(connection), outputs);
+        self.feed_into(node, Input::Flushed(connection), outputs);
     }
 
-    /// A node's machine takes the rest of what it wrote.
+    /// Sends the last piece of a write that the node's machine took late.
     pub(super) fn flushed(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_mut(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, connection) = (stream.node, stream.connection);
         if self.nodes[node].is_paused {
-            return self.nodes[node].missed.push(Event::Flushed(id));
+            return self.nodes[node].deferred.push(Event::Flushed(id));
         }
         if let Some(rest) = stream.unflushed.take() {
             self.send_to_peer(id, Chunk::Bytes(rest));
@@ -154,7 +154,7 @@
         self.feed(node, Input::Flushed(connection));
     }
 
-    /// Something arrives at a node.
+    /// Delivers a chunk to a node.
     pub(super) fn deliver_to_node(&mut self, id: StreamId, chunk: Chunk) {
         let Some(stream) = self.streams.get_mut(&id).filter(|stream| stream.is_node_open) else { return };
         match chunk {
@@ -164,7 +164,7 @@
             Chunk::End | Chunk::Reset => stream.is_end_received = true,
         }
         let (node, connection) = (stream.node, stream.connection);
-        // The machine keeps what comes before the process has accepted the stream, or while it is paused.
+        // The machine buffers the chunk until the process has accepted the stream and isn't paused.
         if connection == 0 || self.nodes[node].is_paused {
             return;
         }
@@ -173,7 +173,7 @@
         self.perform(node, outputs);
     }
 
-    /// A node reads what has come, as much of it as it wants.
+    /// Feeds a node the unread bytes of a stream, up to its read budget, and then the end of the stream.
     pub(super) fn read(&mut self, node: usize, id: StreamId, outputs: &mut Outputs) {
         loop {
             let Some(stream) = self.streams.get_mut(&id).filter(|stream| stream.is_node_open) else { return };
@@ -182,32 +182,38 @@
                 return;
             }
             let Some(core) = &mut self.nodes[node].core else { return };
-            let wanted = core.read_budget(connection);
-            if wanted == 0 {
+            let budget = core.read_budget(connection);
+            if budget == 0 {
                 return;
             }
             if stream.node_inbox.is_empty() {
                 return self.node_end_closed(node, connection, id, outputs);
             }
-            let length = wanted.min(stream.node_inbox.len());
+            let length = budget.min(stream.node_inbox.len());
             let bytes: Vec<u8> = stream.node_inbox.drain(..length).collect();
-            self.feed_more(node, Input::Bytes(connection, &bytes), outputs);
-            // What the node says to that is done before it reads on.
+            self.feed_into(node, Input::Bytes(connection, &bytes), outputs);
+            // The node's outputs are performed before it reads more.
             if !outputs.is_empty() {
-                let due = std::mem::take(outputs);
-                self.perform(node, due);
+                let pending = std::mem::take(outputs);
+                self.perform(node, pending);
             }
         }
     }
 
-    /// Whether a connection has nothing to read; where it has, the node is given that, or the connection's end.
-    pub(super) fn is_drained(&mut self, node: usize, connection: ConnId, outputs: &mut Outputs) -> bool {
+    /// Returns whether a connection has nothing to read. If it has, feeds the node the unread bytes or the
+    /// end of the connection.
+    pub(super) fn check_nothing_unread(
+        &mut self,
+        node: usize,
+        connection: ConnId,
+        outputs: &mut Outputs,
+    ) -> bool {
         let Some(id) = self.nodes[node].streams.get(&connection).copied() else { return false };
         let Some(stream) = self.streams.get_mut(&id) else { return false };
         if !stream.node_inbox.is_empty() {
-            let length = stream.node_inbox.len().min(READ_BEFORE_WRITE);
+            let length = stream.node_inbox.len().min(READ_BEFORE_WRITE_BYTES);
             let bytes: Vec<u8> = stream.node_inbox.drain(..length).collect();
-            self.feed_more(node, Input::Bytes(connection, &bytes), outputs);
+            self.feed_into(node, Input::Bytes(connection, &bytes), outputs);
             return false;
         }
         if stream.is_end_received {
@@ -217,14 +223,14 @@
         true
     }
 
-    /// Closes the node's end, and gives the node the connection's end.
+    /// Closes the node's end, and reports the connection's end to the node.
     fn node_end_closed(&mut self, node: usize, connection: ConnId, id: StreamId, outputs: &mut Outputs) {
         self.nodes[node].streams.remove(&connection);
         self.close_node_end(id);
-        self.feed_more(node, Input::Closed(connection), outputs);
+        self.feed_into(node, Input::Closed(connection), outputs);
     }
 
-    /// Closes the node's end of a stream; one that is closed at both ends is gone.
+    /// Closes the node's end of a stream, and removes the stream if both ends are closed.
     pub(super) fn close_node_end(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         if std::mem::replace(&mut stream.is_node_open, false) && stream.is_peer_open {
@@ -234,7 +240,7 @@
         }
     }
 
-    /// A half-closed stream has ended, or was read for long enough.
+    /// Closes a half-closed stream whose peer has closed too, or whose read time is over.
     pub(super) fn half_close_expired(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, connection) = (stream.node, stream.connection);
@@ -243,7 +249,7 @@
         self.feed(node, Input::Closed(connection));
     }
 
-    /// Something arrives at the peer's end.
+    /// Delivers a chunk to the peer's end.
     pub(super) fn deliver_to_peer(&mut self, id: StreamId, chunk: Chunk) {
         let now = self.now();
         let Some(stream) = self.streams.get_mut(&id).filter(|stream| stream.is_peer_open) else { return };
@@ -263,7 +269,7 @@
         }
     }
 
-    /// The node has closed its end: the peer closes too.
+    /// Closes the peer's end after the node's.
     fn peer_end_closed(&mut self, id: StreamId, is_reset: bool) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.is_peer_open = false;
@@ -277,7 +283,7 @@
         };
         let peer = stream.peer;
         if stream.is_node_open {
-            // The node reads on until its client closes too.
+            // The node has closed only its writing side, and waits for the peer's end.
             self.send_to_node(id, Chunk::End);
         } else {
             self.streams.remove(&id);
@@ -288,15 +294,15 @@
     }
 }
 
-/// A client's stream that its node has closed.
+/// A client's stream that the node has closed.
 pub struct ClosedStream {
     pub id: StreamId,
     pub node: usize,
     /// Requests without an answer.
     pub in_flight: Vec<usize>,
-    /// A request that was not sent yet.
+    /// A request that was not yet sent.
     pub waiting_request: Option<usize>,
-    /// Whether a request was answered on it.
+    /// Whether a request was answered on the stream.
     pub was_used: bool,
     pub is_reset: bool,
 }
--- a/crates/stonevane-sim/src/simulation/node.rs
+++ b/crates/stonevane-sim/src/simulation/node.rs
@@ -1,4 +1,4 @@
-//! Nodes: processes that run the core, each with a clock of its own.
+//! Nodes: processes that run the core, each with its own clock.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,55 +15,55 @@
 use crate::plan::Plan;
 use crate::stream::{Chunk, StreamId};
 
-/// Where discovery listens, as nodes are set to.
+/// Discovery's address in the nodes' settings.
 const DISCOVERY_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 4, 0, 1), 8_500);
-/// A process wakes late with this probability, by up to so many microseconds.
+/// Probability that a process wakes late, and the upper bound of the delay, microseconds.
 const LATE_WAKE_PROBABILITY: f64 = 0.2;
 const MAX_LATE_WAKE_US: u64 = 3_000;
-/// Parts in a million.
+/// Denominator of clock drifts in parts per million.
 const PPM: i64 = 1_000_000;
 
-/// A watch of discovery.
+/// A node's open watch at discovery.
 #[derive(Clone, Copy)]
 pub struct Watch {
-    /// The call that began it.
+    /// The node's number of the call that opened the watch.
     pub epoch: u64,
-    /// The version that the node knows.
+    /// The list version that the node has, or that is on its way to it.
     pub version: u64,
 }
 
-/// A node.
+/// State of a node.
 pub struct Node {
-    /// `None` while it has no process.
+    /// The process's core; `None` while there is no process.
     pub core: Option<Core<Option<Mutant>>>,
     pub incarnation: u64,
-    /// In any of its incarnations.
+    /// Whether any incarnation has called discovery.
     pub has_called_discovery: bool,
     pub is_paused: bool,
-    /// What happened while it was paused.
-    pub missed: Vec<Event>,
-    /// When it is woken next.
+    /// Events that came while the process was paused, to be handled when it resumes.
+    pub deferred: Vec<Event>,
+    /// Time of the latest scheduled wake, microseconds; `u64::MAX` before the first.
     pub wake_at: u64,
-    /// Its streams, by the core's ids.
+    /// Accepted and opened streams, by the core's connection ids.
     pub streams: HashMap<ConnId, StreamId>,
-    /// Those that the machine has accepted and the process has not.
+    /// Streams that the machine has accepted and the process has not.
     pub backlog: VecDeque<StreamId>,
     pub is_listening: bool,
-    /// The last moment at which a watch event arrives: they keep their order.
+    /// Time of the latest watch event's delivery; later events are not delivered before it.
     pub last_watch_delivery: u64,
     pub watch: Option<Watch>,
-    /// Its process has ended by itself.
+    /// Whether the process has exited by itself.
     pub has_ended: bool,
-    /// It was sent SIGTERM.
+    /// Whether the process was sent SIGTERM.
     pub is_terminating: bool,
-    /// How much its clock runs too fast, parts in a million.
+    /// Drift of the clock, parts per million; positive if it runs fast.
     drift_ppm: i64,
-    /// Clients' connections that may be used again, the last used last.
+    /// Idle client connections, the most recently used last.
     pub idle_clients: Vec<StreamId>,
 }
 
 impl Node {
-    /// One without a process.
+    /// Creates a node without a process.
     pub fn new(plan: &Plan, node: usize) -> Node {
         let drift = plan.clock_drifts.get(node).copied().unwrap_or(0.0);
         Node {
@@ -71,7 +71,7 @@
             incarnation: 0,
             has_called_discovery: false,
             is_paused: false,
-            missed: Vec::new(),
+            deferred: Vec::new(),
             wake_at: u64::MAX,
             streams: HashMap::new(),
             backlog: VecDeque::new(),
@@ -85,18 +85,18 @@
         }
     }
 
-    /// Its clock at a simulated moment, Unix time in microseconds.
+    /// Returns the node's clock at a simulated time, Unix time in microseconds.
     fn clock(&self, now: u64) -> u64 {
         (EPOCH_US + now).saturating_add_signed(now as i64 * self.drift_ppm / PPM)
     }
 
-    /// The simulated moment at which its clock shows a time; rounded up, so that the time has come then.
-    fn moment_of(&self, clock: u64) -> u64 {
+    /// Returns the simulated time at which the node's clock has reached `clock`, rounded up.
+    fn simulated_time_of(&self, clock: u64) -> u64 {
         let elapsed = u128::from(clock.saturating_sub(EPOCH_US));
         (elapsed * PPM as u128 / (PPM + self.drift_ppm).max(1) as u128) as u64 + 1
     }
 
-    /// Whether a process of some incarnation still runs.
+    /// Whether the process of this incarnation still runs.
     pub fn runs(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation && self.core.is_some()
     }
@@ -113,7 +113,7 @@
         self.record(HistoryRecord { node: name(node), state, ..record("lab", RecordedEvent::Node) });
     }
 
-    /// Starts a process, with the list of the run's beginning.
+    /// Starts a node's process with the server list of the run's beginning as its cached list.
     pub(super) fn start_node(&mut self, node: usize) {
         let plan = self.plan;
         let config = CoreConfig {
@@ -121,7 +121,7 @@
             seed: plan.seed ^ (self.nodes[node].incarnation << 32) ^ node as u64,
             max_sockets: plan.max_sockets,
             memory_mb: plan.memory_mb,
-            cached_list: Discovery::of(&self.servers).list_after(0, EPOCH_US),
+            cached_list: Discovery::new(&self.servers).list_after(0, EPOCH_US),
             discovery: DISCOVERY_ADDRESS.into(),
             clients: operator::Clients::default(),
             servers: operator::Servers::default(),
@@ -146,7 +146,7 @@
         self.feed(node, Input::Wake);
     }
 
-    /// A node's process has ended; what it had open is closed.
+    /// Ends a node's process and closes its streams; those of a killed process are reset.
     pub(super) fn stop_node(&mut self, node: usize, state: &str) {
         self.record_node_state(node, state);
         let stopped = &mut self.nodes[node];
@@ -154,7 +154,7 @@
         stopped.is_listening = false;
         stopped.is_paused = false;
         stopped.watch = None;
-        stopped.missed.clear();
+        stopped.deferred.clear();
         let accepted = stopped.streams.drain().map(|(_, stream)| stream);
         let mut streams: Vec<StreamId> = accepted.chain(stopped.backlog.drain(..)).collect();
         streams.sort_unstable();
@@ -170,45 +170,45 @@
         }
     }
 
-    /// Gives a node an input, and does what it says.
+    /// Feeds a node an input and performs its outputs.
     pub(super) fn feed(&mut self, node: usize, input: Input<'_>) {
         let mut outputs = Outputs::new();
         if self.nodes[node].core.is_some() {
-            self.feed_more(node, input, &mut outputs);
+            self.feed_into(node, input, &mut outputs);
             self.perform(node, outputs);
         }
     }
 
-    /// Gives a node an input whose outputs are performed with those before it.
-    pub(super) fn feed_more(&mut self, node: usize, input: Input<'_>, outputs: &mut Outputs) {
+    /// Feeds a node an input and appends its outputs to `outputs`, which the caller performs.
+    pub(super) fn feed_into(&mut self, node: usize, input: Input<'_>, outputs: &mut Outputs) {
         let clock = self.nodes[node].clock(self.now());
         if let Some(core) = &mut self.nodes[node].core {
             core.handle(clock, input, outputs);
         }
     }
 
-    /// A node's timer is due.
+    /// Handles a node's scheduled wake, unless it is obsolete.
     pub(super) fn wake_node(&mut self, node: usize, incarnation: u64) {
         if !self.nodes[node].runs(incarnation) {
             return;
         }
         if self.nodes[node].is_paused {
-            return self.nodes[node].missed.push(Event::Wake { node, incarnation });
+            return self.nodes[node].deferred.push(Event::Wake { node, incarnation });
         }
         if self.nodes[node].wake_at <= self.now() {
             self.feed(node, Input::Wake);
         }
     }
 
-    /// Schedules a node's next wake, where it is earlier than the one that is scheduled.
+    /// Schedules a node's next wake if it is earlier than the scheduled one.
     pub(super) fn schedule_wake(&mut self, node: usize) {
         let now = self.now();
-        let waiting = &self.nodes[node];
-        let Some(timer) = waiting.core.as_ref().and_then(Core::next_timeout) else { return };
-        let due = waiting.moment_of(timer).max(now);
-        let (wake_at, incarnation) = (waiting.wake_at, waiting.incarnation);
+        let state = &self.nodes[node];
+        let Some(timer) = state.core.as_ref().and_then(Core::next_timeout) else { return };
+        let due = state.simulated_time_of(timer).max(now);
+        let (wake_at, incarnation) = (state.wake_at, state.incarnation);
         if due < wake_at || wake_at <= now {
-            // A process that wakes late hears of other things before.
+            // A process that wakes late handles other events first.
             let is_late = self.draw_chance(LATE_WAKE_PROBABILITY);
             let due = if is_late { due + self.rng.rand_range(0..MAX_LATE_WAKE_US) } else { due };
             self.nodes[node].wake_at = due;
@@ -216,27 +216,28 @@
         }
     }
 
-    /// A process is paused, or goes on.
+    /// Pauses or resumes a node's process.
     pub(super) fn pause_node(&mut self, node: usize, begins: bool) {
-        // What was sent just before the pause is read after it.
+        // A server may read an attempt that was sent before the pause only after it.
         self.abandoned.clear();
         if self.nodes[node].core.is_none() {
             return;
         }
         self.nodes[node].is_paused = begins;
         if begins {
-            // What clients wait for meanwhile is not the node's to answer: they leave.
+            // The node can't answer during the pause, so clients disconnect.
             for stream in self.streams_where(|stream| stream.node == node && stream.is_open_client()) {
-                self.leave(stream);
+                self.disconnect_client(stream);
             }
         } else {
             self.resume_node(node);
         }
     }
 
-    /// After a pause all that is due is due at once, and what has come is read.
+    /// Resumes a process: handles the deferred events and due timers, then reads streams and accepts the
+    /// backlog.
     fn resume_node(&mut self, node: usize) {
-        for event in std::mem::take(&mut self.nodes[node].missed) {
+        for event in std::mem::take(&mut self.nodes[node].deferred) {
             self.handle_event(event);
         }
         self.feed(node, Input::Wake);
--- a/crates/stonevane-sim/src/simulation/outputs.rs
+++ b/crates/stonevane-sim/src/simulation/outputs.rs
@@ -1,4 +1,4 @@
-//! The core's outputs, performed.
+//! Performs the core's outputs.
 
 use stonevane_core::{
     ConnId, Core, DiscoveryCall as CoreCall, DiscoveryRequest, Input, LogLine, Output, Outputs,
@@ -8,15 +8,16 @@
 use super::{Invariant, Simulation};
 use crate::stream::Chunk;
 
-/// How long a node reads on after it has closed its writing side, microseconds.
+/// Time for which a node keeps a stream open after it has closed its writing side, microseconds.
 const HALF_CLOSE_US: u64 = 200_000;
-/// How long a node that has ended stays away, microseconds.
+/// Delay between a node's exit and its restart, microseconds.
 const RESTART_DELAY_US: u64 = 300_000;
-/// How long a call to discovery is under way, microseconds.
+/// Time from a node's call until it reaches discovery, microseconds.
 const DISCOVERY_CALL_US: u64 = 150_000;
 
 impl Simulation<'_> {
-    /// Does what a node says, until it says nothing more.
+    /// Performs a node's outputs until there are no more, and then checks its invariants and schedules its
+    /// next wake.
     pub(super) fn perform(&mut self, node: usize, mut outputs: Outputs) {
         loop {
             if outputs.is_empty() {
@@ -35,12 +36,13 @@
 
     fn perform_output(&mut self, node: usize, output: Output, outputs: &mut Outputs) {
         match output {
-            // A simulated client that hears of the end behind its answer hears of it a moment later.
+            // Performed as a plain write: the core closes the connection once the answer is flushed, so the
+            // client sees the end of the stream a moment later.
             Output::WriteAndClose(connection, bytes) | Output::Write(connection, bytes) => {
                 self.node_writes(node, connection, &bytes, outputs);
             }
             Output::WriteRequest { id: connection, bytes, .. } => {
-                if self.is_drained(node, connection, outputs) {
+                if self.check_nothing_unread(node, connection, outputs) {
                     self.node_writes(node, connection, &bytes, outputs);
                 }
             }
@@ -65,7 +67,7 @@
                 }
             }
             Output::Done => self.nodes[node].has_ended = true,
-            Output::Log(LogLine::Error(what)) => self.violate(Invariant::NoErrorLogged, what),
+            Output::Log(LogLine::Error(message)) => self.record_violation(Invariant::NoErrorLogged, message),
             Output::Log(LogLine::Info(_))
             | Output::Replaced
             | Output::CallStore(..)
@@ -74,13 +76,13 @@
     }
 
     fn close_if_idle(&mut self, node: usize, connection: ConnId, outputs: &mut Outputs) {
-        let is_wanted = self.nodes[node].core.as_ref().is_some_and(|core| core.is_closing(connection));
-        if is_wanted
-            && self.is_drained(node, connection, outputs)
+        let is_closing = self.nodes[node].core.as_ref().is_some_and(|core| core.is_closing(connection));
+        if is_closing
+            && self.check_nothing_unread(node, connection, outputs)
             && let Some(stream) = self.nodes[node].streams.remove(&connection)
         {
             self.close_node_end(stream);
-            self.feed_more(node, Input::Closed(connection), outputs);
+            self.feed_into(node, Input::Closed(connection), outputs);
         }
     }
 
@@ -101,13 +103,13 @@
             caller.watch = None;
             return;
         }
-        // A watch goes on beside a fetch of the list; a new watch takes its place.
+        // A fetch of the list leaves the watch open; a new watch replaces it.
         caller.watch = caller.watch.filter(|_| request == DiscoveryRequest::FetchList);
         let call = DiscoveryCall { node, incarnation: caller.incarnation, epoch: call.epoch };
         self.schedule_in(DISCOVERY_CALL_US, Event::DiscoveryCallArrived(call, request));
     }
 
-    /// The process accepts connections that wait with its machine, as many as it wants.
+    /// Accepts connections from the backlog as long as the core accepts them.
     pub(super) fn accept_backlog(&mut self, node: usize, outputs: &mut Outputs) {
         while self.nodes[node].core.as_ref().is_some_and(Core::accepts) {
             let Some(id) = self.nodes[node].backlog.pop_front() else { return };
@@ -120,7 +122,7 @@
                 stream.connection = connection;
             }
             self.nodes[node].streams.insert(connection, id);
-            self.feed_more(node, Input::Accepted(connection), outputs);
+            self.feed_into(node, Input::Accepted(connection), outputs);
             self.read(node, id, outputs);
             if let Some(request) = self.streams.get_mut(&id).and_then(|stream| stream.waiting_request.take())
             {
--- a/crates/stonevane-sim/src/simulation/recorder.rs
+++ b/crates/stonevane-sim/src/simulation/recorder.rs
@@ -1,14 +1,14 @@
-//! The history of a run: each record goes to the auditor, into the digest and, where it is kept, into the text.
+//! The history of a run. Each record goes to the auditor, into the digest and, if it is kept, into the text.
 
 use stonevane_audit::{Auditor, Event, HistoryRecord, Outcome, Report, Rules, TimeInterval};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A record with nothing but its recorder and event.
+/// Creates a record with only its recorder and event set.
 pub fn record(recorder: &str, event: Event) -> HistoryRecord {
     HistoryRecord { recorder: recorder.into(), event, ..HistoryRecord::default() }
 }
 
-/// Takes the records of a run.
+/// Recorder of a run's history.
 pub struct Recorder {
     auditor: Auditor,
     lines: usize,
@@ -25,7 +25,7 @@
 }
 
 impl Recorder {
-    /// Begins a history with its rules.
+    /// Begins a history that is audited by `rules`; `keeps_text` is whether its lines are kept.
     pub fn new(rules: &Rules, keeps_text: bool) -> Recorder {
         let auditor = Auditor::new(rules.clone());
         let mut recorder = Recorder { auditor, lines: 1, digest: 0, keeps_text, text: String::new() };
@@ -37,7 +37,7 @@
         recorder
     }
 
-    /// Notes what happens now.
+    /// Records an event at the time `now`, in simulated microseconds.
     pub fn add(&mut self, now: u64, record: HistoryRecord) {
         let record = HistoryRecord { time: TimeInterval { earliest: now, latest: now }, ..record };
         self.lines += 1;
@@ -48,21 +48,21 @@
         self.auditor.handle_record(self.lines, record);
     }
 
-    /// Ends the history.
+    /// Ends the history and returns its audit, digest and text.
     pub fn finish(self) -> Recording {
         Recording { report: self.auditor.finish(), digest: self.digest, text: self.text }
     }
 }
 
-/// The digest's input; digests of earlier versions stay comparable only while it has this very form.
+/// Returns the digest's input for a record. Any change here breaks comparison with earlier versions' digests.
 fn digested(now: u64, record: &HistoryRecord) -> String {
     let event = record.event as u8;
-    let facts = (now, event, &record.request, &record.node, &record.value, record.number);
+    let fields = (now, event, &record.request, &record.node, &record.value, record.number);
     let outcome = match record.outcome {
         None => "None",
         Some(Outcome::Served) => "Some(Served)",
         Some(Outcome::Rejected) => "Some(Refused)",
         Some(Outcome::Failed) => "Some(Failed)",
     };
-    format!("{facts:?}{}{}{outcome}", record.recorder, record.state)
+    format!("{fields:?}{}{}{outcome}", record.recorder, record.state)
 }
--- a/crates/stonevane-sim/src/simulation/servers.rs
+++ b/crates/stonevane-sim/src/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Servers' ends of streams: requests come, are worked on and answered, well or badly.
+//! The servers' ends of streams: reads requests, schedules their work and sends answers, correct or faulty.
 
 use stonevane_audit::{Effect, Event as RecordedEvent, HistoryRecord, TimeInterval};
 use stonevane_server_model::value::padded;
@@ -10,9 +10,9 @@
 use crate::server::{COLD_SHARE, Server, WARM_UP_US, Work};
 use crate::stream::{Chunk, Peer, StreamId};
 
-/// A request whose client has left while it waited is not forwarded so much later, microseconds.
+/// Longest time after a client left within which a node may still forward its request, microseconds.
 const FORWARD_AFTER_LEAVE_US: u64 = 300_000;
-/// A server sends bytes behind an answer within this, microseconds.
+/// Upper bound of the delay between an answer and extra bytes after it, microseconds.
 const MAX_EXTRA_BYTES_DELAY_US: u64 = 3_000;
 
 impl Simulation<'_> {
@@ -29,7 +29,7 @@
         self.record(start);
     }
 
-    /// A server reads the requests that have come on a stream.
+    /// Reads the requests that have arrived on a server's stream, and schedules their answers.
     pub(super) fn server_reads(&mut self, id: StreamId, server: usize) {
         while self.servers[server].is_reading() {
             let now = self.now();
@@ -41,7 +41,8 @@
                 Ok(Some(request)) => request,
                 Ok(None) => return,
                 Err(error) => {
-                    return self.violate(Invariant::ServerProtocol, format!("node {node} sent {error}"));
+                    return self
+                        .record_violation(Invariant::ServerProtocol, format!("node {node} sent {error}"));
                 }
             };
             stream.peer_inbox_since = now;
@@ -55,26 +56,26 @@
         }
     }
 
-    /// Checks that an attempt's client had not left long before its first byte came.
+    /// Checks that the client had not left long before the attempt's first byte arrived.
     fn check_forwarded(&mut self, id: &str, first_byte_at: u64) {
         let left_at = self.abandoned.remove(id);
         if let Some(left_at) = left_at.filter(|left_at| first_byte_at > left_at + FORWARD_AFTER_LEAVE_US) {
-            let late = first_byte_at - left_at;
-            let what = format!("{id} was sent on {late} us after its client left");
-            self.violate(Invariant::NoForwardAfterLeave, what);
+            let late_us = first_byte_at - left_at;
+            let detail = format!("{id} was forwarded {late_us} us after its client left");
+            self.record_violation(Invariant::NoForwardAfterLeave, detail);
         }
         self.received.insert(id.to_owned());
     }
 
     fn begin_work(&mut self, server: usize, request: &ServerRequest, has_slot: bool) -> Work {
         let now = self.now();
-        let serving = &mut self.servers[server];
-        let work = if has_slot { serving.handle(now, request) } else { serving.reject(now) };
-        let is_origin = serving.is_origin;
+        let target = &mut self.servers[server];
+        let work = if has_slot { target.handle(now, request) } else { target.reject(now) };
+        let is_origin = target.is_origin;
         self.totals.origin_requests += u64::from(is_origin);
         self.totals.origin_rejected += u64::from(!has_slot);
         if is_origin && request.is_write && work.effect == Effect::Ran {
-            // Copies that caches make from now on are new.
+            // Caches drop their copies, so each later fetch returns the new version.
             for cache in self.servers.iter_mut().filter(|server| !server.is_origin) {
                 cache.versions.remove(&request.key);
             }
@@ -108,7 +109,7 @@
         self.record(attempt);
     }
 
-    /// A server's work is done: it answers, unless its process or the stream has ended meanwhile.
+    /// Answers a request whose work is done, unless the process or the stream has ended since.
     pub(super) fn work_done(&mut self, id: StreamId, incarnation: u64, request: &ServerRequest, work: &Work) {
         let Some(stream) = self.streams.get(&id) else { return };
         let Peer::Server(number) = stream.peer else { return };
@@ -117,9 +118,9 @@
         if server.incarnation != incarnation || !server.is_up || !is_open {
             return;
         }
-        let is_torn = server.tears_next_answer();
+        let is_truncated = server.truncates_next_answer();
         let version = match server.is_origin && !request.is_write {
-            // What the origin holds when it answers.
+            // The origin answers a read with the version that it holds at that time.
             true => server.versions.get(&request.key).copied().unwrap_or(0),
             false => work.version,
         };
@@ -129,7 +130,7 @@
             format!("{key}.{version}.{request}.{server}.{attempt}")
         });
         let is_silent = server.is_silent || server.is_unreachable;
-        let is_intact = !(is_torn || is_silent || server.is_garbling);
+        let is_intact = !(is_truncated || is_silent || server.corrupts_answers);
         self.record_reply(number, request, work, value.as_deref().filter(|_| is_intact), version, is_intact);
         if is_silent {
             return;
@@ -141,7 +142,7 @@
         }
         let value = value.map(|value| padded(&value, self.plan.value_bytes));
         let bytes = protocol::answer(request, work.effect, value.as_deref());
-        self.send_answer(id, number, bytes, is_torn);
+        self.send_answer(id, number, bytes, is_truncated);
     }
 
     fn record_reply(
@@ -164,22 +165,23 @@
         self.record(reply);
     }
 
-    /// Sends an answer, as badly as the server's faults have it.
-    fn send_answer(&mut self, id: StreamId, server: usize, mut bytes: Vec<u8>, is_torn: bool) {
-        let (is_origin, is_noisy) = (self.servers[server].is_origin, self.servers[server].is_noisy);
-        if self.servers[server].is_garbling {
+    /// Sends an answer, with the server's faults applied.
+    fn send_answer(&mut self, id: StreamId, server: usize, mut bytes: Vec<u8>, is_truncated: bool) {
+        let (is_origin, sends_extra_bytes) =
+            (self.servers[server].is_origin, self.servers[server].sends_extra_bytes);
+        if self.servers[server].corrupts_answers {
             let position = self.rng.rand_range(0..bytes.len() as u64) as usize;
             bytes[position] = bytes[position].wrapping_add(1 + self.rng.rand_range(0..200) as u8);
             bytes.insert(0, b'?');
         }
-        if is_torn {
+        if is_truncated {
             bytes.truncate(if is_origin { 0 } else { bytes.len() / 2 });
             if !bytes.is_empty() {
                 self.server_writes(id, &bytes);
             }
             return self.close_peer_end(id);
         }
-        if is_noisy {
+        if sends_extra_bytes {
             let delay = self.rng.rand_range(0..MAX_EXTRA_BYTES_DELAY_US);
             self.schedule_in(delay, Event::ExtraBytes(id, bytes.clone()));
         }
@@ -205,8 +207,8 @@
         self.send_to_node(id, Chunk::End);
     }
 
-    /// All connections to a server are reset.
-    pub(super) fn reset_connections(&mut self, server: usize) {
+    /// Closes all connections to a server at its end.
+    pub(super) fn close_connections(&mut self, server: usize) {
         let peer = Peer::Server(server);
         for id in self.streams_where(|stream| stream.peer == peer && stream.is_peer_open) {
             self.close_peer_end(id);
--- a/crates/stonevane-sim/src/simulation/settings.rs
+++ b/crates/stonevane-sim/src/simulation/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a simulated fleet, and the rules that it is audited by.
+//! Settings of the simulated nodes, and the auditor's rules.
 
 use stonevane_audit::{ClassRule, DedupScope, Idempotency, OriginRule, Rules};
 use stonevane_policy::settings::Deployment;
@@ -8,17 +8,17 @@
 use crate::plan::Plan;
 use crate::server::{COLD_SHARE, DEDUP_WINDOW_US, WARM_UP_US};
 
-/// Attempts of a node for a request, at most.
+/// Maximum number of a node's attempts for a request.
 const MAX_ATTEMPTS: u32 = 4;
-/// How long after SIGTERM a request may come in whose answer is waited for, microseconds.
-const TERM_ACCEPT_US: u64 = 450_000;
-/// How long a list may be out of date: the platform allows a large fleet more, microseconds.
+/// Time after SIGTERM within which a node may still accept a request and wait for its answer, microseconds.
+const TERM_ACCEPT_WINDOW_US: u64 = 450_000;
+/// Staleness limit of server lists, microseconds; the platform allows a large fleet more.
 const LIST_STALENESS_US: u64 = 6_000_000;
 const LARGE_FLEET_LIST_STALENESS_US: u64 = 10_000_000;
-/// Connections that a node opens to a server, at most.
-const MAX_OPEN: usize = 1_024;
+/// Maximum number of a node's open connections to a server.
+const MAX_SERVER_CONNECTIONS: usize = 1_024;
 
-/// The auditor's rules.
+/// Returns the auditor's rules.
 pub fn rules() -> Rules {
     let class = |kind: &RequestKind| ClassRule {
         name: kind.name.into(),
@@ -33,8 +33,9 @@
     Rules {
         classes: REQUEST_KINDS.iter().map(class).collect(),
         origin: OriginRule { capacity_us_per_s: 4e6, ..OriginRule::default() },
-        // A kill while a request that was accepted after SIGTERM may be waited for is the plan's doing.
-        kill_grace_us: TERM_ACCEPT_US + REQUEST_KINDS[READ].deadline_us,
+        // A plan may kill a node that still waits for a request accepted after SIGTERM, which is no fault of
+        // the node.
+        kill_grace_us: TERM_ACCEPT_WINDOW_US + REQUEST_KINDS[READ].deadline_us,
         shutdown_limit_us: 3_200_000,
         max_attempts: MAX_ATTEMPTS,
         ..Rules::default()
@@ -56,7 +57,7 @@
     }
 }
 
-/// A node's deployment.
+/// Returns the settings of a node, by its index.
 pub fn deployment(plan: &Plan, node: usize) -> Deployment {
     let is_large = plan.discovery_call_us.is_some();
     let settings = Settings {
@@ -78,16 +79,16 @@
         drain_grace: 500_000,
         ..Settings::default()
     };
-    let names = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
+    let owned = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect::<Vec<_>>();
     Deployment {
         settings,
         classes: REQUEST_KINDS.iter().map(|kind| kind.name.to_owned()).collect(),
-        tenants: names(&["all"]),
-        zones: names(&["a"]),
-        machine_types: names(&["cache", "origin"]),
+        tenants: owned(&["all"]),
+        zones: owned(&["a"]),
+        machine_types: owned(&["cache", "origin"]),
         load_metric_names: Vec::new(),
         connect_timeout: 100_000,
         idle_close: 10_000_000,
-        max_open: MAX_OPEN,
+        max_open: MAX_SERVER_CONNECTIONS,
     }
 }
--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -1,4 +1,4 @@
-//! How a run is made, and what it showed.
+//! Options and result of a run.
 
 use std::fmt;
 
@@ -6,61 +6,61 @@
 use stonevane_audit::Report;
 use stonevane_core::Mutant;
 
-/// How a run is made.
+/// Options of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Options {
-    /// What the core does wrong on purpose.
+    /// A deliberate bug of the core (mutation testing).
     pub mutant: Option<Mutant>,
     /// Whether the history is kept as text.
     pub history: bool,
 }
 
-/// Totals over the fleet.
+/// Counters over the whole fleet and run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct FleetTotals {
-    /// Connections opened to servers.
+    /// Connections that nodes opened to servers.
     pub connections_opened: u64,
-    /// Requests to the origin.
+    /// Requests that the origin read.
     pub origin_requests: u64,
-    /// Of these, those that found no slot in its connection table.
+    /// Requests rejected because their connection had no slot in the origin's connection table.
     pub origin_rejected: u64,
-    /// Calls to discovery.
+    /// Calls that reached discovery.
     pub discovery_calls: u64,
-    /// Of these, those that were answered.
+    /// Calls that discovery answered.
     pub discovery_answers: u64,
 }
 
-/// What must hold in each run, beside the auditor's rules.
+/// Invariants of a run, checked in addition to the auditor's rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// A run ends: events don't cause one another without an end.
+    /// A run ends: events don't schedule one another forever.
     Termination,
-    /// A node holds nothing when all is quiet.
+    /// A node holds no requests, attempts or memory at the end of the run.
     NoLeftovers,
     /// Clients are served again after the last fault.
     Progress,
     /// A node logs no error.
     NoErrorLogged,
-    /// A node knows each of its connections.
+    /// A node's core tracks as many connections as the node has streams.
     Connections,
-    /// A node stays within its descriptors.
+    /// A node stays within its limit of descriptors.
     Descriptors,
-    /// Each unanswered request is owned by one client.
+    /// Each unanswered request has exactly one claimed id, and an entry in the request table.
     Owners,
-    /// Timers grow with what is open only.
+    /// The number of a node's timers is bounded by its open requests, attempts and connections.
     Timers,
-    /// A node stays within its memory.
+    /// A node stays within its memory limit.
     Memory,
-    /// Servers understand what nodes send.
+    /// Servers can parse what nodes send.
     ServerProtocol,
-    /// A request isn't forwarded long after its client left.
+    /// A request is not forwarded long after its client left.
     NoForwardAfterLeave,
-    /// Clients understand what nodes send.
+    /// Clients can parse what nodes send.
     ClientProtocol,
 }
 
 impl Invariant {
-    /// The word by which it is reported.
+    /// Returns the invariant's name in reports.
     pub fn name(self) -> &'static str {
         match self {
             Invariant::Termination => "endless",
@@ -79,20 +79,20 @@
     }
 }
 
-/// An invariant that was broken.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which one.
+    /// The invariant that was violated.
     pub invariant: Invariant,
-    /// What happened.
-    pub what: String,
-    /// When, in simulated microseconds.
+    /// Details: the node or request concerned, and the measured values.
+    pub detail: String,
+    /// Simulated time, microseconds.
     pub at_us: u64,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}, at {} us", self.invariant.name(), self.what, self.at_us)
+        write!(f, "{}: {}, at {} us", self.invariant.name(), self.detail, self.at_us)
     }
 }
 
@@ -102,36 +102,37 @@
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Clone)]
 pub struct Verdict {
     /// The auditor's report.
     pub report: Report,
-    /// Invariants that were broken, the first violation of each.
+    /// Violated invariants, with the first violation of each.
     pub violations: Vec<Violation>,
-    /// Requests that clients had.
+    /// Number of requests that clients generated.
     pub requests: usize,
-    /// Of these, those that were served.
+    /// Number of requests that were served.
     pub served: usize,
-    /// Totals over the fleet.
+    /// Counters over the whole fleet.
     pub totals: FleetTotals,
-    /// Events of the simulation.
+    /// Number of simulated events.
     pub steps: u64,
     /// Simulated time, microseconds.
     pub simulated_us: u64,
-    /// A digest of the history.
+    /// Digest of the history.
     pub digest: u64,
-    /// The history, where it was to be kept.
+    /// Text of the history, one JSON record per line; empty unless [`Options::history`] is set.
     pub history: String,
 }
 
 impl Verdict {
-    /// Whether all holds.
+    /// Whether the auditor found no violation and no server fault, and all invariants held.
     pub fn holds(&self) -> bool {
         self.report.holds() && self.report.faulty == 0 && self.violations.is_empty()
     }
 
-    /// What failed, in one word: a code of the auditor's or the name of an invariant.
+    /// Returns the failure's code: the auditor's code of the first finding or server fault, or the name of
+    /// the first violated invariant; `None` if the run holds.
     pub fn code(&self) -> Option<String> {
         let finding = self.report.findings.first().map(|finding| finding.code.to_owned());
         let fault = self.report.faults.first().map(|fault| format!("stand-in:{}", fault.code));
--- a/crates/stonevane-sim/src/stream.rs
+++ b/crates/stonevane-sim/src/stream.rs
@@ -1,59 +1,62 @@
-//! Streams between a node and a client or server: bytes arrive in order, in one piece or several, and then the end.
+//! Streams between a node and a client or server. Bytes arrive in order, in one piece or several, before the
+//! end of the stream.
 
 use std::collections::VecDeque;
 
 use bytes::BytesMut;
 use stonevane_core::ConnId;
 
-/// Names a stream.
+/// Identifier of a stream, unique within a run.
 pub type StreamId = u64;
 
-/// Who is at the other end of a node's connection.
+/// Peer at the other end of a node's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Peer {
     /// A client.
     Client,
-    /// A server, by its number; the origin is the last.
+    /// A server, by its index; the origin has the last one.
     Server(usize),
 }
 
-/// A stream, with its node's end and its peer's, and what has arrived at each and was not read yet.
+/// A stream: the state of the node's end and of the peer's end, with the unread bytes at each.
 pub struct Stream {
     pub node: usize,
-    /// Which incarnation of the node it is to.
+    /// The node's incarnation that the stream belongs to.
     pub incarnation: u64,
-    /// The node's own id for it; 0 until the node has accepted it.
+    /// The node's id of the connection; 0 until the node has accepted it.
     pub connection: ConnId,
     pub peer: Peer,
     pub is_node_open: bool,
     pub is_peer_open: bool,
-    /// Whether the server's connection table had a slot for it.
+    /// Whether the stream has a slot in the server's connection table; requests on a stream without one are
+    /// rejected.
     pub has_server_slot: bool,
-    /// The node has closed its writing side, and reads on for a moment.
+    /// Whether the node has closed its writing side and discards what still arrives.
     pub is_half_closed: bool,
-    /// What the node wrote and its machine has not taken yet; lost where the node closes before.
+    /// Written bytes that the node's machine has not taken yet; lost if the node closes first.
     pub unflushed: Option<Vec<u8>>,
-    /// The last moment at which anything is delivered to each end: a stream keeps its order.
+    /// Time of the latest delivery scheduled to each end; later chunks are not delivered before it, which
+    /// keeps the order.
     pub last_delivery_to_node: u64,
     pub last_delivery_to_peer: u64,
-    /// What has arrived at the node and is not read, and whether the end has.
+    /// Bytes that arrived at the node and are unread, and whether the end of the stream has arrived.
     pub node_inbox: Vec<u8>,
     pub is_end_received: bool,
-    /// What has arrived at the peer and is not a complete message, and when its first byte came.
+    /// Bytes of an incomplete message at the peer, and the time when its first byte came.
     pub peer_inbox: BytesMut,
     pub peer_inbox_since: u64,
-    /// A client's requests that await their answers, in their order.
+    /// A client's requests without an answer, in the order in which they were sent.
     pub in_flight: VecDeque<usize>,
-    /// The last request that was answered on it.
+    /// The last request that was answered on the stream.
     pub last_answered: Option<usize>,
-    /// Its client says nothing.
+    /// Whether the client never sends a request.
     pub is_silent: bool,
-    /// A client's request that is sent as soon as the node has accepted the stream.
+    /// A client's request to be sent as soon as the node accepts the stream.
     pub waiting_request: Option<usize>,
 }
 
 impl Stream {
-    /// One that is open at both ends.
+    /// Creates a stream that is open at both ends.
     pub fn new(node: usize, incarnation: u64, connection: ConnId, peer: Peer) -> Stream {
         Stream {
             node,
@@ -80,19 +83,19 @@
 }
 
 impl Stream {
-    /// Whether it is a client's that the client has not closed.
+    /// Whether the peer is a client that has not closed its end.
     pub fn is_open_client(&self) -> bool {
         self.peer == Peer::Client && self.is_peer_open
     }
 }
 
-/// What is delivered.
+/// A delivery on a stream.
 #[derive(Debug, Clone)]
 pub enum Chunk {
     /// Bytes.
     Bytes(Vec<u8>),
     /// The end of the stream.
     End,
-    /// The end, as the process was killed.
+    /// The end of the stream, because the process was killed.
     Reset,
 }
--- a/crates/stonevane-sim/tests/behavior_digest.rs
+++ b/crates/stonevane-sim/tests/behavior_digest.rs
@@ -1,5 +1,6 @@
-//! Guards against a refactoring that changes what nodes do: the histories of simulated fleets of the very core, each as
-//! one number. A change of behavior on purpose changes them; the commit that does so says why.
+//! Guards against an unintended change in the behavior of nodes: compares a digest of the history per seed,
+//! with the daemon's own core in the simulated nodes. An intended change updates the digests, and its commit
+//! says why.
 #![allow(missing_docs)]
 
 use stonevane_sim::{Options, Plan, run};
@@ -12,7 +13,7 @@
     assert_eq!(digests, EXPECTED);
 }
 
-/// Histories of the seeds from 1 on, as `stonevane sim replay SEED` prints them.
+/// Digests of the histories, by seed from 1 on, as `stonevane sim replay SEED` prints them.
 const EXPECTED: [&str; 16] = [
     "92d873ca232f6798",
     "65f8c8d80c2c30a2",
--- a/crates/stonevane-sim/tests/members.rs
+++ b/crates/stonevane-sim/tests/members.rs
@@ -1,4 +1,5 @@
-//! Membership in simulated fleets: thousands of seeds hold, each mutant is found.
+//! Membership in simulated fleets: no rule is broken over thousands of seeds, and each mutant but one is
+//! found.
 #![allow(missing_docs)]
 
 use std::sync::Mutex;
@@ -7,7 +8,7 @@
 use stonevane_membership::Mutant;
 use stonevane_sim::members::{MemberOptions, MemberPlan, TimedBreach, play, shrink_members};
 
-/// Plays seeds on all cores; those that fail.
+/// Runs the plans of seeds on all cores and returns the seeds that fail, each with its first rule violation.
 fn failing(seeds: std::ops::Range<u64>, mutant: Option<Mutant>, first_only: bool) -> Vec<(u64, String)> {
     let next = AtomicU64::new(seeds.start);
     let failed = Mutex::new(Vec::new());
@@ -19,7 +20,7 @@
             }
             let verdict = play(&MemberPlan::generate(seed), MemberOptions { mutant });
             if let Some(TimedBreach { at_us, breach }) = verdict.breaches.first() {
-                let what = format!(
+                let description = format!(
                     "{} at {} s: n{} of n{}: {}",
                     breach.code,
                     at_us / 1_000_000,
@@ -27,7 +28,7 @@
                     breach.member,
                     breach.what
                 );
-                failed.lock().unwrap().push((seed, what));
+                failed.lock().unwrap().push((seed, description));
             }
         }
     };
@@ -39,16 +40,16 @@
 }
 
 #[test]
-fn drawn_faults_break_no_rule() {
+fn the_correct_machine_breaks_no_rule_over_two_thousand_seeds() {
     let failed = failing(1..2_001, None, false);
     assert!(failed.is_empty(), "{} seeds: {:#?}", failed.len(), &failed[..failed.len().min(10)]);
 }
 
 #[test]
-fn each_mutant_is_found_within_forty_seeds() {
+fn each_mutant_but_replays_is_found_within_forty_seeds() {
     for (mutant, name, _) in Mutant::ALL {
         let found = failing(1..41, Some(mutant), true);
-        // Sent again, an old datagram changes nothing: its window and the order of lives refuse it.
+        // A replayed datagram has no effect: the replay window and the order of incarnations reject it.
         assert_eq!(found.is_empty(), mutant == Mutant::Replays, "{name}: {found:?}");
     }
 }
@@ -63,6 +64,6 @@
     let failing =
         (1..41).map(MemberPlan::generate).find(|plan| !play(plan, options).holds() && plan.faults.len() > 2);
     let plan = failing.unwrap();
-    let (small, code) = shrink_members(&plan, options, 200).unwrap();
-    assert!(small.faults.len() < plan.faults.len() && play(&small, options).code() == Some(code));
+    let (shrunk, code) = shrink_members(&plan, options, 200).unwrap();
+    assert!(shrunk.faults.len() < plan.faults.len() && play(&shrunk, options).code() == Some(code));
 }
--- a/crates/stonevane-sim/tests/members_digest.rs
+++ b/crates/stonevane-sim/tests/members_digest.rs
@@ -1,5 +1,5 @@
-//! Guards against a refactoring that changes what members or their network do: the datagrams of simulated fleets, each
-//! as one number. A change of behavior on purpose changes them; the commit that does so says why.
+//! Guards against an unintended change in the behavior of members or their simulated network: compares a
+//! digest of all datagrams per seed. An intended change updates the digests, and its commit says why.
 #![allow(missing_docs)]
 
 use stonevane_sim::members::{MemberOptions, MemberPlan, play};
@@ -12,7 +12,7 @@
     assert_eq!(digests, EXPECTED);
 }
 
-/// Datagrams of the seeds from 1 on.
+/// Digests of the datagrams, by seed from 1 on.
 const EXPECTED: [&str; 48] = [
     "f05741402381dba9",
     "2c658471c764800a",
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -1,4 +1,5 @@
-//! The simulated fleet: the correct core holds, each deliberate fault is found, and a run can be repeated to the byte.
+//! The simulated fleet: the correct core holds, each mutant is found, and the same plan gives the same run to
+//! the byte.
 #![allow(missing_docs)]
 
 use std::path::Path;
@@ -6,14 +7,14 @@
 
 use stonevane_sim::{Fault, FaultKind, Mutant, MutantInfo, Options, Plan, Verdict, run, shrink};
 
-/// Seeds that the correct core holds over here; the command plays more.
-const SEEDS: u64 = 2_000;
-/// The seed on which a command of 60 KB is read 72 ms after it was sent, and answered as late.
-const LATE_READ: u64 = 256;
-/// Seeds within which each mutant is found.
-const WITHIN: u64 = 40;
+/// Number of seeds that the correct core is run with; the `sim` command runs more.
+const SEED_COUNT: u64 = 2_000;
+/// Seed with which a command of 60 KB is read only 72 ms after it was sent, so its answer counts as late.
+const LATE_READ_SEED: u64 = 256;
+/// Number of seeds within which each mutant is found.
+const MUTANT_SEED_COUNT: u64 = 40;
 
-/// Plays seeds on all cores; those that fail.
+/// Runs the plans of seeds on all cores and returns the seeds that fail, with their verdicts.
 fn failing(seeds: impl IntoIterator<Item = u64>, options: Options) -> Vec<(u64, Verdict)> {
     let seeds: Vec<u64> = seeds.into_iter().collect();
     let next = AtomicU64::new(0);
@@ -38,50 +39,50 @@
 
 #[test]
 fn the_correct_core_holds_over_all_seeds() {
-    holds_over((1..=SEEDS).filter(|seed| *seed != LATE_READ));
+    assert_holds((1..=SEED_COUNT).filter(|seed| *seed != LATE_READ_SEED));
 }
 
 #[test]
 fn the_correct_core_holds_where_a_long_command_is_read_late() {
-    holds_over([LATE_READ]);
+    assert_holds([LATE_READ_SEED]);
 }
 
-fn holds_over(seeds: impl IntoIterator<Item = u64>) {
+fn assert_holds(seeds: impl IntoIterator<Item = u64>) {
     let failed = failing(seeds, Options::default());
-    let told: Vec<_> =
+    let failures: Vec<_> =
         failed.iter().map(|(seed, verdict)| (seed, verdict.code(), &verdict.violations)).collect();
-    assert!(told.is_empty(), "{} fail: {:?}", told.len(), &told[..told.len().min(5)]);
+    assert!(failures.is_empty(), "{} seeds fail: {:?}", failures.len(), &failures[..failures.len().min(5)]);
 }
 
 #[test]
 fn every_mutant_is_found_within_forty_seeds() {
     for MutantInfo { mutant, name, .. } in Mutant::ALL {
         let options = Options { mutant: Some(mutant), history: false };
-        let found = (1..=WITHIN).any(|seed| !run(&Plan::generate(seed), options).holds());
-        assert!(found, "{name} is not found in {WITHIN} seeds");
+        let found = (1..=MUTANT_SEED_COUNT).any(|seed| !run(&Plan::generate(seed), options).holds());
+        assert!(found, "{name} is not found in {MUTANT_SEED_COUNT} seeds");
     }
 }
 
 #[test]
-fn a_forward_after_its_client_left_is_found_as_just_that() {
+fn a_request_forwarded_after_its_client_left_violates_left_sent() {
     let options = Options { mutant: Some(Mutant::ForgetGone), history: false };
-    let told = |seed| {
+    let violates_left_sent = |seed| {
         run(&Plan::generate(seed), options)
             .violations
             .iter()
-            .any(|what| what.to_string().starts_with("left-sent:"))
+            .any(|violation| violation.to_string().starts_with("left-sent:"))
     };
-    assert!((1..=WITHIN).any(told));
+    assert!((1..=MUTANT_SEED_COUNT).any(violates_left_sent));
 }
 
 #[test]
-fn the_same_seed_is_the_same_history_to_the_byte() {
+fn the_same_seed_gives_the_same_history_to_the_byte() {
     let options = Options { mutant: None, history: true };
     for seed in [1, 7, 23] {
         let (one, other) = (run(&Plan::generate(seed), options), run(&Plan::generate(seed), options));
         assert!(one.history == other.history && one.digest == other.digest, "seed {seed}");
         assert!(one.history.lines().count() > 100);
-        // And what the auditor reads of it is the verdict that was given.
+        // Auditing the text of the history gives the same verdict.
         let read = stonevane_audit::audit(one.history.as_bytes()).unwrap();
         assert_eq!((read.broken, read.requests), (one.report.broken, one.report.requests), "seed {seed}");
     }
@@ -91,17 +92,22 @@
 #[test]
 fn a_plan_that_fails_is_shrunk_to_three_faults_or_fewer_and_fails_in_the_same_way() {
     let options = Options { mutant: Some(Mutant::ForgetDrain), history: false };
-    let seed = (1..=WITHIN).find(|seed| run(&Plan::generate(*seed), options).code().is_some()).unwrap();
+    let seed =
+        (1..=MUTANT_SEED_COUNT).find(|seed| run(&Plan::generate(*seed), options).code().is_some()).unwrap();
     let plan = Plan::generate(seed);
     let shrunk = shrink(&plan, options, 300).unwrap();
     assert!(shrunk.plan.faults.len() <= 3 && shrunk.plan.nodes <= plan.nodes, "{}", shrunk.plan.to_json());
     let again = Plan::parse(&shrunk.plan.to_json()).unwrap();
-    assert_eq!(again, shrunk.plan, "it is read back as it was");
+    assert_eq!(again, shrunk.plan, "the plan survives a round trip through JSON");
     assert_eq!(run(&again, options).code(), Some(shrunk.code));
-    assert!(shrink(&Plan { faults: Vec::new(), ..plan }, Options::default(), 10).is_none(), "one that holds");
+    assert!(
+        shrink(&Plan { faults: Vec::new(), ..plan }, Options::default(), 10).is_none(),
+        "a plan that holds is not shrunk"
+    );
 }
 
-/// Large fleets in a mass restart, with a lost zone, a mass replacement and bad servers, by few seeds.
+/// Guards against overload of the origin or discovery by a large fleet: a few seeds with a mass restart, a
+/// lost zone, a mass replacement of caches and faulty caches.
 #[test]
 fn a_large_fleet_keeps_the_rules_and_its_totals_within_bounds() {
     let large = |seed: u64| (seed, run(&Plan::generate_large(seed), Options::default()));
@@ -110,22 +116,22 @@
         threads.into_iter().map(|thread| thread.join().unwrap()).collect()
     });
     for (seed, verdict) in seeds {
-        let (sums, part) = (verdict.totals, verdict.served as f64 / verdict.requests as f64);
-        println!("seed {seed}: {part:.3} of {} served, {sums:?}", verdict.requests);
+        let (totals, served_share) = (verdict.totals, verdict.served as f64 / verdict.requests as f64);
+        println!("seed {seed}: {served_share:.3} of {} requests served, {totals:?}", verdict.requests);
         assert!(verdict.holds(), "seed {seed}: {:?}, {:?}", verdict.report.findings, verdict.violations);
         assert!(
-            sums.origin_rejected * 10 < sums.origin_requests,
-            "seed {seed}: the origin turns many away: {sums:?}"
+            totals.origin_rejected * 10 < totals.origin_requests,
+            "seed {seed}: the origin rejects many requests: {totals:?}"
         );
         assert!(
-            sums.discovery_answers * 3 > sums.discovery_calls,
-            "seed {seed}: discovery answers few calls: {sums:?}"
+            totals.discovery_answers * 3 > totals.discovery_calls,
+            "seed {seed}: discovery answers few calls: {totals:?}"
         );
     }
 }
 
-/// A quiet fleet of one node, for cases that are made up.
-fn quiet(faults: Vec<Fault>) -> Plan {
+/// Plan of a fleet of one node with the given faults only.
+fn single_node_plan(faults: Vec<Fault>) -> Plan {
     Plan {
         seed: 5,
         nodes: 1,
@@ -151,8 +157,8 @@
 }
 
 #[test]
-fn a_pause_a_fast_clock_and_a_replaced_cache_leave_nothing_behind() {
-    let fault = |at, lasts, what| Fault { start_us: at, duration_us: lasts, kind: what };
+fn a_pause_a_fast_clock_and_a_replaced_cache_leave_nothing_open() {
+    let fault = |start_us, duration_us, kind| Fault { start_us, duration_us, kind };
     let faults = vec![
         fault(1_000_000, 2_500_000, FaultKind::PauseNode { node: 0 }),
         fault(1_200_000, 400_000, FaultKind::ReplaceCache { cache: 1 }),
@@ -160,8 +166,8 @@
         fault(1_600_000, 700_000, FaultKind::TermNode { node: 0 }),
         fault(2_900_000, 100_000, FaultKind::StallOrigin),
     ];
-    for clock in [0.0, 0.1] {
-        let plan = Plan { clock_drifts: vec![clock], ..quiet(faults.clone()) };
+    for drift in [0.0, 0.1] {
+        let plan = Plan { clock_drifts: vec![drift], ..single_node_plan(faults.clone()) };
         let verdict = run(&plan, Options::default());
         assert!(verdict.holds(), "{:?} {:?}", verdict.violations, verdict.report.findings.first());
         assert!(verdict.served * 10 > verdict.requests * 6, "{} of {}", verdict.served, verdict.requests);
@@ -169,29 +175,29 @@
 }
 
 #[test]
-fn a_plan_that_cannot_be_played_says_what_is_wrong_with_it() {
-    let good = quiet(Vec::new()).to_json();
-    let (none, node) =
+fn the_error_of_an_invalid_plan_names_the_field_or_fault() {
+    let valid = single_node_plan(Vec::new()).to_json();
+    let (no_faults, unknown_node) =
         ("\"faults\": []", "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"kill-node\", \"node\": 4}]");
-    let dance = "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"dance\"}]";
-    for (from, to, said) in [
-        ("\"nodes\": 1", "\"nodes\": 0", "`nodes` is 0, and is to be from 1 to 200"),
+    let unknown_kind = "\"faults\": [{\"at\": 1, \"lasts\": 1, \"do\": \"dance\"}]";
+    for (from, to, message) in [
+        ("\"nodes\": 1", "\"nodes\": 0", "`nodes` is 0, but must be from 1 to 200"),
         ("\"keys\": 50", "\"kees\": 50", "unknown field `kees`"),
-        (none, dance, "unknown variant `dance`"),
-        (none, node, "fault 1: there is no such cache or node"),
+        (no_faults, unknown_kind, "unknown variant `dance`"),
+        (no_faults, unknown_node, "fault 1 has a target beyond the plan's `caches` or `nodes`"),
     ] {
-        assert!(good.contains(from), "{good}");
-        let wrong = Plan::parse(&good.replace(from, to)).unwrap_err();
-        assert!(wrong.to_string().contains(said), "{wrong}");
+        assert!(valid.contains(from), "{valid}");
+        let error = Plan::parse(&valid.replace(from, to)).unwrap_err();
+        assert!(error.to_string().contains(message), "{error}");
     }
 }
 
-/// Lines of all sources below a folder that are no comments.
-fn code(folder: &Path, each: &mut impl FnMut(&Path, &str)) {
+/// Calls `each` with every line of the sources below a folder that is not a comment.
+fn for_each_code_line(folder: &Path, each: &mut impl FnMut(&Path, &str)) {
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
         if path.is_dir() {
-            code(&path, each);
+            for_each_code_line(&path, each);
         } else {
             let text = std::fs::read_to_string(&path).unwrap();
             text.lines()
@@ -202,9 +208,9 @@
 }
 
 #[test]
-fn neither_the_core_nor_the_simulator_knows_any_io() {
+fn neither_the_core_nor_the_simulation_does_io() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
-    let (packages, words) = (
+    let (packages, paths) = (
         [
             "tokio",
             "mio",
@@ -228,13 +234,13 @@
     let mut lines = 0;
     for package in ["stonevane-core", "stonevane-server-model", "stonevane-sim"] {
         let manifest = std::fs::read_to_string(root.join(package).join("Cargo.toml")).unwrap();
-        let needs = manifest.split("[dependencies]").nth(1).unwrap().split("\n[").next().unwrap();
+        let dependencies = manifest.split("[dependencies]").nth(1).unwrap().split("\n[").next().unwrap();
         for name in packages {
-            assert!(!needs.lines().any(|line| line.starts_with(name)), "{package} needs {name}");
+            assert!(!dependencies.lines().any(|line| line.starts_with(name)), "{package} depends on {name}");
         }
-        code(&root.join(package).join("src"), &mut |path, line| {
+        for_each_code_line(&root.join(package).join("src"), &mut |path, line| {
             lines += 1;
-            assert!(!words.iter().any(|word| line.contains(word)), "{}: {line}", path.display());
+            assert!(!paths.iter().any(|item| line.contains(item)), "{}: {line}", path.display());
         });
     }
     assert!(lines > 2_000, "{lines} lines were read");
