--- a/crates/stonevane-store/src/breaker.rs
+++ b/crates/stonevane-store/src/breaker.rs
@@ -1,19 +1,19 @@
-//! A breaker before a store that has stopped answering: closed, open, half-open with one probe (M. Nygard,
-//! "Release It!", the circuit breaker). It has no clock: time is an argument.
+//! A circuit breaker before a store: closed, open, and half-open with one probe (M. Nygard, "Release It!").
+//! No I/O, no clock: time is an argument.
 
 /// Microseconds of any clock that only advances.
 pub type Micros = u64;
 
-/// When it trips, and for how long.
+/// Failure threshold and durations of the open state.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Failures in a row, with no answer between them, from which on it is open.
+    /// Failures in a row, with no answer between them, that open the breaker.
     pub failures: u32,
-    /// How long it stays open the first time.
+    /// Duration of the open state after the threshold is reached.
     pub shortest: Micros,
-    /// It stays open for twice as long each time a probe fails, up to this.
+    /// The longest duration of the open state, which doubles with each failed probe.
     pub longest: Micros,
-    /// Part of a wait that is drawn at random on top, so that nodes do not probe in step.
+    /// Fraction of the duration, up to which a random time is added so that nodes do not probe in step.
     pub jitter: f64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// How it stands.
+/// State of the breaker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// Calls pass.
@@ -31,35 +31,35 @@
         /// Failures in a row so far.
         failures: u32,
     },
-    /// No call passes before this moment.
+    /// Calls are rejected.
     Open {
-        /// The moment.
+        /// Time from which a probe may pass.
         until: Micros,
-        /// How long it stays open this time, without the part drawn at random.
+        /// Duration of this open state, without the random part.
         wait: Micros,
     },
-    /// One call is out, and decides.
+    /// One call, the probe, is in progress; others are rejected.
     HalfOpen {
-        /// How long it was open before.
+        /// Duration of the preceding open state, without the random part.
         wait: Micros,
     },
 }
 
-/// What it says of a call.
+/// The breaker's decision on a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Word {
-    /// It may pass.
+    /// The call may pass.
     Pass,
-    /// It may pass, and decides for those after it.
+    /// The call may pass as the probe: its outcome closes the breaker or opens it again.
     Probe,
-    /// It may not, and not before this time has passed.
+    /// The call is rejected.
     Refuse {
-        /// The time, microseconds.
+        /// Time after which another call may be tried, microseconds.
         retry_after: Micros,
     },
 }
 
-/// A breaker.
+/// A circuit breaker.
 #[derive(Debug, Clone)]
 pub struct Breaker {
     limits: Limits,
@@ -67,17 +67,17 @@
 }
 
 impl Breaker {
-    /// A closed one.
+    /// A closed breaker without failures.
     pub fn new(limits: Limits) -> Self {
         Breaker { limits, state: State::Closed { failures: 0 } }
     }
 
-    /// How it stands.
+    /// The present state. An open breaker becomes half-open only with the next [`Breaker::call`].
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether a call may pass now.
+    /// Decides whether a call may pass now.
     pub fn call(&mut self, now: Micros) -> Word {
         match self.state {
             State::Closed { .. } => Word::Pass,
@@ -86,40 +86,40 @@
                 Word::Probe
             }
             State::Open { until, .. } => Word::Refuse { retry_after: until - now },
-            // The probe is out; what it will say is known in about the time that was waited for.
+            // The outcome of the probe is expected within about the duration of the last open state.
             State::HalfOpen { wait } => Word::Refuse { retry_after: wait.max(1) },
         }
     }
 
-    /// A call was answered, whatever the answer.
+    /// A call was answered, with a value or with an error.
     pub fn answered(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// A call was not answered in time, or its connection was lost. `drawn` is a random number from 0 to 1.
-    pub fn failed(&mut self, now: Micros, drawn: f64) {
+    /// A call was not answered in time, or its connection was lost. `random` is a random number from 0 to 1.
+    pub fn failed(&mut self, now: Micros, random: f64) {
         match self.state {
             State::Closed { failures } if failures + 1 < self.limits.failures => {
                 self.state = State::Closed { failures: failures + 1 };
             }
-            State::Closed { .. } => self.open(now, self.limits.shortest, drawn),
+            State::Closed { .. } => self.open(now, self.limits.shortest, random),
             State::HalfOpen { wait } => {
-                self.open(now, wait.saturating_mul(2).min(self.limits.longest), drawn);
+                self.open(now, wait.saturating_mul(2).min(self.limits.longest), random);
             }
-            // A call that had passed before it opened: nothing new.
+            // The call began before the breaker opened, so its failure adds nothing.
             State::Open { .. } => {}
         }
     }
 
-    /// The probe was given up before it could tell: the next call probes anew.
+    /// The probe was abandoned before its outcome was known: the next call is the probe.
     pub fn abandoned(&mut self, now: Micros) {
         if let State::HalfOpen { wait } = self.state {
             self.state = State::Open { until: now, wait };
         }
     }
 
-    fn open(&mut self, now: Micros, wait: Micros, drawn: f64) {
-        let drawn = (wait as f64 * self.limits.jitter * drawn.clamp(0.0, 1.0)) as Micros;
-        self.state = State::Open { until: now.saturating_add(wait).saturating_add(drawn), wait };
+    fn open(&mut self, now: Micros, wait: Micros, random: f64) {
+        let jitter = (wait as f64 * self.limits.jitter * random.clamp(0.0, 1.0)) as Micros;
+        self.state = State::Open { until: now.saturating_add(wait).saturating_add(jitter), wait };
     }
 }
--- a/crates/stonevane-store/src/contract.rs
+++ b/crates/stonevane-store/src/contract.rs
@@ -1,4 +1,4 @@
-//! What a store of record does, and how it fails.
+//! The contract of a store of record: its operations, its types and its errors.
 
 use std::fmt;
 use std::future::Future;
@@ -6,141 +6,146 @@
 
 use tokio::sync::mpsc;
 
-/// A call to a store, under way.
-pub type Call<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
+/// The future of a call to a store.
+pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
-/// What every store of record does. Dropping a call gives it up: an edit that was begun may be done all the same.
+/// The operations of a store of record. Dropping a call's future abandons the call; an edit that has begun
+/// may still be applied.
 pub trait Store: Send + Sync {
-    /// What the store holds for a key.
-    fn get<'a>(&'a self, key: &'a str) -> Call<'a, Option<Zone>>;
+    /// Reads the zone of a key; `None` where the store has no such key.
+    fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<Zone>>;
 
-    /// Carries an edit out, once for its idempotency key; the receipt comes after the commit.
-    /// [`StoreError::proves_not_done`] tells whether one that failed may be sent again.
-    fn edit(&self, edit: Edit) -> Call<'_, Receipt>;
+    /// Applies an edit, once per idempotency key. The receipt is returned after the commit.
+    /// [`StoreError::proves_not_done`] states whether a failed edit may be sent again.
+    fn edit(&self, edit: Edit) -> StoreFuture<'_, Receipt>;
 
-    /// What changed after a version, the oldest first, so many at the most.
-    fn changes(&self, after: u64, most: usize) -> Call<'_, Vec<Change>>;
+    /// Reads at most `limit` keys that changed after version `after`, oldest change first.
+    fn changes(&self, after: u64, limit: usize) -> StoreFuture<'_, Vec<Change>>;
 
-    /// What it holds, in figures.
-    fn figures(&self) -> Call<'_, Figures>;
+    /// Reads the store's version and its numbers of entries.
+    fn figures(&self) -> StoreFuture<'_, Figures>;
 
-    /// How many calls it has answered so far, with whatever answer: one that answers others has not stopped.
+    /// Number of calls that the store has answered so far, errors included. While it grows, the store has not
+    /// stopped, even if some calls time out.
     fn answered(&self) -> u64;
 
-    /// Tells of each change from now on, also of those that other programs make, until the receiver is dropped; a key
-    /// that changed several times while it could not be reached is told once, with its newest version. `None` where
-    /// the store tells nobody.
+    /// Subscribes to all changes from now on, including those of other programs, until the receiver is
+    /// dropped. A key that changed several times while the store was unreachable is reported once, with its
+    /// newest version. `None` where the store does not announce changes.
     fn follow(&self) -> Option<mpsc::Receiver<Change>> {
         None
     }
 }
 
-/// What a store holds, in figures.
+/// The version of a store and its numbers of entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Figures {
-    /// The newest version: edits so far.
+    /// The newest version, which equals the number of edits so far.
     pub version: u64,
-    /// Keys that it holds.
+    /// Number of keys.
     pub zones: u64,
-    /// Idempotency keys that it remembers, those included that wait to be swept.
+    /// Number of recorded idempotency keys, including expired ones that have not been deleted yet.
     pub tokens: u64,
 }
 
-/// The longest key, in bytes; keys are UTF-8 with no control characters.
-pub const MAX_KEY: usize = 512;
+/// The longest key, in bytes. Keys are UTF-8 without control characters.
+pub const MAX_KEY_BYTES: usize = 512;
 /// The longest value, in bytes.
-pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_VALUE_BYTES: usize = 64 * 1024;
 /// The longest idempotency key, in bytes.
-pub const MAX_TOKEN: usize = 512;
+pub const MAX_TOKEN_BYTES: usize = 512;
 
 /// A zone as the store holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
-    /// Its key.
+    /// The key, at most [`MAX_KEY_BYTES`] long.
     pub key: String,
-    /// Its value.
+    /// The value, at most [`MAX_VALUE_BYTES`] long.
     pub value: Vec<u8>,
-    /// The version of the store at which it last changed: over all keys, each edit has its own.
+    /// The store's version at the zone's last change. Versions count all edits of the store, so no two edits
+    /// share one.
     pub version: u64,
-    /// When, Unix time in milliseconds.
+    /// Time of the last change, Unix time in milliseconds.
     pub edited_at: u64,
 }
 
-/// An edit.
+/// An edit: sets the value of one key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Edit {
-    /// The key that changes.
+    /// The key to set, at most [`MAX_KEY_BYTES`] long.
     pub key: String,
-    /// Its new value.
+    /// The new value, at most [`MAX_VALUE_BYTES`] long.
     pub value: Vec<u8>,
-    /// The idempotency key: a repeat with the same one is given the first receipt, and changes nothing.
+    /// The idempotency key, at most [`MAX_TOKEN_BYTES`] long. A repeat with the same one returns the first
+    /// receipt and changes nothing.
     pub token: Option<String>,
-    /// For how long a repeat must be known, milliseconds.
+    /// Time for which the store remembers the idempotency key, milliseconds.
     pub remember_ms: u64,
 }
 
-/// What an edit is given.
+/// The acknowledgement of a committed edit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Receipt {
-    /// The version that the edit made.
+    /// The version that the edit created.
     pub version: u64,
-    /// Whether this was a repeat, and changed nothing.
+    /// Whether this was a repeat of an earlier edit, and changed nothing.
     pub repeat: bool,
 }
 
-/// A change, for those who follow the store.
+/// A change of a key, as reported to subscribers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The key.
+    /// The key that changed.
     pub key: String,
-    /// Its version.
+    /// The store's version at the change.
     pub version: u64,
 }
 
-/// Why a store did not do what it was asked.
+/// The error of a call to a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The key, value or idempotency key is past its bounds; nothing was done.
+    /// The key, value or idempotency key exceeds its bounds; nothing was done.
     Bounds(&'static str),
-    /// The queue before the store is full, or another process holds it: nothing was done.
+    /// The queue is full, another process locks the file, or the server cancelled or rolled back the
+    /// statement; nothing was done.
     Busy,
-    /// The disk is full: nothing was done.
+    /// The disk is full; nothing was done.
     Full,
     /// The file is damaged.
     Corrupt(String),
-    /// The file is of a newer form than this program knows; it was not touched.
+    /// The schema version is newer than this program supports; the store was not modified.
     Newer {
-        /// The form of the file.
+        /// Schema version of the store.
         found: u32,
-        /// The newest form that is known.
+        /// The newest schema version that this program supports.
         known: u32,
     },
-    /// The file is not a store of this program; it was not touched.
+    /// The file is not a store of this program; it was not modified.
     Foreign,
-    /// An idempotency key was used for another edit.
+    /// The idempotency key was used for another edit.
     Conflict,
-    /// It has stopped answering, and this call was not made: nothing was done.
+    /// The store has stopped answering, so this call was not made; nothing was done.
     Stopped,
-    /// No answer came in time; whether an edit was done is not known.
+    /// No answer arrived in time; whether an edit was applied is unknown.
     TimedOut,
-    /// No connection to it came about: nothing was done.
+    /// No connection to the store could be established; nothing was done.
     Unreachable,
-    /// What answered is a copy that lags behind what this program has receipts for; nothing was done.
+    /// The answer came from a replica that lags behind a receipt that this program holds; nothing was done.
     Behind,
-    /// The store has ended, and whether the edit was done is not known.
+    /// The store closed before it answered; whether an edit was applied is unknown.
     Closed,
-    /// Anything else that the system said.
+    /// Any other error of the system or of the database.
     Io(String),
 }
 
 impl StoreError {
-    /// Whether an edit that ended so has surely not been done.
+    /// Whether an edit that failed with this error was certainly not applied.
     pub fn proves_not_done(&self) -> bool {
         use StoreError::{Closed, Corrupt, Io, TimedOut};
         !matches!(self, Closed | TimedOut | Io(_) | Corrupt(_))
     }
 
-    /// Whether this is a sign that the store has stopped: it gave no answer, where others are answers.
+    /// Whether the store gave no usable answer, which suggests that it has stopped. Other errors are answers.
     pub fn is_silence(&self) -> bool {
         matches!(
             self,
@@ -159,16 +164,17 @@
             StoreError::Newer { found, known } => {
                 write!(
                     f,
-                    "the file is of form {found}, and this program knows forms up to {known}; not touched"
+                    "the store has schema version {found}, and this program supports versions up to {known}; \
+                     it was not modified"
                 )
             }
-            StoreError::Foreign => write!(f, "the file is not a store of this program; not touched"),
+            StoreError::Foreign => write!(f, "the file is not a store of this program; it was not modified"),
             StoreError::Conflict => write!(f, "the idempotency key was used for another edit"),
             StoreError::Stopped => write!(f, "the store has stopped answering"),
             StoreError::TimedOut => write!(f, "the store gave no answer in time"),
             StoreError::Unreachable => write!(f, "the store can't be reached"),
-            StoreError::Behind => write!(f, "the store is a copy that lags behind its own receipts"),
-            StoreError::Closed => write!(f, "the store has ended"),
+            StoreError::Behind => write!(f, "the store answered from a replica that lags behind a receipt"),
+            StoreError::Closed => write!(f, "the store closed before it answered"),
             StoreError::Io(what) => write!(f, "{what}"),
         }
     }
@@ -176,27 +182,27 @@
 
 impl std::error::Error for StoreError {}
 
-/// Whether a key is within its bounds.
+/// Checks that a key has 1 to [`MAX_KEY_BYTES`] bytes and no control characters.
 ///
 /// # Errors
-/// [`StoreError::Bounds`] where it is not.
+/// [`StoreError::Bounds`] otherwise.
 pub fn check_key(key: &str) -> Result<(), StoreError> {
-    let good = !key.is_empty() && key.len() <= MAX_KEY && !key.chars().any(char::is_control);
-    if good { Ok(()) } else { Err(StoreError::Bounds("the key")) }
+    let valid = !key.is_empty() && key.len() <= MAX_KEY_BYTES && !key.chars().any(char::is_control);
+    if valid { Ok(()) } else { Err(StoreError::Bounds("the key")) }
 }
 
 impl Edit {
-    /// Whether all of it is within its bounds.
+    /// Checks the bounds of the key, the value and the idempotency key.
     ///
     /// # Errors
-    /// [`StoreError::Bounds`] where it is not.
+    /// [`StoreError::Bounds`] where one of them exceeds its bounds.
     pub fn check(&self) -> Result<(), StoreError> {
         check_key(&self.key)?;
-        if self.value.len() > MAX_VALUE {
+        if self.value.len() > MAX_VALUE_BYTES {
             return Err(StoreError::Bounds("the value"));
         }
         let token = self.token.as_deref();
-        if token.is_some_and(|token| token.is_empty() || token.len() > MAX_TOKEN) {
+        if token.is_some_and(|token| token.is_empty() || token.len() > MAX_TOKEN_BYTES) {
             return Err(StoreError::Bounds("the idempotency key"));
         }
         Ok(())
--- a/crates/stonevane-store/src/copies.rs
+++ b/crates/stonevane-store/src/copies.rs
@@ -1,172 +1,178 @@
-//! The copies of zones that caches hold, after an edit: each cache of the placement is told to drop its copy, again and
-//! again until it has acknowledged, its process is known to have ended, or the copy's lifetime has passed.
+//! Invalidates the copies of a zone that caches hold, after an edit. Each cache of the key's placement is
+//! sent an invalidation repeatedly, until it acknowledges it, its process is known to have ended, or the
+//! lifetime of the copy has passed.
 //!
-//! Fills and voids carry the store's version, and a cache keeps what is newest, so that neither their order nor a
-//! repeat matters: a fill that was fetched before an edit can't undo the void after it (the leases of R. Nishtala et
-//! al., "Scaling Memcache at Facebook", 3.2.1, with versions in the place of tokens). No I/O, no clock.
+//! Fills and invalidations carry the store's version, and a cache keeps the newest, so neither their order
+//! nor a repeat matters: a fill that was fetched before an edit can't undo the invalidation after it (the
+//! leases of R. Nishtala et al., "Scaling Memcache at Facebook", 3.2.1, with versions in place of tokens). No
+//! I/O, no clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::hash::Hash;
 
-/// Names an edit that waits for its copies; never used twice.
+/// Identifies an edit whose copies are being invalidated; never reused.
 pub type EditId = u64;
 /// Microseconds of any clock that only advances.
 pub type Micros = u64;
 
-/// How much is kept, and for how long.
+/// Bounds on the number of pending invalidations, and their times.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Copies that are to be dropped and are not yet, over all caches.
-    pub pending: usize,
-    /// A cache keeps a copy no longer than this.
+    /// The most pending invalidations, over all caches.
+    pub max_pending: usize,
+    /// The longest time for which a cache keeps a copy.
     pub lifetime: Micros,
-    /// The first and the longest wait before a cache is told again; doubled each time.
-    pub again: (Micros, Micros),
+    /// The first and the longest wait before an invalidation is sent again; the wait doubles each time.
+    pub resend_wait: (Micros, Micros),
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { pending: 65_536, lifetime: 10_000_000, again: (50_000, 1_000_000) }
+        Limits { max_pending: 65_536, lifetime: 10_000_000, resend_wait: (50_000, 1_000_000) }
     }
 }
 
-/// A cache is to be told to drop its copy of a key, where that is older than a version.
+/// An invalidation to send: the cache drops its copy of a key if that is older than a version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Void<C> {
-    /// The cache.
+pub struct Invalidation<C> {
+    /// The cache to send it to.
     pub cache: C,
-    /// The key.
+    /// The key whose copy is dropped.
     pub key: String,
-    /// What is older than this goes.
+    /// Copies older than this version are dropped.
     pub version: u64,
 }
 
+/// A pending invalidation of one key at one cache.
 struct Pending {
     version: u64,
-    /// The copy has ended by itself by then.
-    until: Micros,
-    next: Micros,
-    wait: Micros,
-    /// Edits that wait for this, each with its version.
+    /// Time by which the copy has expired in the cache.
+    expires: Micros,
+    next_send: Micros,
+    resend_wait: Micros,
+    /// The versions and ids of the edits that wait for this invalidation.
     edits: Vec<(u64, EditId)>,
 }
 
-/// All voids of a node that are not acknowledged yet.
+/// All invalidations of a node that are not acknowledged yet.
 pub struct Copies<C> {
     limits: Limits,
     pending: BTreeMap<(C, String), Pending>,
-    /// When each is to be looked at; some may have been settled.
-    due: BinaryHeap<Reverse<(Micros, C, String)>>,
-    /// How many caches each edit waits for.
-    owed: HashMap<EditId, usize>,
-    done: Vec<EditId>,
+    /// Times at which pending invalidations are next sent or expire. Entries of settled ones may remain.
+    send_queue: BinaryHeap<Reverse<(Micros, C, String)>>,
+    /// Number of caches that each edit waits for.
+    caches_left: HashMap<EditId, usize>,
+    completed: Vec<EditId>,
 }
 
 impl<C: Copy + Ord + Hash> Copies<C> {
-    /// None.
+    /// A state without pending invalidations.
     pub fn new(limits: Limits) -> Self {
-        let (pending, due) = (BTreeMap::new(), BinaryHeap::new());
-        Copies { limits, pending, due, owed: HashMap::new(), done: Vec::new() }
+        let (pending, send_queue) = (BTreeMap::new(), BinaryHeap::new());
+        Copies { limits, pending, send_queue, caches_left: HashMap::new(), completed: Vec::new() }
     }
 
-    /// An edit has made a version of a key: the copies at these caches are old. `false` where there is no room for so
-    /// many; nothing is noted then.
+    /// An edit has created a version of a key: older copies at these caches are to be dropped. Returns
+    /// `false`, and records nothing, where that would exceed [`Limits::max_pending`].
     pub fn edited(&mut self, now: Micros, edit: EditId, key: &str, version: u64, caches: &[C]) -> bool {
-        let new =
+        let added =
             caches.iter().filter(|cache| !self.pending.contains_key(&(**cache, key.to_owned()))).count();
-        if self.pending.len() + new > self.limits.pending {
+        if self.pending.len() + added > self.limits.max_pending {
             return false;
         }
         if caches.is_empty() {
-            self.done.push(edit);
+            self.completed.push(edit);
             return true;
         }
-        self.owed.insert(edit, caches.len());
+        self.caches_left.insert(edit, caches.len());
         for cache in caches {
-            let fresh = || Pending { version: 0, until: 0, next: 0, wait: 0, edits: Vec::new() };
-            let pending = self.pending.entry((*cache, key.to_owned())).or_insert_with(fresh);
+            let new_entry =
+                || Pending { version: 0, expires: 0, next_send: 0, resend_wait: 0, edits: Vec::new() };
+            let pending = self.pending.entry((*cache, key.to_owned())).or_insert_with(new_entry);
             pending.edits.push((version, edit));
             pending.version = pending.version.max(version);
-            // A copy that was filled just before this edit lives for as long.
-            (pending.until, pending.next) = (now.saturating_add(self.limits.lifetime), now);
-            pending.wait = self.limits.again.0.max(1);
-            self.due.push(Reverse((now, *cache, key.to_owned())));
+            // A copy that was filled just before this edit lives for the whole lifetime from now.
+            (pending.expires, pending.next_send) = (now.saturating_add(self.limits.lifetime), now);
+            pending.resend_wait = self.limits.resend_wait.0.max(1);
+            self.send_queue.push(Reverse((now, *cache, key.to_owned())));
         }
         true
     }
 
-    /// What is to be sent now.
-    pub fn due(&mut self, now: Micros) -> Vec<Void<C>> {
+    /// Takes the invalidations to send now, and schedules their repeats.
+    pub fn due(&mut self, now: Micros) -> Vec<Invalidation<C>> {
         let mut send = Vec::new();
-        while self.due.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
-            let Some(Reverse((at, cache, key))) = self.due.pop() else { break };
-            let place = (cache, key);
-            let Some(pending) = self.pending.get_mut(&place) else { continue };
-            if at < pending.next {
-                continue; // It was put off meanwhile, and stands at its new time too.
+        while self.send_queue.peek().is_some_and(|Reverse((at, ..))| *at <= now) {
+            let Some(Reverse((at, cache, key))) = self.send_queue.pop() else { break };
+            let copy = (cache, key);
+            let Some(pending) = self.pending.get_mut(&copy) else { continue };
+            if at < pending.next_send {
+                continue; // It was rescheduled, and has another entry at its new time.
             }
-            if now >= pending.until {
-                self.settle(&place, u64::MAX);
+            if now >= pending.expires {
+                self.settle(&copy, u64::MAX);
                 continue;
             }
-            pending.next = now.saturating_add(pending.wait).min(pending.until);
-            pending.wait = pending.wait.saturating_mul(2).min(self.limits.again.1.max(1));
-            let (version, next) = (pending.version, pending.next);
-            send.push(Void { cache, key: place.1.clone(), version });
-            self.due.push(Reverse((next, cache, place.1)));
+            pending.next_send = now.saturating_add(pending.resend_wait).min(pending.expires);
+            pending.resend_wait = pending.resend_wait.saturating_mul(2).min(self.limits.resend_wait.1.max(1));
+            let (version, next_send) = (pending.version, pending.next_send);
+            send.push(Invalidation { cache, key: copy.1.clone(), version });
+            self.send_queue.push(Reverse((next_send, cache, copy.1)));
         }
         send
     }
 
-    /// When [`Copies::due`] has something next.
+    /// Time at which [`Copies::due`] is to be called next; `None` while nothing is scheduled.
     pub fn next(&self) -> Option<Micros> {
-        self.due.peek().map(|Reverse((at, ..))| *at)
+        self.send_queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// A cache holds nothing of a key any more that is older than a version.
+    /// A cache has acknowledged that it holds no copy of a key older than a version.
     pub fn acknowledged(&mut self, cache: C, key: &str, version: u64) {
         self.settle(&(cache, key.to_owned()), version);
     }
 
-    /// A cache's process has ended: it holds nothing.
+    /// A cache's process has ended, so it holds no copies.
     pub fn ended(&mut self, cache: C) {
         let from = (cache, String::new());
-        let keys = self.pending.range(from..).map(|(place, _)| place).take_while(|place| place.0 == cache);
-        let places: Vec<_> = keys.cloned().collect();
-        for place in &places {
-            self.settle(place, u64::MAX);
+        let of_cache = self.pending.range(from..).map(|(copy, _)| copy).take_while(|copy| copy.0 == cache);
+        let copies: Vec<_> = of_cache.cloned().collect();
+        for copy in &copies {
+            self.settle(copy, u64::MAX);
         }
     }
 
-    /// Edits whose copies are all gone, each once.
+    /// Takes the edits whose older copies are all gone; each is returned once.
     pub fn done(&mut self) -> Vec<EditId> {
-        std::mem::take(&mut self.done)
+        std::mem::take(&mut self.completed)
     }
 
-    /// Nobody waits for an edit any more; its copies are dropped all the same.
+    /// Stops tracking an edit that no caller waits for. Its invalidations are still sent.
     pub fn forget(&mut self, edit: EditId) {
-        self.owed.remove(&edit);
+        self.caches_left.remove(&edit);
     }
 
-    /// Copies that are not known to be gone.
+    /// Number of pending invalidations.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    fn settle(&mut self, place: &(C, String), version: u64) {
-        let Some(pending) = self.pending.get_mut(place) else { return };
+    /// Completes the edits up to a version at one cache. Removes the invalidation if it is of no later
+    /// version.
+    fn settle(&mut self, copy: &(C, String), version: u64) {
+        let Some(pending) = self.pending.get_mut(copy) else { return };
         let (settled, left): (Vec<_>, Vec<_>) = pending.edits.drain(..).partition(|edit| edit.0 <= version);
         pending.edits = left;
         if version >= pending.version {
-            self.pending.remove(place);
+            self.pending.remove(copy);
         }
         for (_, edit) in settled {
-            let Some(owed) = self.owed.get_mut(&edit) else { continue };
-            *owed -= 1;
-            if *owed == 0 {
-                self.owed.remove(&edit);
-                self.done.push(edit);
+            let Some(caches_left) = self.caches_left.get_mut(&edit) else { continue };
+            *caches_left -= 1;
+            if *caches_left == 0 {
+                self.caches_left.remove(&edit);
+                self.completed.push(edit);
             }
         }
     }
--- a/crates/stonevane-store/src/flight.rs
+++ b/crates/stonevane-store/src/flight.rs
@@ -1,28 +1,28 @@
-//! The shared fetch: one call to the store for all who wait for a key.
+//! Shared fetches: one call to the store for all callers that wait for a key.
 //!
-//! A *flight* is one fetch of a key; its *joiners* wait for it, each until a time of its own. There is no leader
-//! among them: whoever leaves, the flight goes on while anyone waits, and is cancelled with the last. An edit
-//! *fences* the flights that began before its receipt: who asks after the receipt starts a new one, and no cache
-//! keeps what an old one brings. No I/O, no clock.
+//! A *flight* is one fetch of a key. Its *joiners* are the callers that wait for it, each until its own
+//! deadline. No joiner leads: the fetch continues while any joiner waits, and is cancelled when the last one
+//! leaves. An edit *fences* the flights that began before its receipt: a caller that asks after the receipt
+//! starts a new fetch, and no cache keeps the value of an older one. No I/O, no clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// Names a flight; never used twice.
+/// Identifies a flight; never reused.
 pub type FlightId = u64;
-/// Names one who waits; never used twice.
+/// Identifies a joiner; never reused.
 pub type JoinerId = u64;
 /// Microseconds of any clock that only advances.
 pub type Micros = u64;
 
-/// How many may be in the air and wait at once.
+/// Bounds on concurrent fetches, joiners and edits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Flights at once.
+    /// The most flights at once.
     pub flights: usize,
-    /// Joiners of one flight.
+    /// The most joiners of one flight.
     pub joiners: usize,
-    /// Edits that are under way at once.
+    /// The most edits in progress at once.
     pub edits: usize,
 }
 
@@ -32,219 +32,223 @@
     }
 }
 
-/// What became of a wish to know a key.
+/// The result of asking for a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Joined {
-    /// A flight begins: the store is to be called, once.
+    /// A new flight begins: the store is to be called once.
     Begins(FlightId),
-    /// It waits for one that is in the air already.
+    /// The caller has joined a flight in progress.
     Waits(FlightId),
-    /// There is no room: it is to be refused.
+    /// A limit is reached, or the joiner already waits: the caller is to be rejected.
     NoRoom,
 }
 
-/// The end of a flight.
+/// A completed flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Landed<K> {
-    /// Its key.
+pub struct CompletedFetch<K> {
+    /// The key that was fetched.
     pub key: K,
-    /// Those who wait for it, in the order in which they joined.
+    /// The joiners to answer, in the order in which they joined.
     pub joiners: Vec<JoinerId>,
-    /// Whether caches may keep what it brought: no edit has been under way since it began.
+    /// Whether caches may keep the value: no edit of the key was in progress since the fetch began.
     pub may_keep: bool,
 }
 
 struct Flight<K> {
     key: K,
-    /// In the order in which they joined.
+    /// The joiners by position, which is the order in which they joined.
     joiners: BTreeMap<u64, JoinerId>,
-    /// An edit was under way at some time since it began.
-    touched: bool,
+    /// Whether an edit of the key was in progress at any time since the fetch began.
+    overlaps_edit: bool,
 }
 
-/// All flights and edits of a node.
+/// All flights and edits in progress at a node.
 pub struct Flights<K> {
     limits: Limits,
-    next: FlightId,
+    next_id: FlightId,
     flights: HashMap<FlightId, Flight<K>>,
     /// The flight of each key that may still be joined.
-    open: HashMap<K, FlightId>,
-    /// All flights of each key.
-    of_key: HashMap<K, Vec<FlightId>>,
-    /// The flight of each joiner, and its place there.
-    joined: HashMap<JoinerId, (FlightId, u64)>,
-    /// When each joiner's time is up; some may have left.
-    ends: BinaryHeap<Reverse<(Micros, JoinerId)>>,
-    place: u64,
-    /// Flights and joiners that were looked at, for tests of the cost.
-    looked: u64,
-    /// Edits under way, by key.
+    joinable: HashMap<K, FlightId>,
+    /// All flights of each key, including those that may not be joined any more.
+    by_key: HashMap<K, Vec<FlightId>>,
+    /// The flight of each joiner, and its position there.
+    joiners: HashMap<JoinerId, (FlightId, u64)>,
+    /// The deadlines of joiners. Entries of joiners that left may remain.
+    deadlines: BinaryHeap<Reverse<(Micros, JoinerId)>>,
+    last_position: u64,
+    /// Flights and joiners visited so far, for tests of the cost of calls.
+    visited: u64,
+    /// Number of edits in progress, by key.
     edits: HashMap<K, usize>,
-    editing: usize,
+    edit_count: usize,
 }
 
 impl<K: Clone + Eq + std::hash::Hash> Flights<K> {
-    /// None in the air.
+    /// A state without flights and edits.
     pub fn new(limits: Limits) -> Self {
         Flights {
             limits,
-            next: 1,
+            next_id: 1,
             flights: HashMap::new(),
-            open: HashMap::new(),
-            of_key: HashMap::new(),
-            joined: HashMap::new(),
-            ends: BinaryHeap::new(),
-            place: 0,
-            looked: 0,
+            joinable: HashMap::new(),
+            by_key: HashMap::new(),
+            joiners: HashMap::new(),
+            deadlines: BinaryHeap::new(),
+            last_position: 0,
+            visited: 0,
             edits: HashMap::new(),
-            editing: 0,
+            edit_count: 0,
         }
     }
 
-    /// One more wants to know a key, and waits until a time.
-    pub fn join(&mut self, key: &K, joiner: JoinerId, until: Micros) -> Joined {
-        if self.joined.contains_key(&joiner) {
+    /// Joins the flight of a key, or begins one. The joiner waits until `deadline`.
+    pub fn join(&mut self, key: &K, joiner: JoinerId, deadline: Micros) -> Joined {
+        if self.joiners.contains_key(&joiner) {
             return Joined::NoRoom;
         }
-        if let Some(id) = self.open.get(key).copied()
+        if let Some(id) = self.joinable.get(key).copied()
             && let Some(flight) = self.flights.get_mut(&id)
         {
             if flight.joiners.len() >= self.limits.joiners {
                 return Joined::NoRoom;
             }
-            self.place += 1;
-            flight.joiners.insert(self.place, joiner);
-            self.waits(joiner, id, until);
+            self.last_position += 1;
+            flight.joiners.insert(self.last_position, joiner);
+            self.add_joiner(joiner, id, deadline);
             return Joined::Waits(id);
         }
         if self.flights.len() >= self.limits.flights {
             return Joined::NoRoom;
         }
-        let id = self.next;
-        self.next += 1;
-        let touched = self.edits.contains_key(key);
-        self.place += 1;
-        let joiners = BTreeMap::from([(self.place, joiner)]);
-        self.flights.insert(id, Flight { key: key.clone(), joiners, touched });
-        self.open.insert(key.clone(), id);
-        self.of_key.entry(key.clone()).or_default().push(id);
-        self.waits(joiner, id, until);
+        let id = self.next_id;
+        self.next_id += 1;
+        let overlaps_edit = self.edits.contains_key(key);
+        self.last_position += 1;
+        let joiners = BTreeMap::from([(self.last_position, joiner)]);
+        self.flights.insert(id, Flight { key: key.clone(), joiners, overlaps_edit });
+        self.joinable.insert(key.clone(), id);
+        self.by_key.entry(key.clone()).or_default().push(id);
+        self.add_joiner(joiner, id, deadline);
         Joined::Begins(id)
     }
 
-    fn waits(&mut self, joiner: JoinerId, id: FlightId, until: Micros) {
-        self.joined.insert(joiner, (id, self.place));
-        self.ends.push(Reverse((until, joiner)));
-        // Those who left leave their ends behind: made anew when they are the most of them.
-        if self.ends.len() > 64 + 2 * self.joined.len() {
-            let joined = &self.joined;
-            self.ends.retain(|Reverse((_, joiner))| joined.contains_key(joiner));
+    /// Records the joiner at the last position of a flight, and its deadline.
+    fn add_joiner(&mut self, joiner: JoinerId, id: FlightId, deadline: Micros) {
+        self.joiners.insert(joiner, (id, self.last_position));
+        self.deadlines.push(Reverse((deadline, joiner)));
+        // Joiners that left keep their entries in the heap; it is rebuilt when such entries are the majority.
+        if self.deadlines.len() > 64 + 2 * self.joiners.len() {
+            let joiners = &self.joiners;
+            self.deadlines.retain(|Reverse((_, joiner))| joiners.contains_key(joiner));
         }
     }
 
-    /// One who waited has left; the flight that is to be cancelled, where it was the last.
+    /// Removes a joiner. Returns its flight, which is to be cancelled, where it was the last joiner.
     pub fn leave(&mut self, joiner: JoinerId) -> Option<FlightId> {
-        let (id, place) = self.joined.remove(&joiner)?;
+        let (id, position) = self.joiners.remove(&joiner)?;
         let flight = self.flights.get_mut(&id)?;
-        self.looked += 1;
-        flight.joiners.remove(&place);
+        self.visited += 1;
+        flight.joiners.remove(&position);
         flight.joiners.is_empty().then(|| {
-            self.drop_flight(id);
+            self.remove_flight(id);
             id
         })
     }
 
-    /// Those whose time is up by now leave; each is to be answered. Flights with nobody left are to be cancelled.
+    /// Removes the joiners whose deadline has passed. Returns them, each of which is to be answered, and the
+    /// flights left without joiners, which are to be cancelled.
     pub fn expire(&mut self, now: Micros) -> (Vec<JoinerId>, Vec<FlightId>) {
-        let mut over = Vec::new();
-        while let Some(Reverse((until, joiner))) = self.ends.peek().copied()
-            && until <= now
+        let mut expired = Vec::new();
+        while let Some(Reverse((deadline, joiner))) = self.deadlines.peek().copied()
+            && deadline <= now
         {
-            self.ends.pop();
-            self.looked += 1;
-            if self.joined.contains_key(&joiner) {
-                over.push(joiner);
+            self.deadlines.pop();
+            self.visited += 1;
+            if self.joiners.contains_key(&joiner) {
+                expired.push(joiner);
             }
         }
-        over.sort_unstable();
-        let mut cancelled: Vec<FlightId> = over.iter().filter_map(|joiner| self.leave(*joiner)).collect();
+        expired.sort_unstable();
+        let mut cancelled: Vec<FlightId> = expired.iter().filter_map(|joiner| self.leave(*joiner)).collect();
         cancelled.sort_unstable();
-        (over, cancelled)
+        (expired, cancelled)
     }
 
-    /// A flight has ended, with a value or without: whom that concerns. `None` where it was cancelled.
-    pub fn landed(&mut self, id: FlightId) -> Option<Landed<K>> {
-        let flight = self.drop_flight(id)?;
+    /// Completes a flight, with a value or an error. `None` where it was cancelled.
+    pub fn landed(&mut self, id: FlightId) -> Option<CompletedFetch<K>> {
+        let flight = self.remove_flight(id)?;
         let joiners: Vec<_> = flight.joiners.into_values().collect();
         for joiner in &joiners {
-            self.joined.remove(joiner);
+            self.joiners.remove(joiner);
         }
-        Some(Landed { key: flight.key, joiners, may_keep: !flight.touched })
+        Some(CompletedFetch { key: flight.key, joiners, may_keep: !flight.overlaps_edit })
     }
 
-    /// An edit of a key begins; `false` where there is no room for another.
+    /// An edit of a key begins. Returns `false`, and records nothing, where [`Limits::edits`] is reached.
     pub fn edit_begins(&mut self, key: &K) -> bool {
-        if self.editing >= self.limits.edits {
+        if self.edit_count >= self.limits.edits {
             return false;
         }
-        self.editing += 1;
+        self.edit_count += 1;
         *self.edits.entry(key.clone()).or_default() += 1;
-        // What is in the air may bring either value: those who wait may have it, no cache may.
-        self.touch(key);
+        // A fetch in flight may return the old or the new value: it may answer its joiners, but must not fill
+        // a cache.
+        self.mark_overlapping(key);
         true
     }
 
-    /// An edit of a key has its receipt, has failed, or nobody knows: who asks from now on starts anew.
+    /// An edit of a key has its receipt, has failed, or has an unknown outcome: later callers start a new
+    /// fetch.
     pub fn edit_ended(&mut self, key: &K) {
         let Some(count) = self.edits.get_mut(key) else { return };
         *count -= 1;
-        self.editing -= 1;
+        self.edit_count -= 1;
         if *count == 0 {
             self.edits.remove(key);
         }
-        self.open.remove(key);
+        self.joinable.remove(key);
     }
 
-    /// Another program's edit of a key has been committed: what is in the air may bring either value, no cache may keep
-    /// it, and who asks from now on starts anew.
+    /// Another program's edit of a key has been committed. A fetch in flight may return the old or the new
+    /// value, so no cache may keep it, and later callers start a new fetch.
     pub fn changed(&mut self, key: &K) {
-        self.touch(key);
-        self.open.remove(key);
+        self.mark_overlapping(key);
+        self.joinable.remove(key);
     }
 
-    fn touch(&mut self, key: &K) {
-        for id in self.of_key.get(key).into_iter().flatten() {
-            self.looked += 1;
+    fn mark_overlapping(&mut self, key: &K) {
+        for id in self.by_key.get(key).into_iter().flatten() {
+            self.visited += 1;
             if let Some(flight) = self.flights.get_mut(id) {
-                flight.touched = true;
+                flight.overlaps_edit = true;
             }
         }
     }
 
-    /// Flights in the air.
-    pub fn in_the_air(&self) -> usize {
+    /// Number of flights.
+    pub fn in_flight(&self) -> usize {
         self.flights.len()
     }
 
-    /// Flights and joiners that were looked at so far: what the calls cost.
-    pub fn looked(&self) -> u64 {
-        self.looked
+    /// Number of flights and joiners visited so far, a measure of the cost of calls.
+    pub fn visited(&self) -> u64 {
+        self.visited
     }
 
-    /// Those who wait.
-    pub fn waiting(&self) -> usize {
-        self.joined.len()
+    /// Number of joiners, over all flights.
+    pub fn joiner_count(&self) -> usize {
+        self.joiners.len()
     }
 
-    fn drop_flight(&mut self, id: FlightId) -> Option<Flight<K>> {
+    fn remove_flight(&mut self, id: FlightId) -> Option<Flight<K>> {
         let flight = self.flights.remove(&id)?;
-        if self.open.get(&flight.key) == Some(&id) {
-            self.open.remove(&flight.key);
+        if self.joinable.get(&flight.key) == Some(&id) {
+            self.joinable.remove(&flight.key);
         }
-        if let Some(ids) = self.of_key.get_mut(&flight.key) {
+        if let Some(ids) = self.by_key.get_mut(&flight.key) {
             ids.retain(|other| *other != id);
             if ids.is_empty() {
-                self.of_key.remove(&flight.key);
+                self.by_key.remove(&flight.key);
             }
         }
         Some(flight)
--- a/crates/stonevane-store/src/following.rs
+++ b/crates/stonevane-store/src/following.rs
@@ -1,70 +1,73 @@
-//! Following a store's changes by notices that may be lost: versions are counted without gaps, so that a notice which
-//! leaves one out shows that others were missed, and those are read. No I/O, no clock.
+//! Follows a store's changes by notifications, some of which may be lost. Versions are consecutive, so a
+//! notification that skips one shows that others were lost; the missing changes are then read from the store.
+//! No I/O, no clock.
 
 use crate::contract::Change;
 
-/// The text of a notice: the version, and the key behind it.
-pub fn notice(version: u64, key: &str) -> String {
+/// Formats the payload of a notification: the version, a space, and the key.
+pub fn notification_payload(version: u64, key: &str) -> String {
     format!("{version} {key}")
 }
 
-/// What a notice means.
+/// The meaning of a received notification.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
-    /// A change that is to be told.
-    Told(Change),
-    /// What came after the version that was told last is to be read, and given to [`Following::read`].
-    Missed,
-    /// It was told before.
-    Known,
+pub enum Notification {
+    /// The next change, to be reported.
+    Next(Change),
+    /// Changes were missed: those after [`ChangeCursor::version`] are to be read and passed to
+    /// [`ChangeCursor::advance`].
+    Gap,
+    /// The change was reported before.
+    Duplicate,
 }
 
-/// Where one who follows stands.
+/// The position of a subscriber in the sequence of changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Following {
-    seen: u64,
+pub struct ChangeCursor {
+    version: u64,
 }
 
-impl Following {
-    /// One who was told all up to a version.
-    pub fn from(seen: u64) -> Self {
-        Following { seen }
+impl ChangeCursor {
+    /// A cursor after all changes up to a version.
+    pub fn after(version: u64) -> Self {
+        ChangeCursor { version }
     }
 
-    /// The version that was told last.
-    pub fn seen(&self) -> u64 {
-        self.seen
+    /// The newest version that was reported.
+    pub fn version(&self) -> u64 {
+        self.version
     }
 
-    /// A notice has come; one that can't be read stands for what was missed.
-    pub fn notice(&mut self, text: &str) -> Heard {
-        let read = text.split_once(' ').and_then(|(version, key)| Some((version.parse::<u64>().ok()?, key)));
-        match read {
-            Some((version, _)) if version <= self.seen => Heard::Known,
-            Some((version, key)) if version == self.seen + 1 => {
-                self.seen = version;
-                Heard::Told(Change { key: key.to_owned(), version })
+    /// Takes in the payload of a notification. A malformed one counts as a gap.
+    pub fn receive(&mut self, payload: &str) -> Notification {
+        let parsed =
+            payload.split_once(' ').and_then(|(version, key)| Some((version.parse::<u64>().ok()?, key)));
+        match parsed {
+            Some((version, _)) if version <= self.version => Notification::Duplicate,
+            Some((version, key)) if version == self.version + 1 => {
+                self.version = version;
+                Notification::Next(Change { key: key.to_owned(), version })
             }
-            _ => Heard::Missed,
+            _ => Notification::Gap,
         }
     }
 
-    /// The store stands at a version: whether some were missed. A version from before (a copy that lags has taken
-    /// over) changes nothing.
-    pub fn stands_at(&self, version: u64) -> bool {
-        version > self.seen
+    /// Whether changes up to the store's version were missed. An older version, as of a lagging replica that
+    /// has taken over, counts as none missed.
+    pub fn is_behind(&self, store_version: u64) -> bool {
+        store_version > self.version
     }
 
-    /// Changes were read, the oldest first: those that are to be told.
-    pub fn read(&mut self, changes: Vec<Change>) -> Vec<Change> {
-        let mut told = Vec::with_capacity(changes.len());
+    /// Advances over changes read from the store, oldest first. Returns those that were not reported before.
+    pub fn advance(&mut self, changes: Vec<Change>) -> Vec<Change> {
+        let mut unreported = Vec::with_capacity(changes.len());
         for change in changes {
-            if change.version > self.seen {
-                self.seen = change.version;
-                told.push(change);
+            if change.version > self.version {
+                self.version = change.version;
+                unreported.push(change);
             }
         }
-        told
+        unreported
     }
 }
 
--- a/crates/stonevane-store/src/lib.rs
+++ b/crates/stonevane-store/src/lib.rs
@@ -1,10 +1,11 @@
 //! The store of record behind the caches.
 //!
-//! [`contract`] says what a store does and how it fails; [`sqlite`] does it on an embedded file, [`postgres`] at a
-//! server. Pure state machines, with no I/O and no clock, stand before any store: [`flight`] shares one fetch among
-//! all who wait for a key, [`breaker`] keeps calls from a store that has stopped answering, [`reconnect`] keeps
-//! connections from coming back in step, [`following`] misses no change that others make, and [`quick`] says whether a
-//! read may be done where it is asked.
+//! [`contract`] defines what a store does and how it fails. [`sqlite`] implements it on an embedded file,
+//! [`postgres`] on a server. The other modules are pure state machines, without I/O and without a clock, that
+//! work with any store: [`flight`] shares one fetch among all callers that wait for a key, [`breaker`] stops
+//! calls to a store that does not answer, [`reconnect`] paces new connections so that clients do not
+//! reconnect in step, [`following`] detects lost change notifications, [`quick`] decides whether a read may
+//! run on the caller's thread, and [`copies`] tracks the invalidation of cached copies after an edit.
 
 pub mod breaker;
 pub mod contract;
--- a/crates/stonevane-store/src/quick.rs
+++ b/crates/stonevane-store/src/quick.rs
@@ -1,59 +1,60 @@
-//! Whether a read may be done where it is asked, in the place of a thread that may wait for the disk: as long as such
-//! reads are quick. One that was slow sends all to the threads for a while, doubled each time, so that a slow disk
-//! holds its caller up for one read in a long time. No I/O, no clock.
+//! Decides whether a read may run on the caller's thread instead of a reader thread, which may block on the
+//! disk. Inline reads are allowed as long as they are fast. A slow one pauses them, for a time that doubles
+//! with each further slow read, so that a slow disk rarely blocks the caller. No I/O, no clock.
 
 /// Microseconds of any clock that only advances.
 pub type Micros = u64;
 
-/// When a read is slow, and what follows.
+/// Threshold of a slow read, and bounds of the pause after one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// One that takes longer is slow.
+    /// A read that takes longer is slow.
     pub slow: Micros,
-    /// After a slow one none is done here for so long ...
-    pub shortest: Micros,
-    /// ... doubled with each, up to this.
-    pub longest: Micros,
-    /// After so many quick ones in a row it begins again with the shortest.
-    pub forgive: u32,
+    /// Pause of inline reads after the first slow read; doubles with each further one.
+    pub min_pause: Micros,
+    /// The longest pause.
+    pub max_pause: Micros,
+    /// Number of fast reads in a row that reset the pause to [`Limits::min_pause`].
+    pub reset_after: u32,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { slow: 1_000, shortest: 1_000_000, longest: 60_000_000, forgive: 1_000 }
+        Limits { slow: 1_000, min_pause: 1_000_000, max_pause: 60_000_000, reset_after: 1_000 }
     }
 }
 
-/// How reads went.
+/// The pause of inline reads, adapted to the durations of past ones.
 #[derive(Debug, Clone)]
-pub struct Quick {
+pub struct InlineReadPolicy {
     limits: Limits,
-    until: Micros,
-    rest: Micros,
-    quick: u32,
+    paused_until: Micros,
+    next_pause: Micros,
+    /// Fast reads in a row, counted up to [`Limits::reset_after`].
+    fast_reads: u32,
 }
 
-impl Quick {
-    /// One that has seen no read.
+impl InlineReadPolicy {
+    /// A policy that allows inline reads.
     pub fn new(limits: Limits) -> Self {
-        Quick { limits, until: 0, rest: limits.shortest, quick: 0 }
+        InlineReadPolicy { limits, paused_until: 0, next_pause: limits.min_pause, fast_reads: 0 }
     }
 
-    /// Whether a read may be done here now.
-    pub fn may(&self, now: Micros) -> bool {
-        now >= self.until
+    /// Whether a read may run inline now.
+    pub fn allows(&self, now: Micros) -> bool {
+        now >= self.paused_until
     }
 
-    /// A read was done here, and took so long.
-    pub fn took(&mut self, now: Micros, took: Micros) {
-        if took > self.limits.slow {
-            self.until = now.saturating_add(self.rest);
-            self.rest = self.rest.saturating_mul(2).min(self.limits.longest);
-            self.quick = 0;
-        } else if self.quick < self.limits.forgive {
-            self.quick += 1;
-            if self.quick == self.limits.forgive {
-                self.rest = self.limits.shortest;
+    /// Takes the duration of an inline read into account.
+    pub fn record(&mut self, now: Micros, duration: Micros) {
+        if duration > self.limits.slow {
+            self.paused_until = now.saturating_add(self.next_pause);
+            self.next_pause = self.next_pause.saturating_mul(2).min(self.limits.max_pause);
+            self.fast_reads = 0;
+        } else if self.fast_reads < self.limits.reset_after {
+            self.fast_reads += 1;
+            if self.fast_reads == self.limits.reset_after {
+                self.next_pause = self.limits.min_pause;
             }
         }
     }
--- a/crates/stonevane-store/src/reconnect.rs
+++ b/crates/stonevane-store/src/reconnect.rs
@@ -1,91 +1,94 @@
-//! When connections to a server may be opened: as many as are wanted while it takes them, one at a time with a random
-//! wait between tries once one was lost or refused, so that clients that lose all of theirs at once do not come back
-//! in step (S. Floyd and V. Jacobson, "The Synchronization of Periodic Routing Messages"; capped exponential backoff
-//! with jitter). No I/O, no clock.
+//! Paces new connections to a server. While the server accepts connections, any number may be opened. Once
+//! one was lost or refused, attempts are made one at a time with a random wait between them, so that clients
+//! that lose all their connections at once do not reconnect in step (S. Floyd and V. Jacobson, "The
+//! Synchronization of Periodic Routing Messages"; capped exponential backoff with jitter). No I/O, no clock.
 
 /// Microseconds of any clock that only advances.
 pub type Micros = u64;
 
-/// How long it waits.
+/// Bounds of the wait between attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// After the first failure; doubled with each, drawn between half of it and one and a half times it.
-    pub shortest: Micros,
-    /// At the most, before what is drawn.
-    pub longest: Micros,
+    /// Wait after the first failure; doubles with each further one. The actual wait is drawn at random
+    /// between half of this and one and a half times it.
+    pub min_wait: Micros,
+    /// The longest wait, before the random draw.
+    pub max_wait: Micros,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { shortest: 50_000, longest: 400_000 }
+        Limits { min_wait: 50_000, max_wait: 400_000 }
     }
 }
 
-/// What it says of a wish to connect.
+/// Whether a connection may be opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
-    /// Connect, and tell how it ended.
-    Go,
-    /// Ask again after this time.
+pub enum Decision {
+    /// Open a connection, and report the outcome.
+    Connect,
+    /// No connection may be opened yet: decide again after this time.
     Wait(Micros),
 }
 
-/// The state of reaching one server.
+/// The backoff state of connections to one server.
 #[derive(Debug, Clone)]
 pub struct Reconnect {
     limits: Limits,
     /// Failures in a row.
     failures: u32,
-    /// No try before this.
-    until: Micros,
-    /// The one try that is out while the server is not known to take connections, by when it began.
-    trying: Option<Micros>,
+    /// No attempt begins before this time.
+    not_before: Micros,
+    /// Start of the only attempt that is in progress while the server is not known to accept connections.
+    attempt: Option<Micros>,
 }
 
 impl Reconnect {
-    /// One that has not failed.
+    /// A state without failures.
     pub fn new(limits: Limits) -> Self {
-        Reconnect { limits, failures: 0, until: 0, trying: None }
+        Reconnect { limits, failures: 0, not_before: 0, attempt: None }
     }
 
-    /// Whether a connection may be opened now.
-    pub fn may(&mut self, now: Micros) -> Word {
+    /// Decides whether a connection may be opened now. After a failure, [`Decision::Connect`] begins the only
+    /// attempt.
+    pub fn decide(&mut self, now: Micros) -> Decision {
         if self.failures == 0 {
-            return Word::Go;
+            return Decision::Connect;
         }
-        if now < self.until {
-            return Word::Wait(self.until - now);
+        if now < self.not_before {
+            return Decision::Wait(self.not_before - now);
         }
-        if self.trying.is_some() {
-            return Word::Wait(self.limits.shortest.max(1));
+        if self.attempt.is_some() {
+            return Decision::Wait(self.limits.min_wait.max(1));
         }
-        self.trying = Some(now);
-        Word::Go
+        self.attempt = Some(now);
+        Decision::Connect
     }
 
-    /// A connection came about: the server takes them.
+    /// A connection was established: the server accepts them.
     pub fn connected(&mut self) {
-        (self.failures, self.trying) = (0, None);
+        (self.failures, self.attempt) = (0, None);
     }
 
-    /// A try that began at a moment failed, or a connection was lost that had stood since then. `drawn` is a random
-    /// number from 0 to 1. What began before the last failure was known adds nothing to it.
-    pub fn failed(&mut self, begun: Micros, now: Micros, drawn: f64) {
-        let own = self.trying == Some(begun);
-        if !own && self.failures > 0 {
+    /// An attempt that began at `started` failed, or a connection opened then was lost. `random` is a random
+    /// number from 0 to 1. While the server is known to fail, only the failure of the present attempt counts:
+    /// losing an older connection adds nothing.
+    pub fn failed(&mut self, started: Micros, now: Micros, random: f64) {
+        let is_attempt = self.attempt == Some(started);
+        if !is_attempt && self.failures > 0 {
             return;
         }
-        self.trying = None;
-        let doubled = self.limits.shortest.saturating_mul(1 << self.failures.min(20));
-        let wait = doubled.min(self.limits.longest) as f64 * (0.5 + drawn.clamp(0.0, 1.0));
+        self.attempt = None;
+        let doubled = self.limits.min_wait.saturating_mul(1 << self.failures.min(20));
+        let wait = doubled.min(self.limits.max_wait) as f64 * (0.5 + random.clamp(0.0, 1.0));
         self.failures = self.failures.saturating_add(1);
-        self.until = now.saturating_add(wait as Micros);
+        self.not_before = now.saturating_add(wait as Micros);
     }
 
-    /// A try that began at a moment was given up before it could tell.
-    pub fn abandoned(&mut self, begun: Micros) {
-        if self.trying == Some(begun) {
-            self.trying = None;
+    /// An attempt that began at `started` was abandoned before its outcome was known.
+    pub fn abandoned(&mut self, started: Micros) {
+        if self.attempt == Some(started) {
+            self.attempt = None;
         }
     }
 }
--- a/crates/stonevane-store/src/sqlite/mod.rs
+++ b/crates/stonevane-store/src/sqlite/mod.rs
@@ -1,8 +1,8 @@
-//! SQLite as the store of record: one file, one thread that writes, several that read.
+//! SQLite as the store of record: one file, one writer thread, and several reader threads.
 //!
-//! Edits that come together are one transaction, so that they share one flush to the disk; each is in a
-//! savepoint of its own, and none has its receipt before the commit. An edit and the record of its idempotency
-//! key are one transaction: a kill leaves both or neither.
+//! Edits that are queued together share one transaction, and so one flush to the disk. Each has a savepoint
+//! of its own, and no receipt is sent before the commit. An edit and the record of its idempotency key are in
+//! one transaction, so a kill leaves both or neither.
 
 mod file;
 mod reader;
@@ -19,31 +19,32 @@
 use tokio::sync::oneshot;
 
 use self::file::{check_with, connect, create, is_store, migrate};
-use self::reader::{InlineReader, ReadJob, read};
-use self::writer::{Batching, WriteJob, write};
-use crate::contract::{Call, Change, Edit, Figures, Receipt, Store, StoreError, Zone, check_key};
-use crate::quick::{self, Quick};
+use self::reader::{InlineReader, ReadJob, run_reader};
+use self::writer::{Batching, WriteJob, run_writer};
+use crate::contract::{Change, Edit, Figures, Receipt, Store, StoreError, StoreFuture, Zone, check_key};
+use crate::quick::{self, InlineReadPolicy};
 
 pub use self::file::{APPLICATION_ID, FORM, check, salvage};
-/// The library beneath, for those who measure against it.
+/// The underlying library, for benchmarks that compare with it.
 pub use rusqlite;
 
-/// How a store is run.
+/// Settings of a store in a file: threads, queues, batching and waits.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Threads that read.
+    /// Number of reader threads, at least 1.
     pub readers: usize,
-    /// Calls that may wait before the writer, and before the readers; more are turned away.
+    /// The most calls in the writer's queue, and in the readers' queue; further calls are rejected.
     pub queue: usize,
-    /// Edits in one transaction, at most.
+    /// The most edits in one transaction.
     pub batch: usize,
-    /// How long the first edit of a transaction waits for others; zero: for none.
+    /// Time for which the first edit of a transaction waits for others. Zero: only edits already queued share
+    /// it.
     pub batch_delay: Duration,
-    /// How long to wait for another process that holds the file.
+    /// Time to wait for the lock of another process on the file.
     pub busy: Duration,
-    /// The largest size of the file, in pages of 4 KiB.
+    /// The largest size of the file, in pages (by default 4 KiB each).
     pub max_pages: u32,
-    /// Reads of one key are done on the caller's own thread while they are quick; `None`: never.
+    /// Limits for reads of one key on the caller's own thread; `None`: all reads run on the reader threads.
     pub here: Option<quick::Limits>,
 }
 
@@ -61,20 +62,20 @@
     }
 }
 
-type Answer<T> = oneshot::Sender<Result<T, StoreError>>;
+type ReplySender<T> = oneshot::Sender<Result<T, StoreError>>;
 
-/// A store in a file. Dropping it ends its threads once what waits is done.
+/// A store in a file. Dropping it finishes the queued calls and ends its threads.
 pub struct Sqlite {
-    writes: Option<SyncSender<WriteJob>>,
-    reads: Option<SyncSender<ReadJob>>,
+    write_queue: Option<SyncSender<WriteJob>>,
+    read_queue: Option<SyncSender<ReadJob>>,
     writer: Option<JoinHandle<()>>,
     readers: Vec<JoinHandle<()>>,
-    here: Option<Mutex<InlineReader>>,
+    inline_reader: Option<Mutex<InlineReader>>,
     answered: AtomicU64,
     path: PathBuf,
 }
 
-fn failure(e: &rusqlite::Error) -> StoreError {
+fn store_error(e: &rusqlite::Error) -> StoreError {
     match e {
         rusqlite::Error::SqliteFailure(code, _) => match code.code {
             ErrorCode::DatabaseBusy | ErrorCode::DatabaseLocked => StoreError::Busy,
@@ -92,56 +93,60 @@
 }
 
 impl Sqlite {
-    /// Opens a store, made where there is none: looks at the file's head, checks it, brings it to the newest form
-    /// and starts its threads.
+    /// Opens a store, or creates it where the file is missing or empty. Checks the header and the contents,
+    /// migrates the schema to the newest version, and starts the threads.
     ///
     /// # Errors
-    /// [`StoreError::Foreign`] and [`StoreError::Newer`] for files that are not touched, and what else keeps
-    /// it from being opened.
+    /// [`StoreError::Foreign`] and [`StoreError::Newer`] for files that are not modified,
+    /// [`StoreError::Corrupt`] for damaged ones, and the errors of the system.
     pub fn open(path: &Path, options: &Options) -> Result<Sqlite, StoreError> {
         if !is_store(path)? {
-            // An empty file, as some put one there first, is no file.
+            // An empty file, as `touch` creates one, is replaced.
             if path.metadata().is_ok_and(|file| file.len() == 0) {
                 std::fs::remove_file(path).map_err(|e| StoreError::Io(e.to_string()))?;
             }
             create(path, options)?;
         }
-        let mut db = connect(path, options).map_err(|e| failure(&e))?;
+        let mut db = connect(path, options).map_err(|e| store_error(&e))?;
         check_with(&db, "quick_check")?;
         migrate(&mut db)?;
-        let (writes, take) = sync_channel(options.queue.max(1));
+        let (write_queue, jobs) = sync_channel(options.queue.max(1));
         let mut readers = Vec::new();
         let batching = Batching { size: options.batch.max(1), delay: options.batch_delay };
-        let writer = Some(std::thread::spawn(move || write(db, &take, batching)));
-        let (reads, take) = sync_channel(options.queue.max(1));
-        let take = Arc::new(Mutex::new(take));
+        let writer = Some(std::thread::spawn(move || run_writer(db, &jobs, batching)));
+        let (read_queue, jobs) = sync_channel(options.queue.max(1));
+        let jobs = Arc::new(Mutex::new(jobs));
         for _ in 0..options.readers.max(1) {
-            let db = connect(path, options).map_err(|e| failure(&e))?;
-            let take = take.clone();
-            readers.push(std::thread::spawn(move || read(&db, &take)));
+            let db = connect(path, options).map_err(|e| store_error(&e))?;
+            let jobs = jobs.clone();
+            readers.push(std::thread::spawn(move || run_reader(&db, &jobs)));
         }
-        let here = match options.here {
+        let inline_reader = match options.here {
             None => None,
             Some(limits) => {
                 let options = Options { busy: Duration::ZERO, ..options.clone() };
-                let db = connect(path, &options).map_err(|e| failure(&e))?;
-                Some(Mutex::new(InlineReader { db, quick: Quick::new(limits), epoch: Instant::now() }))
+                let db = connect(path, &options).map_err(|e| store_error(&e))?;
+                Some(Mutex::new(InlineReader {
+                    db,
+                    policy: InlineReadPolicy::new(limits),
+                    epoch: Instant::now(),
+                }))
             }
         };
-        let (writes, reads, answered) = (Some(writes), Some(reads), AtomicU64::new(0));
-        Ok(Sqlite { writes, reads, writer, readers, here, answered, path: path.into() })
+        let (write_queue, read_queue, answered) = (Some(write_queue), Some(read_queue), AtomicU64::new(0));
+        Ok(Sqlite { write_queue, read_queue, writer, readers, inline_reader, answered, path: path.into() })
     }
 
-    /// Its file.
+    /// Path of the file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    async fn write<T>(&self, job: impl FnOnce(Answer<T>) -> WriteJob) -> Result<T, StoreError> {
-        let (answer, answered) = oneshot::channel();
-        let sent = self.writes.as_ref().map(|writes| writes.try_send(job(answer)));
-        queued(sent)?;
-        self.count_answer(answered.await.unwrap_or(Err(StoreError::Closed)))
+    async fn write<T>(&self, job: impl FnOnce(ReplySender<T>) -> WriteJob) -> Result<T, StoreError> {
+        let (reply, received) = oneshot::channel();
+        let sent = self.write_queue.as_ref().map(|queue| queue.try_send(job(reply)));
+        check_queued(sent)?;
+        self.count_answer(received.await.unwrap_or(Err(StoreError::Closed)))
     }
 
     fn count_answer<T>(&self, answer: T) -> T {
@@ -149,64 +154,66 @@
         answer
     }
 
-    async fn read<T>(&self, job: impl FnOnce(Answer<T>) -> ReadJob) -> Result<T, StoreError> {
-        let (answer, answered) = oneshot::channel();
-        let sent = self.reads.as_ref().map(|reads| reads.try_send(job(answer)));
-        queued(sent)?;
-        self.count_answer(answered.await.unwrap_or(Err(StoreError::Closed)))
+    async fn read<T>(&self, job: impl FnOnce(ReplySender<T>) -> ReadJob) -> Result<T, StoreError> {
+        let (reply, received) = oneshot::channel();
+        let sent = self.read_queue.as_ref().map(|queue| queue.try_send(job(reply)));
+        check_queued(sent)?;
+        self.count_answer(received.await.unwrap_or(Err(StoreError::Closed)))
     }
 
-    /// What the store holds for a key.
+    /// Reads the zone of a key; `None` where the store has no such key.
     ///
     /// # Errors
-    /// [`StoreError`]; [`StoreError::Busy`] at once where too many wait already.
+    /// [`StoreError`]; [`StoreError::Busy`] at once where the queue is full.
     pub async fn get(&self, key: &str) -> Result<Option<Zone>, StoreError> {
         check_key(key)?;
-        // Held by another caller, it is no use to wait for.
-        let here = self.here.as_ref().and_then(|here| here.try_lock().ok()?.get(key));
-        match here {
+        // While another caller uses the inline reader, a reader thread is faster than waiting for it.
+        let inline = self.inline_reader.as_ref().and_then(|reader| reader.try_lock().ok()?.get(key));
+        match inline {
             Some(read) => self.count_answer(read),
-            None => self.read(|answer| ReadJob::Get(key.into(), answer)).await,
+            None => self.read(|reply| ReadJob::Get(key.into(), reply)).await,
         }
     }
 
-    /// Carries an edit out, once for its idempotency key; the receipt comes after the commit.
+    /// Applies an edit, once per idempotency key. The receipt is returned after the commit.
     ///
     /// # Errors
-    /// [`StoreError`]; [`StoreError::proves_not_done`] tells whether the edit may be sent again.
+    /// [`StoreError`]; [`StoreError::proves_not_done`] states whether the edit may be sent again.
     pub async fn edit(&self, edit: Edit) -> Result<Receipt, StoreError> {
         edit.check()?;
-        self.write(|answer| WriteJob::Edit(edit, answer)).await
+        self.write(|reply| WriteJob::Edit(edit, reply)).await
     }
 
-    /// What changed after a version, the oldest first, so many at the most.
+    /// Reads at most `limit` keys that changed after version `after`, oldest change first.
     ///
     /// # Errors
     /// [`StoreError`].
-    pub async fn changes(&self, after: u64, most: usize) -> Result<Vec<Change>, StoreError> {
-        self.read(|answer| ReadJob::Changes(after, most, answer)).await
+    pub async fn changes(&self, after: u64, limit: usize) -> Result<Vec<Change>, StoreError> {
+        self.read(|reply| ReadJob::Changes(after, limit, reply)).await
     }
 
-    /// Zones whose keys come after one, in the order of keys.
+    /// Reads at most `limit` zones whose keys follow `after`, in the order of keys.
     ///
     /// # Errors
     /// [`StoreError`].
-    pub async fn page(&self, after: &str, most: usize) -> Result<Vec<Zone>, StoreError> {
-        self.read(|answer| ReadJob::Page(after.into(), most, answer)).await
+    pub async fn page(&self, after: &str, limit: usize) -> Result<Vec<Zone>, StoreError> {
+        self.read(|reply| ReadJob::Page(after.into(), limit, reply)).await
     }
 
-    /// How many lines of a source have been imported.
+    /// Number of lines of a source that have been imported.
     ///
     /// # Errors
     /// [`StoreError`].
     pub async fn imported(&self, source: &str) -> Result<u64, StoreError> {
-        self.read(|answer| ReadJob::Imported(source.into(), answer)).await
+        self.read(|reply| ReadJob::Imported(source.into(), reply)).await
     }
 
-    /// Imports zones, and notes in the same transaction how many lines of their source are done with them.
+    /// Imports zones. The same transaction records `lines`, the number of lines of the source that are
+    /// imported so far, these zones included.
     ///
     /// # Errors
-    /// [`StoreError`]; then none of them is there.
+    /// [`StoreError`]; [`StoreError::proves_not_done`] states whether certainly none of the zones was
+    /// imported.
     pub async fn import(
         &self,
         source: &str,
@@ -215,28 +222,28 @@
     ) -> Result<(), StoreError> {
         for (key, value) in &zones {
             Edit { key: key.clone(), value: Vec::new(), token: None, remember_ms: 0 }.check()?;
-            if value.len() > crate::contract::MAX_VALUE {
+            if value.len() > crate::contract::MAX_VALUE_BYTES {
                 return Err(StoreError::Bounds("the value"));
             }
         }
-        self.write(|answer| WriteJob::Import(source.into(), lines, zones, answer)).await
+        self.write(|reply| WriteJob::Import(source.into(), lines, zones, reply)).await
     }
 }
 
 impl Store for Sqlite {
-    fn get<'a>(&'a self, key: &'a str) -> Call<'a, Option<Zone>> {
+    fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<Zone>> {
         Box::pin(Sqlite::get(self, key))
     }
 
-    fn edit(&self, edit: Edit) -> Call<'_, Receipt> {
+    fn edit(&self, edit: Edit) -> StoreFuture<'_, Receipt> {
         Box::pin(Sqlite::edit(self, edit))
     }
 
-    fn changes(&self, after: u64, most: usize) -> Call<'_, Vec<Change>> {
-        Box::pin(Sqlite::changes(self, after, most))
+    fn changes(&self, after: u64, limit: usize) -> StoreFuture<'_, Vec<Change>> {
+        Box::pin(Sqlite::changes(self, after, limit))
     }
 
-    fn figures(&self) -> Call<'_, Figures> {
+    fn figures(&self) -> StoreFuture<'_, Figures> {
         Box::pin(self.read(ReadJob::Figures))
     }
 
@@ -247,26 +254,27 @@
 
 impl Drop for Sqlite {
     fn drop(&mut self) {
-        // The writer's connection is the last to close, alone: only so it surely moves the log into the file.
-        // Of connections that close together each can find the others still there, and none does it.
-        (self.reads, self.here) = (None, None);
+        // The last connection to close moves the write-ahead log into the file. If several closed at once,
+        // each could find another one open, and none would move it. So the writer's connection closes last,
+        // alone.
+        (self.read_queue, self.inline_reader) = (None, None);
         for reader in self.readers.drain(..) {
             let _ = reader.join();
         }
-        self.writes = None;
+        self.write_queue = None;
         if let Some(writer) = self.writer.take() {
             let _ = writer.join();
         }
     }
 }
 
-/// Whether a call got into its queue.
-#[expect(clippy::needless_pass_by_value, reason = "an unsent call ends here")]
-fn queued<T>(sent: Option<Result<(), TrySendError<T>>>) -> Result<(), StoreError> {
+/// Converts the result of sending a job to a queue.
+#[expect(clippy::needless_pass_by_value, reason = "drops an unsent job")]
+fn check_queued<T>(sent: Option<Result<(), TrySendError<T>>>) -> Result<(), StoreError> {
     match sent {
         Some(Ok(())) => Ok(()),
         Some(Err(TrySendError::Full(_))) => Err(StoreError::Busy),
-        // It was not handed over: nothing was done, but nothing more will be either.
+        // The job was not accepted, so nothing was done; the store is closed for later calls too.
         Some(Err(TrySendError::Disconnected(_))) | None => Err(StoreError::Closed),
     }
 }
--- a/crates/stonevane-store/src/sqlite/reader.rs
+++ b/crates/stonevane-store/src/sqlite/reader.rs
@@ -1,4 +1,4 @@
-//! The threads that read, and reads on the caller's own thread.
+//! Reader threads, and reads on the caller's own thread.
 
 use std::sync::mpsc::Receiver;
 use std::sync::{Mutex, PoisonError};
@@ -6,57 +6,58 @@
 
 use rusqlite::{Connection, OptionalExtension, params};
 
-use super::{Answer, failure};
+use super::{ReplySender, store_error};
 use crate::contract::{Change, Figures, StoreError, Zone};
-use crate::quick::Quick;
+use crate::quick::InlineReadPolicy;
 
 pub(super) enum ReadJob {
-    Get(String, Answer<Option<Zone>>),
-    Changes(u64, usize, Answer<Vec<Change>>),
-    Page(String, usize, Answer<Vec<Zone>>),
-    Imported(String, Answer<u64>),
-    Figures(Answer<Figures>),
+    Get(String, ReplySender<Option<Zone>>),
+    Changes(u64, usize, ReplySender<Vec<Change>>),
+    Page(String, usize, ReplySender<Vec<Zone>>),
+    Imported(String, ReplySender<u64>),
+    Figures(ReplySender<Figures>),
 }
 
-/// The connection on which a caller reads by itself, and how such reads went.
+/// The connection for reads on the caller's thread, and the policy that allows them.
 pub(super) struct InlineReader {
     pub db: Connection,
-    pub quick: Quick,
+    pub policy: InlineReadPolicy,
     pub epoch: Instant,
 }
 
 impl InlineReader {
-    /// Reads a key, where reads are quick. `None` where it is a thread's to read: also where another process holds the
-    /// file, since a thread waits for it and the caller does not.
+    /// Reads a key, if the policy allows it. `None` where a reader thread is to read it instead, also while
+    /// another process locks the file: a reader thread waits for the lock, the caller must not.
     pub fn get(&mut self, key: &str) -> Option<Result<Option<Zone>, StoreError>> {
-        let begun = self.epoch.elapsed().as_micros() as u64;
-        if !self.quick.may(begun) {
+        let started = self.epoch.elapsed().as_micros() as u64;
+        if !self.policy.allows(started) {
             return None;
         }
-        let read = get(&self.db, key).map_err(|e| failure(&e));
+        let read = get(&self.db, key).map_err(|e| store_error(&e));
         let now = self.epoch.elapsed().as_micros() as u64;
-        self.quick.took(now, now - begun);
+        self.policy.record(now, now - started);
         (read != Err(StoreError::Busy)).then_some(read)
     }
 }
 
-pub(super) fn read(db: &Connection, take: &Mutex<Receiver<ReadJob>>) {
+/// Runs read jobs until the queue closes.
+pub(super) fn run_reader(db: &Connection, jobs: &Mutex<Receiver<ReadJob>>) {
     loop {
-        let job = take.lock().unwrap_or_else(PoisonError::into_inner).recv();
+        let job = jobs.lock().unwrap_or_else(PoisonError::into_inner).recv();
         let Ok(job) = job else { return };
-        let failed = |e: rusqlite::Error| failure(&e);
+        let failed = |e: rusqlite::Error| store_error(&e);
         match job {
-            ReadJob::Get(key, answer) => drop(answer.send(get(db, &key).map_err(failed))),
-            ReadJob::Changes(after, most, answer) => {
-                drop(answer.send(changes(db, after, most).map_err(failed)));
+            ReadJob::Get(key, reply) => drop(reply.send(get(db, &key).map_err(failed))),
+            ReadJob::Changes(after, limit, reply) => {
+                drop(reply.send(changes(db, after, limit).map_err(failed)));
             }
-            ReadJob::Page(after, most, answer) => drop(answer.send(page(db, &after, most).map_err(failed))),
-            ReadJob::Imported(source, answer) => {
+            ReadJob::Page(after, limit, reply) => drop(reply.send(page(db, &after, limit).map_err(failed))),
+            ReadJob::Imported(source, reply) => {
                 let lines = "SELECT lines FROM imports WHERE source = ?1";
                 let lines = db.query_row(lines, [source], |row| row.get(0)).optional();
-                let _ = answer.send(lines.map(Option::unwrap_or_default).map_err(failed));
+                let _ = reply.send(lines.map(Option::unwrap_or_default).map_err(failed));
             }
-            ReadJob::Figures(answer) => drop(answer.send(figures(db).map_err(failed))),
+            ReadJob::Figures(reply) => drop(reply.send(figures(db).map_err(failed))),
         }
     }
 }
@@ -73,11 +74,11 @@
     get.query_row([key], zone).optional()
 }
 
-fn changes(db: &Connection, after: u64, most: usize) -> Result<Vec<Change>, rusqlite::Error> {
+fn changes(db: &Connection, after: u64, limit: usize) -> Result<Vec<Change>, rusqlite::Error> {
     let mut changes =
         db.prepare_cached("SELECT key, version FROM zones WHERE version > ?1 ORDER BY version LIMIT ?2")?;
     let change = |row: &rusqlite::Row<'_>| Ok(Change { key: row.get(0)?, version: row.get(1)? });
-    changes.query_map(params![after, most as u64], change)?.collect()
+    changes.query_map(params![after, limit as u64], change)?.collect()
 }
 
 fn figures(db: &Connection) -> Result<Figures, rusqlite::Error> {
@@ -87,9 +88,9 @@
     figures.query_row([], |row| Ok(Figures { version: row.get(0)?, zones: row.get(1)?, tokens: row.get(2)? }))
 }
 
-fn page(db: &Connection, after: &str, most: usize) -> Result<Vec<Zone>, rusqlite::Error> {
+fn page(db: &Connection, after: &str, limit: usize) -> Result<Vec<Zone>, rusqlite::Error> {
     let mut page = db.prepare_cached(
         "SELECT key, value, version, edited_at FROM zones WHERE key > ?1 ORDER BY key LIMIT ?2",
     )?;
-    page.query_map(params![after, most as u64], zone)?.collect()
+    page.query_map(params![after, limit as u64], zone)?.collect()
 }
--- a/crates/stonevane-store/tests/flight.rs
+++ b/crates/stonevane-store/tests/flight.rs
@@ -1,11 +1,11 @@
-//! The shared fetch and the breaker against models that are slow and plain.
+//! The shared fetch and the circuit breaker, checked against simple reference models.
 #![allow(missing_docs)]
 
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stonevane_store::breaker::{Breaker, Limits as Trips, State, Word};
+use stonevane_store::breaker::{Breaker, Limits as BreakerLimits, State, Word};
 use stonevane_store::flight::{FlightId, Flights, Joined, Limits};
 
 fn limits() -> Limits {
@@ -13,22 +13,22 @@
 }
 
 #[test]
-fn two_hundred_who_miss_one_key_cause_one_call() {
+fn two_hundred_callers_of_one_key_share_one_fetch() {
     let mut flights = Flights::new(Limits::default());
     let joined: Vec<_> = (0..200).map(|joiner| flights.join(&"k", joiner, 1_000)).collect();
     let Joined::Begins(id) = joined[0] else { panic!("{joined:?}") };
     assert!(joined[1..].iter().all(|j| *j == Joined::Waits(id)));
-    let landed = flights.landed(id).unwrap();
-    assert_eq!(landed.joiners, (0..200).collect::<Vec<_>>());
-    assert!(landed.may_keep && flights.waiting() == 0 && flights.in_the_air() == 0);
+    let completed = flights.landed(id).unwrap();
+    assert_eq!(completed.joiners, (0..200).collect::<Vec<_>>());
+    assert!(completed.may_keep && flights.joiner_count() == 0 && flights.in_flight() == 0);
 }
 
 #[test]
-fn whoever_leaves_a_fetch_goes_on_while_anyone_waits_and_is_cancelled_with_the_last() {
+fn a_fetch_continues_while_any_joiner_waits_and_is_cancelled_when_the_last_leaves() {
     let mut flights = Flights::new(limits());
     let Joined::Begins(id) = flights.join(&"k", 1, 10) else { panic!() };
     flights.join(&"k", 2, 20);
-    assert_eq!(flights.leave(1), None, "the first to ask has left");
+    assert_eq!(flights.leave(1), None, "another joiner still waits");
     assert_eq!(flights.expire(19), (vec![], vec![]));
     assert_eq!(flights.expire(20), (vec![2], vec![id]));
     assert_eq!(flights.landed(id), None, "it was cancelled");
@@ -36,29 +36,35 @@
 }
 
 #[test]
-fn who_asks_after_an_edits_receipt_does_not_join_a_fetch_from_before_it() {
+fn a_caller_after_an_edits_receipt_does_not_join_an_older_fetch() {
     let mut flights = Flights::new(limits());
     let Joined::Begins(old) = flights.join(&"k", 1, 10) else { panic!() };
     assert!(flights.edit_begins(&"k"));
-    assert_eq!(flights.join(&"k", 2, 10), Joined::Waits(old), "before the receipt either value is right");
+    assert_eq!(
+        flights.join(&"k", 2, 10),
+        Joined::Waits(old),
+        "before the receipt, the old and the new value are both correct"
+    );
     flights.edit_ended(&"k");
-    let Joined::Begins(new) = flights.join(&"k", 3, 10) else { panic!("joined an old fetch") };
-    assert!(!flights.landed(old).unwrap().may_keep, "no cache keeps what may be old");
+    let Joined::Begins(new) = flights.join(&"k", 3, 10) else {
+        panic!("joined a fetch from before the receipt")
+    };
+    assert!(!flights.landed(old).unwrap().may_keep, "the value may be old, so no cache may keep it");
     assert!(flights.landed(new).unwrap().may_keep);
     assert_eq!(flights.join(&"other", 4, 10), Joined::Begins(new + 1));
 }
 
 #[test]
-fn all_is_bounded() {
+fn flights_joiners_and_edits_are_bounded() {
     let mut flights = Flights::new(limits());
     for joiner in 0..5 {
         assert_ne!(flights.join(&0, joiner, 9), Joined::NoRoom);
     }
-    assert_eq!(flights.join(&0, 5, 9), Joined::NoRoom, "joiners of a fetch");
+    assert_eq!(flights.join(&0, 5, 9), Joined::NoRoom, "too many joiners of a fetch");
     for key in 1..4 {
         assert!(matches!(flights.join(&key, 10 + key, 9), Joined::Begins(_)));
     }
-    assert_eq!(flights.join(&9, 20, 9), Joined::NoRoom, "fetches");
+    assert_eq!(flights.join(&9, 20, 9), Joined::NoRoom, "too many fetches");
     assert_eq!([1, 1, 2, 3].map(|key| flights.edit_begins(&key)), [true, true, true, false]);
     flights.edit_ended(&1);
     assert!(flights.edit_begins(&3));
@@ -69,14 +75,17 @@
 enum Op {
     Join(u8),
     Leave(u8),
-    /// The store reads for the n-th flight in the air.
+    /// The store reads the value for the n-th flight.
     Read(u8),
-    Land(u8),
+    /// The n-th flight completes.
+    Complete(u8),
     EditBegins(u8),
-    /// The store commits the n-th edit under way.
+    /// The store commits the n-th edit in progress.
     Commit(u8),
+    /// The n-th edit in progress returns its receipt.
     Receipt(u8),
-    Pass(u8),
+    /// Time passes.
+    Advance(u8),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -84,44 +93,46 @@
         4 => (0u8..3).prop_map(Op::Join),
         1 => (0u8..8).prop_map(Op::Leave),
         3 => (0u8..4).prop_map(Op::Read),
-        2 => (0u8..4).prop_map(Op::Land),
+        2 => (0u8..4).prop_map(Op::Complete),
         2 => (0u8..3).prop_map(Op::EditBegins),
         2 => (0u8..3).prop_map(Op::Commit),
         2 => (0u8..3).prop_map(Op::Receipt),
-        1 => (0u8..10).prop_map(Op::Pass),
+        1 => (0u8..10).prop_map(Op::Advance),
     ]
 }
 
-/// One flight, as plainly as it can be put.
+/// A flight of the reference model.
 #[derive(Debug, Clone)]
-struct Plain {
+struct ModelFlight {
     id: FlightId,
     key: u8,
     joiners: Vec<(u64, u64)>,
     joinable: bool,
-    touched: bool,
+    overlaps_edit: bool,
+    /// The version that the store has read for it.
     read: Option<u64>,
 }
 
 #[derive(Debug, Clone)]
-struct PlainEdit {
+struct ModelEdit {
     key: u8,
     version: Option<u64>,
 }
 
-/// The store, one cache, and all flights in a list that is searched.
+/// The reference model: the store, one cache, and all flights and edits in plain lists.
 #[derive(Default)]
-struct World {
-    air: Vec<Plain>,
-    edits: Vec<PlainEdit>,
+struct Model {
+    flights: Vec<ModelFlight>,
+    edits: Vec<ModelEdit>,
     store: BTreeMap<u8, u64>,
     cache: BTreeMap<u8, u64>,
-    /// The newest version whose receipt has been given, now and when each joiner asked.
-    receipted: BTreeMap<u8, u64>,
-    asked: BTreeMap<u64, u64>,
-    versions: u64,
+    /// The newest version of each key whose receipt has been returned.
+    newest_receipt: BTreeMap<u8, u64>,
+    /// The newest receipt of its key when each joiner joined.
+    receipt_at_join: BTreeMap<u64, u64>,
+    last_version: u64,
     now: u64,
-    next: u64,
+    last_joiner: u64,
 }
 
 proptest! {
@@ -129,140 +140,170 @@
         cases: 3_000, failure_persistence: None, rng_seed: RngSeed::Fixed(11), ..ProptestConfig::default()
     })]
 
-    /// Each step does what a plain list would; nobody who asked after a receipt is given an older value, and no
-    /// cache keeps one.
+    /// Each step has the same result as in the reference model. A caller that asked after a receipt never
+    /// gets an older value, and no cache keeps one.
     #[test]
-    fn the_shared_fetch_does_what_a_plain_list_does(ops in proptest::collection::vec(op(), 1..80)) {
+    fn the_shared_fetch_matches_the_reference_model(ops in proptest::collection::vec(op(), 1..80)) {
         let mut flights = Flights::new(limits());
-        let mut world = World::default();
+        let mut model = Model::default();
         for op in ops {
             match op {
                 Op::Join(key) => {
-                    world.next += 1;
-                    let (joiner, until) = (world.next, world.now + 7);
-                    let got = flights.join(&key, joiner, until);
-                    let full = world.air.len() >= 4;
-                    let open = world.air.iter_mut().find(|f| f.key == key && f.joinable);
-                    let plain = match open {
+                    model.last_joiner += 1;
+                    let (joiner, deadline) = (model.last_joiner, model.now + 7);
+                    let joined = flights.join(&key, joiner, deadline);
+                    let full = model.flights.len() >= 4;
+                    let joinable = model.flights.iter_mut().find(|f| f.key == key && f.joinable);
+                    let expected = match joinable {
                         Some(flight) if flight.joiners.len() >= 5 => Joined::NoRoom,
                         Some(flight) => {
-                            flight.joiners.push((joiner, until));
+                            flight.joiners.push((joiner, deadline));
                             Joined::Waits(flight.id)
                         }
                         None if full => Joined::NoRoom,
                         None => {
-                            let Joined::Begins(id) = got else { return Err(TestCaseError::fail("no new one")) };
-                            prop_assert!(world.air.iter().all(|f| f.id != id));
-                            let touched = world.edits.iter().any(|e| e.key == key);
-                            let joiners = vec![(joiner, until)];
-                            world.air.push(Plain { id, key, joiners, joinable: true, touched, read: None });
+                            let Joined::Begins(id) = joined else {
+                                return Err(TestCaseError::fail("no new fetch"));
+                            };
+                            prop_assert!(model.flights.iter().all(|f| f.id != id));
+                            let overlaps_edit = model.edits.iter().any(|e| e.key == key);
+                            let joiners = vec![(joiner, deadline)];
+                            model.flights.push(ModelFlight {
+                                id,
+                                key,
+                                joiners,
+                                joinable: true,
+                                overlaps_edit,
+                                read: None,
+                            });
                             Joined::Begins(id)
                         }
                     };
-                    prop_assert_eq!(got, plain);
-                    if got != Joined::NoRoom {
-                        world.asked.insert(joiner, world.receipted.get(&key).copied().unwrap_or(0));
+                    prop_assert_eq!(joined, expected);
+                    if joined != Joined::NoRoom {
+                        model
+                            .receipt_at_join
+                            .insert(joiner, model.newest_receipt.get(&key).copied().unwrap_or(0));
                     }
                 }
                 Op::Leave(back) => {
-                    let joiner = world.next.saturating_sub(u64::from(back));
-                    let at = world.air.iter().position(|f| f.joiners.iter().any(|(j, _)| *j == joiner));
-                    let mut plain = None;
+                    let joiner = model.last_joiner.saturating_sub(u64::from(back));
+                    let at = model.flights.iter().position(|f| f.joiners.iter().any(|(j, _)| *j == joiner));
+                    let mut cancelled = None;
                     if let Some(at) = at {
-                        world.air[at].joiners.retain(|(j, _)| *j != joiner);
-                        if world.air[at].joiners.is_empty() {
-                            plain = Some(world.air.remove(at).id);
+                        model.flights[at].joiners.retain(|(j, _)| *j != joiner);
+                        if model.flights[at].joiners.is_empty() {
+                            cancelled = Some(model.flights.remove(at).id);
                         }
                     }
-                    prop_assert_eq!(flights.leave(joiner), plain);
+                    prop_assert_eq!(flights.leave(joiner), cancelled);
                 }
                 Op::Read(at) => {
-                    let store = world.store.clone();
-                    if let Some(flight) = world.air.get_mut(usize::from(at)) {
+                    let store = model.store.clone();
+                    if let Some(flight) = model.flights.get_mut(usize::from(at)) {
                         flight.read.get_or_insert(store.get(&flight.key).copied().unwrap_or(0));
                     }
                 }
-                Op::Land(at) => {
+                Op::Complete(at) => {
                     let at = usize::from(at);
-                    if world.air.get(at).is_none_or(|f| f.read.is_none()) {
+                    if model.flights.get(at).is_none_or(|f| f.read.is_none()) {
                         continue;
                     }
-                    let flight = world.air.remove(at);
-                    let landed = flights.landed(flight.id).unwrap();
+                    let flight = model.flights.remove(at);
+                    let completed = flights.landed(flight.id).unwrap();
                     let version = flight.read.unwrap();
-                    prop_assert_eq!(&landed.joiners, &flight.joiners.iter().map(|(j, _)| *j).collect::<Vec<_>>());
-                    prop_assert_eq!((landed.key, landed.may_keep), (flight.key, !flight.touched));
-                    for joiner in landed.joiners {
-                        prop_assert!(version >= world.asked[&joiner], "older than a receipt from before it asked");
+                    prop_assert_eq!(
+                        &completed.joiners,
+                        &flight.joiners.iter().map(|(j, _)| *j).collect::<Vec<_>>()
+                    );
+                    prop_assert_eq!((completed.key, completed.may_keep), (flight.key, !flight.overlaps_edit));
+                    for joiner in completed.joiners {
+                        prop_assert!(
+                            version >= model.receipt_at_join[&joiner],
+                            "a value older than a receipt from before the call"
+                        );
                     }
-                    if landed.may_keep {
-                        world.cache.insert(flight.key, version);
+                    if completed.may_keep {
+                        model.cache.insert(flight.key, version);
                     }
                 }
                 Op::EditBegins(key) => {
-                    let room = world.edits.len() < 3;
-                    prop_assert_eq!(flights.edit_begins(&key), room);
-                    if room {
-                        world.edits.push(PlainEdit { key, version: None });
-                        world.air.iter_mut().filter(|f| f.key == key).for_each(|f| f.touched = true);
+                    let accepted = model.edits.len() < 3;
+                    prop_assert_eq!(flights.edit_begins(&key), accepted);
+                    if accepted {
+                        model.edits.push(ModelEdit { key, version: None });
+                        model
+                            .flights
+                            .iter_mut()
+                            .filter(|f| f.key == key)
+                            .for_each(|f| f.overlaps_edit = true);
                     }
                 }
                 Op::Commit(at) => {
-                    if let Some(edit) = world.edits.get_mut(usize::from(at)).filter(|e| e.version.is_none()) {
-                        world.versions += 1;
-                        edit.version = Some(world.versions);
-                        world.store.insert(edit.key, world.versions);
+                    if let Some(edit) = model.edits.get_mut(usize::from(at)).filter(|e| e.version.is_none()) {
+                        model.last_version += 1;
+                        edit.version = Some(model.last_version);
+                        model.store.insert(edit.key, model.last_version);
                     }
                 }
                 Op::Receipt(at) => {
                     let at = usize::from(at);
-                    if world.edits.get(at).is_none_or(|e| e.version.is_none()) {
+                    if model.edits.get(at).is_none_or(|e| e.version.is_none()) {
                         continue;
                     }
-                    let edit = world.edits.remove(at);
-                    // Copies are dropped before the receipt.
-                    world.cache.remove(&edit.key);
+                    let edit = model.edits.remove(at);
+                    // The cache drops its copy before the receipt is returned.
+                    model.cache.remove(&edit.key);
                     flights.edit_ended(&edit.key);
-                    world.air.iter_mut().filter(|f| f.key == edit.key).for_each(|f| f.joinable = false);
-                    let known = world.receipted.entry(edit.key).or_default();
-                    *known = (*known).max(edit.version.unwrap());
+                    model.flights.iter_mut().filter(|f| f.key == edit.key).for_each(|f| f.joinable = false);
+                    let newest = model.newest_receipt.entry(edit.key).or_default();
+                    *newest = (*newest).max(edit.version.unwrap());
                 }
-                Op::Pass(time) => {
-                    world.now += u64::from(time);
-                    let now = world.now;
-                    let (mut over, mut cancelled) = (Vec::new(), Vec::new());
-                    for flight in &mut world.air {
-                        over.extend(flight.joiners.iter().filter(|(_, u)| *u <= now).map(|(j, _)| *j));
-                        flight.joiners.retain(|(_, until)| *until > now);
+                Op::Advance(time) => {
+                    model.now += u64::from(time);
+                    let now = model.now;
+                    let (mut expired, mut cancelled) = (Vec::new(), Vec::new());
+                    for flight in &mut model.flights {
+                        expired.extend(
+                            flight.joiners.iter().filter(|(_, deadline)| *deadline <= now).map(|(j, _)| *j),
+                        );
+                        flight.joiners.retain(|(_, deadline)| *deadline > now);
                         if flight.joiners.is_empty() {
                             cancelled.push(flight.id);
                         }
                     }
-                    world.air.retain(|f| !f.joiners.is_empty());
-                    over.sort_unstable();
+                    model.flights.retain(|f| !f.joiners.is_empty());
+                    expired.sort_unstable();
                     cancelled.sort_unstable();
-                    prop_assert_eq!(flights.expire(now), (over, cancelled));
+                    prop_assert_eq!(flights.expire(now), (expired, cancelled));
                 }
             }
-            for (key, receipted) in &world.receipted {
-                let kept = world.cache.get(key);
-                prop_assert!(kept.is_none_or(|kept| kept >= receipted), "a cache keeps an old value");
+            for (key, newest) in &model.newest_receipt {
+                let kept = model.cache.get(key);
+                prop_assert!(
+                    kept.is_none_or(|kept| kept >= newest),
+                    "the cache keeps a value older than a receipt"
+                );
             }
-            prop_assert_eq!(flights.in_the_air(), world.air.len());
-            prop_assert_eq!(flights.waiting(), world.air.iter().map(|f| f.joiners.len()).sum::<usize>());
+            prop_assert_eq!(flights.in_flight(), model.flights.len());
+            prop_assert_eq!(
+                flights.joiner_count(),
+                model.flights.iter().map(|f| f.joiners.len()).sum::<usize>()
+            );
         }
     }
 
-    /// Open, it lets nothing pass; half open, one call; and its waits stay within their bounds.
+    /// An open breaker lets no call pass, a half-open one only the probe, and its waits stay within their
+    /// bounds.
     #[test]
     fn a_breaker_lets_one_probe_pass_at_a_time(
         steps in proptest::collection::vec((0u8..4, 0u64..400, 0.0f64..1.0), 1..60),
     ) {
-        let trips = Trips { failures: 3, shortest: 100, longest: 400, jitter: 0.5 };
-        let mut breaker = Breaker::new(trips);
-        let (mut now, mut probing, mut in_a_row, mut open_until) = (0u64, false, 0u32, None::<u64>);
-        for (step, time, drawn) in steps {
-            now += time;
+        let limits = BreakerLimits { failures: 3, shortest: 100, longest: 400, jitter: 0.5 };
+        let mut breaker = Breaker::new(limits);
+        let (mut now, mut probing, mut failures, mut open_until) = (0u64, false, 0u32, None::<u64>);
+        for (step, elapsed, random) in steps {
+            now += elapsed;
             match step {
                 0 | 1 => match breaker.call(now) {
                     Word::Pass => prop_assert!(open_until.is_none()),
@@ -276,17 +317,17 @@
                 },
                 2 => {
                     breaker.answered();
-                    (probing, in_a_row, open_until) = (false, 0, None);
+                    (probing, failures, open_until) = (false, 0, None);
                 }
                 _ => {
-                    let waited = breaker.state();
-                    breaker.failed(now, drawn);
-                    in_a_row += 1;
-                    let trips_now = open_until.is_none() && in_a_row >= 3 || probing;
-                    if let (true, State::Open { until, wait }) = (trips_now, breaker.state()) {
+                    let state_before = breaker.state();
+                    breaker.failed(now, random);
+                    failures += 1;
+                    let opens = open_until.is_none() && failures >= 3 || probing;
+                    if let (true, State::Open { until, wait }) = (opens, breaker.state()) {
                         prop_assert!((100..=400).contains(&wait) && until - now <= wait + wait / 2);
-                        if let State::HalfOpen { wait: before } = waited {
-                            prop_assert_eq!(wait, (before * 2).min(400));
+                        if let State::HalfOpen { wait: wait_before } = state_before {
+                            prop_assert_eq!(wait, (wait_before * 2).min(400));
                         }
                         (open_until, probing) = (Some(until), false);
                     }
@@ -298,35 +339,35 @@
 }
 
 #[test]
-fn an_edit_an_expiry_and_one_who_leaves_cost_the_same_whatever_else_is_in_the_air() {
-    let cost = |others: u64| {
+fn the_cost_of_an_edit_an_expiry_and_a_leave_does_not_depend_on_other_flights() {
+    let cost = |other_flights: u64| {
         let mut flights: Flights<u64> = Flights::new(Limits { flights: 2_000, ..Limits::default() });
-        for key in 0..others {
+        for key in 0..other_flights {
             flights.join(&(1_000 + key), 10_000 + key, 1_000_000);
         }
         flights.join(&1, 1, 50);
         flights.join(&1, 2, 1_000);
         flights.join(&1, 3, 1_000);
-        let before = flights.looked();
+        let before = flights.visited();
         assert!(flights.edit_begins(&1));
         flights.edit_ended(&1);
         assert_eq!(flights.expire(60), (vec![1], vec![]));
         assert_eq!(flights.leave(2), None);
         assert!(flights.leave(3).is_some());
-        flights.looked() - before
+        flights.visited() - before
     };
     assert_eq!(cost(0), cost(1_000));
     assert!(cost(1_000) < 10);
 }
 
 #[test]
-fn ends_of_those_who_left_are_not_kept_for_ever() {
+fn deadlines_of_joiners_that_left_are_discarded() {
     let mut flights: Flights<u64> = Flights::new(Limits::default());
     for joiner in 0..100_000 {
         flights.join(&1, joiner, u64::MAX);
         flights.leave(joiner);
     }
-    let looked = flights.looked();
+    let before = flights.visited();
     flights.expire(u64::MAX);
-    assert!(flights.looked() - looked < 200, "{}", flights.looked() - looked);
+    assert!(flights.visited() - before < 200, "{} entries visited", flights.visited() - before);
 }
--- a/crates/stonevane-store/tests/postgres.rs
+++ b/crates/stonevane-store/tests/postgres.rs
@@ -1,4 +1,5 @@
-//! PostgreSQL as the store of record, against the stand-in: what is asked of it, and the ways in which it fails.
+//! PostgreSQL as the store of record, tested against the emulator: its operations, and its behavior under
+//! faults.
 #![allow(missing_docs)]
 
 use std::net::{IpAddr, Ipv4Addr};
@@ -28,7 +29,7 @@
 }
 
 #[tokio::test]
-async fn what_is_edited_is_there_a_repeat_is_given_the_first_receipt_and_changes_come_in_order() {
+async fn edits_are_readable_a_repeat_returns_the_first_receipt_and_changes_are_in_order() {
     let server = server().await;
     let (one, other) = (node(&server), node(&server));
     assert_eq!(value(&one, "a").await, Ok(None));
@@ -37,7 +38,7 @@
     assert_eq!(
         other.edit(edit("a", "one", Some("t"))).await,
         Ok(Receipt { repeat: true, ..first }),
-        "any node"
+        "a repeat on another node"
     );
     assert_eq!(other.edit(edit("a", "two", Some("t"))).await, Err(StoreError::Conflict));
     assert_eq!(other.edit(edit("b", "\u{0}\u{ff}", None)).await, Ok(Receipt { version: 2, repeat: false }));
@@ -51,15 +52,15 @@
 }
 
 #[tokio::test]
-async fn nodes_that_start_together_make_the_schema_once_and_a_newer_one_is_not_touched() {
+async fn nodes_that_start_together_migrate_once_and_a_newer_schema_is_rejected() {
     let server = server().await;
     let nodes: Vec<_> = (0..6).map(|_| Arc::new(node(&server))).collect();
-    let mut asks = tokio::task::JoinSet::new();
+    let mut calls = tokio::task::JoinSet::new();
     for node in nodes {
-        asks.spawn(async move { value(&node, "a").await });
+        calls.spawn(async move { value(&node, "a").await });
     }
-    while let Some(asked) = asks.join_next().await {
-        assert_eq!(asked.unwrap(), Ok(None));
+    while let Some(result) = calls.join_next().await {
+        assert_eq!(result.unwrap(), Ok(None));
     }
     let fresh = node(&server);
     fresh.edit(edit("a", "one", None)).await.unwrap();
@@ -71,17 +72,17 @@
 }
 
 #[tokio::test]
-async fn a_commit_whose_answer_is_lost_is_done_once_and_the_repeat_on_another_node_has_its_receipt() {
+async fn an_edit_whose_commit_answer_is_lost_is_applied_once_and_its_repeat_returns_the_receipt() {
     let server = server().await;
     let (one, other) = (node(&server), node(&server));
     one.edit(edit("a", "zero", None)).await.unwrap();
-    // Its connection ends, or says nothing more.
+    // After COMMIT the connection closes, or the server stops answering.
     for (fault, version) in [(PgFault::CommitLost, 2), (PgFault::CommitSilent, 3)] {
         let token = format!("t{version}");
         server.set_fault(fault);
         let lost = timeout(Duration::from_secs(10), one.edit(edit("a", "one", Some(&token)))).await;
-        let lost = lost.expect("in time").unwrap_err();
-        assert!(!lost.proves_not_done(), "it was done: {lost}");
+        let lost = lost.expect("the edit ends within 10 s").unwrap_err();
+        assert!(!lost.proves_not_done(), "the edit was applied: {lost}");
         server.set_fault(PgFault::None);
         let receipt = other.edit(edit("a", "one", Some(&token))).await;
         assert_eq!(receipt, Ok(Receipt { version, repeat: true }));
@@ -90,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn what_fails_before_its_commit_has_surely_not_been_done() {
+async fn an_edit_that_fails_before_commit_is_not_applied() {
     let server = server().await;
     let node = node(&server);
     node.edit(edit("a", "one", None)).await.unwrap();
@@ -102,25 +103,29 @@
     ] {
         server.set_fault(fault);
         let failed = timeout(Duration::from_secs(5), node.edit(edit("a", "two", Some("t")))).await;
-        let failed = failed.expect("in time").unwrap_err();
+        let failed = failed.expect("the edit ends within 5 s").unwrap_err();
         assert_eq!((&failed, failed.proves_not_done()), (&wanted, true), "{fault:?}");
         server.set_fault(PgFault::None);
         let again = async {
             while value(&node, "a").await.is_err() {}
             value(&node, "a").await
         };
-        let found = timeout(Duration::from_secs(5), again).await.expect("it comes back");
+        let found = timeout(Duration::from_secs(5), again).await.expect("the store answers again within 5 s");
         assert_eq!(found, Ok(Some((b"one".to_vec(), 1))), "{fault:?}");
     }
     server.set_fault(PgFault::MidRow);
     let torn = value(&node, "a").await.unwrap_err();
     assert!(torn.is_silence(), "{torn}");
     server.set_fault(PgFault::TooMany);
-    assert_eq!(value(&node, "a").await, Err(StoreError::Unreachable), "it has no place for a new connection");
+    assert_eq!(
+        value(&node, "a").await,
+        Err(StoreError::Unreachable),
+        "the server accepts no more connections"
+    );
 }
 
 #[tokio::test]
-async fn edits_of_one_key_that_race_on_two_nodes_are_one_after_the_other() {
+async fn concurrent_edits_of_one_key_on_two_nodes_are_serialized() {
     let server = server().await;
     let nodes = [Arc::new(node(&server)), Arc::new(node(&server))];
     nodes[0].edit(edit("a", "start", None)).await.unwrap();
@@ -134,7 +139,7 @@
     }
     let (mut versions, mut last) = (Vec::new(), (0, String::new()));
     while let Some(done) = edits.join_next().await {
-        // Each idempotency key is used twice, for two values: one of them wins, whichever comes first.
+        // Each idempotency key is used for two values, of which the first to arrive is applied.
         if let (Ok(receipt), value) = done.unwrap() {
             assert!(!receipt.repeat);
             versions.push(receipt.version);
@@ -142,12 +147,16 @@
         }
     }
     versions.sort_unstable();
-    assert_eq!(versions, (2..22).collect::<Vec<_>>(), "twenty keys, twenty versions, none twice");
+    assert_eq!(
+        versions,
+        (2..22).collect::<Vec<_>>(),
+        "twenty idempotency keys, twenty versions, no duplicates"
+    );
     assert_eq!(value(&nodes[0], "a").await, Ok(Some((last.1.into_bytes(), 21))));
 }
 
 #[tokio::test]
-async fn a_copy_that_lags_behind_a_receipt_is_not_read_from() {
+async fn a_replica_that_lags_behind_a_receipt_is_not_read() {
     let server = server().await;
     let node = node(&server);
     node.edit(edit("a", "old", None)).await.unwrap();
@@ -159,49 +168,49 @@
     let end = Instant::now() + Duration::from_secs(5);
     loop {
         let found = value(&node, "a").await;
-        assert!(found.is_err(), "an older value than its own receipt: {found:?}");
+        assert!(found.is_err(), "a value older than the node's own receipt: {found:?}");
         if found == Err(StoreError::Behind) {
             break;
         }
-        assert!(Instant::now() < end, "{found:?}");
+        assert!(Instant::now() < end, "no `Behind` error within 5 s: {found:?}");
     }
 }
 
 #[tokio::test]
-async fn connections_that_are_all_lost_at_once_do_not_come_back_as_a_storm() {
+async fn connections_lost_together_do_not_reconnect_in_a_storm() {
     let server = server().await;
     let node =
         Arc::new(Postgres::new(&server.url(), Options { connections: 16, ..Options::default() }).unwrap());
-    let mut asks = tokio::task::JoinSet::new();
+    let mut calls = tokio::task::JoinSet::new();
     for _ in 0..16 {
         let node = node.clone();
-        asks.spawn(async move { value(&node, "a").await });
+        calls.spawn(async move { value(&node, "a").await });
     }
-    while let Some(asked) = asks.join_next().await {
-        asked.unwrap().unwrap();
+    while let Some(result) = calls.join_next().await {
+        result.unwrap().unwrap();
     }
     server.set_fault(PgFault::Shutdown);
     let before = server.counts().connections;
     let end = Instant::now() + Duration::from_millis(600);
     for _ in 0..16 {
         let node = node.clone();
-        asks.spawn(async move {
+        calls.spawn(async move {
             while Instant::now() < end {
                 let _ = timeout(Duration::from_millis(50), value(&node, "a")).await;
             }
             Ok(None)
         });
     }
-    while asks.join_next().await.is_some() {}
-    let tries = server.counts().connections - before;
-    assert!((1..=12).contains(&tries), "{tries} tries in 600 ms from 16 callers");
+    while calls.join_next().await.is_some() {}
+    let attempts = server.counts().connections - before;
+    assert!((1..=12).contains(&attempts), "{attempts} attempts to connect in 600 ms from 16 callers");
     server.set_fault(PgFault::None);
     let found = timeout(Duration::from_secs(2), async { while value(&node, "a").await.is_err() {} }).await;
-    assert!(found.is_ok(), "back within two seconds");
+    assert!(found.is_ok(), "the store answers again within two seconds");
 }
 
 #[tokio::test]
-async fn a_call_that_is_given_up_is_cancelled_at_the_server_and_its_connection_is_not_used_again() {
+async fn an_abandoned_call_is_cancelled_at_the_server_and_its_connection_is_not_reused() {
     let server = server().await;
     let node = node(&server);
     node.edit(edit("a", "one", None)).await.unwrap();
@@ -210,60 +219,68 @@
     assert!(timeout(Duration::from_millis(50), node.get("a")).await.is_err());
     let end = Instant::now() + Duration::from_secs(5);
     while server.counts().cancels == before.cancels {
-        assert!(Instant::now() < end, "no cancel request came");
+        assert!(Instant::now() < end, "no cancel request arrived");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     server.set_fault(PgFault::None);
     assert_eq!(value(&node, "a").await, Ok(Some((b"one".to_vec(), 1))));
-    assert!(server.counts().connections > before.connections + 1, "the cancel's, and a new one");
+    assert!(
+        server.counts().connections > before.connections + 1,
+        "one connection for the cancel request, and one for the next call"
+    );
 }
 
 #[tokio::test]
-async fn one_who_follows_is_told_of_each_key_that_changed_whatever_notice_or_connection_was_lost() {
+async fn a_subscriber_receives_each_changed_key_after_lost_notifications_and_connections() {
     let server = server().await;
     let (one, other) = (node(&server), node(&server));
     other.edit(edit("before", "it", None)).await.unwrap();
     let mut changes = one.follow().unwrap();
     let change = |key: &str, version| Change { key: key.into(), version };
-    let mut told = async || timeout(Duration::from_secs(10), changes.recv()).await.expect("in time").unwrap();
-    // It stands once it has heard of something; what came before that is of no interest to it.
+    let mut next_change = async || {
+        timeout(Duration::from_secs(10), changes.recv()).await.expect("a change within 10 s").unwrap()
+    };
+    // The subscription is established once a change arrives; earlier changes may be left out.
     let mut version = 1;
     loop {
         version += 1;
-        other.edit(edit("stands", &version.to_string(), None)).await.unwrap();
+        other.edit(edit("subscribed", &version.to_string(), None)).await.unwrap();
         tokio::select! {
-            heard = told() => break assert_eq!(heard.key, "stands"),
+            received = next_change() => break assert_eq!(received.key, "subscribed"),
             () = tokio::time::sleep(Duration::from_millis(50)) => {}
         }
     }
     other.edit(edit("with a space", "a", None)).await.unwrap();
-    let heard = loop {
-        let heard = told().await;
-        if heard.key != "stands" {
-            break heard;
+    let received = loop {
+        let received = next_change().await;
+        if received.key != "subscribed" {
+            break received;
         }
     };
-    assert_eq!(heard, change("with a space", version + 1));
-    // Its connection is lost, and others change keys meanwhile, one of them twice.
+    assert_eq!(received, change("with a space", version + 1));
+    // The subscriber's connection is lost. Meanwhile two keys change, one of them twice.
     server.set_fault(PgFault::Refuse);
-    let by_hand = |key: &str| {
-        let next = server
+    let change_silently = |key: &str| {
+        let next_version = server
             .query_column("UPDATE counter SET version = version + 1 WHERE id = 1 RETURNING version")
             .unwrap();
-        let rusqlite::types::Value::Integer(next) = next[0] else { panic!("{next:?}") };
-        let row = format!("VALUES ('{key}', CAST('x' AS BLOB), {next}, 0)");
-        let put = "ON CONFLICT (key) DO UPDATE SET version = excluded.version RETURNING version";
+        let rusqlite::types::Value::Integer(version) = next_version[0] else { panic!("{next_version:?}") };
+        let row = format!("VALUES ('{key}', CAST('x' AS BLOB), {version}, 0)");
+        let update = "ON CONFLICT (key) DO UPDATE SET version = excluded.version RETURNING version";
         server
-            .query_column(&format!("INSERT INTO zones (key, value, version, edited_at) {row} {put}"))
+            .query_column(&format!("INSERT INTO zones (key, value, version, edited_at) {row} {update}"))
             .unwrap();
     };
     for key in ["b", "c", "b"] {
-        by_hand(key);
+        change_silently(key);
     }
     server.set_fault(PgFault::None);
-    assert_eq!((told().await, told().await), (change("c", version + 3), change("b", version + 4)));
-    // A change of which no notice came at all.
-    by_hand("d");
-    assert_eq!(told().await, change("d", version + 5));
+    assert_eq!(
+        (next_change().await, next_change().await),
+        (change("c", version + 3), change("b", version + 4))
+    );
+    // A change without any notification.
+    change_silently("d");
+    assert_eq!(next_change().await, change("d", version + 5));
     drop(changes);
 }
--- a/crates/stonevane-store/tests/store.rs
+++ b/crates/stonevane-store/tests/store.rs
@@ -1,4 +1,4 @@
-//! SQLite as the store of record: what is asked of it, and the failures that it must survive.
+//! SQLite as the store of record: its operations, and the failures that it must survive.
 #![allow(missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
 use stonevane_store::sqlite::{APPLICATION_ID, FORM, Options, check};
 use stonevane_store::{Change, Edit, Receipt, Sqlite, StoreError};
 
-/// A folder that goes when its test ends.
+/// A temporary folder, removed when the test ends.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test]
-async fn what_is_edited_is_there_with_its_version_also_after_it_was_closed() {
+async fn edits_and_their_versions_persist_after_the_store_is_closed() {
     let folder = Folder::new();
     let store = open(&folder.file());
     assert_eq!(store.get("a").await, Ok(None));
@@ -62,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn a_repeat_of_an_idempotency_key_is_given_the_first_receipt_while_it_is_remembered() {
+async fn a_repeat_of_an_idempotency_key_returns_the_first_receipt_until_it_expires() {
     let folder = Folder::new();
     let store = open(&folder.file());
     let first = store.edit(edit("a", "one", Some("t"))).await.unwrap();
@@ -76,11 +76,11 @@
     let one = store.edit(short.clone()).await.unwrap();
     std::thread::sleep(Duration::from_millis(5));
     let two = store.edit(short).await.unwrap();
-    assert!(!two.repeat && two.version > one.version, "forgotten after its time");
+    assert!(!two.repeat && two.version > one.version, "the idempotency key has expired");
 }
 
 #[tokio::test]
-async fn edits_that_come_together_are_one_transaction_and_each_has_its_own_end() {
+async fn edits_that_share_a_transaction_succeed_or_fail_independently() {
     let folder = Folder::new();
     let options = Options { batch_delay: Duration::from_millis(30), ..Options::default() };
     let store = std::sync::Arc::new(Sqlite::open(&folder.file(), &options).unwrap());
@@ -88,7 +88,7 @@
     let mut all = tokio::task::JoinSet::new();
     for at in 0..40 {
         let store = store.clone();
-        // One in four is a conflict: it must fail alone.
+        // One edit in four is a conflict, which must not make others fail.
         let token = if at % 4 == 0 { "taken".to_owned() } else { format!("t{at}") };
         all.spawn(async move { (at, store.edit(edit(&format!("k{at}"), "v", Some(&token))).await) });
     }
@@ -103,11 +103,11 @@
         }
     }
     versions.sort_unstable();
-    assert_eq!(versions, (2..=31).collect::<Vec<_>>(), "one version each, none lost to those that failed");
+    assert_eq!(versions, (2..=31).collect::<Vec<_>>(), "consecutive versions, none used by a failed edit");
 }
 
 #[tokio::test]
-async fn what_is_past_its_bounds_is_refused_and_nothing_is_done() {
+async fn keys_and_values_past_their_bounds_are_rejected_without_effect() {
     let folder = Folder::new();
     let store = open(&folder.file());
     let long = "x".repeat(70_000);
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn an_import_and_how_far_it_came_are_one() {
+async fn an_import_and_its_progress_are_stored_together() {
     let folder = Folder::new();
     let store = open(&folder.file());
     assert_eq!(store.imported("s").await, Ok(0));
@@ -135,7 +135,7 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_is_told_as_such_and_all_that_was_there_stays() {
+async fn a_full_disk_is_reported_and_existing_zones_remain_readable() {
     let folder = Folder::new();
     let options = Options { max_pages: 40, ..Options::default() };
     let store = Sqlite::open(&folder.file(), &options).unwrap();
@@ -146,20 +146,20 @@
             Ok(_) => done += 1,
             Err(e) => break e,
         }
-        assert!(done < 100, "160 KiB are full by now");
+        assert!(done < 100, "the limit of 160 KiB must be reached by now");
     };
     assert_eq!(full, StoreError::Full);
     assert!(full.proves_not_done() && done > 1);
-    assert_eq!(store.get(&format!("k{done}")).await, Ok(None), "surely not done");
-    assert!(store.get("k0").await.unwrap().is_some(), "reads go on");
+    assert_eq!(store.get(&format!("k{done}")).await, Ok(None), "the failed edit was not applied");
+    assert!(store.get("k0").await.unwrap().is_some(), "existing zones are still readable");
     drop(store);
-    let roomy = open(&folder.file());
-    let again = roomy.edit(edit(&format!("k{done}"), &big, Some(&format!("t{done}")))).await.unwrap();
-    assert_eq!((again.version, again.repeat), (done + 1, false), "with room again");
+    let reopened = open(&folder.file());
+    let again = reopened.edit(edit(&format!("k{done}"), &big, Some(&format!("t{done}")))).await.unwrap();
+    assert_eq!((again.version, again.repeat), (done + 1, false), "the repeat is applied once there is space");
 }
 
 #[tokio::test]
-async fn a_file_that_another_process_holds_is_busy_and_reads_go_on() {
+async fn edits_of_a_file_locked_by_another_process_fail_as_busy_and_reads_succeed() {
     let folder = Folder::new();
     let options = Options { busy: Duration::from_millis(20), ..Options::default() };
     let store = Sqlite::open(&folder.file(), &options).unwrap();
@@ -173,14 +173,14 @@
 }
 
 #[tokio::test]
-async fn more_than_may_wait_is_turned_away_at_once() {
+async fn calls_beyond_the_queue_length_are_rejected_at_once() {
     let folder = Folder::new();
     let options = Options { queue: 1, busy: Duration::from_millis(300), ..Options::default() };
     let store = std::sync::Arc::new(Sqlite::open(&folder.file(), &options).unwrap());
     let other = Connection::open(folder.file()).unwrap();
     other.execute_batch("BEGIN IMMEDIATE").unwrap();
     let mut all = tokio::task::JoinSet::new();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     for at in 0..200 {
         let store = store.clone();
         all.spawn(async move { store.edit(edit(&format!("k{at}"), "v", None)).await });
@@ -188,42 +188,46 @@
     let first = all.join_next().await.unwrap().unwrap();
     assert_eq!(first, Err(StoreError::Busy));
     assert!(
-        begun.elapsed() < Duration::from_millis(250),
-        "before the file was waited for: {:?}",
-        begun.elapsed()
+        started.elapsed() < Duration::from_millis(250),
+        "rejected only after {:?}, not before the wait for the lock",
+        started.elapsed()
     );
     other.execute_batch("ROLLBACK").unwrap();
     while all.join_next().await.is_some() {}
 }
 
 #[test]
-fn files_that_are_no_store_or_of_a_newer_form_are_refused_and_not_touched() {
+fn foreign_files_and_newer_schema_versions_are_rejected_and_not_modified() {
     let folder = Folder::new();
     let path = folder.file();
-    let refused = |path: &Path| {
+    let open_error = |path: &Path| {
         let before = std::fs::read(path).unwrap();
-        let refused = Sqlite::open(path, &Options::default()).err().unwrap();
-        assert_eq!(std::fs::read(path).unwrap(), before, "not touched");
-        assert_eq!(std::fs::read_dir(path.parent().unwrap()).unwrap().count(), 1, "and nothing beside it");
-        assert_eq!(check(path, &Options::default()).err(), Some(refused.clone()));
-        refused
+        let error = Sqlite::open(path, &Options::default()).err().unwrap();
+        assert_eq!(std::fs::read(path).unwrap(), before, "the file is unchanged");
+        assert_eq!(
+            std::fs::read_dir(path.parent().unwrap()).unwrap().count(),
+            1,
+            "no file was created beside it"
+        );
+        assert_eq!(check(path, &Options::default()).err(), Some(error.clone()));
+        error
     };
     std::fs::write(&path, "key,value\na,1\n").unwrap();
-    assert_eq!(refused(&path), StoreError::Foreign);
+    assert_eq!(open_error(&path), StoreError::Foreign);
     std::fs::remove_file(&path).unwrap();
     let other = Connection::open(&path).unwrap();
     other.execute_batch("CREATE TABLE t (a); INSERT INTO t VALUES (1);").unwrap();
     drop(other);
-    assert_eq!(refused(&path), StoreError::Foreign);
+    assert_eq!(open_error(&path), StoreError::Foreign);
     let newer = Connection::open(&path).unwrap();
     newer.pragma_update(None, "application_id", APPLICATION_ID).unwrap();
     newer.pragma_update(None, "user_version", FORM + 1).unwrap();
     drop(newer);
-    assert_eq!(refused(&path), StoreError::Newer { found: FORM + 1, known: FORM });
+    assert_eq!(open_error(&path), StoreError::Newer { found: FORM + 1, known: FORM });
 }
 
 #[tokio::test]
-async fn an_older_form_is_brought_to_the_newest_with_all_that_it_holds() {
+async fn an_older_schema_version_is_migrated_with_its_contents() {
     let folder = Folder::new();
     drop(open(&folder.file()));
     let old = Connection::open(folder.file()).unwrap();
@@ -240,13 +244,13 @@
 }
 
 #[tokio::test]
-async fn a_damaged_file_is_told_and_a_log_that_was_cut_off_loses_only_what_stood_in_the_cut() {
+async fn a_damaged_file_is_reported_and_a_truncated_log_loses_only_its_last_edits() {
     let folder = Folder::new();
     let store = open(&folder.file());
     for at in 0..50 {
         store.edit(edit(&format!("k{at}"), &"v".repeat(2_000), None)).await.unwrap();
     }
-    // What a kill leaves: the file and its log, as they are now.
+    // A kill leaves the file and its write-ahead log as they are now.
     let copy = Folder::new();
     for name in ["zones.db", "zones.db-wal"] {
         std::fs::copy(folder.0.join(name), copy.0.join(name)).unwrap();
@@ -261,11 +265,11 @@
         std::fs::copy(copy.0.join("zones.db"), cut.file()).unwrap();
         std::fs::write(cut.0.join("zones.db-wal"), &whole[..part]).unwrap();
         let zones = check(&cut.file(), &Options::default()).unwrap_or_else(|e| panic!("{part}: {e}"));
-        assert!(zones <= before, "a shorter log holds no more: {zones}");
+        assert!(zones <= before, "a shorter log has more zones: {zones} instead of {before}");
         before = zones;
-        assert!(part < whole.len() || zones == 50, "the whole log holds all: {zones}");
+        assert!(part < whole.len() || zones == 50, "the whole log must have all 50 zones: {zones}");
     }
-    assert_eq!(before, 0, "no log, nothing of it");
+    assert_eq!(before, 0, "without the log there are no zones");
     drop(open(&folder.file()));
     let mut bytes = std::fs::read(folder.file()).unwrap();
     let middle = bytes.len() / 2;
@@ -276,7 +280,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_was_closed_is_in_its_one_file() {
+async fn a_closed_store_leaves_a_single_file() {
     let options = Options { readers: 8, ..Options::default() };
     for round in 0..60 {
         let folder = Folder::new();
@@ -284,18 +288,18 @@
         store.edit(edit("a", "one", None)).await.unwrap();
         drop(store);
         let names = std::fs::read_dir(&folder.0).unwrap().map(|entry| entry.unwrap().file_name());
-        assert_eq!(names.collect::<Vec<_>>(), ["zones.db"], "in round {round}: nothing is left beside it");
+        assert_eq!(names.collect::<Vec<_>>(), ["zones.db"], "round {round}: no other file is left");
     }
 }
 
 #[tokio::test]
-async fn reads_on_the_callers_thread_see_each_edit_and_leave_no_log_behind() {
+async fn inline_reads_see_each_edit_and_leave_no_log_behind() {
     let folder = Folder::new();
-    let here = Options { here: Some(stonevane_store::quick::Limits::default()), ..Options::default() };
-    let store = Sqlite::open(&folder.file(), &here).unwrap();
+    let options = Options { here: Some(stonevane_store::quick::Limits::default()), ..Options::default() };
+    let store = Sqlite::open(&folder.file(), &options).unwrap();
     let answered = stonevane_store::Store::answered(&store);
-    for turn in 1..=50u64 {
-        let value = format!("v{turn}");
+    for edit_number in 1..=50u64 {
+        let value = format!("v{edit_number}");
         let receipt = store.edit(edit("a", &value, None)).await.unwrap();
         let zone = store.get("a").await.unwrap().unwrap();
         assert_eq!((zone.value, zone.version), (value.into_bytes(), receipt.version));
@@ -303,9 +307,9 @@
     assert_eq!(stonevane_store::Store::answered(&store) - answered, 100);
     assert_eq!(store.get("b").await, Ok(None));
     assert!(matches!(store.get("").await, Err(StoreError::Bounds(_))));
-    // Slow from the first read on: the threads do the rest, and it is the same.
+    // The first inline read counts as slow, so the reader threads serve the others, with the same results.
     let slow = stonevane_store::quick::Limits { slow: 0, ..Default::default() };
-    let other = Sqlite::open(&folder.file(), &Options { here: Some(slow), ..here }).unwrap();
+    let other = Sqlite::open(&folder.file(), &Options { here: Some(slow), ..options }).unwrap();
     for _ in 0..3 {
         assert_eq!(other.get("a").await.unwrap().unwrap().version, 50);
     }
