--- a/crates/stonevane-node/tests/module_imports.rs
+++ b/crates/stonevane-node/tests/module_imports.rs
@@ -1,4 +1,4 @@
-//! The modules of a package import each other in one direction only: there are no import circles.
+//! Checks that the modules of a package import each other in one direction only, without a cycle.
 #![allow(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,21 +7,21 @@
 /// The modules that each module imports.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// A package, and an import that must be found in it.
+/// A package, and an import that the check must find in it, so that it can't pass without reading the sources.
 struct Package {
     name: &'static str,
-    /// More modules than this must be found.
-    modules: usize,
+    /// The check must find more modules than this.
+    fewer_modules: usize,
     importer: &'static str,
     imported: &'static str,
 }
 
 const PACKAGES: [Package; 2] = [
-    Package { name: "stonevane-node", modules: 5, importer: "driver", imported: "store" },
-    Package { name: "stonevane-core", modules: 8, importer: "node", imported: "servers" },
+    Package { name: "stonevane-node", fewer_modules: 5, importer: "driver", imported: "store" },
+    Package { name: "stonevane-core", fewer_modules: 8, importer: "node", imported: "servers" },
 ];
 
-/// Collects the imports of all files below a folder. A folder counts as one module.
+/// Collects the imports of all files below a folder. A subfolder counts as one module.
 fn collect_imports(folder: &Path, parent: Option<&str>, imports: &mut Imports) {
     for entry in std::fs::read_dir(folder).unwrap().flatten() {
         let path = entry.path();
@@ -44,36 +44,37 @@
     names.filter(|name: &String| !name.is_empty())
 }
 
-/// The modules that remain when those that import none of the rest are removed, again and again.
-fn circle(mut imports: Imports) -> Vec<String> {
+/// The modules in import cycles, and those that import them: what is left after repeatedly removing the modules
+/// that import none of the others.
+fn modules_with_cycles(mut imports: Imports) -> Vec<String> {
     loop {
-        let is_free = |imported: &BTreeSet<String>| imported.iter().all(|name| !imports.contains_key(name));
-        let free: Vec<String> = imports
+        let is_leaf = |imported: &BTreeSet<String>| imported.iter().all(|name| !imports.contains_key(name));
+        let leaves: Vec<String> = imports
             .iter()
-            .filter(|(_, imported)| is_free(imported))
+            .filter(|(_, imported)| is_leaf(imported))
             .map(|(module, _)| module.clone())
             .collect();
-        if free.is_empty() {
+        if leaves.is_empty() {
             return imports.into_keys().collect();
         }
-        for module in &free {
+        for module in &leaves {
             imports.remove(module);
         }
     }
 }
 
 #[test]
-fn no_two_modules_import_each_other() {
+fn modules_have_no_import_cycles() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
-    for Package { name, modules, importer, imported } in PACKAGES {
+    for Package { name, fewer_modules, importer, imported } in PACKAGES {
         let mut imports = Imports::new();
         collect_imports(&crates.join(name).join("src"), None, &mut imports);
-        assert!(imports.len() > modules, "the modules were read: {imports:?}");
-        assert!(imports[importer].contains(imported), "the imports were read: {imports:?}");
-        assert_eq!(circle(imports.clone()), Vec::<String>::new(), "{imports:?}");
+        assert!(imports.len() > fewer_modules, "too few modules were read: {imports:?}");
+        assert!(imports[importer].contains(imported), "a known import was not found: {imports:?}");
+        assert_eq!(modules_with_cycles(imports.clone()), Vec::<String>::new(), "{imports:?}");
         imports.get_mut(imported).unwrap().insert(importer.into());
-        let found = circle(imports);
+        let found = modules_with_cycles(imports);
         let is_found = |module: &str| found.iter().any(|name| name == module);
-        assert!(is_found(importer) && is_found(imported), "a circle is found: {found:?}");
+        assert!(is_found(importer) && is_found(imported), "an added cycle was not found: {found:?}");
     }
 }
--- a/crates/stonevane-node/tests/node/capacity.rs
+++ b/crates/stonevane-node/tests/node/capacity.rs
@@ -1,54 +1,59 @@
-//! Capacity: descriptors and memory, and who is evicted when there is none left.
+//! Capacity: descriptors and memory, and which client is evicted when none are left.
 
 use std::io::Write;
 use std::time::Duration;
 
 use crate::harness::*;
-use crate::{no_origin, pair, quiet};
+use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// A client that has been served stays for longer than the test takes; by default it gives way to newcomers after 10 ms, and
-/// a machine may take them later than that.
-const SERVED_STAY: &str = "version = 1\n[clients]\nspare_ms = 15000\n";
+/// Keeps idle clients that have been served for longer than the test takes. By default they are evicted for new
+/// clients after 10 ms, and a busy machine may accept the new ones later than that.
+const KEEP_SERVED_CLIENTS: &str = "version = 1\n[clients]\nspare_ms = 15000\n";
 
 #[test]
-fn clients_that_say_nothing_or_half_a_command_give_their_places_back_in_time() {
-    let cache = cache(|words| Act::Say(hit(&words[1])));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let text = config(discovery, &pair(cache.address, origin.address), 64, settings());
-    let node = Node::start_text_with_operator(discovery, &text, SERVED_STAY);
+fn clients_that_send_nothing_or_half_a_command_are_closed_by_a_deadline() {
+    let cache = cache(|words| Action::Respond(hit(&words[1])));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let text = config(discovery, &cache_and_origin(cache.address, origin.address), 64, settings());
+    let node = Node::start_with_config_and_operator_file(discovery, &text, KEEP_SERVED_CLIENTS);
     let mut kept = node.client();
-    assert_eq!(kept.ask(&get("aa", "1")).unwrap(), "aa");
-    // However late the others come.
+    assert_eq!(kept.request(&get("aa", "1")).unwrap(), "aa");
+    // Longer than the default of 10 ms, so that the outcome does not depend on when the others connect.
     std::thread::sleep(Duration::from_millis(30));
     let begun = std::time::Instant::now();
-    // More than the table holds, so that the last of them wait with the machine.
+    // More than the connection table holds, so that the last of them wait in the listen queue.
     let mut silent: Vec<_> = (0..40).map(|_| node.client()).collect();
-    let mut dribbles = silent.pop().unwrap().out;
-    let dribble = std::thread::spawn(move || {
+    let mut trickling = silent.pop().unwrap().out;
+    let trickle = std::thread::spawn(move || {
         let bytes = get("aa", "2");
-        let took = bytes.chunks(1).take_while(|byte| {
+        let written = bytes.chunks(1).take_while(|byte| {
             std::thread::sleep(Duration::from_millis(100));
-            begun.elapsed() < LONG && dribbles.write_all(byte).is_ok()
+            begun.elapsed() < TEST_TIMEOUT && trickling.write_all(byte).is_ok()
         });
-        took.count() < bytes.len()
+        written.count() < bytes.len()
     });
     std::thread::sleep(Duration::from_millis(500));
-    assert_eq!(kept.ask(&get("bb", "3")).unwrap(), "bb", "a client that is known is still served");
+    assert_eq!(
+        kept.request(&get("bb", "3")).unwrap(),
+        "bb",
+        "a client that was served before is still served"
+    );
     for client in &mut silent {
-        assert!(client.answer().is_none_or(|line| line.starts_with("-ERR")), "told or closed");
-        assert!(begun.elapsed() > Duration::from_millis(1_900) && begun.elapsed() < LONG / 2);
+        assert!(client.read_response().is_none_or(|line| line.starts_with("-ERR")), "an error or a close");
+        assert!(begun.elapsed() > Duration::from_millis(1_900) && begun.elapsed() < TEST_TIMEOUT / 2);
     }
-    assert_eq!(node.client().ask(&get("cc", "4")).unwrap(), "cc", "and there is room again");
-    assert!(dribble.join().unwrap(), "bytes that trickle move no limit");
+    assert_eq!(node.client().request(&get("cc", "4")).unwrap(), "cc", "capacity is free again");
+    assert!(trickle.join().unwrap(), "trickling bytes do not extend the deadline");
 }
 
 #[test]
-fn half_sent_values_hold_no_more_memory_than_there_is() {
-    let cache = cache(|_| Act::Say(miss()));
-    let origin = origin(|_| Act::Say(http(200, "", "ok")));
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start_with(discovery, &pair(cache.address, origin.address), 512, "");
+fn half_sent_values_stay_within_the_memory_limit() {
+    let cache = cache(|_| Action::Respond(miss()));
+    let origin = origin(|_| Action::Respond(http_response(200, "", "ok")));
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node =
+        Node::start_with_shell_prefix(discovery, &cache_and_origin(cache.address, origin.address), 512, "");
     let long = put("aa", "1", &"v".repeat(64 * 1024));
     let mut clients: Vec<_> = (0..250).map(|_| node.client()).collect();
     for client in &clients {
@@ -56,61 +61,67 @@
         out.set_write_timeout(Some(Duration::from_millis(20))).unwrap();
         let _ = out.write_all(&long[..long.len() - 100]);
     }
-    let most = (0..20).map(|_| {
+    let samples = (0..20).map(|_| {
         std::thread::sleep(Duration::from_millis(20));
         node.resident_kib()
     });
-    let most = most.max().unwrap();
-    assert!(most < 16 * 1024, "{most} KiB of the 16 MiB that it may have");
-    let told = clients.iter_mut().take(20).map(Client::answer);
-    assert!(told.into_iter().all(|line| line.is_none_or(|line| line.starts_with('-'))));
+    let most = samples.max().unwrap();
+    assert!(most < 16 * 1024, "{most} KiB resident, the limit is 16 MiB");
+    let responses = clients.iter_mut().take(20).map(Client::read_response);
+    assert!(responses.into_iter().all(|line| line.is_none_or(|line| line.starts_with('-'))));
     drop(clients);
-    assert_eq!(node.client().ask(&put("bb", "2", &"v".repeat(64 * 1024))).unwrap(), "ok");
+    assert_eq!(node.client().request(&put("bb", "2", &"v".repeat(64 * 1024))).unwrap(), "ok");
 }
 
 #[test]
-fn a_table_of_descriptors_that_is_full_does_not_end_the_node() {
-    let cache = cache(|words| Act::Say(hit(&words[1])));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    // The platform allows fewer than the configuration says.
-    let known = pair(cache.address, origin.address);
-    let node = Node::start_with(discovery, &known, 256, "ulimit -n 24;");
+fn a_full_descriptor_table_does_not_end_the_node() {
+    let cache = cache(|words| Action::Respond(hit(&words[1])));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    // The platform allows fewer descriptors than the configuration.
+    let known = cache_and_origin(cache.address, origin.address);
+    let node = Node::start_with_shell_prefix(discovery, &known, 256, "ulimit -n 24;");
     let held: Vec<_> = (0..60).map(|_| node.client()).collect();
     drop(held);
     let mut client = node.client();
-    assert_eq!(client.ask(&get("aa", "1")).unwrap(), "aa");
+    assert_eq!(client.request(&get("aa", "1")).unwrap(), "aa");
 }
 
 #[test]
-fn in_a_full_table_an_idle_client_makes_room_for_a_new_one() {
-    let cache = cache(|words| Act::Say(hit(&words[1])));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start_with(discovery, &pair(cache.address, origin.address), 64, "");
+fn in_a_full_table_an_idle_client_is_evicted_for_a_new_one() {
+    let cache = cache(|words| Action::Respond(hit(&words[1])));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node =
+        Node::start_with_shell_prefix(discovery, &cache_and_origin(cache.address, origin.address), 64, "");
     let mut clients = Vec::new();
     for _ in 0..60 {
         let mut client = node.client();
-        assert_eq!(client.ask(&command(&["PING"])).unwrap(), "+PONG", "taken, though all others stay");
+        assert_eq!(
+            client.request(&command(&["PING"])).unwrap(),
+            "+PONG",
+            "accepted while all others stay connected"
+        );
         clients.push(client);
     }
-    assert_eq!(clients[0].answer(), None, "the one idle for longest was closed");
+    assert_eq!(clients[0].read_response(), None, "the client that was idle for longest is closed");
 }
 
 #[test]
 fn in_a_full_table_of_busy_clients_a_new_one_is_refused_at_once() {
-    // Found on a day at full size with 128 sockets: what waited for a place was lost.
-    let cache = cache(|_| Act::Hang);
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start_with(discovery, &pair(cache.address, origin.address), 64, "");
-    let minute = |id: &str| command(&["OBJ.GET", "aa", id, "c=read,t=acme,d=60000"]);
-    // More than there are places that are not for refusals.
+    // Guards against the loss of requests that wait for a connection, as seen with a limit of 128 sockets.
+    let cache = cache(|_| Action::Hang);
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node =
+        Node::start_with_shell_prefix(discovery, &cache_and_origin(cache.address, origin.address), 64, "");
+    let one_minute_read = |id: &str| command(&["OBJ.GET", "aa", id, "c=read,t=acme,d=60000"]);
+    // More than the connections that are not reserved for rejections.
     let mut busy: Vec<_> = (0..28).map(|_| node.client()).collect();
-    busy.iter_mut().enumerate().for_each(|(id, client)| client.send(&minute(&id.to_string())));
+    busy.iter_mut().enumerate().for_each(|(id, client)| client.send(&one_minute_read(&id.to_string())));
     for _ in 0..20 {
-        let mut late = node.client();
-        assert_eq!(late.ask(&minute("late")).unwrap(), "-BUSY");
-        assert_eq!(late.answer(), None, "and its place is free again");
+        let mut rejected = node.client();
+        assert_eq!(rejected.request(&one_minute_read("late")).unwrap(), "-BUSY");
+        assert_eq!(rejected.read_response(), None, "its connection is closed");
     }
 }
--- a/crates/stonevane-node/tests/node/cold_start.rs
+++ b/crates/stonevane-node/tests/node/cold_start.rs
@@ -1,4 +1,4 @@
-//! Many processes before one server in slow start: its budget is one for all of them together.
+//! Many node processes in front of one server in slow start share one budget for it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,19 +9,20 @@
 
 const PROCESSES: usize = 40;
 const SERVERS: usize = 20;
-/// Of all processes and tenants together, requests a second. Servers can do twice that.
-const QUOTA: f64 = 20.0;
-const COLD_SHARE: f64 = 0.25;
+/// Requests per second of all processes and tenants together; the capacity of the servers is twice that.
+const QUOTA_PER_S: f64 = 20.0;
+const SLOW_START_SHARE: f64 = 0.25;
 const WARM_UP: Duration = Duration::from_secs(60);
-const FALL_AFTER: Duration = Duration::from_secs(10);
-const FALL_MULTIPLE: f64 = 3.0;
-/// Popular keys that every process is asked for.
-const POPULAR: usize = 3;
+const OVERLOAD_WINDOW: Duration = Duration::from_secs(10);
+const OVERLOAD_MULTIPLE: f64 = 3.0;
+/// Number of keys that every process requests.
+const POPULAR_KEYS: usize = 3;
 
-/// What a server at the beginning of its slow start bears within `FALL_AFTER`, with what is put down to chance.
+/// Calls that a server at the beginning of its slow start bears within `OVERLOAD_WINDOW`, with an allowance for
+/// random variation.
 fn budget() -> f64 {
-    let capacity = 2.0 * QUOTA / SERVERS as f64;
-    let calls = FALL_MULTIPLE * capacity * COLD_SHARE * FALL_AFTER.as_secs_f64();
+    let capacity = 2.0 * QUOTA_PER_S / SERVERS as f64;
+    let calls = OVERLOAD_MULTIPLE * capacity * SLOW_START_SHARE * OVERLOAD_WINDOW.as_secs_f64();
     calls + if calls < 30.0 { 3.0 * (calls + 3.0).sqrt() } else { 2.0 * (calls + 2.0).sqrt() }
 }
 
@@ -29,14 +30,15 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-/// A list of which the last cache server started at a time, 0 for long ago; the others share an address.
+/// A list whose last cache server started at `started_ms` (Unix time in ms, 0 for long ago). The others are warmed
+/// up and share one address.
 fn list(warm: SocketAddr, last: SocketAddr, origin: SocketAddr, started_ms: u128) -> String {
     let mut entries: Vec<_> =
         (1..SERVERS).map(|number| entry(&format!("s-{number}"), warm, "std", "active")).collect();
     let started = format!("\"since_ms\":{started_ms}");
     entries.push(entry("s-last", last, "std", "active").replace("\"since_ms\":0", &started));
     entries.push(entry("o-1", origin, "origin", "active"));
-    listing(5, true, &entries)
+    server_list(5, true, &entries)
 }
 
 fn fleet_settings(processes: usize, number: usize, quota: f64) -> String {
@@ -46,89 +48,99 @@
         .replace(
             "\"drainGraceUs\":500000",
             &format!(
-                "\"drainGraceUs\":500000,\"coldShare\":{COLD_SHARE},\"coldUs\":{},\"fallMultiple\":{FALL_MULTIPLE},\
+                "\"drainGraceUs\":500000,\"coldShare\":{SLOW_START_SHARE},\"coldUs\":{},\"fallMultiple\":{OVERLOAD_MULTIPLE},\
                  \"tipAfterUs\":{}",
                 WARM_UP.as_micros(),
-                FALL_AFTER.as_micros()
+                OVERLOAD_WINDOW.as_micros()
             ),
         )
 }
 
-/// When a emulated server was sent which keys.
+/// Arrival time and key of each read at an emulated server.
 type Arrivals = Arc<Mutex<Vec<(Instant, String)>>>;
 
 fn recording_cache() -> (EmulatedServer, Arrivals) {
     let arrivals = Arrivals::default();
-    let seen = arrivals.clone();
+    let recorded = arrivals.clone();
     let cache = cache(move |words| {
         if words[0] == "OBJ.GET" {
-            seen.lock().unwrap().push((Instant::now(), words[1].clone()));
+            recorded.lock().unwrap().push((Instant::now(), words[1].clone()));
         }
-        Act::Say(hit("value"))
+        Action::Respond(hit("value"))
     });
     (cache, arrivals)
 }
 
-/// The most that arrived within `FALL_AFTER`.
+/// The most reads that arrived within any `OVERLOAD_WINDOW`.
 fn most_in_a_window(arrivals: &Arrivals) -> usize {
     let times: Vec<_> = arrivals.lock().unwrap().iter().map(|(at, _)| *at).collect();
-    let within = |from: &Instant| times.iter().filter(|at| (*from..*from + FALL_AFTER).contains(at)).count();
+    let within =
+        |from: &Instant| times.iter().filter(|at| (*from..*from + OVERLOAD_WINDOW).contains(at)).count();
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// Keys that come to the last server first, found by a process that is alone and may send it much.
+/// Keys whose first choice is the last server, found by a single process with a quota too high to limit it.
 fn keys_of_the_last_server(known: &str, arrivals: &Arrivals) -> Vec<String> {
-    let (discovery, _say, _calls) = quiet();
-    let scout = Node::start_in(discovery, known, 256, "", &fleet_settings(1, 0, 1e6));
-    let mut client = scout.client();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node = Node::start_with_settings(discovery, known, 256, "", &fleet_settings(1, 0, 1e6));
+    let mut client = node.client();
     for number in 0..2_000 {
-        client.ask(&get(&format!("key-{number}"), &number.to_string())).unwrap();
-        if arrivals.lock().unwrap().len() >= POPULAR {
+        client.request(&get(&format!("key-{number}"), &number.to_string())).unwrap();
+        if arrivals.lock().unwrap().len() >= POPULAR_KEYS {
             break;
         }
     }
     let keys: Vec<_> = arrivals.lock().unwrap().drain(..).map(|(_, key)| key).collect();
-    assert!(keys.len() >= POPULAR, "{keys:?}");
+    assert!(keys.len() >= POPULAR_KEYS, "{keys:?}");
     keys
 }
 
-/// Asks each of many processes once for each of a few keys that belong to the last server; the most that this got in a
-/// window.
+/// Requests a few keys of the last server once from each of many processes, and returns the most reads that this
+/// server received in a window.
 fn popular_keys_at_many_processes(started_ms: u128) -> usize {
-    let warm = cache(|_| Act::Say(hit("value")));
+    let warm = cache(|_| Action::Respond(hit("value")));
     let (last, arrivals) = recording_cache();
-    let origin = no_origin();
+    let origin = failing_origin();
     let keys =
         keys_of_the_last_server(&list(warm.address, last.address, origin.address, unix_ms()), &arrivals);
     let known = list(warm.address, last.address, origin.address, started_ms);
-    let quiet_discoveries: Vec<_> = (0..PROCESSES).map(|_| quiet()).collect();
+    let quiet_discoveries: Vec<_> = (0..PROCESSES).map(|_| quiet_discovery()).collect();
     let processes: Vec<_> = quiet_discoveries
         .iter()
         .enumerate()
         .map(|(number, (discovery, ..))| {
-            Node::start_in(*discovery, &known, 256, "", &fleet_settings(PROCESSES, number, QUOTA))
+            Node::start_with_settings(
+                *discovery,
+                &known,
+                256,
+                "",
+                &fleet_settings(PROCESSES, number, QUOTA_PER_S),
+            )
         })
         .collect();
     let mut answers = HashMap::new();
     for (turn, key) in keys.iter().enumerate() {
         for process in &processes {
-            let answer = process.client().ask(&get(key, &format!("{turn}"))).unwrap();
+            let answer = process.client().request(&get(key, &format!("{turn}"))).unwrap();
             *answers.entry(answer).or_insert(0) += 1;
         }
     }
-    assert!(answers.get("value").copied().unwrap_or(0) > PROCESSES, "most are served: {answers:?}");
+    assert!(answers.get("value").copied().unwrap_or(0) > PROCESSES, "too few are served: {answers:?}");
     most_in_a_window(&arrivals)
 }
 
 #[test]
-fn many_processes_together_keep_to_the_budget_of_a_server_in_slow_start() {
+fn many_processes_together_stay_within_the_budget_of_a_server_in_slow_start() {
     let sent = popular_keys_at_many_processes(unix_ms());
     println!("{sent} calls in a window, {:.1} are allowed", budget());
     assert!(sent as f64 <= budget(), "{sent} calls in a window, {:.1} are allowed", budget());
 }
 
 #[test]
-fn control_many_processes_send_a_warm_server_all_of_its_popular_keys() {
+fn control_many_processes_exceed_that_budget_at_a_warmed_up_server() {
     let sent = popular_keys_at_many_processes(0);
-    assert!(sent as f64 > budget(), "{sent} calls: the keys do not belong to this server");
+    assert!(
+        sent as f64 > budget(),
+        "{sent} calls are within the budget: the keys do not belong to this server"
+    );
 }
--- a/crates/stonevane-node/tests/node/crossings/discovery.rs
+++ b/crates/stonevane-node/tests/node/crossings/discovery.rs
@@ -1,201 +1,215 @@
-//! A change of the endpoint list, or the end of a call to discovery, crosses requests and other calls.
+//! A change of the server list, or the end of a call to discovery, races with requests and other calls.
 
 use super::*;
 
 #[test]
-fn a_drain_told_while_a_connection_opens_sends_nothing_there() {
-    let (shut, second, origin) = (Shut::new(), says("second"), no_origin());
-    let (discovery, say, _calls) = quiet();
-    let node =
-        Node::start_managed_with_settings(discovery, &pair(shut.address, origin.address), &slow_to_open());
+fn a_server_drained_while_a_connection_to_it_opens_gets_no_request() {
+    let (full_queue, second, origin) = (FullListenQueue::new(), named_cache("second"), failing_origin());
+    let (discovery, updates, _calls) = quiet_discovery();
+    let node = Node::start_with_mgmt_and_settings(
+        discovery,
+        &cache_and_origin(full_queue.address, origin.address),
+        &long_connect_timeout(),
+    );
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    node.until("in_flight", 1);
+    node.wait_for_metric("in_flight", 1);
     let entries =
-        [entry("s-1", shut.address, "std", "leaving"), entry("s-2", second.address, "std", "active")];
-    say.send(chunk(&listing(6, false, &entries))).unwrap();
-    // Once the second server is used, the list that tells of both is in force.
+        [entry("s-1", full_queue.address, "std", "leaving"), entry("s-2", second.address, "std", "active")];
+    updates.send(chunk(&server_list(6, false, &entries))).unwrap();
+    // Once the second server is used, the update with both entries has taken effect.
     let mut other = node.client();
-    let brief = command(&["OBJ.GET", "bb", "2", "c=read,t=acme,d=100"]);
-    assert!((0..50).any(|_| other.ask(&brief).unwrap() == "second"), "the list never took effect");
-    assert_eq!(shut.brings(), b"", "not a byte once it is told to leave");
-    assert_eq!(client.answer().unwrap(), "second", "and it was not lost");
+    let short = command(&["OBJ.GET", "bb", "2", "c=read,t=acme,d=100"]);
+    assert!((0..50).any(|_| other.request(&short).unwrap() == "second"), "the list never took effect");
+    assert_eq!(full_queue.received_bytes(), b"", "a draining server got bytes");
+    assert_eq!(client.read_response().unwrap(), "second", "the request is served by the other server");
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_made_anew_at_once_also_behind_one_that_told_nothing() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start_in(agent.address, &known, 256, "", &patient());
-    // Each stays open, and brings nothing more.
-    let _silent = agent.answer(&[listing(5, false, &[])]);
-    let _quiet = agent.answer(&["\n".into()]);
-    // What it missed counts as told six seconds after it fell silent.
-    let _watch = agent.answer(&[listing(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
-    left(&node, "first");
+fn a_silent_watch_is_replaced_at_once_also_after_a_watch_without_updates() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start_with_settings(discovery.address, &known, 256, "", &long_poll_interval());
+    // Both stay open and silent.
+    let _silent = discovery.open_watch(&[server_list(5, false, &[])]);
+    let _without_updates = discovery.open_watch(&["\n".into()]);
+    // An update that the silent watch missed counts as received six seconds after the watch fell silent.
+    let _watch =
+        discovery.open_watch(&[server_list(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
+    assert_drained(&node, "first");
 }
 
 #[test]
-fn however_calls_to_discovery_fail_the_next_comes_before_long_also_where_all_are_asked_seldom() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    // A part of `askWithinUs` would be half a minute at the least.
-    let node = Node::start_in(agent.address, &known, 256, "", &patient());
-    let call = || agent.calls.recv_timeout(LONG).expect("a call to discovery").1;
-    call().write_all(&http(503, "", "")).unwrap();
+fn after_any_failure_discovery_is_called_again_soon_even_with_a_long_poll_interval() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    // A retry after a fraction of `askWithinUs` would come after half a minute at the earliest.
+    let node = Node::start_with_settings(discovery.address, &known, 256, "", &long_poll_interval());
+    let call = || discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery").1;
+    call().write_all(&http_response(503, "", "")).unwrap();
     let reset = call();
     set_socket_linger(&reset, Some(Duration::ZERO)).unwrap();
     drop(reset);
     call().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{{{").unwrap();
-    // Given up.
+    // Calls without an answer, which the node gives up.
     let _unanswered = (call(), call());
-    let _watch = agent.answer(&[listing(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
-    left(&node, "first");
+    let _watch =
+        discovery.open_watch(&[server_list(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
+    assert_drained(&node, "first");
 }
 
 #[test]
-fn a_call_that_gets_its_turn_after_the_next_was_made_is_the_watch() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start(agent.address, &known);
-    let (_, mut late) = agent.calls.recv_timeout(LONG).expect("a call to discovery");
-    let (_, mut next) = agent.calls.recv_timeout(LONG).expect("another beside it");
-    let drained = listing(6, false, &[entry("s-1", first.address, "std", "leaving")]);
-    // In pieces, the first of which comes while it is not yet known which of them is answered first.
+fn a_call_answered_after_the_next_was_made_becomes_the_watch() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start(discovery.address, &known);
+    let (_, mut late) = discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery");
+    let (_, mut next) = discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a second call beside the first");
+    let drained = server_list(6, false, &[entry("s-1", first.address, "std", "leaving")]);
+    // In pieces, the first of which arrives before the node can tell which call is answered first.
     let answer = [watch_head(), chunk(&drained)].concat();
     late.write_all(&answer[..5]).unwrap();
     late.write_all(&answer[5..]).unwrap();
-    left(&node, "first");
-    next.set_read_timeout(Some(LONG)).unwrap();
-    assert_eq!(next.read(&mut [0]).unwrap(), 0, "the next one is over");
+    assert_drained(&node, "first");
+    next.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    assert_eq!(next.read(&mut [0]).unwrap(), 0, "the second call is closed");
 }
 
 #[test]
-fn a_call_that_was_not_answered_before_a_move_counts_for_nothing_after_it() {
-    let (first, second) = (says("first"), says("second"));
-    let (old, new) = (Agent::new(), Agent::new());
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    // For longer than a signal takes, no other call is made behind the first.
+fn a_late_answer_to_a_call_from_before_a_reload_is_ignored() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let (old, new) = (ManualDiscovery::new(), ManualDiscovery::new());
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    // No second call is made for longer than the signal takes.
     let settings = settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":3000000"#);
-    let node = Node::start_in(old.address, &known, 256, "", &settings);
-    let (_, mut late) = old.calls.recv_timeout(LONG).unwrap();
-    let mut told = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
-    assert!(told.any(|line| line.contains("no answer in time")));
+    let node = Node::start_with_settings(old.address, &known, 256, "", &settings);
+    let (_, mut late) = old.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    let mut logged = std::iter::from_fn(|| node.log.recv_timeout(TEST_TIMEOUT).ok());
+    assert!(logged.any(|line| line.contains("no answer in time")));
     node.reload(Ok(new.address));
-    let (_, mut watch) = new.calls.recv_timeout(LONG).unwrap();
-    // Its turn comes while the new one has not answered yet.
-    let again = listing(99, true, &two(first.address, second.address, "active"));
+    let (_, mut watch) = new.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+    // The late answer comes before the answer of the new discovery.
+    let again = server_list(99, true, &two_cache_entries(first.address, second.address, "active"));
     let _ = late.write_all(&[watch_head(), chunk(&again)].concat());
     watch.write_all(&watch_head()).unwrap();
-    watch.write_all(&chunk(&listing(2, true, &two(first.address, second.address, "leaving")))).unwrap();
-    left(&node, "first");
+    watch
+        .write_all(&chunk(&server_list(
+            2,
+            true,
+            &two_cache_entries(first.address, second.address, "leaving"),
+        )))
+        .unwrap();
+    assert_drained(&node, "first");
 }
 
 #[test]
-fn an_agent_that_resets_quiet_watches_is_called_again_without_delay() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start_pushed(agent.address, &known);
+fn a_discovery_that_closes_watches_without_updates_is_called_again_without_delay() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start_with_pushed_lists(discovery.address, &known);
     let mut pauses = Vec::new();
     for _ in 0..8 {
-        let watch = agent.answer(&[]);
+        let watch = discovery.open_watch(&[]);
         let _ = watch.shutdown(Shutdown::Both);
         let ended = Instant::now();
-        let (_, next) = agent.calls.recv_timeout(LONG).unwrap();
+        let (_, next) = discovery.calls.recv_timeout(TEST_TIMEOUT).unwrap();
         pauses.push(ended.elapsed());
         let _ = next.shutdown(Shutdown::Both);
     }
-    // The grace is half a second; a machine that is busy may miss it now and then, not each time.
-    let least = pauses[4..].iter().min().unwrap();
-    assert!(*least < Duration::from_millis(500), "{pauses:?}");
-    let _watch = agent.answer(&[listing(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
-    left(&node, "first");
+    // The limit is half a second. A busy machine may exceed it sometimes, but not each time.
+    let shortest = pauses[4..].iter().min().unwrap();
+    assert!(*shortest < Duration::from_millis(500), "{pauses:?}");
+    let _watch =
+        discovery.open_watch(&[server_list(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
+    assert_drained(&node, "first");
 }
 
 #[test]
-fn an_agent_that_was_silent_is_heard_at_once_when_it_is_back_and_by_a_process_that_just_started() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start_pushed(agent.address, &known);
-    // Down: each call comes up, and is not answered. The next is not held back until it is.
+fn a_discovery_that_was_silent_takes_effect_as_soon_as_it_answers_also_in_a_new_process() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start_with_pushed_lists(discovery.address, &known);
+    // Discovery is down: each call is accepted and not answered. The next call does not wait for an answer.
     let mut held = Vec::new();
     let begun = Instant::now();
     while held.len() < 4 {
-        held.push(agent.calls.recv_timeout(LONG).expect("a call beside those that hang").1);
+        held.push(discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a call beside the unanswered ones").1);
     }
     assert!(begun.elapsed() < Duration::from_secs(8), "{:?} for four calls", begun.elapsed());
-    // A new process hears the same, with an old list of its own.
-    let _watch = agent.answer(&[listing(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
-    left(&node, "first");
+    // The process has just started and knows only an old list.
+    let _watch =
+        discovery.open_watch(&[server_list(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
+    assert_drained(&node, "first");
 }
 
 #[test]
-fn after_a_move_what_the_last_discovery_still_says_counts_for_nothing() {
+fn messages_of_the_old_discovery_after_a_reload_are_ignored() {
     for pushed in [true, false] {
-        let (first, second) = (says("first"), says("second"));
-        let (old, new) = (Agent::new(), Agent::new());
-        let known = listing(5, true, &two(first.address, second.address, "active"));
+        let (first, second) = (named_cache("first"), named_cache("second"));
+        let (old, new) = (ManualDiscovery::new(), ManualDiscovery::new());
+        let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
         let node = match pushed {
-            true => Node::start_pushed(old.address, &known),
+            true => Node::start_with_pushed_lists(old.address, &known),
             false => Node::start(old.address, &known),
         };
-        let mut before = old.answer(&[]);
+        let mut old_watch = old.open_watch(&[]);
         node.reload(Ok(new.address));
-        // The new one counts anew; the old one speaks once the new one has been called.
-        let (call, mut watch) = new.calls.recv_timeout(LONG).unwrap();
-        assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "the whole list");
-        let again = listing(99, true, &two(first.address, second.address, "active"));
-        let _ = before.write_all(&chunk(&again));
+        // Versions of the new discovery start anew. The old one sends a list after the new one has been called.
+        let (call, mut watch) = new.calls.recv_timeout(TEST_TIMEOUT).unwrap();
+        assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "the node requests the whole list");
+        let again = server_list(99, true, &two_cache_entries(first.address, second.address, "active"));
+        let _ = old_watch.write_all(&chunk(&again));
         watch.write_all(&watch_head()).unwrap();
-        let leaving = listing(2, true, &two(first.address, second.address, "leaving"));
+        let leaving = server_list(2, true, &two_cache_entries(first.address, second.address, "leaving"));
         watch.write_all(&chunk(&leaving)).unwrap();
-        left(&node, "first");
-        let _ = before.write_all(&chunk(&again));
-        left(&node, "first");
+        assert_drained(&node, "first");
+        let _ = old_watch.write_all(&chunk(&again));
+        assert_drained(&node, "first");
     }
 }
 
 #[test]
-fn a_whole_list_from_before_a_drain_that_comes_after_it_does_not_undo_it() {
-    let (first, second, third) = (says("first"), says("second"), says("third"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start(agent.address, &known);
-    let watch = agent.answer(&[listing(41, false, &[entry("s-1", first.address, "std", "leaving")])]);
-    left(&node, "first");
+fn a_whole_list_older_than_a_drain_does_not_undo_it() {
+    let (first, second, third) = (named_cache("first"), named_cache("second"), named_cache("third"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start(discovery.address, &known);
+    let watch =
+        discovery.open_watch(&[server_list(41, false, &[entry("s-1", first.address, "std", "leaving")])]);
+    assert_drained(&node, "first");
     let _ = watch.shutdown(Shutdown::Both);
-    let mut whole = two(first.address, second.address, "active");
+    let mut whole = two_cache_entries(first.address, second.address, "active");
     whole.push(entry("s-3", third.address, "std", "active"));
-    let _watch = agent.answer(&[listing(40, true, &whole)]);
-    // It is in force once the third, which only this list names, is used.
+    let _watch = discovery.open_watch(&[server_list(40, true, &whole)]);
+    // The list has taken effect once the third server, which only this list names, is used.
     let mut client = node.client();
     let mut keys = 0..100_000;
     assert!(
-        keys.any(|key| client.ask(&get(&format!("{key:x}"), "1")).unwrap() == "third"),
+        keys.any(|key| client.request(&get(&format!("{key:x}"), "1")).unwrap() == "third"),
         "the list never took effect"
     );
     for key in 0..200 {
-        assert_ne!(client.ask(&get(&format!("{key:x}"), "1")).unwrap(), "first");
+        assert_ne!(client.request(&get(&format!("{key:x}"), "1")).unwrap(), "first");
     }
 }
 
 #[test]
-fn lists_on_a_watch_may_come_indented_and_cut_anywhere() {
-    let (first, second) = (says("first"), says("second"));
-    let agent = Agent::new();
-    let known = listing(5, true, &two(first.address, second.address, "active"));
-    let node = Node::start_in(agent.address, &known, 256, "", &patient());
-    let list = listing(6, false, &[entry("s-1", first.address, "std", "leaving")]);
+fn lists_on_a_watch_may_be_indented_and_split_anywhere() {
+    let (first, second) = (named_cache("first"), named_cache("second"));
+    let discovery = ManualDiscovery::new();
+    let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
+    let node = Node::start_with_settings(discovery.address, &known, 256, "", &long_poll_interval());
+    let list = server_list(6, false, &[entry("s-1", first.address, "std", "leaving")]);
     let value: serde_json::Value = serde_json::from_str(&list).unwrap();
     let indented = serde_json::to_string_pretty(&value).unwrap() + "\n";
     assert!(indented.lines().count() > 5);
     let parts: Vec<_> =
         indented.as_bytes().chunks(7).map(|part| String::from_utf8_lossy(part).into()).collect();
-    let _watch = agent.answer(&parts);
-    left(&node, "first");
+    let _watch = discovery.open_watch(&parts);
+    assert_drained(&node, "first");
 }
--- a/crates/stonevane-node/tests/node/crossings/mod.rs
+++ b/crates/stonevane-node/tests/node/crossings/mod.rs
@@ -1,5 +1,6 @@
-//! Two events that cross, on real sockets. No sleep stands for an order: a emulated server holds a byte, a line of the list, a
-//! close or an answer back until the other event has been seen, or the node is stopped while both happen.
+//! Races between two events on real sockets. No sleep fixes their order: an emulated server delays a byte, a message
+//! of the server list, a close or a response until the other event has been observed, or the node process is stopped
+//! while both happen.
 
 mod discovery;
 mod full_table;
@@ -17,35 +18,36 @@
 use rustix::net::sockopt::set_socket_linger;
 
 use crate::harness::*;
-use crate::{no_origin, pair, quiet};
+use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// A cache server whose machine takes no connections yet: they stay half open until it does.
-pub struct Shut {
+/// A cache server whose listen queue is full, so that connections to it stay half open until [`Self::accept`].
+pub struct FullListenQueue {
     listener: TcpListener,
     pub address: SocketAddr,
-    plugs: usize,
+    /// Connections of the test that fill the queue.
+    queued: usize,
 }
 
-impl Shut {
-    pub fn new() -> Shut {
+impl FullListenQueue {
+    pub fn new() -> FullListenQueue {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         rustix::net::listen(&listener, 0).unwrap();
-        // Its queue is full once one more does not come up.
+        // The queue is full once a connection is not established in time.
         let mut held = Vec::new();
-        while let Ok(plug) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            held.push(plug);
-            assert!(held.len() < 16, "the queue takes any number");
+        while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
+            held.push(stream);
+            assert!(held.len() < 16, "the listen queue has no limit");
         }
-        Shut { listener, address, plugs: held.len() }
+        FullListenQueue { listener, address, queued: held.len() }
     }
 
-    /// Takes connections from now on, and returns the node's first one.
+    /// Accepts connections from now on, and returns the node's first one.
     pub fn accept(self) -> TcpStream {
-        (0..self.plugs).for_each(|_| drop(self.listener.accept().unwrap()));
-        // What waits outside tries again by itself.
+        (0..self.queued).for_each(|_| drop(self.listener.accept().unwrap()));
+        // A connection that found the queue full is retried by the kernel.
         self.listener.set_nonblocking(true).unwrap();
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + TEST_TIMEOUT;
         let stream = loop {
             match self.listener.accept() {
                 Ok((stream, _)) => break stream,
@@ -54,52 +56,54 @@
             std::thread::sleep(Duration::from_millis(1));
         };
         stream.set_nonblocking(false).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream
     }
 
-    /// Takes connections from now on, and returns what the node's first one brings until its end.
-    fn brings(self) -> Vec<u8> {
+    /// Accepts connections from now on, and returns all bytes of the node's first one.
+    fn received_bytes(self) -> Vec<u8> {
         let mut stream = self.accept();
-        let mut brought = Vec::new();
-        stream.read_to_end(&mut brought).expect("the end of the node's connection");
-        brought
+        let mut bytes = Vec::new();
+        stream.read_to_end(&mut bytes).expect("the end of the node's connection");
+        bytes
     }
 }
 
-/// Discovery whose every call the test answers by hand.
-struct Agent {
+/// A discovery service whose calls the test itself answers.
+struct ManualDiscovery {
     address: SocketAddr,
+    /// Request line and connection of each call.
     calls: Receiver<(String, TcpStream)>,
 }
 
-impl Agent {
-    fn new() -> Agent {
+impl ManualDiscovery {
+    fn new() -> ManualDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (tell, calls) = channel();
+        let (sender, calls) = channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let mut input = BufReader::new(stream.try_clone().unwrap());
                 let call = read_http(&mut input).unwrap_or_default();
-                let _ = tell.send((call.first().cloned().unwrap_or_default(), stream));
+                let _ = sender.send((call.first().cloned().unwrap_or_default(), stream));
             }
         });
-        Agent { address, calls }
+        ManualDiscovery { address, calls }
     }
 
-    /// The next call, answered with the head of a watch and these lines.
-    fn answer(&self, lines: &[String]) -> TcpStream {
-        let (_, mut stream) = self.calls.recv_timeout(LONG).expect("a call to discovery");
+    /// Answers the next call with the response head of a watch and these messages, and keeps it open.
+    fn open_watch(&self, messages: &[String]) -> TcpStream {
+        let (_, mut stream) = self.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery");
         stream.write_all(&watch_head()).unwrap();
-        for line in lines {
-            stream.write_all(&chunk(line)).unwrap();
+        for message in messages {
+            stream.write_all(&chunk(message)).unwrap();
         }
         stream
     }
 }
 
-fn two(first: SocketAddr, second: SocketAddr, status: &str) -> Vec<String> {
+/// Entries of two cache servers, the first with this status, and of an origin that no test uses.
+fn two_cache_entries(first: SocketAddr, second: SocketAddr, status: &str) -> Vec<String> {
     vec![
         entry("s-1", first, "std", status),
         entry("s-2", second, "std", "active"),
@@ -107,40 +111,41 @@
     ]
 }
 
-/// Settings under which discovery that failed is asked again after half a minute at the earliest.
-fn patient() -> String {
+/// Settings whose poll interval is so long that a retry after a fraction of it would come after half a minute at the
+/// earliest.
+fn long_poll_interval() -> String {
     settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":1000000000"#)
 }
 
-/// Settings under which a connection may come up late.
-pub fn slow_to_open() -> String {
+/// Settings under which a connection may take up to 15 s to open.
+pub fn long_connect_timeout() -> String {
     settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":15000000"#)
 }
 
-/// Whichever way a client goes.
-fn leaves(client: Client, reset: bool) {
+/// Closes a client connection, by a reset if `reset` is set.
+fn disconnect(client: Client, reset: bool) {
     if reset {
         set_socket_linger(&client.out, Some(Duration::ZERO)).unwrap();
     }
     drop(client);
 }
 
-/// Asks until `first` says nothing for 60 reads in a row, each of a key of its own: it is known to leave. From then on
-/// it must say nothing more.
-fn left(node: &Node, first: &str) {
+/// Reads one key after another until the server `first` has answered none of 60 in a row, so its drain has taken
+/// effect. Then checks that it answers none of 200 further reads.
+fn assert_drained(node: &Node, first: &str) {
     let mut client = node.client();
-    let mut ask = |key: u32| client.ask(&get(&format!("{key:x}"), &key.to_string())).unwrap();
+    let mut read = |key: u32| client.request(&get(&format!("{key:x}"), &key.to_string())).unwrap();
     let (mut key, mut in_a_row) = (0, 0);
     while in_a_row < 60 {
         key += 1;
-        in_a_row = if ask(key) == first { 0 } else { in_a_row + 1 };
-        assert!(key < 100_000, "its leaving never took effect");
+        in_a_row = if read(key) == first { 0 } else { in_a_row + 1 };
+        assert!(key < 100_000, "the drain never took effect");
     }
-    let late = (0..200).filter(|n| ask(key + 1 + n) == first).count();
-    assert_eq!(late, 0, "it got something new after its leaving was known");
+    let late = (0..200).filter(|n| read(key + 1 + n) == first).count();
+    assert_eq!(late, 0, "requests reached it after the drain took effect");
 }
 
-/// Says a name, whatever it is asked.
-fn says(name: &'static str) -> EmulatedServer {
-    cache(move |_| Act::Say(hit(name)))
+/// Starts a cache server that answers each command with a hit whose value is this name.
+fn named_cache(name: &'static str) -> EmulatedServer {
+    cache(move |_| Action::Respond(hit(name)))
 }
--- a/crates/stonevane-node/tests/node/harness/client.rs
+++ b/crates/stonevane-node/tests/node/harness/client.rs
@@ -1,11 +1,11 @@
-//! A client of the node, and its commands.
+//! A client of the node, and the RESP commands that it sends.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-use super::{LONG, line};
+use super::{TEST_TIMEOUT, read_line};
 
-/// A client of the node.
+/// A client connection to the node.
 pub struct Client {
     pub out: TcpStream,
     pub input: BufReader<TcpStream>,
@@ -30,40 +30,41 @@
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client { out: stream.try_clone().unwrap(), input: BufReader::new(stream) }
     }
 
-    /// Whether the node has not ended it.
-    pub fn stands(&self) -> bool {
+    /// Whether the connection is open and holds no unread bytes. Reads nothing.
+    pub fn is_open(&self) -> bool {
         self.out.set_nonblocking(true).unwrap();
-        let stands = matches!(self.out.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
+        let open = matches!(self.out.peek(&mut [0]), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock);
         self.out.set_nonblocking(false).unwrap();
-        stands
+        open
     }
 
-    /// Whether the node has ended it, whatever it has said before.
-    pub fn has_ended(&mut self) -> bool {
+    /// Whether the node has closed the connection. Reads and discards the responses that came before.
+    pub fn is_closed(&mut self) -> bool {
         self.out.set_nonblocking(true).unwrap();
-        let mut said = [0; 64];
-        let ended = loop {
-            match self.out.read(&mut said) {
+        let mut discarded = [0; 64];
+        let closed = loop {
+            match self.out.read(&mut discarded) {
                 Ok(0) => break true,
                 Ok(_) => {}
                 Err(e) => break e.kind() != std::io::ErrorKind::WouldBlock,
             }
         };
         self.out.set_nonblocking(false).unwrap();
-        ended
+        closed
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
         self.out.write_all(bytes).unwrap();
     }
 
-    /// The next answer: a line as it is, a bulk string as its content; `None` at the connection's end.
-    pub fn answer(&mut self) -> Option<String> {
-        let first = line(&mut self.input)?;
+    /// Reads the next response and returns a line unchanged, a bulk string as its content; `None` at the end of
+    /// the connection.
+    pub fn read_response(&mut self) -> Option<String> {
+        let first = read_line(&mut self.input)?;
         let Some(size) = first.strip_prefix('$') else { return Some(first) };
         let mut bytes = vec![0; size.parse::<usize>().unwrap() + 2];
         self.input.read_exact(&mut bytes).ok()?;
@@ -71,8 +72,9 @@
         Some(String::from_utf8_lossy(&bytes).into_owned())
     }
 
-    pub fn ask(&mut self, bytes: &[u8]) -> Option<String> {
+    /// Sends a command and reads its response.
+    pub fn request(&mut self, bytes: &[u8]) -> Option<String> {
         self.send(bytes);
-        self.answer()
+        self.read_response()
     }
 }
--- a/crates/stonevane-node/tests/node/harness/mod.rs
+++ b/crates/stonevane-node/tests/node/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Emulated servers, discovery and clients, and the node between them.
+//! Test harness: emulated servers, discovery and clients, and the node process between them.
 
 mod client;
 mod discovery;
@@ -14,10 +14,10 @@
 pub use node_process::*;
 pub use servers::*;
 
-/// Longer than anything here takes, on the busiest machine.
-pub const LONG: Duration = Duration::from_secs(20);
+/// Upper limit of each wait; longer than any step takes on a busy machine.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn line(input: &mut BufReader<TcpStream>) -> Option<String> {
+fn read_line(input: &mut BufReader<TcpStream>) -> Option<String> {
     let mut text = String::new();
     let count = input.read_line(&mut text).ok()?;
     (count > 0).then(|| text.trim_end().to_string())
--- a/crates/stonevane-node/tests/node/main.rs
+++ b/crates/stonevane-node/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The real node over loopback sockets: one test for each failure that must not happen.
+//! Tests of the real node process over loopback sockets. Each guards against one failure.
 #![allow(missing_docs)]
 
 mod capacity;
@@ -22,16 +22,18 @@
 use harness::*;
 
 /// A whole list of one cache server and an origin.
-pub fn pair(cache: SocketAddr, origin: SocketAddr) -> String {
+pub fn cache_and_origin(cache: SocketAddr, origin: SocketAddr) -> String {
     let entries = [entry("s-1", cache, "std", "active"), entry("o-1", origin, "origin", "active")];
-    listing(5, true, &entries)
+    server_list(5, true, &entries)
 }
 
-/// Discovery that tells of nothing new.
-pub fn quiet() -> (SocketAddr, std::sync::mpsc::Sender<Vec<u8>>, std::sync::mpsc::Receiver<String>) {
+/// Starts a discovery service that sends only the updates that the test sends.
+pub fn quiet_discovery() -> (SocketAddr, std::sync::mpsc::Sender<Vec<u8>>, std::sync::mpsc::Receiver<String>)
+{
     discovery(vec![watch_head()])
 }
 
-pub fn no_origin() -> EmulatedServer {
-    origin(|_| Act::Say(http(500, "", "")))
+/// Starts an origin that answers every request with status 500.
+pub fn failing_origin() -> EmulatedServer {
+    origin(|_| Action::Respond(http_response(500, "", "")))
 }
--- a/crates/stonevane-node/tests/node/origin.rs
+++ b/crates/stonevane-node/tests/node/origin.rs
@@ -1,4 +1,5 @@
-//! An answer of the origin that took the time of its connection's handshake holds no further fetch back.
+//! A late first response on a new connection to the origin, which includes the time of the handshake, does not
+//! delay further fetches.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -6,68 +7,69 @@
 use std::time::Duration;
 
 use crate::harness::*;
-use crate::{pair, quiet};
+use crate::{cache_and_origin, quiet_discovery};
 
-/// Without it, one of 300 nodes may hardly send anything at its start.
+/// Disables the ramp after a start, under which one of 300 nodes may send hardly anything.
 const NO_RAMP: &str = "version = 1\n[start]\nramp = false\n";
-/// How late the first answer on a connection is: later than the origin may answer without being held to be slow (0.8 of the
-/// shorter aim, 2 s), and earlier than the longer one, 8 s.
-const HANDSHAKE: Duration = Duration::from_millis(1_800);
+/// Delay of the first response on a connection. It lies between the latency from which the origin counts as slow
+/// (0.8 of the shorter latency objective, 2 s) and the longer objective, 8 s.
+const FIRST_RESPONSE_DELAY: Duration = Duration::from_millis(1_800);
 /// Longer than an idle connection to the origin is kept.
-const IDLE: Duration = Duration::from_millis(600);
+const IDLE_TIME: Duration = Duration::from_millis(600);
 
-/// One node of many: after one slow answer of the origin its next fetch would wait for over 7 s.
-fn one_of_many() -> String {
+/// Settings of one node of 300, whose next fetch waits for more than 7 s after one slow response of the origin.
+fn settings_of_one_of_300_nodes() -> String {
     settings()
         .replace(r#""name":"read","goalTimeUs":250000"#, r#""name":"read","goalTimeUs":8000000"#)
         .replace(r#""name":"put","goalTimeUs":250000"#, r#""name":"put","goalTimeUs":2000000"#)
         .replace(r#""balancers":1"#, r#""balancers":300"#)
 }
 
-/// An origin that holds the first answer on each connection back while it is told to.
-fn slow_to_shake_hands(holds: &Arc<AtomicBool>, latch: &Latch) -> EmulatedServer {
-    let (holds, latch, mut carried) = (holds.clone(), latch.clone(), 0);
+/// Starts an origin that delays the first response on each connection until the latch opens, while `delays` is set.
+fn origin_with_late_first_responses(delays: &Arc<AtomicBool>, latch: &Latch) -> EmulatedServer {
+    let (delays, latch, mut requests) = (delays.clone(), latch.clone(), 0);
     origin(move |_| {
-        carried += 1;
-        match carried == 1 && holds.load(Ordering::SeqCst) {
-            true => Act::SayWhen(latch.clone(), http(200, "", "late")),
-            false => Act::Say(http(200, "", "quick")),
+        requests += 1;
+        match requests == 1 && delays.load(Ordering::SeqCst) {
+            true => Action::RespondWhenOpen(latch.clone(), http_response(200, "", "late")),
+            false => Action::Respond(http_response(200, "", "quick")),
         }
     })
 }
 
-/// Fetches one after another until one has gone over a connection that had carried another.
+/// Sends fetches one after another until one reuses a connection.
 fn warm_up(client: &mut Client, origin: &EmulatedServer) {
     let mut connections = HashSet::new();
-    let kept = (0..1_000).any(|key| {
-        assert_eq!(client.ask(&get(&format!("a{key:x}"), &format!("w{key}"))).unwrap(), "quick");
-        !connections.insert(origin.next().conn)
+    let reused = (0..1_000).any(|key| {
+        assert_eq!(client.request(&get(&format!("a{key:x}"), &format!("w{key}"))).unwrap(), "quick");
+        !connections.insert(origin.next_request().conn)
     });
-    assert!(kept, "no connection was used twice");
+    assert!(reused, "no connection was used twice");
 }
 
-/// Whether a fetch goes at once after one that was held for as long as a handshake takes.
-fn fetches_after_a_handshake(warm: bool) -> bool {
-    let cache = cache(|_| Act::Say(miss()));
-    let (holds, latch) = (Arc::new(AtomicBool::new(!warm)), Latch::default());
-    let origin = slow_to_shake_hands(&holds, &latch);
-    let (discovery, _say, _calls) = quiet();
-    let known = pair(cache.address, origin.address);
-    let node = Node::start_with_operator(discovery, &known, &one_of_many(), NO_RAMP);
+/// Whether a fetch is sent at once after one whose response was late by [`FIRST_RESPONSE_DELAY`]. `warm`: reused
+/// connections have shown the latency of the origin before.
+fn fetch_follows_a_late_first_response(warm: bool) -> bool {
+    let cache = cache(|_| Action::Respond(miss()));
+    let (delays, latch) = (Arc::new(AtomicBool::new(!warm)), Latch::default());
+    let origin = origin_with_late_first_responses(&delays, &latch);
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let known = cache_and_origin(cache.address, origin.address);
+    let node = Node::start_with_operator_file(discovery, &known, &settings_of_one_of_300_nodes(), NO_RAMP);
     let mut client = node.client();
     if warm {
         warm_up(&mut client, &origin);
-        std::thread::sleep(IDLE);
-        holds.store(true, Ordering::SeqCst);
+        std::thread::sleep(IDLE_TIME);
+        delays.store(true, Ordering::SeqCst);
     }
     client.send(&get("bb", "h"));
-    origin.next();
-    std::thread::sleep(HANDSHAKE);
-    holds.store(false, Ordering::SeqCst);
+    origin.next_request();
+    std::thread::sleep(FIRST_RESPONSE_DELAY);
+    delays.store(false, Ordering::SeqCst);
     latch.open();
-    assert_eq!(client.answer().unwrap(), "late");
+    assert_eq!(client.read_response().unwrap(), "late");
     let next = command(&["OBJ.GET", "cc", "n", "c=read,t=acme,d=4000"]);
-    match client.ask(&next).unwrap().as_str() {
+    match client.request(&next).unwrap().as_str() {
         "quick" => true,
         refused if refused.starts_with("-BUSY") => false,
         other => panic!("{other}"),
@@ -75,11 +77,11 @@
 }
 
 #[test]
-fn a_first_answer_that_is_late_by_its_handshake_holds_no_fetch_back() {
-    assert!(fetches_after_a_handshake(true));
+fn a_late_first_response_on_a_new_connection_delays_no_fetch() {
+    assert!(fetch_follows_a_late_first_response(true));
 }
 
 #[test]
-fn a_late_first_answer_holds_fetches_back_where_no_kept_connection_has_told_how_quick_the_origin_is() {
-    assert!(!fetches_after_a_handshake(false));
+fn a_late_first_response_delays_fetches_while_no_reused_connection_has_shown_the_latency_of_the_origin() {
+    assert!(!fetch_follows_a_late_first_response(false));
 }
--- a/crates/stonevane-node/tests/node/process.rs
+++ b/crates/stonevane-node/tests/node/process.rs
@@ -1,4 +1,4 @@
-//! The process: configuration, reload, and the drain at SIGTERM.
+//! The node process: configuration, reload on SIGHUP, and drain on SIGTERM.
 
 use std::net::TcpListener;
 use std::process::Command;
@@ -8,107 +8,110 @@
 use std::time::Duration;
 
 use crate::harness::*;
-use crate::{no_origin, pair, quiet};
+use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
 #[test]
-fn on_sighup_discovery_moves_and_a_file_that_cannot_be_used_changes_nothing() {
-    let caches = ["first", "second", "third"].map(|name| cache(move |_| Act::Say(hit(name))));
-    let origin = no_origin();
+fn sighup_changes_the_discovery_address_and_an_unusable_file_changes_nothing() {
+    let caches = ["first", "second", "third"].map(|name| cache(move |_| Action::Respond(hit(name))));
+    let origin = failing_origin();
     let list = |index, server: &EmulatedServer| {
         let entries =
             [entry("s-1", server.address, "std", "active"), entry("o-1", origin.address, "origin", "active")];
-        listing(index, true, &entries)
+        server_list(index, true, &entries)
     };
-    let (old, _say_old, _) = quiet();
+    let (old, _say_old, _) = quiet_discovery();
     let node = Node::start(old, &list(500, &caches[0]));
     let mut client = node.client();
-    assert_eq!(client.ask(&get("aa", "1")).unwrap(), "first");
+    assert_eq!(client.request(&get("aa", "1")).unwrap(), "first");
     let mut kept = Vec::new();
     for (at, index) in [(1, 3), (2, 2)] {
-        let (next, say, calls) = quiet();
+        let (next, updates, calls) = quiet_discovery();
         node.reload(Ok(next));
-        let call = calls.recv_timeout(LONG).unwrap();
-        assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "versions of the old one mean nothing here");
-        say.send(chunk(&list(index, &caches[at]))).unwrap();
+        let call = calls.recv_timeout(TEST_TIMEOUT).unwrap();
+        assert_eq!(
+            call, "GET /v1/servers?watch=1 HTTP/1.1",
+            "versions of the old discovery do not carry over"
+        );
+        updates.send(chunk(&list(index, &caches[at]))).unwrap();
         let name = ["first", "second", "third"][at];
         assert!(
-            (0..100_000).any(|_| client.ask(&get("aa", "2")).unwrap() == name),
-            "the new list is in force"
+            (0..100_000).any(|_| client.request(&get("aa", "2")).unwrap() == name),
+            "the new list never took effect"
         );
-        kept.push((say, calls));
+        kept.push((updates, calls));
         node.reload(Err("{"));
-        let told = std::iter::from_fn(|| node.log.recv_timeout(LONG).ok());
-        assert!(told.into_iter().any(|line| line.contains("the old configuration stays in force")));
-        assert_eq!(client.ask(&get("aa", "3")).unwrap(), name);
+        let logged = std::iter::from_fn(|| node.log.recv_timeout(TEST_TIMEOUT).ok());
+        assert!(logged.into_iter().any(|line| line.contains("the old configuration stays in force")));
+        assert_eq!(client.request(&get("aa", "3")).unwrap(), name);
     }
 }
 
 #[test]
-fn on_sigterm_it_takes_connections_for_a_while_finishes_what_it_took_and_exits_with_0() {
-    let (go, wait) = channel();
-    let wait = Arc::new(Mutex::new(Some(wait)));
+fn on_sigterm_the_node_still_accepts_for_a_while_finishes_its_requests_and_exits_with_0() {
+    let (release, released) = channel();
+    let released = Arc::new(Mutex::new(Some(released)));
     let cache = cache(move |words| match words[1].as_str() {
-        "ee" => Act::SayAfter(wait.lock().unwrap().take().unwrap(), hit("slow")),
-        key => Act::Say(hit(key)),
+        "ee" => Action::RespondAfter(released.lock().unwrap().take().unwrap(), hit("slow")),
+        key => Action::Respond(hit(key)),
     });
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let mut node = Node::start(discovery, &pair(cache.address, origin.address));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let mut node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
     let mut idle = node.client();
-    assert_eq!(idle.ask(&command(&["PING"])).unwrap(), "+PONG");
+    assert_eq!(idle.request(&command(&["PING"])).unwrap(), "+PONG");
     client.send(&get("ee", "1"));
-    cache.next();
+    cache.next_request();
     node.terminate();
-    assert_eq!(node.client().ask(&get("aa", "2")).unwrap(), "aa", "a new connection is still taken");
-    assert_eq!(idle.answer(), None, "an idle one is closed");
-    go.send(()).unwrap();
-    assert_eq!(client.answer().unwrap(), "slow", "what was taken is finished");
-    assert_eq!(client.answer(), None);
+    assert_eq!(node.client().request(&get("aa", "2")).unwrap(), "aa", "a new connection is still accepted");
+    assert_eq!(idle.read_response(), None, "an idle connection is closed");
+    release.send(()).unwrap();
+    assert_eq!(client.read_response().unwrap(), "slow", "an accepted request is finished");
+    assert_eq!(client.read_response(), None);
     assert_eq!(node.wait().code(), Some(0));
 }
 
 #[test]
-fn on_sigterm_the_last_clients_answer_is_written_whole_before_the_node_ends() {
-    // Found by the lab with overlapping faults: the node counted one client too few and ended with the last one's
-    // answer unwritten.
+fn on_sigterm_the_last_response_is_written_completely_before_the_node_exits() {
+    // Guards against a node that counts one client too few and exits with the response to the last one unwritten,
+    // as seen in the lab with overlapping faults.
     let long = "v".repeat(400_000);
     let value = long.clone();
-    let cache = cache(move |_| Act::Say(hit(&value)));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let mut node = Node::start(discovery, &pair(cache.address, origin.address));
+    let cache = cache(move |_| Action::Respond(hit(&value)));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let mut node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
-    // More than the buffers of both machines hold.
+    // More than the buffers of both ends hold.
     for id in 1..=24 {
         client.send(&get("aa", &id.to_string()));
     }
-    cache.next();
+    cache.next_request();
     node.terminate();
     while std::net::TcpStream::connect(node.address).is_ok() {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    // It takes nobody any more; time for many looks at whether it may end.
+    // The node accepts nothing any more. Leaves time for many of its checks whether it may exit.
     std::thread::sleep(std::time::Duration::from_millis(200));
     for id in 1..=24 {
-        let answer = client.answer();
+        let answer = client.read_response();
         assert!(answer.is_some_and(|answer| answer == long || answer.starts_with('-')), "{id}");
     }
     assert_eq!(node.wait().code(), Some(0));
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_exit_code_2() {
+fn a_bad_configuration_ends_with_one_error_line_and_exit_code_2() {
     let (listener, address) = {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         (listener, address)
     };
-    let good = |listen: &str| {
+    let valid = |listen: &str| {
         format!(r#"{{"listen":"{listen}","discovery":"{address}","seed":"1","settings":{}}}"#, settings())
     };
-    let taken = good(&address.to_string());
-    let texts = ["{", "{}", r#"{"settings":{"classes":3}}"#, &good("nowhere"), &taken];
+    let taken = valid(&address.to_string());
+    let texts = ["{", "{}", r#"{"settings":{"classes":3}}"#, &valid("nowhere"), &taken];
     for text in texts.into_iter().map(Some).chain([None]) {
         let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
         run.env_remove("ROUTER_CONFIG").env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
@@ -116,43 +119,48 @@
         if let Some(path) = &path {
             run.env("ROUTER_CONFIG", path);
         }
-        let done = run.output().unwrap();
+        let output = run.output().unwrap();
         if let Some(path) = &path {
             std::fs::remove_file(path).unwrap();
         }
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!((done.status.code(), said.lines().count()), (Some(2), 1), "{text:?}: {said}");
-        assert!(!said.contains("panicked"), "{said}");
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!((output.status.code(), stderr.lines().count()), (Some(2), 1), "{text:?}: {stderr}");
+        assert!(!stderr.contains("panicked"), "{stderr}");
     }
     drop(listener);
 }
 
 #[test]
-fn a_bad_operator_file_is_a_line_for_each_fault_and_exit_code_2() {
+fn a_bad_operator_file_ends_with_one_error_line_per_fault_and_exit_code_2() {
     let path = config_file("[clients]\nidel_ms = 5\nfirst_ms = 0\n");
     let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     let run = run.arg("--operator").arg(&path).env_remove("ROUTER_CONFIG").output().unwrap();
     let _ = std::fs::remove_file(&path);
-    let said = String::from_utf8_lossy(&run.stderr).into_owned();
-    assert_eq!((run.status.code(), said.lines().count()), (Some(2), 2), "{said}");
-    assert!(said.contains("line 2, column 1: unknown key `idel_ms`"), "{said}");
+    let stderr = String::from_utf8_lossy(&run.stderr).into_owned();
+    assert_eq!((run.status.code(), stderr.lines().count()), (Some(2), 2), "{stderr}");
+    assert!(stderr.contains("line 2, column 1: unknown key `idel_ms`"), "{stderr}");
     let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     let run = run.args(["--operator", "/no/such/file"]).output().unwrap();
     assert_eq!((run.status.code(), run.stderr.iter().filter(|b| **b == b'\n').count()), (Some(2), 1));
 }
 
 #[test]
-fn what_an_operator_file_sets_is_in_force() {
-    let cache = cache(|words| Act::Say(hit(&words[1])));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
+fn values_of_the_operator_file_take_effect() {
+    let cache = cache(|words| Action::Respond(hit(&words[1])));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
     let path = config_file("[clients]\nspare_ms = 50\nidle_ms = 100\n");
     let before = format!("set -- --operator {};", path.display());
-    let node = Node::start_with(discovery, &pair(cache.address, origin.address), 256, &before);
+    let node = Node::start_with_shell_prefix(
+        discovery,
+        &cache_and_origin(cache.address, origin.address),
+        256,
+        &before,
+    );
     let mut client = node.client();
-    assert_eq!(client.ask(&get("aa", "1")).unwrap(), "aa");
+    assert_eq!(client.request(&get("aa", "1")).unwrap(), "aa");
     let begun = std::time::Instant::now();
-    assert_eq!(client.answer(), None, "closed when idle");
+    assert_eq!(client.read_response(), None, "closed when idle");
     assert!(begun.elapsed() < Duration::from_secs(10), "long before the default of 15 s");
     let _ = std::fs::remove_file(&path);
 }
--- a/crates/stonevane-node/tests/node/readiness.rs
+++ b/crates/stonevane-node/tests/node/readiness.rs
@@ -1,17 +1,19 @@
-//! When a process that has just started takes clients: what it knows is enough, and else the first list that comes.
+//! Readiness of a process that has just started: it serves with the list of its configuration, or else with the
+//! first list from discovery.
 
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
 use crate::harness::*;
-use crate::{no_origin, pair};
+use crate::{cache_and_origin, failing_origin};
 
 fn ping(node: &Node) -> String {
-    node.client().ask(&command(&["PING"])).unwrap()
+    node.client().request(&command(&["PING"])).unwrap()
 }
 
-/// Discovery that takes calls and answers none; where it resets them, at once.
-fn down(resets: bool) -> std::net::SocketAddr {
+/// Starts a discovery service that accepts calls and answers none: it closes them at once (`resets`) or keeps them
+/// open.
+fn failed_discovery(resets: bool) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -24,38 +26,38 @@
 }
 
 #[test]
-fn a_process_that_knows_an_old_list_is_ready_at_once_while_discovery_is_down() {
-    let (cache, origin) = (cache(|_| Act::Say(hit("value"))), no_origin());
-    let known = pair(cache.address, origin.address);
+fn a_process_with_an_old_list_is_ready_at_once_while_discovery_is_down() {
+    let (cache, origin) = (cache(|_| Action::Respond(hit("value"))), failing_origin());
+    let known = cache_and_origin(cache.address, origin.address);
     for resets in [false, true] {
         for pushed in [false, true] {
-            let discovery = down(resets);
+            let discovery = failed_discovery(resets);
             let node = match pushed {
-                true => Node::start_pushed(discovery, &known),
+                true => Node::start_with_pushed_lists(discovery, &known),
                 false => Node::start(discovery, &known),
             };
-            assert_eq!(ping(&node), "+PONG", "the first answer; resets: {resets}, pushed: {pushed}");
-            assert_eq!(node.client().ask(&get("aa", "1")).unwrap(), "value");
+            assert_eq!(ping(&node), "+PONG", "the first response; resets: {resets}, pushed: {pushed}");
+            assert_eq!(node.client().request(&get("aa", "1")).unwrap(), "value");
         }
     }
 }
 
 #[test]
-fn a_process_that_knows_no_list_is_ready_soon_after_discovery_is_back_however_seldom_it_is_to_be_asked() {
-    let (cache, origin) = (cache(|_| Act::Say(hit("value"))), no_origin());
-    // Half a minute at the least, if it were asked again after a part of that.
+fn a_process_without_a_list_is_ready_soon_after_discovery_is_back_even_with_a_long_poll_interval() {
+    let (cache, origin) = (cache(|_| Action::Respond(hit("value"))), failing_origin());
+    // A retry after a fraction of this interval would come after half a minute at the earliest.
     let settings = settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":1000000000"#);
-    let list = chunk(&pair(cache.address, origin.address));
-    // Three calls are turned away.
-    let busy = || http(503, "", "");
-    let (discovery, _say, calls) = discovery(vec![busy(), busy(), busy(), [watch_head(), list].concat()]);
-    let node = Node::start_in(discovery, &listing(0, true, &[]), 256, "", &settings);
-    assert!(ping(&node).starts_with("-LOADING"), "it can serve nothing yet");
-    (0..4).for_each(|_| drop(calls.recv_timeout(LONG).expect("a call to discovery")));
-    let end = Instant::now() + LONG;
+    let list = chunk(&cache_and_origin(cache.address, origin.address));
+    // Three calls fail.
+    let busy = || http_response(503, "", "");
+    let (discovery, _updates, calls) = discovery(vec![busy(), busy(), busy(), [watch_head(), list].concat()]);
+    let node = Node::start_with_settings(discovery, &server_list(0, true, &[]), 256, "", &settings);
+    assert!(ping(&node).starts_with("-LOADING"), "the node can serve nothing yet");
+    (0..4).for_each(|_| drop(calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery")));
+    let end = Instant::now() + TEST_TIMEOUT;
     while ping(&node) != "+PONG" {
-        assert!(Instant::now() < end, "it has its list");
+        assert!(Instant::now() < end, "the node has its list and is not ready");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert_eq!(node.client().ask(&get("aa", "1")).unwrap(), "value");
+    assert_eq!(node.client().request(&get("aa", "1")).unwrap(), "value");
 }
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -1,22 +1,23 @@
-//! Real nodes in two regions, each before the cache servers of its own. The judge is what the emulated servers saw.
+//! Real nodes in two regions, each in front of the cache servers of its own region. Tests check the requests that the
+//! emulated servers received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::process::Command;
 use std::sync::mpsc::{Receiver, Sender};
 
+use crate::failing_origin;
 use crate::harness::*;
-use crate::no_origin;
 
-const READS: usize = 120;
+const READS_PER_NODE: usize = 120;
 
-/// A server of the list in a zone.
-fn in_zone(name: &str, address: SocketAddr, zone: &str, status: &str) -> String {
+/// An entry of a server list in a zone. Names of origins begin with `o`.
+fn entry_in_zone(name: &str, address: SocketAddr, zone: &str, status: &str) -> String {
     let kind = if name.starts_with('o') { "origin" } else { "std" };
     entry(name, address, kind, status).replace(r#""zone":"a""#, &format!(r#""zone":"{zone}""#))
 }
 
-/// An operator file with a region of two zones and one of one.
+/// Writes an operator file with a region of two zones and a region of one zone.
 fn operator_file(home: &str, nodes: u32) -> std::path::PathBuf {
     write_operator_file(&format!(
         "[regions]\nhome = \"{home}\"\nnodes = {nodes}\nleast = 1\n\
@@ -25,17 +26,18 @@
 }
 
 fn write_operator_file(text: &str) -> std::path::PathBuf {
-    let path = folder().join("operator.toml");
+    let path = temp_folder().join("operator.toml");
     std::fs::write(&path, text).unwrap();
     path
 }
 
-fn settings_of(me: usize, zones: &str) -> String {
+/// Settings of node number `me` of three.
+fn settings_of_node(me: usize, zones: &str) -> String {
     let me = format!(r#""balancers":3,"me":{me}"#);
     let zones = format!(r#""zones":[{zones}]"#);
-    // What is asked here one after the other is within the quota on the quickest machine.
+    // A quota that sequential requests don't exceed, even on a fast machine.
     let quota = (r#""quotaPerS":1000.0"#, r#""quotaPerS":1000000.0"#);
-    // A connection that ends was not merely idle for long.
+    // An idle limit so long that a connection never ends because of it.
     let idle = (r#""idleCloseUs":15000000"#, r#""idleCloseUs":600000000"#);
     let settings = settings().replace(r#""balancers":1,"me":0"#, &me).replace(r#""zones":["a"]"#, &zones);
     settings.replace(quota.0, quota.1).replace(idle.0, idle.1)
@@ -43,110 +45,116 @@
 
 const ZONES: &str = r#""a","b","c""#;
 
-/// A node with its own discovery, and a client that asks it.
-struct Member {
+/// A node with its own discovery, and a client of it.
+struct RegionNode {
     name: &'static str,
-    node: Node,
+    process: Node,
     client: Client,
-    say: Sender<Vec<u8>>,
+    updates: Sender<Vec<u8>>,
     _calls: Receiver<String>,
-    asked: usize,
+    /// Number of reads so far, part of each key and id.
+    reads: usize,
 }
 
-impl Member {
-    /// `operator`: the operator file, if it has one.
-    fn start(name: &'static str, me: usize, known: &str, operator: Option<&std::path::Path>) -> Member {
-        let (discovery, say, calls) = discovery(vec![watch_head()]);
-        let text = managed(&config(discovery, known, 256, &settings_of(me, ZONES)));
+impl RegionNode {
+    /// Starts node number `me` with the list `known` and an operator file, if given.
+    fn start(name: &'static str, me: usize, known: &str, operator: Option<&std::path::Path>) -> RegionNode {
+        let (discovery, updates, calls) = discovery(vec![watch_head()]);
+        let text = with_mgmt_address(&config(discovery, known, 256, &settings_of_node(me, ZONES)));
         let arguments = operator.map(|file| format!("set -- --operator {};", file.display()));
-        let node = Node::start_text_after(discovery, &text, &arguments.unwrap_or_default());
-        let client = node.client();
-        Member { name, node, client, say, _calls: calls, asked: 0 }
+        let process =
+            Node::start_with_config_and_shell_prefix(discovery, &text, &arguments.unwrap_or_default());
+        let client = process.client();
+        RegionNode { name, process, client, updates, _calls: calls, reads: 0 }
     }
 
-    /// Asks so many keys of its own, and returns which cache servers have answered.
+    /// Reads `count` keys that no other node reads, and returns the names of the cache servers that answered.
     fn read(&mut self, count: usize) -> BTreeSet<String> {
-        let mut by = BTreeSet::new();
+        let mut servers = BTreeSet::new();
         for _ in 0..count {
-            self.asked += 1;
-            let id = format!("{}{}", self.name, self.asked);
-            let answer = self.client.ask(&get(&format!("k{id}"), &id)).expect("an answer");
+            self.reads += 1;
+            let id = format!("{}{}", self.name, self.reads);
+            let answer = self.client.request(&get(&format!("k{id}"), &id)).expect("a response");
             assert!(!answer.starts_with('-'), "{} is not served: {answer}", self.name);
-            by.insert(answer);
+            servers.insert(answer);
         }
-        by
+        servers
     }
 
-    fn tell(&self, index: u64, snapshot: bool, entries: &[String]) {
-        self.say.send(chunk(&listing(index, snapshot, entries))).unwrap();
+    fn send_update(&self, index: u64, snapshot: bool, entries: &[String]) {
+        self.updates.send(chunk(&server_list(index, snapshot, entries))).unwrap();
     }
 
-    /// Waits until a line of the log tells of something.
-    fn until_logged(&self, what: &str) {
-        let line = std::iter::from_fn(|| self.node.log.recv_timeout(LONG).ok()).find(|l| l.contains(what));
-        assert!(line.is_some(), "{} never logs {what:?}", self.name);
+    /// Waits until a log line contains this text.
+    fn wait_until_logged(&self, text: &str) {
+        let line = std::iter::from_fn(|| self.process.log.recv_timeout(TEST_TIMEOUT).ok())
+            .find(|l| l.contains(text));
+        assert!(line.is_some(), "{} never logs {text:?}", self.name);
     }
 }
 
-/// The cache servers of a site, each of which answers with its name.
-struct Site {
+/// The servers of both regions. Each cache server answers with its name.
+struct Servers {
+    /// Name, emulated server and zone of each cache server.
     caches: BTreeMap<&'static str, (EmulatedServer, &'static str)>,
     origin: EmulatedServer,
 }
 
-impl Site {
-    fn new() -> Site {
+impl Servers {
+    fn new() -> Servers {
         let caches = [("s-1", "a"), ("s-2", "b"), ("n-1", "c"), ("n-2", "c")];
-        let caches = caches.map(|(name, zone)| (name, (cache(move |_| Act::Say(hit(name))), zone)));
-        Site { caches: caches.into(), origin: no_origin() }
+        let caches = caches.map(|(name, zone)| (name, (cache(move |_| Action::Respond(hit(name))), zone)));
+        Servers { caches: caches.into(), origin: failing_origin() }
     }
 
-    fn line(&self, name: &str, status: &str) -> String {
+    fn entry_with_status(&self, name: &str, status: &str) -> String {
         let (cache, zone) = &self.caches[name];
-        in_zone(name, cache.address, zone, status)
+        entry_in_zone(name, cache.address, zone, status)
     }
 
-    fn moved(&self, name: &str, zone: &str) -> String {
-        in_zone(name, self.caches[name].0.address, zone, "active")
+    fn entry_moved_to(&self, name: &str, zone: &str) -> String {
+        entry_in_zone(name, self.caches[name].0.address, zone, "active")
     }
 
-    fn list(&self) -> Vec<String> {
-        let mut lines: Vec<_> = self.caches.keys().map(|name| self.line(name, "active")).collect();
-        lines.push(in_zone("o-1", self.origin.address, "b", "active"));
-        lines
+    fn entries(&self) -> Vec<String> {
+        let mut entries: Vec<_> =
+            self.caches.keys().map(|name| self.entry_with_status(name, "active")).collect();
+        entries.push(entry_in_zone("o-1", self.origin.address, "b", "active"));
+        entries
     }
 
-    fn known(&self) -> String {
-        listing(5, true, &self.list())
+    fn whole_list(&self) -> String {
+        server_list(5, true, &self.entries())
     }
 
-    /// The requests that a cache server has seen by now: which member's each was.
-    fn seen(&self, name: &str) -> Vec<(u32, String)> {
-        let seen = self.caches[name].0.seen.try_iter().filter(|seen| !seen.words.is_empty());
-        seen.map(|seen| (seen.conn, member_of(&seen.words))).collect()
+    /// Connection number and node of each request that a cache server has received since the last call.
+    fn new_requests(&self, name: &str) -> Vec<(u32, String)> {
+        let seen = self.caches[name].0.received.try_iter().filter(|seen| !seen.words.is_empty());
+        seen.map(|seen| (seen.conn, requesting_node(&seen.words))).collect()
     }
 
-    /// Whose requests a cache server has seen, and that it had no other connection. Only once the nodes have ended.
-    fn heard_from(&self, name: &str) -> BTreeSet<String> {
+    /// Names of the nodes whose requests a cache server has received. Checks that each connection carried a request.
+    /// Call it only after the nodes have ended.
+    fn requesting_nodes(&self, name: &str) -> BTreeSet<String> {
         let cache = &self.caches[name].0;
         let mut last = Client::connect(cache.address);
-        assert_eq!(last.ask(&get("last", "last")).as_deref(), Some("*3"));
-        let mut members = BTreeSet::new();
+        assert_eq!(last.request(&get("last", "last")).as_deref(), Some("*3"));
+        let mut nodes = BTreeSet::new();
         let mut used = BTreeSet::new();
         loop {
-            let seen = cache.next();
+            let seen = cache.next_request();
             if seen.words[2] == "last" {
-                assert_eq!(used, (0..seen.conn).collect(), "{name}: each connection has brought requests");
-                return members;
+                assert_eq!(used, (0..seen.conn).collect(), "{name}: a connection carried no request");
+                return nodes;
             }
             used.insert(seen.conn);
-            members.insert(member_of(&seen.words));
+            nodes.insert(requesting_node(&seen.words));
         }
     }
 }
 
-/// The member whose request this is: its id without the number.
-fn member_of(words: &[String]) -> String {
+/// Name of the node that sent a request: the id without the number.
+fn requesting_node(words: &[String]) -> String {
     words[2].trim_end_matches(|c: char| c.is_ascii_digit()).to_owned()
 }
 
@@ -155,165 +163,181 @@
 }
 
 /// Two nodes in the south and one in the north.
-fn members(site: &Site, regions: bool) -> Vec<Member> {
-    let known = site.known();
+fn start_nodes(servers: &Servers, with_regions: bool) -> Vec<RegionNode> {
+    let known = servers.whole_list();
     let nodes = [("west", "south", 2), ("east", "south", 2), ("far", "north", 1)];
     let nodes = nodes.into_iter().enumerate().map(|(me, (name, home, count))| {
-        let operator = regions.then(|| operator_file(home, count));
-        Member::start(name, me, &known, operator.as_deref())
+        let operator = with_regions.then(|| operator_file(home, count));
+        RegionNode::start(name, me, &known, operator.as_deref())
     });
     nodes.collect()
 }
 
 #[test]
-fn each_cache_server_hears_only_from_the_nodes_of_its_region() {
-    let site = Site::new();
-    let mut members = members(&site, true);
-    for member in &mut members {
-        member.read(READS);
+fn each_cache_server_gets_requests_only_from_nodes_of_its_region() {
+    let servers = Servers::new();
+    let mut nodes = start_nodes(&servers, true);
+    for node in &mut nodes {
+        node.read(READS_PER_NODE);
     }
-    drop(members);
+    drop(nodes);
     for (name, from) in [("s-1", names(["east", "west"])), ("s-2", names(["east", "west"]))] {
-        assert_eq!(site.heard_from(name), from, "{name}");
+        assert_eq!(servers.requesting_nodes(name), from, "{name}");
     }
     for name in ["n-1", "n-2"] {
-        assert_eq!(site.heard_from(name), names(["far"]), "{name}");
+        assert_eq!(servers.requesting_nodes(name), names(["far"]), "{name}");
     }
 }
 
 #[test]
-fn without_the_section_each_cache_server_hears_from_all_nodes() {
-    let site = Site::new();
-    let mut members = members(&site, false);
-    for member in &mut members {
-        member.read(READS);
+fn without_the_regions_section_each_cache_server_gets_requests_from_all_nodes() {
+    let servers = Servers::new();
+    let mut nodes = start_nodes(&servers, false);
+    for node in &mut nodes {
+        node.read(READS_PER_NODE);
     }
-    let (status, figures) = members[0].node.call("GET", "/metrics");
-    assert!(status == 200 && !figures.contains("regions"), "{figures}");
-    drop(members);
+    let (status, metrics) = nodes[0].process.mgmt_call("GET", "/metrics");
+    assert!(status == 200 && !metrics.contains("regions"), "{metrics}");
+    drop(nodes);
     for name in ["s-1", "s-2", "n-1", "n-2"] {
-        assert_eq!(site.heard_from(name), names(["east", "far", "west"]), "{name}");
+        assert_eq!(servers.requesting_nodes(name), names(["east", "far", "west"]), "{name}");
     }
 }
 
 #[test]
-fn nodes_of_a_lost_region_are_served_by_another_and_return() {
-    let site = Site::new();
-    let mut members = members(&site, true);
-    for member in &mut members {
-        member.read(READS);
+fn nodes_use_another_region_while_their_own_has_no_servers_and_return_to_it() {
+    let servers = Servers::new();
+    let mut nodes = start_nodes(&servers, true);
+    for node in &mut nodes {
+        node.read(READS_PER_NODE);
     }
-    for member in &mut members[..2] {
-        assert_eq!(member.node.figure("regions.regions_in_use"), 1);
-        member.tell(6, false, &[site.line("s-1", "left")]);
-        member.tell(7, false, &[site.line("s-2", "leaving")]);
-        member.until_logged("south has 0 usable cache servers, too few");
-        assert_eq!(member.read(READS), names(["n-1", "n-2"]), "{}", member.name);
-        assert_eq!(member.node.figure("regions.regions_in_use"), 2);
-        assert_eq!(member.node.figure("regions.fallbacks"), 1);
+    for node in &mut nodes[..2] {
+        assert_eq!(node.process.metric("regions.regions_in_use"), 1);
+        node.send_update(6, false, &[servers.entry_with_status("s-1", "left")]);
+        node.send_update(7, false, &[servers.entry_with_status("s-2", "leaving")]);
+        node.wait_until_logged("south has 0 usable cache servers, too few");
+        assert_eq!(node.read(READS_PER_NODE), names(["n-1", "n-2"]), "{}", node.name);
+        assert_eq!(node.process.metric("regions.regions_in_use"), 2);
+        assert_eq!(node.process.metric("regions.fallbacks"), 1);
     }
-    for member in &mut members[..2] {
-        member.tell(8, false, &[site.line("s-2", "active"), site.line("s-1", "active")]);
-        member.until_logged("south has 2 usable cache servers: no other region is used");
+    for node in &mut nodes[..2] {
+        node.send_update(
+            8,
+            false,
+            &[servers.entry_with_status("s-2", "active"), servers.entry_with_status("s-1", "active")],
+        );
+        node.wait_until_logged("south has 2 usable cache servers: no other region is used");
     }
     for name in ["n-1", "n-2"] {
-        // The idle connections of either node.
-        (0..2).for_each(|_| site.caches[name].0.ended());
-        site.seen(name);
+        // Both nodes close their idle connections.
+        (0..2).for_each(|_| servers.caches[name].0.wait_for_closed_connection());
+        servers.new_requests(name);
     }
-    for member in &mut members {
-        member.read(READS);
+    for node in &mut nodes {
+        node.read(READS_PER_NODE);
     }
     for name in ["n-1", "n-2"] {
-        let from: BTreeSet<_> = site.seen(name).into_iter().map(|(_, member)| member).collect();
-        assert_eq!(from, names(["far"]), "{name} gets nothing new from the south");
+        let from: BTreeSet<_> = servers.new_requests(name).into_iter().map(|(_, node)| node).collect();
+        assert_eq!(from, names(["far"]), "{name} gets new requests from the south");
     }
-    assert_eq!(members[0].read(READS), names(["s-1", "s-2"]));
+    assert_eq!(nodes[0].read(READS_PER_NODE), names(["s-1", "s-2"]));
 }
 
 #[test]
-fn what_a_server_still_works_on_when_the_node_returns_is_answered_and_its_connection_closed() {
-    let site = Site::new();
+fn a_request_in_flight_at_a_fallback_server_is_answered_after_the_return_and_its_connection_closed() {
+    let servers = Servers::new();
     let held = Latch::default();
     let (wait, slow) = (held.clone(), "n-3");
-    let north = cache(move |_| Act::SayWhen(wait.clone(), hit(slow)));
-    let mut known = vec![site.line("s-1", "leaving"), in_zone(slow, north.address, "c", "active")];
-    known.push(in_zone("o-1", site.origin.address, "a", "active"));
+    let north = cache(move |_| Action::RespondWhenOpen(wait.clone(), hit(slow)));
+    let mut known =
+        vec![servers.entry_with_status("s-1", "leaving"), entry_in_zone(slow, north.address, "c", "active")];
+    known.push(entry_in_zone("o-1", servers.origin.address, "a", "active"));
     let operator = operator_file("south", 2);
-    let mut member = Member::start("west", 0, &listing(5, true, &known), Some(&operator));
-    member.client.send(&get("kk", "west1"));
-    let seen = north.next();
-    member.tell(6, false, &[site.line("s-2", "active")]);
-    member.until_logged("south has 1 usable cache server: no other region is used");
+    let mut node = RegionNode::start("west", 0, &server_list(5, true, &known), Some(&operator));
+    node.client.send(&get("kk", "west1"));
+    let seen = north.next_request();
+    node.send_update(6, false, &[servers.entry_with_status("s-2", "active")]);
+    node.wait_until_logged("south has 1 usable cache server: no other region is used");
     held.open();
-    assert_eq!(member.client.answer().as_deref(), Some(slow));
-    north.ended();
+    assert_eq!(node.client.read_response().as_deref(), Some(slow));
+    north.wait_for_closed_connection();
     assert_eq!(seen.conn, 0);
-    assert_eq!(member.read(READS), names(["s-2"]));
+    assert_eq!(node.read(READS_PER_NODE), names(["s-2"]));
 }
 
 #[test]
-fn a_drain_told_while_a_server_is_outside_the_subset_holds_in_a_fallback() {
-    let site = Site::new();
+fn a_drain_of_a_server_outside_the_subset_applies_in_a_fallback() {
+    let servers = Servers::new();
     let operator = operator_file("south", 2);
-    let mut member = Member::start("west", 0, &site.known(), Some(&operator));
-    member.tell(6, false, &[site.line("n-1", "leaving")]);
-    assert_eq!(member.read(READS), names(["s-1", "s-2"]));
-    // Nor does a whole list that was written before the drain was told undo it, whether it comes while the server is
-    // outside ...
-    member.tell(4, true, &site.list());
-    member.tell(7, false, &[site.line("s-1", "left"), site.line("s-2", "left")]);
-    member.until_logged("south has 0 usable cache servers, too few");
-    assert_eq!(member.read(READS), names(["n-2"]));
-    // ... or inside.
-    let before = [site.line("n-1", "active"), site.line("n-2", "active")];
-    member.tell(4, true, &before);
-    member.tell(9, false, &[site.line("s-1", "active"), site.line("s-2", "left")]);
-    member.node.until("regions.usable", 2);
-    assert!(!member.read(READS).contains("n-1"));
-    drop(member);
-    assert_eq!(site.heard_from("n-1"), BTreeSet::new(), "it never heard from the node");
+    let mut node = RegionNode::start("west", 0, &servers.whole_list(), Some(&operator));
+    node.send_update(6, false, &[servers.entry_with_status("n-1", "leaving")]);
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1", "s-2"]));
+    // A whole list older than the drain does not undo it, whether it comes while the server is outside the subset ...
+    node.send_update(4, true, &servers.entries());
+    node.send_update(
+        7,
+        false,
+        &[servers.entry_with_status("s-1", "left"), servers.entry_with_status("s-2", "left")],
+    );
+    node.wait_until_logged("south has 0 usable cache servers, too few");
+    assert_eq!(node.read(READS_PER_NODE), names(["n-2"]));
+    // ... or inside it.
+    let older = [servers.entry_with_status("n-1", "active"), servers.entry_with_status("n-2", "active")];
+    node.send_update(4, true, &older);
+    node.send_update(
+        9,
+        false,
+        &[servers.entry_with_status("s-1", "active"), servers.entry_with_status("s-2", "left")],
+    );
+    node.process.wait_for_metric("regions.usable", 2);
+    assert!(!node.read(READS_PER_NODE).contains("n-1"));
+    drop(node);
+    assert_eq!(servers.requesting_nodes("n-1"), BTreeSet::new(), "the draining server got requests");
 }
 
 #[test]
-fn a_server_that_moves_to_another_region_is_not_moved_back_by_a_whole_list_from_before() {
-    let site = Site::new();
+fn a_server_that_moved_to_another_region_is_not_moved_back_by_an_older_whole_list() {
+    let servers = Servers::new();
     let operator = operator_file("south", 2);
-    let mut member = Member::start("west", 0, &site.known(), Some(&operator));
-    assert_eq!(member.read(READS), names(["s-1", "s-2"]));
-    member.tell(6, false, &[site.moved("s-2", "c")]);
-    member.node.until("regions.usable", 1);
-    assert_eq!(member.read(READS), names(["s-1"]));
-    member.tell(4, true, &site.list());
-    member.tell(7, false, &[site.moved("n-1", "b")]);
-    member.node.until("regions.usable", 2);
-    assert_eq!(member.read(READS), names(["s-1", "n-1"]), "s-2 stays where it is");
-    let newer = [site.line("s-2", "active"), site.line("n-1", "active"), site.line("n-2", "active")];
-    member.tell(8, true, &newer);
-    member.node.until("regions.usable", 1);
-    assert_eq!(member.read(READS), names(["s-2"]), "a whole list that is newer holds");
+    let mut node = RegionNode::start("west", 0, &servers.whole_list(), Some(&operator));
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1", "s-2"]));
+    node.send_update(6, false, &[servers.entry_moved_to("s-2", "c")]);
+    node.process.wait_for_metric("regions.usable", 1);
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1"]));
+    node.send_update(4, true, &servers.entries());
+    node.send_update(7, false, &[servers.entry_moved_to("n-1", "b")]);
+    node.process.wait_for_metric("regions.usable", 2);
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1", "n-1"]), "s-2 stays in its new region");
+    let newer = [
+        servers.entry_with_status("s-2", "active"),
+        servers.entry_with_status("n-1", "active"),
+        servers.entry_with_status("n-2", "active"),
+    ];
+    node.send_update(8, true, &newer);
+    node.process.wait_for_metric("regions.usable", 1);
+    assert_eq!(node.read(READS_PER_NODE), names(["s-2"]), "a newer whole list takes effect");
 }
 
 #[test]
-fn other_settings_with_zones_in_another_order_leave_the_subset_as_it_is() {
-    let site = Site::new();
+fn a_reload_with_zones_in_another_order_leaves_the_subset_unchanged() {
+    let servers = Servers::new();
     let operator = operator_file("south", 2);
-    let mut member = Member::start("west", 0, &site.known(), Some(&operator));
-    assert_eq!(member.read(READS), names(["s-1", "s-2"]));
+    let mut node = RegionNode::start("west", 0, &servers.whole_list(), Some(&operator));
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1", "s-2"]));
     let zones = format!(r#""zones":[{ZONES}]"#);
-    let text = member.node.text.replace(&zones, r#""zones":["c","b","d","a"]"#);
-    member.node.reload(Err(&text));
-    member.node.until("reloads_ok", 1);
-    assert_eq!(member.read(READS), names(["s-1", "s-2"]));
+    let text = node.process.config_text.replace(&zones, r#""zones":["c","b","d","a"]"#);
+    node.process.reload(Err(&text));
+    node.process.wait_for_metric("reloads_ok", 1);
+    assert_eq!(node.read(READS_PER_NODE), names(["s-1", "s-2"]));
 }
 
-/// What a node that can't be started says, a line for each fault.
-fn refused(operator: &str) -> Vec<String> {
-    let file = config_file(&config(([127, 0, 0, 1], 9).into(), "null", 64, &settings_of(0, ZONES)));
+/// Starts a node that must fail with exit code 2, and returns the lines of its error output.
+fn startup_errors(operator: &str) -> Vec<String> {
+    let file = config_file(&config(([127, 0, 0, 1], 9).into(), "null", 64, &settings_of_node(0, ZONES)));
     let operator = write_operator_file(operator);
-    // One that starts all the same ends by the limit, with another status.
-    let said = Command::new("timeout")
-        .arg(LONG.as_secs().to_string())
+    // A node that starts in spite of the fault ends by the timeout, with another status.
+    let output = Command::new("timeout")
+        .arg(TEST_TIMEOUT.as_secs().to_string())
         .arg(env!("CARGO_BIN_EXE_stonevane-node"))
         .arg("--operator")
         .arg(&operator)
@@ -323,15 +347,15 @@
         .output()
         .unwrap();
     let _ = std::fs::remove_file(file);
-    assert_eq!(said.status.code(), Some(2), "{said:?}");
-    String::from_utf8(said.stderr).unwrap().lines().map(str::to_owned).collect()
+    assert_eq!(output.status.code(), Some(2), "{output:?}");
+    String::from_utf8(output.stderr).unwrap().lines().map(str::to_owned).collect()
 }
 
 #[test]
-fn regions_that_can_not_be_are_told_in_one_line_each_with_exit_2() {
+fn invalid_regions_end_with_one_error_line_and_exit_code_2() {
     let zones = "[regions.zones]\nsouth = [\"a\", \"b\"]\nnorth = [\"c\"]\n";
     let section = |head: &str| format!("[regions]\n{head}\n{zones}");
-    for (operator, says) in [
+    for (operator, expected) in [
         (section("home = \"sout\"\nnodes = 2"), "`home` is no region of [regions.zones]; did you mean `south`?"),
         (section("home = \"south\"\nnodes = 0"), "`nodes` is to be from 1 to 1000000"),
         (section("home = \"south\""), "`nodes` is missing in [regions]"),
@@ -354,7 +378,7 @@
             "[regions.zones] `south` has the zone `x`, which the settings do not have",
         ),
     ] {
-        let lines = refused(&operator);
-        assert!(lines.len() == 1 && lines[0].contains(says), "{operator}: {lines:?}");
+        let lines = startup_errors(&operator);
+        assert!(lines.len() == 1 && lines[0].contains(expected), "{operator}: {lines:?}");
     }
 }
--- a/crates/stonevane-node/tests/node/time_left.rs
+++ b/crates/stonevane-node/tests/node/time_left.rs
@@ -1,8 +1,9 @@
-//! The time that an attempt sends to its server (`d`) is at most what is left to the client at that moment: for cache
-//! servers and the origin, for the first attempt and for each kind of further one.
+//! An attempt states to its server at most the time (`d`, in ms) that the client has left at that moment. This holds
+//! for cache servers and the origin, for the first attempt and for each kind of further attempt.
 //!
-//! No test depends on the machine's speed: a emulated server holds an answer back, and the next attempt may state at most the
-//! client's time less what had passed, as the test itself measured, between the request's arrival and that answer.
+//! The tests do not depend on the machine's speed. An emulated server delays a response, and the next attempt may
+//! state at most the client's time minus the time that the test measured between the arrival of the request and that
+//! response.
 
 use std::io::{BufReader, Write};
 use std::net::SocketAddr;
@@ -10,83 +11,87 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use crate::crossings::{Shut, slow_to_open};
+use crate::crossings::{FullListenQueue, long_connect_timeout};
 use crate::harness::*;
-use crate::{no_origin, pair, quiet};
+use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// What the test's clients state, in milliseconds.
-const CLIENT_TIME_LEFT: u64 = 8_000;
-/// For how long a emulated server holds its answer back.
-const HELD_BACK: Duration = Duration::from_millis(300);
+/// The time left that the test's clients state.
+const CLIENT_TIME_LEFT_MS: u64 = 8_000;
+/// Time for which an emulated server delays its response.
+const RESPONSE_DELAY: Duration = Duration::from_millis(300);
 
-/// The time left that a request states, in milliseconds.
-fn stated(seen: &Seen) -> u64 {
+/// The time left that a request states.
+fn stated_ms(seen: &ReceivedRequest) -> u64 {
     let facts = seen.words.iter().find_map(|word| match word.strip_prefix("X-Facts: ") {
         Some(facts) => Some(facts),
         None => word.starts_with("c=").then_some(word.as_str()),
     });
     let facts = facts.unwrap_or_else(|| panic!("no facts in {:?}", seen.words));
-    let stated: Vec<_> = facts.split(',').filter_map(|fact| fact.strip_prefix("d=")).collect();
-    assert_eq!(stated.len(), 1, "one time left in {facts}");
-    stated[0].parse().unwrap()
+    let values: Vec<_> = facts.split(',').filter_map(|fact| fact.strip_prefix("d=")).collect();
+    assert_eq!(values.len(), 1, "one time left in {facts}");
+    values[0].parse().unwrap()
 }
 
-/// Lets some time pass and then the answer go; the most that any later attempt may state.
-fn hold_back(latch: &Latch) -> u64 {
+/// Opens the latch after [`RESPONSE_DELAY`], and returns the most that a later attempt may state.
+fn open_after_delay(latch: &Latch) -> u64 {
     let arrived = Instant::now();
-    std::thread::sleep(HELD_BACK);
-    let most = CLIENT_TIME_LEFT - arrived.elapsed().as_millis() as u64;
+    std::thread::sleep(RESPONSE_DELAY);
+    let most_ms = CLIENT_TIME_LEFT_MS - arrived.elapsed().as_millis() as u64;
     latch.open();
-    most
+    most_ms
 }
 
-/// A later attempt states no more than is left, and not nothing.
-fn assert_at_most(seen: &Seen, most: u64) {
-    let stated = stated(seen);
-    assert!((1..=most).contains(&stated), "{stated} ms stated, at most {most} were left: {:?}", seen.words);
+/// Checks that a request states at least 1 ms and at most `most_ms`.
+fn assert_at_most(seen: &ReceivedRequest, most_ms: u64) {
+    let stated = stated_ms(seen);
+    assert!(
+        (1..=most_ms).contains(&stated),
+        "{stated} ms stated, at most {most_ms} were left: {:?}",
+        seen.words
+    );
 }
 
-/// The first request that any of the emulated servers sharing it sees is answered as `first` once the latch is open, the
-/// others at once as `then`.
-fn first_held(
+/// An action that emulated servers may share. The first request at any of them gets `first` once the latch is open,
+/// the others get `then` at once.
+fn delay_first_response(
     latch: &Latch,
     first: Vec<u8>,
     then: Vec<u8>,
-) -> impl FnMut(&[String]) -> Act + Send + Clone + use<> {
-    let (taken, latch) = (Arc::new(AtomicBool::new(false)), latch.clone());
-    move |_| match taken.swap(true, Ordering::SeqCst) {
-        false => Act::SayWhen(latch.clone(), first.clone()),
-        true => Act::Say(then.clone()),
+) -> impl FnMut(&[String]) -> Action + Send + Clone + use<> {
+    let (first_received, latch) = (Arc::new(AtomicBool::new(false)), latch.clone());
+    move |_| match first_received.swap(true, Ordering::SeqCst) {
+        false => Action::RespondWhenOpen(latch.clone(), first.clone()),
+        true => Action::Respond(then.clone()),
     }
 }
 
 /// A whole list of two cache servers and an origin.
-fn two_caches(first: SocketAddr, second: SocketAddr, origin: SocketAddr) -> String {
+fn two_caches_and_origin(first: SocketAddr, second: SocketAddr, origin: SocketAddr) -> String {
     let entries = [
         entry("s-1", first, "std", "active"),
         entry("s-2", second, "std", "active"),
         entry("o-1", origin, "origin", "active"),
     ];
-    listing(5, true, &entries)
+    server_list(5, true, &entries)
 }
 
-/// Two cache servers that share what they do, and which of them saw a request first.
-struct Caches {
+/// Two cache servers that share one action.
+struct CachePair {
     first: EmulatedServer,
     second: EmulatedServer,
 }
 
-impl Caches {
-    fn start(act: impl FnMut(&[String]) -> Act + Send + Clone + 'static) -> Caches {
-        Caches { first: cache(act.clone()), second: cache(act) }
+impl CachePair {
+    fn start(act: impl FnMut(&[String]) -> Action + Send + Clone + 'static) -> CachePair {
+        CachePair { first: cache(act.clone()), second: cache(act) }
     }
 
-    /// The next request at either.
-    fn next(&self) -> Seen {
-        let end = Instant::now() + LONG;
+    /// Waits for the next request at either server.
+    fn next_request(&self) -> ReceivedRequest {
+        let end = Instant::now() + TEST_TIMEOUT;
         while Instant::now() < end {
             for cache in [&self.first, &self.second] {
-                if let Ok(seen) = cache.seen.recv_timeout(Duration::from_millis(2))
+                if let Ok(seen) = cache.received.recv_timeout(Duration::from_millis(2))
                     && !seen.words.is_empty()
                 {
                     return seen;
@@ -97,131 +102,139 @@
     }
 }
 
-/// Settings under which a second copy of a read may go out while the first is not answered.
-fn with_second_copies() -> String {
+/// Settings that allow a hedged copy of a read while its first attempt is pending.
+fn hedging_settings() -> String {
     settings().replace(r#""mayDuplicate":false"#, r#""mayDuplicate":true"#)
 }
 
 #[test]
-fn a_retry_at_a_cache_server_states_what_is_left() {
+fn a_retry_at_a_cache_server_states_the_time_left() {
     let latch = Latch::default();
-    let caches = Caches::start(first_held(&latch, b"-BUSY\r\n".to_vec(), hit("kept")));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let known = two_caches(caches.first.address, caches.second.address, origin.address);
+    let caches = CachePair::start(delay_first_response(&latch, b"-BUSY\r\n".to_vec(), hit("kept")));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let known = two_caches_and_origin(caches.first.address, caches.second.address, origin.address);
     let node = Node::start(discovery, &known);
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    assert_at_most(&caches.next(), CLIENT_TIME_LEFT);
-    let most = hold_back(&latch);
-    assert_at_most(&caches.next(), most);
-    assert_eq!(client.answer().unwrap(), "kept");
+    assert_at_most(&caches.next_request(), CLIENT_TIME_LEFT_MS);
+    let most_ms = open_after_delay(&latch);
+    assert_at_most(&caches.next_request(), most_ms);
+    assert_eq!(client.read_response().unwrap(), "kept");
 }
 
 #[test]
-fn a_second_copy_at_a_cache_server_states_what_is_left() {
+fn a_hedged_copy_at_a_cache_server_states_the_time_left() {
     let latch = Latch::default();
-    let caches = Caches::start(first_held(&latch, hit("late"), hit("kept")));
-    let origin = no_origin();
-    let (discovery, _say, _calls) = quiet();
-    let known = two_caches(caches.first.address, caches.second.address, origin.address);
-    let node = Node::start_in(discovery, &known, 256, "", &with_second_copies());
+    let caches = CachePair::start(delay_first_response(&latch, hit("late"), hit("kept")));
+    let origin = failing_origin();
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let known = two_caches_and_origin(caches.first.address, caches.second.address, origin.address);
+    let node = Node::start_with_settings(discovery, &known, 256, "", &hedging_settings());
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    let first = caches.next();
-    assert_at_most(&first, CLIENT_TIME_LEFT);
-    // The first copy gets no answer until the second has come, which the node sends of its own accord: later than the
-    // first, so that less is left by at least the least time that it waits for an answer.
-    let second = caches.next();
-    assert_at_most(&second, stated(&first) - 1);
+    let first = caches.next_request();
+    assert_at_most(&first, CLIENT_TIME_LEFT_MS);
+    // The first attempt gets no response until the hedged copy has arrived, which the node sends unprompted after a
+    // delay. That copy must state at least 1 ms less.
+    let second = caches.next_request();
+    assert_at_most(&second, stated_ms(&first) - 1);
     latch.open();
-    assert!(["kept", "late"].contains(&client.answer().unwrap().as_str()));
+    assert!(["kept", "late"].contains(&client.read_response().unwrap().as_str()));
 }
 
 #[test]
-fn a_fetch_after_a_miss_states_what_is_left() {
+fn a_fetch_after_a_miss_states_the_time_left() {
     let latch = Latch::default();
     let held = latch.clone();
-    let cache = cache(move |_| Act::SayWhen(held.clone(), miss()));
-    let origin = origin(|_| Act::Say(http(200, "", "made")));
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start(discovery, &pair(cache.address, origin.address));
+    let cache = cache(move |_| Action::RespondWhenOpen(held.clone(), miss()));
+    let origin = origin(|_| Action::Respond(http_response(200, "", "made")));
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    assert_at_most(&cache.next(), CLIENT_TIME_LEFT);
-    let most = hold_back(&latch);
-    assert_at_most(&origin.next(), most);
-    assert_eq!(client.answer().unwrap(), "made");
+    assert_at_most(&cache.next_request(), CLIENT_TIME_LEFT_MS);
+    let most_ms = open_after_delay(&latch);
+    assert_at_most(&origin.next_request(), most_ms);
+    assert_eq!(client.read_response().unwrap(), "made");
 }
 
 #[test]
-fn a_fetch_that_the_origin_turned_away_states_what_is_left_when_it_is_sent_again() {
+fn a_fetch_that_the_origin_rejected_states_the_time_left_when_retried() {
     let latch = Latch::default();
-    let cache = cache(|_| Act::Say(miss()));
-    let turned_away = http(503, "X-Unprocessed: 1\r\n", "");
-    let origin = origin(first_held(&latch, turned_away, http(200, "", "made")));
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start(discovery, &pair(cache.address, origin.address));
+    let cache = cache(|_| Action::Respond(miss()));
+    let rejection = http_response(503, "X-Unprocessed: 1\r\n", "");
+    let origin = origin(delay_first_response(&latch, rejection, http_response(200, "", "made")));
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    assert_at_most(&origin.next(), CLIENT_TIME_LEFT);
-    let most = hold_back(&latch);
-    assert_at_most(&origin.next(), most);
-    assert_eq!(client.answer().unwrap(), "made");
+    assert_at_most(&origin.next_request(), CLIENT_TIME_LEFT_MS);
+    let most_ms = open_after_delay(&latch);
+    assert_at_most(&origin.next_request(), most_ms);
+    assert_eq!(client.read_response().unwrap(), "made");
 }
 
 #[test]
-fn a_write_that_never_ran_states_what_is_left_when_it_is_sent_again() {
+fn a_write_that_never_ran_states_the_time_left_when_retried() {
     let latch = Latch::default();
-    let cache = cache(|_| Act::Say(miss()));
-    let turned_away = http(503, "X-Unprocessed: 1\r\n", "");
-    let origin = origin(first_held(&latch, turned_away, http(200, "", "receipt")));
-    let (discovery, _say, _calls) = quiet();
-    let node = Node::start(discovery, &pair(cache.address, origin.address));
+    let cache = cache(|_| Action::Respond(miss()));
+    let rejection = http_response(503, "X-Unprocessed: 1\r\n", "");
+    let origin = origin(delay_first_response(&latch, rejection, http_response(200, "", "receipt")));
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
     client.send(&put("aa", "1", "new"));
-    let first = origin.next();
-    assert_at_most(&first, CLIENT_TIME_LEFT);
-    let most = hold_back(&latch);
-    let second = origin.next();
-    assert_at_most(&second, most);
-    assert_eq!(client.answer().unwrap(), "receipt");
-    let others =
-        |seen: &Seen| seen.words.iter().filter(|word| !word.starts_with("X-Facts")).cloned().collect();
-    let (first, second): (Vec<_>, Vec<_>) = (others(&first), others(&second));
-    assert_eq!(first, second, "nothing but the time differs");
+    let first = origin.next_request();
+    assert_at_most(&first, CLIENT_TIME_LEFT_MS);
+    let most_ms = open_after_delay(&latch);
+    let second = origin.next_request();
+    assert_at_most(&second, most_ms);
+    assert_eq!(client.read_response().unwrap(), "receipt");
+    let other_words = |seen: &ReceivedRequest| {
+        seen.words.iter().filter(|word| !word.starts_with("X-Facts")).cloned().collect()
+    };
+    let (first, second): (Vec<_>, Vec<_>) = (other_words(&first), other_words(&second));
+    assert_eq!(first, second, "the attempts differ only in the time left");
 }
 
 #[test]
-fn a_keyed_write_that_failed_states_what_is_left_when_it_is_sent_again() {
+fn a_failed_write_with_a_token_states_the_time_left_when_retried() {
     let latch = Latch::default();
-    let cache = cache(|_| Act::Say(miss()));
-    let origin = origin(first_held(&latch, http(500, "", ""), http(200, "", "receipt")));
-    let (discovery, _say, _calls) = quiet();
-    let keyed = r#""token","dedupScope":"all","dedupWindowUs":8000000"#;
-    let settings = settings().replace(r#""side_effect""#, keyed);
-    let node = Node::start_in(discovery, &pair(cache.address, origin.address), 256, "", &settings);
+    let cache = cache(|_| Action::Respond(miss()));
+    let origin =
+        origin(delay_first_response(&latch, http_response(500, "", ""), http_response(200, "", "receipt")));
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let token_effect = r#""token","dedupScope":"all","dedupWindowUs":8000000"#;
+    let settings = settings().replace(r#""side_effect""#, token_effect);
+    let node = Node::start_with_settings(
+        discovery,
+        &cache_and_origin(cache.address, origin.address),
+        256,
+        "",
+        &settings,
+    );
     let mut client = node.client();
     client.send(&put("aa", "1", "new"));
-    assert_at_most(&origin.next(), CLIENT_TIME_LEFT);
-    let most = hold_back(&latch);
-    assert_at_most(&origin.next(), most);
-    assert_eq!(client.answer().unwrap(), "receipt");
+    assert_at_most(&origin.next_request(), CLIENT_TIME_LEFT_MS);
+    let most_ms = open_after_delay(&latch);
+    assert_at_most(&origin.next_request(), most_ms);
+    assert_eq!(client.read_response().unwrap(), "receipt");
 }
 
 #[test]
-fn an_attempt_whose_connection_came_up_late_states_what_is_left() {
-    let (late, origin) = (Shut::new(), no_origin());
-    let (discovery, _say, _calls) = quiet();
-    let known = pair(late.address, origin.address);
-    let node = Node::start_managed_with_settings(discovery, &known, &slow_to_open());
+fn an_attempt_whose_connection_opened_late_states_the_time_left() {
+    let (late, origin) = (FullListenQueue::new(), failing_origin());
+    let (discovery, _updates, _calls) = quiet_discovery();
+    let known = cache_and_origin(late.address, origin.address);
+    let node = Node::start_with_mgmt_and_settings(discovery, &known, &long_connect_timeout());
     let mut client = node.client();
     client.send(&get("aa", "1"));
-    node.until("in_flight", 1);
-    let most = hold_back(&Latch::default());
+    node.wait_for_metric("in_flight", 1);
+    let most_ms = open_after_delay(&Latch::default());
     let mut connection = late.accept();
     let words = read_command(&mut BufReader::new(connection.try_clone().unwrap())).unwrap();
-    assert_at_most(&Seen { words, conn: 0 }, most);
+    assert_at_most(&ReceivedRequest { words, conn: 0 }, most_ms);
     connection.write_all(&hit("kept")).unwrap();
-    assert_eq!(client.answer().unwrap(), "kept");
+    assert_eq!(client.read_response().unwrap(), "kept");
 }
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -1,4 +1,4 @@
-//! The node with the store of record in the origin's place, over real sockets.
+//! Tests over real sockets of the node with the store of record instead of an origin.
 #![allow(missing_docs)]
 
 #[allow(dead_code, unused_imports)]
@@ -13,47 +13,49 @@
 use std::time::{Duration, Instant};
 
 use harness::*;
-use stonevane_emulators::postgres::{PgFault, Postgres as Server};
+use stonevane_emulators::postgres::{PgFault, Postgres as PostgresEmulator};
 use stonevane_store::sqlite::Options;
 use stonevane_store::{Edit, Postgres, Sqlite, Store, postgres};
 
-/// A folder that goes when its test ends.
-struct Folder(PathBuf);
+/// A folder that is removed when its test ends.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new() -> Folder {
+impl TempFolder {
+    fn new() -> TempFolder {
         static FOLDERS: AtomicU32 = AtomicU32::new(0);
         let number = FOLDERS.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("stonevane-node-store-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 
-    fn file(&self) -> PathBuf {
+    fn store_file(&self) -> PathBuf {
         self.0.join("zones.db")
     }
 
-    /// What the shell does before it starts a node with this store.
-    fn operator(&self, more: &str) -> String {
+    /// Writes an operator file with this store, and returns the shell command that passes it to a node.
+    fn operator_arguments(&self, more: &str) -> String {
         let path = self.0.join("operator.toml");
-        std::fs::write(&path, format!("[store]\nsqlite = \"{}\"\n{more}", self.file().display())).unwrap();
+        std::fs::write(&path, format!("[store]\nsqlite = \"{}\"\n{more}", self.store_file().display()))
+            .unwrap();
         format!("set -- --operator {};", path.display())
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// A list with one cache, and an origin at an address where nobody listens.
-fn list(cache: SocketAddr) -> String {
-    let nobody = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    listing(1, true, &[entry("s-1", cache, "std", "active"), entry("o", nobody, "origin", "active")])
+/// A whole list of one cache server, and an origin at an address on which nothing listens.
+fn cache_and_absent_origin(cache: SocketAddr) -> String {
+    let absent = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    server_list(1, true, &[entry("s-1", cache, "std", "active"), entry("o", absent, "origin", "active")])
 }
 
-fn hold(file: &Path, zones: &[(&str, &str)]) {
+/// Writes zones to a store file.
+fn fill_store(file: &Path, zones: &[(&str, &str)]) {
     let store = Sqlite::open(file, &Options::default()).unwrap();
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
     for (key, value) in zones {
@@ -62,60 +64,72 @@
     }
 }
 
-fn start(folder: &Folder, cache: SocketAddr) -> Node {
+fn start_with_store_file(folder: &TempFolder, cache: SocketAddr) -> Node {
     let (discovery, ..) = discovery(vec![]);
-    Node::start_with(discovery, &list(cache), 256, &folder.operator(""))
+    Node::start_with_shell_prefix(
+        discovery,
+        &cache_and_absent_origin(cache),
+        256,
+        &folder.operator_arguments(""),
+    )
 }
 
-/// A PostgreSQL server on a thread of its own, with zones in it.
-fn server(zones: &[(&str, &str)]) -> Arc<Server> {
-    let (tell, told) = std::sync::mpsc::channel();
+/// Starts an emulated PostgreSQL server with zones in its own thread.
+fn start_postgres(zones: &[(&str, &str)]) -> Arc<PostgresEmulator> {
+    let (sender, started) = std::sync::mpsc::channel();
     let zones: Vec<_> = zones.iter().map(|(k, v)| ((*k).to_owned(), (*v).to_owned())).collect();
     std::thread::spawn(move || {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         runtime.block_on(async move {
-            let server = Server::start("127.0.0.1".parse().unwrap()).await.unwrap();
+            let server = PostgresEmulator::start("127.0.0.1".parse().unwrap()).await.unwrap();
             let store = Postgres::new(&server.url(), postgres::Options::default()).unwrap();
             for (key, value) in zones {
                 store.edit(Edit { key, value: value.into(), token: None, remember_ms: 0 }).await.unwrap();
             }
-            tell.send(server).unwrap();
+            sender.send(server).unwrap();
             std::future::pending::<()>().await;
         });
     });
-    told.recv_timeout(Duration::from_secs(10)).unwrap()
+    started.recv_timeout(Duration::from_secs(10)).unwrap()
 }
 
-/// A node before a PostgreSQL server; caches hold the keys that begin with `h`.
-fn before(server: &Server, folder: &Folder, more: &str) -> Node {
-    before_with(server, folder, 200, more)
+/// Starts a node in front of a PostgreSQL server. Its cache server holds the keys that begin with `h`.
+fn start_with_postgres(server: &PostgresEmulator, folder: &TempFolder, more: &str) -> Node {
+    start_with_stall_limit(server, folder, 200, more)
 }
 
-/// The same, where a store that says nothing for so many milliseconds stands still.
-fn before_with(server: &Server, folder: &Folder, stall_ms: u32, more: &str) -> Node {
+/// Like [`start_with_postgres`]. A store that does not answer for `stall_ms` counts as stalled.
+fn start_with_stall_limit(server: &PostgresEmulator, folder: &TempFolder, stall_ms: u32, more: &str) -> Node {
     let path = folder.0.join("operator.toml");
     let url = server.url();
     let text = format!("[store]\npostgres = \"{url}\"\nstall_ms = {stall_ms}\nprobe_ms = 100\n{more}");
     std::fs::write(&path, text).unwrap();
-    let holds = |words: &[String]| Act::Say(if words[1].starts_with('h') { hit("kept") } else { miss() });
-    let cache = cache(holds);
+    let keys_with_h =
+        |words: &[String]| Action::Respond(if words[1].starts_with('h') { hit("kept") } else { miss() });
+    let cache = cache(keys_with_h);
     let (discovery, ..) = discovery(vec![]);
-    // A writes' class whose repeats are dropped, and refused clients are told when to come back.
+    // The class of writes drops repeated tokens, and rejections state when to retry.
     let settings = settings()
         .replace(r#""name":"put","goalTimeUs":250000,"deadlineUs":8000000,"effect":"side_effect""#,
             r#""name":"put","goalTimeUs":250000,"deadlineUs":8000000,"effect":"token","dedupScope":"all","dedupWindowUs":8000000"#)
         .replace(r#""mayCancel":true"#, r#""mayCancel":true,"retryAfter":true,"maxRetryAfterUs":3000000"#);
     assert!(settings.contains("token") && settings.contains("retryAfter"));
     let operator = format!("set -- --operator {};", path.display());
-    Node::start_in(discovery, &list(cache.address), 512, &operator, &settings)
+    Node::start_with_settings(discovery, &cache_and_absent_origin(cache.address), 512, &operator, &settings)
 }
 
-/// Asks again and again until an answer is as wanted; how long that took.
-fn until(node: &Node, name: &str, ask: impl Fn(&str) -> Vec<u8>, wanted: impl Fn(&str) -> bool) -> Duration {
+/// Repeats a request until its response is as expected, and returns the time that this took. `id` of each request is
+/// the name and a number.
+fn request_until(
+    node: &Node,
+    name: &str,
+    request: impl Fn(&str) -> Vec<u8>,
+    expected: impl Fn(&str) -> bool,
+) -> Duration {
     let begun = Instant::now();
     for turn in 0.. {
-        let answer = node.client().ask(&ask(&format!("{name}-{turn}"))).unwrap();
-        if wanted(&answer) {
+        let answer = node.client().request(&request(&format!("{name}-{turn}"))).unwrap();
+        if expected(&answer) {
             break;
         }
         assert!(begun.elapsed() < Duration::from_secs(8), "{name}: {answer}");
@@ -125,13 +139,14 @@
 }
 
 #[test]
-fn two_hundred_misses_of_one_key_at_once_are_one_query_at_a_postgresql_server() {
-    let (server, folder) = (server(&[("aa", "area")]), Folder::new());
-    // Long enough that all have come before the first is answered, also on a slow machine: within 150 ms some came late.
-    let node = before_with(&server, &folder, 6_000, "");
-    // A request before makes the schema known and the connection stand.
-    assert_eq!(node.client().ask(&get("bb", "first")).unwrap(), "");
-    // So many at once are let through by a fleet that is known to be quiet.
+fn two_hundred_concurrent_misses_of_one_key_send_one_query_to_the_postgresql_server() {
+    let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
+    // With a slow answer of 150 ms some requests came late. The time is long enough for all of them to arrive before
+    // the first is answered, also on a slow machine.
+    let node = start_with_stall_limit(&server, &folder, 6_000, "");
+    // The first request loads the schema and opens the connection.
+    assert_eq!(node.client().request(&get("bb", "first")).unwrap(), "");
+    // The node admits this many at once only after a quiet period.
     std::thread::sleep(Duration::from_millis(3_500));
     server.set_fault(PgFault::Slow(1_500));
     let reads = server.counts().reads;
@@ -139,7 +154,7 @@
     for (id, client) in clients.iter_mut().enumerate() {
         client.send(&get("aa", &format!("m{id}")));
     }
-    let answers: Vec<_> = clients.iter_mut().map(|client| client.answer().unwrap()).collect();
+    let answers: Vec<_> = clients.iter_mut().map(|client| client.read_response().unwrap()).collect();
     let served = answers.iter().filter(|answer| *answer == "area").count();
     assert_eq!(
         (served, server.counts().reads - reads),
@@ -150,58 +165,68 @@
 }
 
 #[test]
-fn while_the_store_stands_still_cached_reads_go_on_all_else_is_answered_at_once_and_it_is_whole_soon_after() {
-    let (server, folder) = (server(&[("aa", "area")]), Folder::new());
-    let mut node = before(&server, &folder, "");
-    assert_eq!(node.client().ask(&get("aa", "0")).unwrap(), "area");
+fn while_the_store_stalls_cached_reads_are_served_and_others_fail_fast_and_service_recovers_soon_after() {
+    let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
+    let mut node = start_with_postgres(&server, &folder, "");
+    assert_eq!(node.client().request(&get("aa", "0")).unwrap(), "area");
     server.set_fault(PgFault::Stall);
     let begun = Instant::now();
-    // Calls that were made before the breaker opens cost their time limit; it opens on the third.
-    until(&node, "stalls", |id| get("aa", id), |answer| answer.starts_with("-BUSY "));
+    // Calls before the circuit breaker opens take their full time limit. It opens on the third.
+    request_until(&node, "stalls", |id| get("aa", id), |answer| answer.starts_with("-BUSY "));
     let mut slowest = Duration::ZERO;
-    let (mut advised, mut turn) = (0, 0);
+    let (mut with_retry_time, mut turn) = (0, 0);
     while begun.elapsed() < Duration::from_millis(2_500) {
         turn += 1;
         let mut client = node.client();
-        assert_eq!(client.ask(&get("hh", &format!("h{turn}"))).unwrap(), "kept", "a cached read");
-        let asked = Instant::now();
-        let miss = client.ask(&get("aa", &format!("m{turn}"))).unwrap();
-        let edit = client.ask(&put("bb", &format!("e{turn}"), "area")).unwrap();
-        slowest = slowest.max(asked.elapsed());
-        // An edit may be the probe, and then it may have run.
+        assert_eq!(client.request(&get("hh", &format!("h{turn}"))).unwrap(), "kept", "a cached read");
+        let sent = Instant::now();
+        let miss = client.request(&get("aa", &format!("m{turn}"))).unwrap();
+        let edit = client.request(&put("bb", &format!("e{turn}"), "area")).unwrap();
+        slowest = slowest.max(sent.elapsed());
+        // An edit may be the probe of the breaker. Its outcome is then unknown.
         assert!(
             miss.starts_with("-BUSY") && (edit.starts_with("-BUSY") || edit.starts_with("-ERR")),
             "{miss} {edit}"
         );
-        advised += usize::from(miss.strip_prefix("-BUSY ").is_some_and(|ms| ms.parse::<u64>().unwrap() > 20));
+        with_retry_time +=
+            usize::from(miss.strip_prefix("-BUSY ").is_some_and(|ms| ms.parse::<u64>().unwrap() > 20));
     }
-    assert!(advised * 2 > turn, "{advised} of {turn} misses were told when to come back");
-    // A probe now and then takes its time limit, for a read and for an edit.
+    assert!(with_retry_time * 2 > turn, "only {with_retry_time} of {turn} misses got a time for the retry");
+    // A probe takes its full time limit, and both a read and an edit may be one.
     assert!(slowest < Duration::from_millis(1_500), "{slowest:?}");
     server.set_fault(PgFault::None);
-    let read = until(&node, "back", |id| get("aa", id), |answer| answer == "area");
-    let edit = until(&node, "edit", |id| put("bb", id, "area"), |answer| !answer.starts_with('-'));
-    assert!(read + edit < Duration::from_secs(2), "whole {read:?} and {edit:?} after its return");
-    assert_eq!(server.query_column("SELECT COUNT(*) FROM edits").unwrap(), [1.into()], "one key, run once");
-    let line = ended(&mut node);
+    let read = request_until(&node, "back", |id| get("aa", id), |answer| answer == "area");
+    let edit = request_until(&node, "edit", |id| put("bb", id, "area"), |answer| !answer.starts_with('-'));
+    assert!(read + edit < Duration::from_secs(2), "reads took {read:?} and edits {edit:?} to recover");
+    assert_eq!(
+        server.query_column("SELECT COUNT(*) FROM edits").unwrap(),
+        [1.into()],
+        "the edit of one key ran once"
+    );
+    let line = terminate_and_read_store_line(&mut node);
     assert!(!line.contains("stopped 0 times"), "{line}");
 }
 
 #[test]
-fn a_read_that_comes_after_an_edit_on_another_node_is_not_served_from_a_fetch_that_began_before_it() {
-    let (server, folder) = (server(&[("aa", "old")]), Folder::new());
-    // The key's cache has been told of version 2 when it lacks the key for the second request.
-    let lacks = |words: &[String]| {
-        let told: &[u8] = if words[2] == "late" { b"$6\r\nmiss:2\r\n" } else { b"$-1\r\n" };
-        Act::Say([b"*3\r\n$-1\r\n", told, b"$-1\r\n"].concat())
+fn a_read_after_another_nodes_edit_does_not_share_a_fetch_from_before_the_edit() {
+    let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
+    // The cache server lacks the key. At the second request it knows of version 2 and states it with the miss.
+    let misses = |words: &[String]| {
+        let known_version: &[u8] = if words[2] == "late" { b"$6\r\nmiss:2\r\n" } else { b"$-1\r\n" };
+        Action::Respond([b"*3\r\n$-1\r\n", known_version, b"$-1\r\n"].concat())
     };
     let path = folder.0.join("operator.toml");
     let text = format!("[store]\npostgres = \"{}\"\nstall_ms = 5000\nfills = true\n", server.url());
     std::fs::write(&path, text).unwrap();
     let (discovery, ..) = discovery(vec![]);
     let operator = format!("set -- --operator {};", path.display());
-    let node = Node::start_with(discovery, &list(cache(lacks).address), 256, &operator);
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
+    let node = Node::start_with_shell_prefix(
+        discovery,
+        &cache_and_absent_origin(cache(misses).address),
+        256,
+        &operator,
+    );
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "old");
     server.set_fault(PgFault::Late(600));
     let (mut early, mut late) = (node.client(), node.client());
     let reads = server.counts().reads;
@@ -209,7 +234,7 @@
     while server.counts().reads == reads {
         std::thread::sleep(Duration::from_millis(2));
     }
-    // Its answer is on its way, with the old value; the edit of another node is committed now.
+    // The answer with the old value is in flight. The edit of another node is committed now.
     std::thread::sleep(Duration::from_millis(50));
     server
         .query_column(
@@ -218,17 +243,17 @@
         .unwrap();
     server.query_column("UPDATE counter SET version = 2 WHERE id = 1 RETURNING version").unwrap();
     late.send(&get("aa", "late"));
-    assert_eq!(early.answer().unwrap(), "old", "it was asked before");
-    assert_eq!(late.answer().unwrap(), "new");
-    assert_eq!(server.counts().reads - reads, 2, "it had joined the first fetch");
+    assert_eq!(early.read_response().unwrap(), "old", "it was requested before the edit");
+    assert_eq!(late.read_response().unwrap(), "new");
+    assert_eq!(server.counts().reads - reads, 2, "the second read shared the first fetch");
 }
 
 #[test]
-fn edits_that_wait_for_one_another_too_long_do_not_stop_reads_of_a_store_that_answers() {
-    let (server, folder) = (server(&[("aa", "area")]), Folder::new());
-    let node = before(&server, &folder, "");
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "area");
-    // A read takes 60 ms of its 200, an edit seven times as long.
+fn edits_that_time_out_behind_each_other_do_not_stop_reads_of_a_responsive_store() {
+    let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
+    let node = start_with_postgres(&server, &folder, "");
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "area");
+    // A read takes 60 ms of its limit of 200 ms, an edit seven times as long.
     server.set_fault(PgFault::Slow(60));
     let mut edits: Vec<_> = (0..4).map(|_| node.client()).collect();
     for (id, client) in edits.iter_mut().enumerate() {
@@ -238,28 +263,28 @@
     let mut turn = 0;
     while begun.elapsed() < Duration::from_millis(1_000) {
         turn += 1;
-        let answer = node.client().ask(&get("aa", &format!("r{turn}"))).unwrap();
+        let answer = node.client().request(&get("aa", &format!("r{turn}"))).unwrap();
         assert_eq!(answer, "area", "read {turn}, {:?} after the edits", begun.elapsed());
     }
-    let answers: Vec<_> = edits.iter_mut().map(|client| client.answer().unwrap()).collect();
-    // Those that were sent may have been done; those that were not are refused.
+    let answers: Vec<_> = edits.iter_mut().map(|client| client.read_response().unwrap()).collect();
+    // An edit that was sent may have been applied and fails, one that was not sent is rejected.
     assert!(answers.iter().any(|answer| answer.starts_with("-ERR")), "{answers:?}");
 }
 
 #[test]
-fn an_edit_whose_commit_had_no_answer_is_failed_or_given_its_one_receipt_never_refused_and_never_run_twice() {
-    let (server, folder) = (server(&[]), Folder::new());
-    let node = before(&server, &folder, "");
-    let first = node.client().ask(&put("aa", "1", "one")).unwrap();
+fn an_edit_whose_commit_response_is_lost_fails_or_gets_its_receipt_and_is_not_rejected_or_run_twice() {
+    let (server, folder) = (start_postgres(&[]), TempFolder::new());
+    let node = start_with_postgres(&server, &folder, "");
+    let first = node.client().request(&put("aa", "1", "one")).unwrap();
     server.set_fault(PgFault::CommitLost);
     let text = put("aa", "2", "two");
     let text = String::from_utf8(text).unwrap().replace("k=77", "k=78");
-    let lost = node.client().ask(text.as_bytes()).unwrap();
-    assert!(!lost.starts_with("-BUSY"), "it has run: {lost}");
+    let lost = node.client().request(text.as_bytes()).unwrap();
+    assert!(!lost.starts_with("-BUSY"), "an edit that ran was rejected: {lost}");
     server.set_fault(PgFault::None);
     let again = text.replace("\r\n2\r\n", "\r\n3\r\n");
-    let ask = |_: &str| again.clone().into_bytes();
-    until(&node, "again", ask, |answer| !answer.starts_with('-'));
+    let repeat = |_: &str| again.clone().into_bytes();
+    request_until(&node, "again", repeat, |answer| !answer.starts_with('-'));
     assert_eq!(
         server.query_column("SELECT version FROM counter").unwrap(),
         [2.into()],
@@ -267,41 +292,49 @@
     );
 }
 
-/// The line that a node logs of its store when it ends.
-fn ended(node: &mut Node) -> String {
+/// Terminates a node and returns the summary line of its store.
+fn terminate_and_read_store_line(node: &mut Node) -> String {
     node.terminate();
     assert_eq!(node.wait().code(), Some(0));
     let lines = std::iter::from_fn(|| node.log.recv_timeout(Duration::from_secs(5)).ok());
-    lines.into_iter().find(|line| line.contains("store: ")).expect("a line of the store")
+    lines.into_iter().find(|line| line.contains("store: ")).expect("a log line of the store")
 }
 
 #[test]
-fn a_miss_ends_in_the_file_an_edit_is_there_after_a_restart_and_a_keyed_repeat_is_given_the_first_receipt() {
-    let folder = Folder::new();
-    hold(&folder.file(), &[("aa", "area-1")]);
-    let cache = cache(|_| Act::Say(miss()));
-    let mut node = start(&folder, cache.address);
+fn misses_read_the_store_file_edits_survive_a_restart_and_a_repeated_token_gets_the_first_receipt() {
+    let folder = TempFolder::new();
+    fill_store(&folder.store_file(), &[("aa", "area-1")]);
+    let cache = cache(|_| Action::Respond(miss()));
+    let mut node = start_with_store_file(&folder, cache.address);
     let mut client = node.client();
-    assert_eq!(client.ask(&get("aa", "1")).unwrap(), "area-1");
-    assert_eq!(client.ask(&get("bb", "2")).unwrap(), "", "an area with nothing in it");
-    let receipt = client.ask(&put("aa", "3", "area-2")).unwrap();
-    assert_eq!(client.ask(&get("aa", "4")).unwrap(), "area-2");
-    assert_eq!(client.ask(&put("aa", "5", "area-2")).unwrap(), receipt, "the same key: the first receipt");
-    assert_eq!(client.ask(&put("aa", "6", "area-3")).unwrap(), "-ERR failed", "a key used for another edit");
-    assert!(ended(&mut node).contains("3 queries"));
-    let again = start(&folder, cache.address);
-    assert_eq!(again.client().ask(&get("aa", "7")).unwrap(), "area-2");
-    // Another node on the same file.
-    let other = start(&folder, cache.address);
-    assert_eq!(other.client().ask(&put("aa", "8", "area-2")).unwrap(), receipt, "on any node");
+    assert_eq!(client.request(&get("aa", "1")).unwrap(), "area-1");
+    assert_eq!(client.request(&get("bb", "2")).unwrap(), "", "an area without a value");
+    let receipt = client.request(&put("aa", "3", "area-2")).unwrap();
+    assert_eq!(client.request(&get("aa", "4")).unwrap(), "area-2");
+    assert_eq!(
+        client.request(&put("aa", "5", "area-2")).unwrap(),
+        receipt,
+        "the same key: the first receipt"
+    );
+    assert_eq!(
+        client.request(&put("aa", "6", "area-3")).unwrap(),
+        "-ERR failed",
+        "a key used for another edit"
+    );
+    assert!(terminate_and_read_store_line(&mut node).contains("3 queries"));
+    let again = start_with_store_file(&folder, cache.address);
+    assert_eq!(again.client().request(&get("aa", "7")).unwrap(), "area-2");
+    // A further node on the same file.
+    let other = start_with_store_file(&folder, cache.address);
+    assert_eq!(other.client().request(&put("aa", "8", "area-2")).unwrap(), receipt, "on any node");
 }
 
 #[test]
-fn misses_of_one_key_that_are_out_together_share_their_queries() {
-    let folder = Folder::new();
-    hold(&folder.file(), &[("aa", "area")]);
-    let cache = cache(|_| Act::Say(miss()));
-    let mut node = start(&folder, cache.address);
+fn concurrent_misses_of_one_key_share_queries_to_the_store_file() {
+    let folder = TempFolder::new();
+    fill_store(&folder.store_file(), &[("aa", "area")]);
+    let cache = cache(|_| Action::Respond(miss()));
+    let mut node = start_with_store_file(&folder, cache.address);
     let mut clients: Vec<_> = (0..30).map(|_| node.client()).collect();
     let mut served = 0;
     for round in 0..5 {
@@ -309,81 +342,83 @@
             client.send(&get("aa", &format!("{round}-{id}")));
         }
         for client in &mut clients {
-            match client.answer().unwrap().as_str() {
+            match client.read_response().unwrap().as_str() {
                 "area" => served += 1,
-                // The decision module's word: a crowd at once before one cache.
+                // The decision module may reject some of so many concurrent requests for one cache server.
                 other => assert!(other.starts_with("-BUSY"), "{other}"),
             }
         }
     }
     drop(clients);
-    let line = ended(&mut node);
+    let line = terminate_and_read_store_line(&mut node);
     let numbers = line.split("store: ").nth(1).unwrap().split(|c: char| !c.is_ascii_digit());
     let numbers: Vec<u32> = numbers.filter_map(|n| n.parse().ok()).collect();
     let (queries, joined) = (numbers[0], numbers[1]);
-    assert_eq!((queries + joined, numbers[3]), (served, 0), "each fetch once: {line}");
+    assert_eq!((queries + joined, numbers[3]), (served, 0), "each fetch counts once: {line}");
     assert!(joined > 0 && served > 30, "{line}");
 }
 
 #[test]
-fn a_store_that_cannot_be_used_is_one_line_and_exit_code_2_and_is_not_touched() {
-    let folder = Folder::new();
+fn a_file_that_is_no_store_ends_with_one_error_line_and_exit_code_2_and_stays_unchanged() {
+    let folder = TempFolder::new();
     let text = r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":SETTINGS}"#;
     let config = config_file(&text.replace("SETTINGS", settings()));
     let foreign = b"these are somebody's notes".to_vec();
-    std::fs::write(folder.file(), &foreign).unwrap();
-    folder.operator("");
+    std::fs::write(folder.store_file(), &foreign).unwrap();
+    folder.operator_arguments("");
     let mut run = Command::new(env!("CARGO_BIN_EXE_stonevane-node"));
     run.arg("--operator").arg(folder.0.join("operator.toml")).env("ROUTER_CONFIG", &config);
-    let done = run.env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY").output().unwrap();
+    let output = run.env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY").output().unwrap();
     let _ = std::fs::remove_file(&config);
-    let said = String::from_utf8_lossy(&done.stderr).into_owned();
-    assert_eq!((done.status.code(), said.lines().count()), (Some(2), 1), "{said}");
-    assert!(said.contains("zones.db") && said.contains("not a store of this program"), "{said}");
-    assert_eq!(std::fs::read(folder.file()).unwrap(), foreign);
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!((output.status.code(), stderr.lines().count()), (Some(2), 1), "{stderr}");
+    assert!(stderr.contains("zones.db") && stderr.contains("not a store of this program"), "{stderr}");
+    assert_eq!(std::fs::read(folder.store_file()).unwrap(), foreign);
 }
 
 #[test]
-fn an_edit_that_had_no_answer_ends_its_older_copies_once_the_store_tells_that_it_was_done() {
-    let (server, folder) = (server(&[("aa", "old")]), Folder::new());
-    let (tell, voids) = std::sync::mpsc::channel();
-    let told = move |words: &[String]| {
+fn an_edit_whose_commit_response_is_lost_invalidates_older_copies_once_the_store_shows_it_was_applied() {
+    let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
+    let (sender, invalidations) = std::sync::mpsc::channel();
+    let respond = move |words: &[String]| {
         if words[0] == "OBJ.VOID" {
-            let _ = tell.send((words[1].clone(), words[2].clone()));
-            return Act::Say(b"+OK\r\n".to_vec());
+            let _ = sender.send((words[1].clone(), words[2].clone()));
+            return Action::Respond(b"+OK\r\n".to_vec());
         }
-        Act::Say(miss())
+        Action::Respond(miss())
     };
-    let cache = cache(told);
+    let cache = cache(respond);
     let path = folder.0.join("operator.toml");
     let text = format!("[store]\npostgres = \"{}\"\nstall_ms = 400\nfills = true\n", server.url());
     std::fs::write(&path, text).unwrap();
     let (discovery, ..) = discovery(vec![]);
     let operator = format!("set -- --operator {};", path.display());
-    let mut node = Node::start_with(discovery, &list(cache.address), 256, &operator);
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
+    let mut node =
+        Node::start_with_shell_prefix(discovery, &cache_and_absent_origin(cache.address), 256, &operator);
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "old");
     server.set_fault(PgFault::CommitLost);
-    let lost = node.client().ask(&put("aa", "2", "new")).unwrap();
+    let lost = node.client().request(&put("aa", "2", "new")).unwrap();
     assert!(lost.starts_with("-ERR"), "{lost}");
     server.set_fault(PgFault::None);
-    let void = voids.recv_timeout(Duration::from_secs(10)).expect("its copies are voided");
-    assert_eq!(void, ("aa".to_owned(), "2".to_owned()));
-    let line = ended(&mut node);
+    let invalidation =
+        invalidations.recv_timeout(Duration::from_secs(10)).expect("an invalidation of its copies");
+    assert_eq!(invalidation, ("aa".to_owned(), "2".to_owned()));
+    let line = terminate_and_read_store_line(&mut node);
     assert!(line.contains("1 of them own edits that had no answer"), "{line}");
 }
 
 #[test]
-fn a_fetch_from_before_another_nodes_edit_is_not_joined_once_the_store_has_told_of_the_edit() {
-    let (server, folder) = (server(&[("aa", "old")]), Folder::new());
-    // This cache says nothing of what it was told.
-    let node = before(&server, &folder, "connections = 8");
+fn a_fetch_from_before_another_nodes_edit_is_not_shared_after_the_store_notified_of_the_edit() {
+    let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
+    // This cache server states no version with its misses.
+    let node = start_with_postgres(&server, &folder, "connections = 8");
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let other = Postgres::new(&server.url(), postgres::Options::default()).unwrap();
     let edit = |value: &str| {
         let edit = Edit { key: "aa".into(), value: value.into(), token: None, remember_ms: 0 };
         runtime.block_on(other.edit(edit)).unwrap();
     };
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "old");
     edit("old");
     let reads = server.counts().reads;
     server.set_fault(PgFault::Late(170));
@@ -396,15 +431,15 @@
     edit("new");
     std::thread::sleep(Duration::from_millis(40));
     late.send(&get("aa", "late"));
-    assert_eq!(late.answer().unwrap(), "new");
-    assert_eq!(early.answer().unwrap(), "old", "it was asked before");
+    assert_eq!(late.read_response().unwrap(), "new");
+    assert_eq!(early.read_response().unwrap(), "old", "it was requested before the edit");
 }
 
 #[test]
-fn edits_that_all_wait_for_one_lock_do_not_stop_a_store_that_answers_reads() {
-    let (server, folder) = (server(&[("aa", "area")]), Folder::new());
-    let mut node = before(&server, &folder, "connections = 12");
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "area");
+fn edits_that_wait_for_one_lock_do_not_stop_reads_of_a_responsive_store() {
+    let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
+    let mut node = start_with_postgres(&server, &folder, "connections = 12");
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "area");
     // Another program holds the lock that each edit waits for.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     let holder = runtime.block_on(async {
@@ -418,37 +453,41 @@
     for (id, client) in edits.iter_mut().enumerate() {
         client.send(&put(&format!("b{id}"), &format!("e{id}"), "area"));
     }
-    // They all end at once, without an answer; reads are answered until then.
+    // The edits all time out at the same moment. Reads are answered until then.
     for turn in 0..20 {
-        assert_eq!(node.client().ask(&get("aa", &format!("while-{turn}"))).unwrap(), "area");
+        assert_eq!(node.client().request(&get("aa", &format!("while-{turn}"))).unwrap(), "area");
         std::thread::sleep(Duration::from_millis(20));
     }
     for client in &mut edits {
-        assert!(client.answer().unwrap().starts_with('-'), "it waits for the lock");
+        assert!(
+            client.read_response().unwrap().starts_with('-'),
+            "an edit got a receipt in spite of the lock"
+        );
     }
     drop(holder);
     drop(runtime);
-    assert!(ended(&mut node).contains("stopped 0 times"));
+    assert!(terminate_and_read_store_line(&mut node).contains("stopped 0 times"));
 }
 
 #[test]
-fn with_visibility_placement_an_edit_has_no_receipt_while_a_cache_may_hold_what_it_was_before() {
-    let (server, folder) = (server(&[("aa", "old")]), Folder::new());
-    let drops = Arc::new(AtomicBool::new(false));
-    let may = drops.clone();
+fn with_visibility_placement_an_edit_gets_no_receipt_while_a_cache_may_hold_the_old_value() {
+    let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
+    let accepts = Arc::new(AtomicBool::new(false));
+    let accepts_invalidation = accepts.clone();
     let cache = cache(move |words: &[String]| match words[0].as_str() {
-        "OBJ.VOID" if may.load(Ordering::SeqCst) => Act::Say(b"+OK\r\n".to_vec()),
-        "OBJ.VOID" => Act::Say(b"-ERR not now\r\n".to_vec()),
-        // Nothing that a cache says to a fill: what stands behind its first line is no word on the void.
-        _ => Act::Say(miss()),
+        "OBJ.VOID" if accepts_invalidation.load(Ordering::SeqCst) => Action::Respond(b"+OK\r\n".to_vec()),
+        "OBJ.VOID" => Action::Respond(b"-ERR not now\r\n".to_vec()),
+        // Unlike the response to a fill: what follows its first line says nothing about the invalidation.
+        _ => Action::Respond(miss()),
     });
     let path = folder.0.join("operator.toml");
     let more = "stall_ms = 3000\nfills = true\nedit_visibility = \"placement\"\ncopy_ms = 60000\n";
     std::fs::write(&path, format!("[store]\npostgres = \"{}\"\n{more}", server.url())).unwrap();
     let (discovery, ..) = discovery(vec![]);
     let operator = format!("set -- --operator {};", path.display());
-    let node = Node::start_with(discovery, &list(cache.address), 256, &operator);
-    assert_eq!(node.client().ask(&get("aa", "first")).unwrap(), "old");
+    let node =
+        Node::start_with_shell_prefix(discovery, &cache_and_absent_origin(cache.address), 256, &operator);
+    assert_eq!(node.client().request(&get("aa", "first")).unwrap(), "old");
     let commits = server.counts().commits;
     let mut editor = node.client();
     editor.send(&put("aa", "2", "new"));
@@ -456,8 +495,8 @@
         std::thread::sleep(Duration::from_millis(1));
     }
     editor.out.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
-    assert_eq!(editor.answer(), None, "it is done, and a cache may hold the old area");
-    drops.store(true, Ordering::SeqCst);
+    assert_eq!(editor.read_response(), None, "the edit is committed, and a cache may hold the old area");
+    accepts.store(true, Ordering::SeqCst);
     editor.out.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
-    assert_eq!(editor.answer().unwrap(), "2");
+    assert_eq!(editor.read_response().unwrap(), "2");
 }
