--- a/crates/stonevane-node/tests/module_imports.rs
+++ b/crates/stonevane-node/tests/module_imports.rs
@@ -7,7 +7,8 @@
 /// The modules that each module imports.
 type Imports = BTreeMap<String, BTreeSet<String>>;
 
-/// A package, and an import that the check must find in it, so that it can't pass without reading the sources.
+/// A package, and an import that the check must find in it, so that it can't pass without reading the
+/// sources.
 struct Package {
     name: &'static str,
     /// The check must find more modules than this.
@@ -44,8 +45,8 @@
     names.filter(|name: &String| !name.is_empty())
 }
 
-/// The modules in import cycles, and those that import them: what is left after repeatedly removing the modules
-/// that import none of the others.
+/// The modules in import cycles, and those that import them: what is left after repeatedly removing the
+/// modules that import none of the others.
 fn modules_with_cycles(mut imports: Imports) -> Vec<String> {
     loop {
         let is_leaf = |imported: &BTreeSet<String>| imported.iter().all(|name| !imports.contains_key(name));
--- a/crates/stonevane-node/tests/node/capacity.rs
+++ b/crates/stonevane-node/tests/node/capacity.rs
@@ -6,8 +6,8 @@
 use crate::harness::*;
 use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// Keeps idle clients that have been served for longer than the test takes. By default they are evicted for new
-/// clients after 10 ms, and a busy machine may accept the new ones later than that.
+/// Keeps idle clients that have been served for longer than the test takes. By default they are evicted for
+/// new clients after 10 ms, and a busy machine may accept the new ones later than that.
 const KEEP_SERVED_CLIENTS: &str = "version = 1\n[clients]\nspare_ms = 15000\n";
 
 #[test]
--- a/crates/stonevane-node/tests/node/cold_start.rs
+++ b/crates/stonevane-node/tests/node/cold_start.rs
@@ -18,8 +18,8 @@
 /// Number of keys that every process requests.
 const POPULAR_KEYS: usize = 3;
 
-/// Calls that a server at the beginning of its slow start bears within `OVERLOAD_WINDOW`, with an allowance for
-/// random variation.
+/// Calls that a server at the beginning of its slow start bears within `OVERLOAD_WINDOW`, with an allowance
+/// for random variation.
 fn budget() -> f64 {
     let capacity = 2.0 * QUOTA_PER_S / SERVERS as f64;
     let calls = OVERLOAD_MULTIPLE * capacity * SLOW_START_SHARE * OVERLOAD_WINDOW.as_secs_f64();
@@ -30,8 +30,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
 }
 
-/// A list whose last cache server started at `started_ms` (Unix time in ms, 0 for long ago). The others are warmed
-/// up and share one address.
+/// A list whose last cache server started at `started_ms` (Unix time in ms, 0 for long ago). The others are
+/// warmed up and share one address.
 fn list(warm: SocketAddr, last: SocketAddr, origin: SocketAddr, started_ms: u128) -> String {
     let mut entries: Vec<_> =
         (1..SERVERS).map(|number| entry(&format!("s-{number}"), warm, "std", "active")).collect();
@@ -95,8 +95,8 @@
     keys
 }
 
-/// Requests a few keys of the last server once from each of many processes, and returns the most reads that this
-/// server received in a window.
+/// Requests a few keys of the last server once from each of many processes, and returns the most reads that
+/// this server received in a window.
 fn popular_keys_at_many_processes(started_ms: u128) -> usize {
     let warm = cache(|_| Action::Respond(hit("value")));
     let (last, arrivals) = recording_cache();
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn control_many_processes_exceed_that_budget_at_a_warmed_up_server() {
+fn control_many_processes_exceed_the_slow_start_budget_at_a_warmed_up_server() {
     let sent = popular_keys_at_many_processes(0);
     assert!(
         sent as f64 > budget(),
--- a/crates/stonevane-node/tests/node/crossings/discovery.rs
+++ b/crates/stonevane-node/tests/node/crossings/discovery.rs
@@ -159,7 +159,8 @@
         };
         let mut old_watch = old.open_watch(&[]);
         node.reload(Ok(new.address));
-        // Versions of the new discovery start anew. The old one sends a list after the new one has been called.
+        // Versions of the new discovery start anew. The old one sends a list after the new one has been
+        // called.
         let (call, mut watch) = new.calls.recv_timeout(TEST_TIMEOUT).unwrap();
         assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "the node requests the whole list");
         let again = server_list(99, true, &two_cache_entries(first.address, second.address, "active"));
--- a/crates/stonevane-node/tests/node/crossings/full_table.rs
+++ b/crates/stonevane-node/tests/node/crossings/full_table.rs
@@ -2,15 +2,17 @@
 
 use super::*;
 
-/// Bytes that an idle client sends first. Half a command is not among them: it protects its connection from eviction
-/// for a second, and with so many reconnecting at once new clients are rejected (`tests/crowd.rs` of the core).
+/// Bytes that an idle client sends first. Half a command is not among them: it protects its connection from
+/// eviction for a second, and with so many reconnecting at once new clients are rejected (`tests/crowd.rs` of
+/// the core).
 #[derive(Clone, Copy, Debug)]
 enum FirstBytes {
     Nothing,
     Ping,
 }
 
-/// Clients that hold all the connections that they can get, and reconnect when evicted, until the value is dropped.
+/// Clients that hold all the connections that they can get, and reconnect when evicted, until the value is
+/// dropped.
 struct IdleClients {
     stop: Arc<AtomicBool>,
     /// Number of reconnects after an eviction.
@@ -74,12 +76,12 @@
             // The server of the known list does not listen any more.
             let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
             // Exactly as many descriptors as the configuration allows.
-            let before = "ulimit -n 64;";
+            let shell_prefix = "ulimit -n 64;";
             // A connection that is silent for longer than this limit may be evicted.
             let settings =
                 settings().replace(r#""connectTimeoutUs":2000000"#, r#""connectTimeoutUs":250000"#);
             let known = cache_and_origin(gone, origin.address);
-            let node = Node::start_with_settings(discovery.address, &known, 64, before, &settings);
+            let node = Node::start_with_settings(discovery.address, &known, 64, shell_prefix, &settings);
             let idle_clients = IdleClients::new(node.address, 80, first_bytes);
             let down = Instant::now();
             let mut held = Vec::new();
--- a/crates/stonevane-node/tests/node/crossings/leaving_clients.rs
+++ b/crates/stonevane-node/tests/node/crossings/leaving_clients.rs
@@ -49,8 +49,8 @@
     for client in &mut clients {
         assert_eq!(client.read_response().unwrap(), "ok");
     }
-    // The origin limits admit requests again. A waiting request is retried after at most 13 ms, a twentieth of a
-    // latency objective.
+    // The origin limits admit requests again. A waiting request is retried after at most 13 ms, a twentieth
+    // of a latency objective.
     let (begun, mut last, mut more) = (Instant::now(), node.client(), 0);
     while begun.elapsed() < Duration::from_millis(300) {
         more += 1;
@@ -71,12 +71,13 @@
         let at_cache = latch.clone();
         let cache = cache(move |_| Action::RespondWhenOpen(at_cache.clone(), hit("late")));
         let (origin, (discovery, _updates, _calls)) = (failing_origin(), quiet_discovery());
-        // The limit of a share after a start is raised. Otherwise some requests would be rejected, and writing the
-        // rejection would reveal that the client has disconnected.
+        // Raises the limit of attempts in flight after a start. Otherwise some requests would be rejected,
+        // and writing a rejection would reveal that the client has disconnected.
         let operator = config_file("[start]\neach = 1000\n");
-        let before = format!("set -- --operator {};", operator.display());
+        let shell_prefix = format!("set -- --operator {};", operator.display());
         let known = cache_and_origin(cache.address, origin.address);
-        let node = Node::start_with_mgmt_and_command(discovery, &known, &temp_folder(), &before, |_| {});
+        let node =
+            Node::start_with_mgmt_and_command(discovery, &known, &temp_folder(), &shell_prefix, |_| {});
         let mut client = node.client();
         // Their deadline is far later than the end of the test, so only the disconnect ends them.
         let read = |n: u32| command(&["OBJ.GET", &format!("{n:x}"), &n.to_string(), "c=read,t=acme,d=60000"]);
@@ -130,8 +131,8 @@
     OriginBusy,
 }
 
-/// Number of further attempts of a request whose first attempt ends in this way. Before that end the client stays
-/// (`None`) or disconnects, by a reset (`Some(true)`) or a close (`Some(false)`).
+/// Number of further attempts of a request whose first attempt ends in this way. Before that end the client
+/// stays (`None`) or disconnects, by a reset (`Some(true)`) or a close (`Some(false)`).
 fn further_attempts(first_end: FirstEnd, disconnect_by_reset: Option<bool>) -> usize {
     let (attempts, latch) = (Arc::new(AtomicUsize::new(0)), Latch::default());
     let (counted, held) = (attempts.clone(), latch.clone());
@@ -204,8 +205,8 @@
     assert!(sent.is_empty(), "further attempts were sent (end of the first, disconnect by reset): {sent:?}");
 }
 
-/// Number of hedged copies of a read that a cache server never answers. `None`: the client disconnected too late for
-/// a result, which a busy machine can cause.
+/// Number of hedged copies of a read that a cache server never answers. `None`: the client disconnected too
+/// late for a result, which a busy machine can cause.
 fn hedged_copies(disconnects_before: bool) -> Option<usize> {
     // A read is hedged after two fifths of its latency objective.
     const HEDGE_DELAY: Duration = Duration::from_secs(2);
--- a/crates/stonevane-node/tests/node/crossings/mod.rs
+++ b/crates/stonevane-node/tests/node/crossings/mod.rs
@@ -1,6 +1,6 @@
-//! Races between two events on real sockets. No sleep fixes their order: an emulated server delays a byte, a message
-//! of the server list, a close or a response until the other event has been observed, or the node process is stopped
-//! while both happen.
+//! Races between two events on real sockets. No sleep fixes their order: an emulated server delays a byte, a
+//! message of the server list, a close or a response until the other event has been observed, or the node
+//! process is stopped while both happen.
 
 mod discovery;
 mod full_table;
@@ -20,7 +20,8 @@
 use crate::harness::*;
 use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// A cache server whose listen queue is full, so that connections to it stay half open until [`Self::accept`].
+/// A cache server whose listen queue is full, so that connections to it stay half open until
+/// [`Self::accept`].
 pub struct FullListenQueue {
     listener: TcpListener,
     pub address: SocketAddr,
@@ -111,8 +112,8 @@
     ]
 }
 
-/// Settings whose poll interval is so long that a retry after a fraction of it would come after half a minute at the
-/// earliest.
+/// Settings whose poll interval is so long that a retry after a fraction of it would come after half a minute
+/// at the earliest.
 fn long_poll_interval() -> String {
     settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":1000000000"#)
 }
@@ -130,8 +131,8 @@
     drop(client);
 }
 
-/// Reads one key after another until the server `first` has answered none of 60 in a row, so its drain has taken
-/// effect. Then checks that it answers none of 200 further reads.
+/// Reads one key after another until the server `first` has answered none of 60 in a row, so its drain has
+/// taken effect. Then checks that it answers none of 200 further reads.
 fn assert_drained(node: &Node, first: &str) {
     let mut client = node.client();
     let mut read = |key: u32| client.request(&get(&format!("{key:x}"), &key.to_string())).unwrap();
--- a/crates/stonevane-node/tests/node/harness/client.rs
+++ b/crates/stonevane-node/tests/node/harness/client.rs
@@ -61,8 +61,8 @@
         self.out.write_all(bytes).unwrap();
     }
 
-    /// Reads the next response and returns a line unchanged, a bulk string as its content; `None` at the end of
-    /// the connection.
+    /// Reads the next response and returns a line unchanged, a bulk string as its content; `None` at the end
+    /// of the connection.
     pub fn read_response(&mut self) -> Option<String> {
         let first = read_line(&mut self.input)?;
         let Some(size) = first.strip_prefix('$') else { return Some(first) };
--- a/crates/stonevane-node/tests/node/harness/node_process.rs
+++ b/crates/stonevane-node/tests/node/harness/node_process.rs
@@ -227,7 +227,8 @@
         }
     }
 
-    /// Replaces the discovery address in the configuration (`Ok`) or the whole file (`Err`), and sends SIGHUP.
+    /// Replaces the discovery address in the configuration (`Ok`) or the whole file (`Err`), and sends
+    /// SIGHUP.
     pub fn reload(&self, change: Result<SocketAddr, &str>) {
         let text = match change {
             Ok(address) => self.config_text.replace(&self.discovery.to_string(), &address.to_string()),
--- a/crates/stonevane-node/tests/node/harness/servers.rs
+++ b/crates/stonevane-node/tests/node/harness/servers.rs
@@ -44,8 +44,8 @@
     }
 }
 
-/// A request that an emulated server received: its words, and the number of its connection. No words mean that
-/// the connection has ended.
+/// A request that an emulated server received: its words, and the number of its connection. No words mean
+/// that the connection has ended.
 pub struct ReceivedRequest {
     pub words: Vec<String>,
     pub conn: u32,
@@ -132,7 +132,8 @@
             Action::Hang => (Vec::new(), false),
         };
         if out.write_all(&response).is_err() || close {
-            // Dropping the socket is not enough: a process that another test is starting may have inherited it.
+            // Dropping the socket is not enough: a process that another test is starting may have inherited
+            // it.
             let _ = out.shutdown(Shutdown::Both);
             return;
         }
@@ -172,7 +173,8 @@
     Some(words)
 }
 
-/// Starts a cache server that takes the given action on each command. Each connection has its own clone of `act`.
+/// Starts a cache server that takes the given action on each command. Each connection has its own clone of
+/// `act`.
 pub fn cache(act: impl FnMut(&[String]) -> Action + Send + Clone + 'static) -> EmulatedServer {
     start_server(read_command, act)
 }
--- a/crates/stonevane-node/tests/node/origin.rs
+++ b/crates/stonevane-node/tests/node/origin.rs
@@ -1,5 +1,5 @@
-//! A late first response on a new connection to the origin, which includes the time of the handshake, does not
-//! delay further fetches.
+//! A late first response on a new connection to the origin, which includes the time of the handshake, does
+//! not delay further fetches.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -11,13 +11,14 @@
 
 /// Disables the ramp after a start, under which one of 300 nodes may send hardly anything.
 const NO_RAMP: &str = "version = 1\n[start]\nramp = false\n";
-/// Delay of the first response on a connection. It lies between the latency from which the origin counts as slow
-/// (0.8 of the shorter latency objective, 2 s) and the longer objective, 8 s.
+/// Delay of the first response on a connection. It lies between the latency from which the origin counts as
+/// slow (0.8 of the shorter latency objective, 2 s) and the longer objective, 8 s.
 const FIRST_RESPONSE_DELAY: Duration = Duration::from_millis(1_800);
 /// Longer than an idle connection to the origin is kept.
 const IDLE_TIME: Duration = Duration::from_millis(600);
 
-/// Settings of one node of 300, whose next fetch waits for more than 7 s after one slow response of the origin.
+/// Settings of one node of 300, whose next fetch waits for more than 7 s after one slow response of the
+/// origin.
 fn settings_of_one_of_300_nodes() -> String {
     settings()
         .replace(r#""name":"read","goalTimeUs":250000"#, r#""name":"read","goalTimeUs":8000000"#)
@@ -25,7 +26,8 @@
         .replace(r#""balancers":1"#, r#""balancers":300"#)
 }
 
-/// Starts an origin that delays the first response on each connection until the latch opens, while `delays` is set.
+/// Starts an origin that delays the first response on each connection until the latch opens, while `delays`
+/// is set.
 fn origin_with_late_first_responses(delays: &Arc<AtomicBool>, latch: &Latch) -> EmulatedServer {
     let (delays, latch, mut requests) = (delays.clone(), latch.clone(), 0);
     origin(move |_| {
@@ -47,8 +49,8 @@
     assert!(reused, "no connection was used twice");
 }
 
-/// Whether a fetch is sent at once after one whose response was late by [`FIRST_RESPONSE_DELAY`]. `warm`: reused
-/// connections have shown the latency of the origin before.
+/// Whether a fetch is sent at once after one whose response was late by [`FIRST_RESPONSE_DELAY`]. `warm`:
+/// reused connections have shown the latency of the origin before.
 fn fetch_follows_a_late_first_response(warm: bool) -> bool {
     let cache = cache(|_| Action::Respond(miss()));
     let (delays, latch) = (Arc::new(AtomicBool::new(!warm)), Latch::default());
--- a/crates/stonevane-node/tests/node/process.rs
+++ b/crates/stonevane-node/tests/node/process.rs
@@ -73,8 +73,8 @@
 
 #[test]
 fn on_sigterm_the_last_response_is_written_completely_before_the_node_exits() {
-    // Guards against a node that counts one client too few and exits with the response to the last one unwritten,
-    // as seen in the lab with overlapping faults.
+    // Guards against a node that counts one client too few and exits with the response to the last one
+    // unwritten, as seen in the lab with overlapping faults.
     let long = "v".repeat(400_000);
     let value = long.clone();
     let cache = cache(move |_| Action::Respond(hit(&value)));
@@ -150,12 +150,12 @@
     let origin = failing_origin();
     let (discovery, _updates, _calls) = quiet_discovery();
     let path = config_file("[clients]\nspare_ms = 50\nidle_ms = 100\n");
-    let before = format!("set -- --operator {};", path.display());
+    let shell_prefix = format!("set -- --operator {};", path.display());
     let node = Node::start_with_shell_prefix(
         discovery,
         &cache_and_origin(cache.address, origin.address),
         256,
-        &before,
+        &shell_prefix,
     );
     let mut client = node.client();
     assert_eq!(client.request(&get("aa", "1")).unwrap(), "aa");
--- a/crates/stonevane-node/tests/node/readiness.rs
+++ b/crates/stonevane-node/tests/node/readiness.rs
@@ -1,5 +1,5 @@
-//! Readiness of a process that has just started: it serves with the list of its configuration, or else with the
-//! first list from discovery.
+//! Readiness of a process that has just started: it serves with the list of its configuration, or else with
+//! the first list from discovery.
 
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
@@ -11,8 +11,8 @@
     node.client().request(&command(&["PING"])).unwrap()
 }
 
-/// Starts a discovery service that accepts calls and answers none: it closes them at once (`resets`) or keeps them
-/// open.
+/// Starts a discovery service that accepts calls and answers none: it resets them at once (`resets`) or keeps
+/// them open.
 fn failed_discovery(resets: bool) -> std::net::SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/stonevane-node/tests/node/service.rs
+++ b/crates/stonevane-node/tests/node/service.rs
@@ -1,4 +1,5 @@
-//! Operation: management address, metrics, exclusion of servers, reload of settings, and replacement of the process.
+//! Operation: management address, metrics, exclusion of servers, reload of settings, and replacement of the
+//! process.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -108,8 +109,8 @@
 fn an_excluded_cache_server_gets_no_requests_until_it_is_reinstated_whatever_the_lists_contain() {
     let caches = [cache(|_| Action::Respond(hit("one"))), cache(|_| Action::Respond(hit("two")))];
     let (origin, (discovery, updates, _calls)) = (failing_origin(), quiet_discovery());
-    let (known, kept) = (two_caches_and_origin([&caches[0], &caches[1]], &origin), temp_folder());
-    let node = Node::start_with_mgmt(discovery, &known, &kept);
+    let (known, tmpdir) = (two_caches_and_origin([&caches[0], &caches[1]], &origin), temp_folder());
+    let node = Node::start_with_mgmt(discovery, &known, &tmpdir);
     let served = |node: &Node, from: u32| {
         let mut client = node.client();
         let mut all: Vec<_> = (from..from + 40)
@@ -140,13 +141,13 @@
     node.wait_for_metric("reloads_ok", 1);
     assert_eq!(served(&node, 300), ["two"]);
     drop(node);
-    let node = Node::start_with_mgmt(discovery, &known, &kept);
+    let node = Node::start_with_mgmt(discovery, &known, &tmpdir);
     assert_eq!(served(&node, 400), ["two"]);
     assert_eq!(node.mgmt_call("PUT", "/cache-servers/enable/s-1").0, 200);
     assert_eq!(served(&node, 500), ["one", "two"], "one call to reinstate undoes both exclusions");
     assert_eq!(node.metric("cache_servers_excluded"), 0);
     drop(node);
-    let node = Node::start_with_mgmt(discovery, &known, &kept);
+    let node = Node::start_with_mgmt(discovery, &known, &tmpdir);
     assert_eq!(served(&node, 600), ["one", "two"]);
     // With all servers excluded, requests are rejected at once.
     for name in ["s-1", "s-2"] {
@@ -189,7 +190,8 @@
     node.wait_for_metric("reloads_ok", 1);
     assert_eq!((read("new").as_str(), read("read").as_str()), ("aa", "aa"));
     assert_eq!(node.metric("served.new"), 1);
-    // A removed class is accepted for as long as clients may still name it, and then rejected. Its metric stays.
+    // A removed class is accepted for as long as clients may still name it, and then rejected. Its metric
+    // stays.
     assert!(!read("put").starts_with("-ERR unknown"));
     let end = Instant::now() + TEST_TIMEOUT;
     while !read("put").starts_with("-ERR unknown") {
@@ -251,9 +253,9 @@
 
 /// Starts a process that inherits the clients' socket, as the platform passes it on.
 fn start_successor(listener: &TcpListener, discovery: SocketAddr, known: &str, folder: &Path) -> Node {
-    let before = "exec 4<&0 </dev/null; ROUTER_LISTEN_FD=4";
+    let shell_prefix = "exec 4<&0 </dev/null; ROUTER_LISTEN_FD=4";
     let socket = OwnedFd::from(listener.try_clone().unwrap());
-    Node::start_with_mgmt_and_command(discovery, known, folder, before, |command| {
+    Node::start_with_mgmt_and_command(discovery, known, folder, shell_prefix, |command| {
         command.stdin(Stdio::from(socket));
     })
 }
@@ -267,7 +269,8 @@
     closed_unanswered: usize,
 }
 
-/// Starts clients that send one request after another until `stop` is set. Half of them keep their connections.
+/// Starts clients that send one request after another until `stop` is set. Half of them keep their
+/// connections.
 fn spawn_clients(address: SocketAddr, stop: &Arc<AtomicBool>) -> Vec<JoinHandle<ClientResults>> {
     let client = |number: usize| {
         let stop = stop.clone();
@@ -301,10 +304,10 @@
 fn a_process_is_replaced_twice_under_load_without_a_request_left_unanswered() {
     let caches = [cache(|_| Action::Respond(hit("value"))), cache(|_| Action::Respond(hit("value")))];
     let (origin, (discovery, _updates, _calls)) = (failing_origin(), quiet_discovery());
-    let (known, kept) = (two_caches_and_origin([&caches[0], &caches[1]], &origin), temp_folder());
+    let (known, tmpdir) = (two_caches_and_origin([&caches[0], &caches[1]], &origin), temp_folder());
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let mut old = start_successor(&listener, discovery, &known, &kept);
+    let mut old = start_successor(&listener, discovery, &known, &tmpdir);
     let stop = Arc::new(AtomicBool::new(false));
     let clients = spawn_clients(address, &stop);
     for _ in 0..2 {
@@ -312,7 +315,7 @@
         // Excluded and reinstated at one process: the other one follows within a second.
         let name = "s-1";
         assert_eq!(old.mgmt_call("PUT", &format!("/cache-servers/disable/{name}")).0, 200);
-        let new = start_successor(&listener, discovery, &known, &kept);
+        let new = start_successor(&listener, discovery, &known, &tmpdir);
         assert_eq!(
             new.metric("cache_servers_excluded"),
             1,
@@ -348,22 +351,25 @@
 fn a_paused_dead_or_invalid_predecessor_delays_no_startup_or_drain() {
     let cache = cache(|_| Action::Respond(hit("value")));
     let (origin, (discovery, _updates, _calls)) = (failing_origin(), quiet_discovery());
-    let (known, kept) = (cache_and_origin(cache.address, origin.address), temp_folder());
-    let beside = kept.join("spardeal-beside");
-    std::fs::create_dir_all(&beside).unwrap();
+    let (known, tmpdir) = (cache_and_origin(cache.address, origin.address), temp_folder());
+    let status_folder = tmpdir.join("spardeal-beside");
+    std::fs::create_dir_all(&status_folder).unwrap();
     for (file, text) in [("00000000000000000001-1.lock", ""), ("00000000000000000001-1", "1 serving 9 9 9\n")]
     {
-        std::fs::write(beside.join(file), text).unwrap();
+        std::fs::write(status_folder.join(file), text).unwrap();
     }
     for (file, text) in [("noise", "x"), ("1-.lock", ""), ("9999999999999999999999-1.lock", "")] {
-        std::fs::write(beside.join(file), text).unwrap();
+        std::fs::write(status_folder.join(file), text).unwrap();
     }
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = start_successor(&listener, discovery, &known, &kept);
+    let old = start_successor(&listener, discovery, &known, &tmpdir);
     assert_eq!(old.mgmt_call("GET", "/ready").0, 200);
-    assert!(!beside.join("00000000000000000001-1").exists(), "the files of a dead process are removed");
+    assert!(
+        !status_folder.join("00000000000000000001-1").exists(),
+        "the files of a dead process are removed"
+    );
     old.send_signal("STOP");
-    let mut new = start_successor(&listener, discovery, &known, &kept);
+    let mut new = start_successor(&listener, discovery, &known, &tmpdir);
     let began = Instant::now();
     assert_eq!(new.mgmt_call("GET", "/ready").0, 200);
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
@@ -373,7 +379,8 @@
     new.terminate();
     assert_eq!(Client::connect(listener.local_addr().unwrap()).request(&get("aa", "2")).unwrap(), "value");
     assert_eq!(new.wait().code(), Some(0));
-    let left = std::fs::read_dir(&beside).unwrap().flatten().filter(|e| e.file_name() != "noise").count();
+    let left =
+        std::fs::read_dir(&status_folder).unwrap().flatten().filter(|e| e.file_name() != "noise").count();
     assert!(left <= 2, "a process removes its files when it ends: {left}");
 }
 
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -1,5 +1,5 @@
-//! Real nodes in two regions, each in front of the cache servers of its own region. Tests check the requests that the
-//! emulated servers received.
+//! Real nodes in two regions, each in front of the cache servers of its own region. Tests check the requests
+//! that the emulated servers received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -133,8 +133,8 @@
         seen.map(|seen| (seen.conn, requesting_node(&seen.words))).collect()
     }
 
-    /// Names of the nodes whose requests a cache server has received. Checks that each connection carried a request.
-    /// Call it only after the nodes have ended.
+    /// Names of the nodes whose requests a cache server has received. Checks that each connection carried a
+    /// request. Call it only after the nodes have ended.
     fn requesting_nodes(&self, name: &str) -> BTreeSet<String> {
         let cache = &self.caches[name].0;
         let mut last = Client::connect(cache.address);
@@ -272,7 +272,8 @@
     let mut node = RegionNode::start("west", 0, &servers.whole_list(), Some(&operator));
     node.send_update(6, false, &[servers.entry_with_status("n-1", "leaving")]);
     assert_eq!(node.read(READS_PER_NODE), names(["s-1", "s-2"]));
-    // A whole list older than the drain does not undo it, whether it comes while the server is outside the subset ...
+    // A whole list older than the drain does not undo it, whether it comes while the server is outside the
+    // subset ...
     node.send_update(4, true, &servers.entries());
     node.send_update(
         7,
--- a/crates/stonevane-node/tests/node/time_left.rs
+++ b/crates/stonevane-node/tests/node/time_left.rs
@@ -1,9 +1,9 @@
-//! An attempt states to its server at most the time (`d`, in ms) that the client has left at that moment. This holds
-//! for cache servers and the origin, for the first attempt and for each kind of further attempt.
+//! An attempt states to its server at most the time (`d`, in ms) that the client has left at that moment.
+//! This holds for cache servers and the origin, for the first attempt and for each kind of further attempt.
 //!
-//! The tests do not depend on the machine's speed. An emulated server delays a response, and the next attempt may
-//! state at most the client's time minus the time that the test measured between the arrival of the request and that
-//! response.
+//! The tests do not depend on the machine's speed. An emulated server delays a response, and the next attempt
+//! may state at most the client's time minus the time that the test measured between the arrival of the
+//! request and that response.
 
 use std::io::{BufReader, Write};
 use std::net::SocketAddr;
@@ -51,8 +51,8 @@
     );
 }
 
-/// An action that emulated servers may share. The first request at any of them gets `first` once the latch is open,
-/// the others get `then` at once.
+/// An action that emulated servers may share. The first request at any of them gets `first` once the latch is
+/// open, the others get `then` at once.
 fn delay_first_response(
     latch: &Latch,
     first: Vec<u8>,
@@ -135,8 +135,8 @@
     client.send(&get("aa", "1"));
     let first = caches.next_request();
     assert_at_most(&first, CLIENT_TIME_LEFT_MS);
-    // The first attempt gets no response until the hedged copy has arrived, which the node sends unprompted after a
-    // delay. That copy must state at least 1 ms less.
+    // The first attempt gets no response until the hedged copy has arrived. The node sends that copy after a
+    // minimum wait for a response, so the copy states at least 1 ms less.
     let second = caches.next_request();
     assert_at_most(&second, stated_ms(&first) - 1);
     latch.open();
--- a/crates/stonevane-node/tests/node/upgrade.rs
+++ b/crates/stonevane-node/tests/node/upgrade.rs
@@ -10,7 +10,8 @@
 use crate::harness::*;
 use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// An emulated process of the released version of the node: the files that it writes, and the lock that it holds.
+/// An emulated process of the released version of the node: the files that it writes, and the lock that it
+/// holds.
 struct ReleasedProcess {
     status: PathBuf,
     lock_path: PathBuf,
@@ -43,8 +44,8 @@
     }
 }
 
-/// Name and content of the status file of a process, which the released version reads. Its lock file has the same
-/// name with `.lock` appended.
+/// Name and content of the status file of a process, which the released version reads. Its lock file has the
+/// same name with `.lock` appended.
 fn published(tmpdir: &Path, process: u32) -> Option<(String, String)> {
     let suffix = format!("-{process}");
     let entries = std::fs::read_dir(tmpdir.join("spardeal-beside")).ok()?;
@@ -54,7 +55,8 @@
     Some((name, line))
 }
 
-/// The number of connections in a status line `1 STAGE CONNECTIONS MEMORY IN_FLIGHT\n`; `None` in another stage.
+/// The number of connections in a status line `1 STAGE CONNECTIONS MEMORY IN_FLIGHT\n`; `None` in another
+/// stage.
 fn connections(line: &str, stage: &str) -> Option<u64> {
     let numbers = line.strip_prefix("1 ")?.strip_prefix(stage)?.strip_prefix(' ')?.strip_suffix('\n')?;
     let numbers: Vec<u64> = numbers.split(' ').map(|number| number.parse().ok()).collect::<Option<_>>()?;
@@ -62,8 +64,8 @@
     Some(connections)
 }
 
-/// Waits until a process has published a status of this stage with a matching number of connections, and returns
-/// this number.
+/// Waits until a process has published a status of this stage with a matching number of connections, and
+/// returns this number.
 fn wait_until_published(tmpdir: &Path, node: &Node, stage: &str, matches: impl Fn(u64) -> bool) -> u64 {
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -79,9 +81,9 @@
 
 /// Starts a process that inherits the clients' socket.
 fn start_successor(listener: &TcpListener, discovery: SocketAddr, known: &str, tmpdir: &Path) -> Node {
-    let before = "exec 4<&0 </dev/null; ROUTER_LISTEN_FD=4";
+    let shell_prefix = "exec 4<&0 </dev/null; ROUTER_LISTEN_FD=4";
     let socket = OwnedFd::from(listener.try_clone().unwrap());
-    Node::start_with_mgmt_and_command(discovery, known, tmpdir, before, |command| {
+    Node::start_with_mgmt_and_command(discovery, known, tmpdir, shell_prefix, |command| {
         command.stdin(Stdio::from(socket));
     })
 }
@@ -153,8 +155,8 @@
     assert!(released.status.exists() && released.lock_path.exists(), "the files of a living process stay");
 }
 
-/// Waits until the node stops accepting: a new connection stays in the queue of the shared socket, and this process
-/// can accept it.
+/// Waits until the node stops accepting: a new connection stays in the queue of the shared socket, and this
+/// process can accept it.
 fn wait_until_not_accepting(listener: &TcpListener) {
     // The node shares this socket, which is non-blocking there too.
     listener.set_nonblocking(true).unwrap();
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -118,8 +118,8 @@
     Node::start_with_settings(discovery, &cache_and_absent_origin(cache.address), 512, &operator, &settings)
 }
 
-/// Repeats a request until its response is as expected, and returns the time that this took. `id` of each request is
-/// the name and a number.
+/// Repeats a request until its response is as expected, and returns the time that this took. The id of each
+/// request is the name and a number.
 fn request_until(
     node: &Node,
     name: &str,
@@ -141,12 +141,12 @@
 #[test]
 fn two_hundred_concurrent_misses_of_one_key_send_one_query_to_the_postgresql_server() {
     let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
-    // With a slow answer of 150 ms some requests came late. The time is long enough for all of them to arrive before
-    // the first is answered, also on a slow machine.
+    // The stall limit allows the slow answers below, which are long enough for all requests to arrive before
+    // the first answer, also on a slow machine. With 150 ms some arrived later.
     let node = start_with_stall_limit(&server, &folder, 6_000, "");
     // The first request loads the schema and opens the connection.
     assert_eq!(node.client().request(&get("bb", "first")).unwrap(), "");
-    // The node admits this many at once only after a quiet period.
+    // The node admits this many requests at once only when it knows that the fleet has been idle.
     std::thread::sleep(Duration::from_millis(3_500));
     server.set_fault(PgFault::Slow(1_500));
     let reads = server.counts().reads;
@@ -210,7 +210,8 @@
 #[test]
 fn a_read_after_another_nodes_edit_does_not_share_a_fetch_from_before_the_edit() {
     let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
-    // The cache server lacks the key. At the second request it knows of version 2 and states it with the miss.
+    // The cache server lacks the key. At the second request it knows of version 2 and states it with the
+    // miss.
     let misses = |words: &[String]| {
         let known_version: &[u8] = if words[2] == "late" { b"$6\r\nmiss:2\r\n" } else { b"$-1\r\n" };
         Action::Respond([b"*3\r\n$-1\r\n", known_version, b"$-1\r\n"].concat())
@@ -353,9 +354,9 @@
     let line = terminate_and_read_store_line(&mut node);
     let numbers = line.split("store: ").nth(1).unwrap().split(|c: char| !c.is_ascii_digit());
     let numbers: Vec<u32> = numbers.filter_map(|n| n.parse().ok()).collect();
-    let (queries, joined) = (numbers[0], numbers[1]);
-    assert_eq!((queries + joined, numbers[3]), (served, 0), "each fetch counts once: {line}");
-    assert!(joined > 0 && served > 30, "{line}");
+    let (queries, shared) = (numbers[0], numbers[1]);
+    assert_eq!((queries + shared, numbers[3]), (served, 0), "each fetch counts once: {line}");
+    assert!(shared > 0 && served > 30, "{line}");
 }
 
 #[test]
@@ -477,7 +478,8 @@
     let cache = cache(move |words: &[String]| match words[0].as_str() {
         "OBJ.VOID" if accepts_invalidation.load(Ordering::SeqCst) => Action::Respond(b"+OK\r\n".to_vec()),
         "OBJ.VOID" => Action::Respond(b"-ERR not now\r\n".to_vec()),
-        // Unlike the response to a fill: what follows its first line says nothing about the invalidation.
+        // A miss is no valid response to a fill. The lines after its first one must not be taken for the
+        // response to the invalidation.
         _ => Action::Respond(miss()),
     });
     let path = folder.0.join("operator.toml");
