--- a/crates/stonevane-node/tests/node/cold_start.rs
+++ b/crates/stonevane-node/tests/node/cold_start.rs
@@ -12,7 +12,7 @@
 /// Requests per second of all processes and tenants together; the capacity of the servers is twice that.
 const QUOTA_PER_S: f64 = 20.0;
 const SLOW_START_SHARE: f64 = 0.25;
-const WARM_UP: Duration = Duration::from_secs(60);
+const SLOW_START_DURATION: Duration = Duration::from_secs(60);
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(10);
 const OVERLOAD_MULTIPLE: f64 = 3.0;
 /// Number of keys that every process requests.
@@ -50,7 +50,7 @@
             &format!(
                 "\"drainGraceUs\":500000,\"coldShare\":{SLOW_START_SHARE},\"coldUs\":{},\"fallMultiple\":{OVERLOAD_MULTIPLE},\
                  \"tipAfterUs\":{}",
-                WARM_UP.as_micros(),
+                SLOW_START_DURATION.as_micros(),
                 OVERLOAD_WINDOW.as_micros()
             ),
         )
--- a/crates/stonevane-node/tests/node/crossings/discovery.rs
+++ b/crates/stonevane-node/tests/node/crossings/discovery.rs
@@ -83,7 +83,7 @@
     let (first, second) = (named_cache("first"), named_cache("second"));
     let (old, new) = (ManualDiscovery::new(), ManualDiscovery::new());
     let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
-    // No second call is made for longer than the signal takes.
+    // The poll interval is long enough that no second call is made before the signal takes effect.
     let settings = settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":3000000"#);
     let node = Node::start_with_settings(old.address, &known, 256, "", &settings);
     let (_, mut late) = old.calls.recv_timeout(TEST_TIMEOUT).unwrap();
--- a/crates/stonevane-node/tests/node/malformed_responses.rs
+++ b/crates/stonevane-node/tests/node/malformed_responses.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_malformed_response_of_a_cache_server_reaches_no_client_and_closes_its_connection() {
+fn a_malformed_response_of_a_cache_server_reaches_no_client_and_its_connection_is_not_reused() {
     let shapes: [&[u8]; 16] = [
         b"*2\r\n$3\r\nbad\r\n$3\r\nhit\r\n",
         b"*4\r\n$3\r\nbad\r\n$3\r\nhit\r\n$-1\r\n$-1\r\n",
--- a/crates/stonevane-node/tests/node/process.rs
+++ b/crates/stonevane-node/tests/node/process.rs
@@ -91,7 +91,7 @@
     while std::net::TcpStream::connect(node.address).is_ok() {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    // The node accepts nothing any more. Leaves time for many of its checks whether it may exit.
+    // The node accepts nothing any more. The pause leaves time for many of its checks whether it may exit.
     std::thread::sleep(std::time::Duration::from_millis(200));
     for id in 1..=24 {
         let answer = client.read_response();
