--- a/crates/stonevane-node/tests/node/crossings/mod.rs
+++ b/crates/stonevane-node/tests/node/crossings/mod.rs
@@ -103,8 +103,8 @@
     }
 }
 
-/// Entries of two cache servers, the first with this status, and of a placeholder origin, which a test replaces
-/// if it needs one.
+/// Entries of two cache servers, the first with this status, and of a placeholder origin, which a test
+/// replaces if it needs one.
 fn two_cache_entries(first: SocketAddr, second: SocketAddr, status: &str) -> Vec<String> {
     vec![
         entry("s-1", first, "std", status),
