--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -1,5 +1,5 @@
-//! A cache server: it stores copies, misses, warms up after a restart, queues, becomes overloaded when pushed, drops
-//! repeats of an idempotency key, drains, and limits connections.
+//! A cache server. It stores copies, queues work, warms up after a restart, becomes overloaded if it receives
+//! too much work meanwhile, drops repeats of an idempotency key, drains, and limits its connections.
 
 mod connection;
 mod copies;
@@ -19,36 +19,36 @@
 use self::connection::Connection;
 use self::copies::{Copies, Fill, Lifetime};
 use crate::record::{MonotonicClock, Recorder};
-use crate::request::{Attempt, IdempotencyKeys, PendingAnswers, Request, word};
+use crate::request::{Attempt, IdempotencyKeys, PendingAnswers, Request, text_argument};
 use crate::server::{Arrival, ConnectionPermit, Fault, Listeners, Reply, lock};
 
 pub use self::spec::CacheSpec;
 
-/// The part of a read's work that a miss takes is one over this.
-const MISS_DISCOUNT: u64 = 10;
-/// The least share of its capacity that a server which is warming up works with.
+/// Divisor of a read's work that gives the work of a miss.
+const MISS_WORK_DIVISOR: u64 = 10;
+/// Minimum share of its capacity with which a server works while it warms up.
 const MIN_WARM_UP_SHARE: f64 = 0.01;
-/// Misses that are remembered until the origin fills them.
+/// Number of misses that are remembered until the origin fills them.
 const MAX_MISSES: usize = 4096;
 
-/// What the server has counted.
+/// Event counts of a cache server since it was created; a restart keeps them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Attempts that arrived.
+    /// Attempts received.
     pub attempts: u64,
-    /// Reads of keys that it held.
+    /// Reads answered from a copy.
     pub hits: u64,
-    /// Reads of keys that it lacked.
+    /// Reads of keys without a copy.
     pub misses: u64,
-    /// Attempts rejected as busy.
+    /// Attempts rejected with `BUSY`.
     pub busy: u64,
-    /// Times that it became overloaded.
+    /// Number of times that the server became overloaded.
     pub falls: u64,
 }
 
-/// A cache server.
+/// An emulated cache server.
 pub struct Cache {
-    /// Its figures.
+    /// Capacity, limits and times of the server.
     pub spec: CacheSpec,
     state: Mutex<State>,
     counts: Mutex<Counts>,
@@ -57,30 +57,30 @@
     listeners: Mutex<Option<Listeners>>,
 }
 
-/// The state of one process of the server: a restart begins with a new one.
+/// State of one process of the server; a restart replaces it.
 struct State {
     copies: Copies,
     cores: Cores,
     recent_work: Window,
-    /// When the process started, for one that warms up.
+    /// Start of the process, for one that warms up; `None` for one that started warm.
     started_us: Option<u64>,
     draining: bool,
     overloaded: bool,
-    /// The number of the newest attempt, and the version of the newest write.
+    /// Number of the newest attempt; a write's number is its version.
     number: u64,
     misses: Misses,
     idempotency: IdempotencyKeys,
     answers: PendingAnswers<Answer>,
 }
 
-/// What is recorded once an answer is written.
+/// Data that is recorded when an answer is written.
 struct Answer {
     request: String,
     value: String,
     version: u64,
 }
 
-/// The newest requests that missed, and may be filled.
+/// The newest requests that missed, with their keys; only they may be filled.
 #[derive(Default)]
 struct Misses {
     keys: HashMap<String, String>,
@@ -98,22 +98,22 @@
         }
     }
 
-    /// Forgets a request; whether it missed this key.
+    /// Forgets a request and returns whether it missed this key.
     fn take(&mut self, request: &str, key: &str) -> bool {
         self.keys.remove(request).is_some_and(|missed| missed == key)
     }
 }
 
-/// What a request finds before it is worked on.
+/// Result of looking a request up before its work is scheduled.
 struct Lookup {
-    /// The version to answer with; `None` for a miss.
+    /// Version of the answer; `None` for a miss.
     version: Option<u64>,
-    /// The value, where a node has filled the copy.
+    /// The value, if a node has filled the copy.
     filled: Option<Bytes>,
     effect: Effect,
 }
 
-/// An attempt while it is worked on.
+/// An attempt that is being processed.
 struct Work<'a> {
     request: &'a Request,
     now: u64,
@@ -129,7 +129,7 @@
             started_us,
             draining: false,
             overloaded: false,
-            // Versions of this process stay above those of the one before.
+            // Versions of a restarted process must exceed those of the previous one.
             number: started_us.unwrap_or(0),
             misses: Misses::default(),
             idempotency: IdempotencyKeys::default(),
@@ -152,12 +152,12 @@
         }
     }
 
-    /// When the process started and how long it warms up; zeros for one that is warm.
+    /// Returns the start of the process and the length of its warm-up; zeros for one that started warm.
     fn warm_up(&self, spec: &CacheSpec) -> (u64, u64) {
         self.started_us.map_or((0, 0), |started_us| (started_us, spec.warm_us))
     }
 
-    /// Adds an attempt's work to the window; whether it pushes a process that warms up over its limit.
+    /// Adds an attempt's work to the window and returns whether that overloads a process that warms up.
     fn becomes_overloaded(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> bool {
         let (started_us, warm_us) = self.warm_up(spec);
         let window_us = self.recent_work.add(now, work_us, spec.fall_us);
@@ -168,7 +168,7 @@
         warming_up && window_us as f64 > spec.fall_multiple * capacity_us && !self.overloaded
     }
 
-    /// When the work of an attempt is done; `None` where it is rejected.
+    /// Schedules the work of an attempt and returns the time at which it is done; `None` if it is rejected.
     fn schedule(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> Option<u64> {
         if self.draining || self.overloaded {
             return None;
@@ -178,7 +178,7 @@
         self.cores.take(now, (work_us as f64 / share) as u64, spec.queue_us)
     }
 
-    /// What an attempt leaves behind.
+    /// Applies the effect of an attempt to the copies, the idempotency keys and the counts.
     fn apply(&mut self, spec: &CacheSpec, work: &Work<'_>, effect: Effect, counts: &mut Counts) {
         match effect {
             Effect::Busy => counts.busy += 1,
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The bytes of an answer, which is remembered until it is written.
+    /// Returns the bytes of an answer, and remembers its data until it is written.
     fn answer(&mut self, spec: &CacheSpec, work: &Work<'_>, lookup: &Lookup, effect: Effect) -> Bytes {
         if effect == Effect::Busy {
             return Bytes::from_static(b"-BUSY\r\n");
@@ -203,9 +203,9 @@
         let request = work.request.id.clone();
         let Some(version) = lookup.version.filter(|_| matches!(effect, Effect::Ran | Effect::Deduplicated))
         else {
-            let least_version = self.copies.least_version(&work.request.key, work.now);
+            let min_version = self.copies.min_version(&work.request.key, work.now);
             self.answers.insert(work.number, Answer { request, value: String::new(), version: 0 });
-            return miss(least_version);
+            return miss(min_version);
         };
         let value = match &lookup.filled {
             Some(filled) => unique_part(filled),
@@ -217,7 +217,7 @@
     }
 }
 
-/// What is unique of a value stands first, up to a space.
+/// Returns the unique part of a value: the text before the first space.
 fn unique_part(value: &[u8]) -> String {
     String::from_utf8_lossy(value).split(' ').next().unwrap_or_default().to_owned()
 }
@@ -229,10 +229,11 @@
     out.freeze()
 }
 
-/// The answer to a miss; a fetch for a key that a node has invalidated must bring the named version at the least.
-fn miss(least_version: Option<u64>) -> Bytes {
+/// Returns the answer to a miss. If a node has invalidated the key, the answer names the lowest version that
+/// a fetch may return.
+fn miss(min_version: Option<u64>) -> Bytes {
     let mut out = BytesMut::from(&b"*3\r\n$-1\r\n"[..]);
-    match least_version {
+    match min_version {
         Some(version) => resp::put_bulk(&mut out, format!("miss:{version}").as_bytes()),
         None => out.extend_from_slice(b"$-1\r\n"),
     }
@@ -241,10 +242,10 @@
 }
 
 impl Cache {
-    /// Starts a warm server with a listener for each node.
+    /// Starts a warmed-up server with a listener for each node.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Fails if a listener can't be bound.
     pub async fn start(
         spec: CacheSpec,
         nodes: &[(String, SocketAddr)],
@@ -270,23 +271,23 @@
         Ok(cache)
     }
 
-    /// The address that a node knows it by.
+    /// Returns the address at which a node reaches the server.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
         lock(&self.listeners).as_ref().and_then(|listeners| listeners.address(node))
     }
 
-    /// What it has counted so far.
+    /// Returns the event counts so far.
     pub fn counts(&self) -> Counts {
         *lock(&self.counts)
     }
 
-    /// Changes its fault, for one node or for all.
+    /// Sets the fault for one node, or for all if `node` is `None`.
     pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
         if fault == Fault::Dead && node.is_none() {
-            let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
+            let (moment, name) = (MonotonicClock::moment(), self.spec.name.clone());
             self.recorder.line(HistoryRecord {
-                time: t,
-                recorder: who,
+                time: moment,
+                recorder: name,
                 event: Event::Down,
                 ..HistoryRecord::default()
             });
@@ -300,7 +301,8 @@
         }
     }
 
-    /// Restarts its process, empty and cold; returns the moment in microseconds of the monotonic clock.
+    /// Restarts the process without copies and in slow start. Returns the time of the restart, in
+    /// microseconds of the monotonic clock.
     pub fn restart(&self) -> u64 {
         let moment = MonotonicClock::moment();
         *lock(&self.state) = State::new(&self.spec, Some(moment.earliest));
@@ -309,17 +311,18 @@
         moment.earliest
     }
 
-    /// Begins or ends draining: new work is rejected, work in flight is finished.
+    /// Starts or ends draining: new work is rejected, work in flight is finished.
     pub fn set_draining(&self, draining: bool) {
         lock(&self.state).draining = draining;
     }
 
-    /// Stores a copy, as if it had been there from the beginning.
+    /// Stores a copy before the run begins.
     pub fn preload(&self, key: &str, version: u64) {
         lock(&self.state).copies.insert(key, version);
     }
 
-    /// The origin has answered a request: the copy is stored if the request missed here.
+    /// Stores the copy that the origin returned for a request if the request missed here; returns whether it
+    /// was stored.
     pub(crate) fn fill(&self, request: &str, key: &str, version: u64) -> bool {
         let mut state = lock(&self.state);
         let missed = state.misses.take(request, key);
@@ -329,24 +332,26 @@
         missed
     }
 
-    /// The key has changed at the origin.
+    /// Removes the copy of a key that has changed at the origin.
     pub(crate) fn invalidate(&self, key: &str) {
         lock(&self.state).copies.remove(key);
     }
 
-    /// Carries out a command about copies; `None` for other commands, `Some(false)` for a malformed one.
+    /// Executes a command that fills or invalidates a copy; `None` for other commands, `Some(false)` for a
+    /// malformed one.
     ///
-    /// `LAB.FILL KEY REQUEST VERSION` and `LAB.VOID KEY` come from an origin in another process, `OBJ.FILL KEY VERSION
-    /// MS VALUE` and `OBJ.VOID KEY VERSION MS` from nodes that use a store of record.
-    fn copy_command(&self, words: &[Bytes], now: u64) -> Option<bool> {
-        let number = |index: usize| word(words, index).and_then(|word| word.parse::<u64>().ok());
-        let done = match (word(words, 0)?, word(words, 1)) {
+    /// `LAB.FILL KEY REQUEST VERSION` and `LAB.VOID KEY` come from an origin in another process; `OBJ.FILL
+    /// KEY VERSION MS VALUE` and `OBJ.VOID KEY VERSION MS` come from nodes that use a store of record.
+    fn copy_command(&self, arguments: &[Bytes], now: u64) -> Option<bool> {
+        let number =
+            |index: usize| text_argument(arguments, index).and_then(|argument| argument.parse::<u64>().ok());
+        let done = match (text_argument(arguments, 0)?, text_argument(arguments, 1)) {
             ("OBJ.VOID", Some(key)) => number(2).zip(number(3)).map(|(version, ms)| {
                 let lifetime = Lifetime::from_ms(now, ms);
                 lock(&self.state).copies.invalidate_below(key, version, lifetime);
             }),
             ("OBJ.FILL", Some(key)) => {
-                number(2).zip(number(3)).zip(words.get(4)).map(|((version, ms), value)| {
+                number(2).zip(number(3)).zip(arguments.get(4)).map(|((version, ms), value)| {
                     let fill = Fill { version, value: value.clone(), lifetime: Lifetime::from_ms(now, ms) };
                     lock(&self.state).copies.fill(key, fill);
                 })
@@ -355,16 +360,18 @@
                 self.invalidate(key);
                 Some(())
             }
-            ("LAB.FILL", Some(key)) => word(words, 2).zip(number(3)).map(|(request, version)| {
-                self.fill(request, key, version);
-            }),
+            ("LAB.FILL", Some(key)) => {
+                text_argument(arguments, 2).zip(number(3)).map(|(request, version)| {
+                    self.fill(request, key, version);
+                })
+            }
             ("LAB.FILL" | "LAB.VOID", None) => None,
             _ => return None,
         };
         Some(done.is_some())
     }
 
-    /// Works on an attempt; returns its reply.
+    /// Processes an attempt and returns its reply.
     fn serve(&self, node: &str, request: &Request, arrival: Arrival) -> Reply {
         let now = arrival.last_byte.latest;
         let spec = &self.spec;
@@ -375,26 +382,26 @@
         let number = state.number;
         let lookup = state.lookup(request, number, now);
         let full_work_us = drawn(spec.work_us, spec.work_cv, &request.id);
-        let work_us = if lookup.version.is_some() { full_work_us } else { full_work_us / MISS_DISCOUNT };
+        let work_us = if lookup.version.is_some() { full_work_us } else { full_work_us / MISS_WORK_DIVISOR };
         if state.becomes_overloaded(spec, now, work_us) {
             state.overloaded = true;
             counts.falls += 1;
             self.record_overload(arrival.last_byte);
         }
-        let done_us = state.schedule(spec, now, work_us);
-        let effect = if done_us.is_some() { lookup.effect } else { Effect::Busy };
+        let done_at_us = state.schedule(spec, now, work_us);
+        let effect = if done_at_us.is_some() { lookup.effect } else { Effect::Busy };
         let work = Work { request, now, number };
         state.apply(spec, &work, effect, &mut counts);
         let attempt = Attempt { number, effect, work_us };
         self.recorder.line(request.attempt_line(&spec.name, node, arrival, attempt));
         let bytes = state.answer(spec, &work, &lookup, effect);
         let far_us = spec.far_us.get(node).copied().unwrap_or(0);
-        Reply { due_us: done_us.unwrap_or(now) + far_us, bytes, number }
+        Reply { due_us: done_at_us.unwrap_or(now) + far_us, bytes, number }
     }
 
-    fn record_start(&self, t: TimeInterval, warm_us: u64) {
+    fn record_start(&self, interval: TimeInterval, warm_us: u64) {
         self.recorder.line(HistoryRecord {
-            time: t,
+            time: interval,
             recorder: self.spec.name.clone(),
             event: Event::Start,
             zone: self.spec.zone.clone(),
@@ -402,17 +409,17 @@
             capacity_us_per_s: self.spec.capacity(),
             cold_share: self.spec.cold_share,
             warm_us,
-            started_at: if warm_us == 0 { 0 } else { t.earliest },
+            started_at: if warm_us == 0 { 0 } else { interval.earliest },
             ..HistoryRecord::default()
         });
     }
 
-    fn record_overload(&self, t: TimeInterval) {
-        tracing::warn!(server = self.spec.name, "fell over");
-        let (who, state) = (self.spec.name.clone(), "fell over".to_owned());
+    fn record_overload(&self, interval: TimeInterval) {
+        tracing::warn!(server = self.spec.name, "cache server became overloaded");
+        let (name, state) = (self.spec.name.clone(), "fell over".to_owned());
         self.recorder.line(HistoryRecord {
-            time: t,
-            recorder: who,
+            time: interval,
+            recorder: name,
             event: Event::Fault,
             state,
             ..HistoryRecord::default()
@@ -428,14 +435,14 @@
         self.recorder.line(HistoryRecord { value, version, ..line });
     }
 
-    /// Records that an answer will never arrive complete.
-    fn record_over(&self, number: u64) {
+    /// Records that an attempt ended without a complete answer.
+    fn record_attempt_ended(&self, number: u64) {
         let Some(answer) = lock(&self.state).answers.remove(number) else { return };
         self.recorder.line(self.answer_line(Event::AttemptEnded, answer.request, number));
     }
 
     fn answer_line(&self, event: Event, request: String, number: u64) -> HistoryRecord {
-        let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
-        HistoryRecord { time: t, recorder: who, event, request, number, ..HistoryRecord::default() }
+        let (moment, name) = (MonotonicClock::moment(), self.spec.name.clone());
+        HistoryRecord { time: moment, recorder: name, event, request, number, ..HistoryRecord::default() }
     }
 }
--- a/crates/stonevane-emulators/src/cache/connection.rs
+++ b/crates/stonevane-emulators/src/cache/connection.rs
@@ -1,4 +1,4 @@
-//! The protocol of a cache server on one connection.
+//! The RESP protocol of a cache server on one connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::request::Request;
 use crate::server::{Arrival, ConnectionPermit, Malformed, Protocol, Reply};
 
-/// A connection of a node.
+/// A connection from a node.
 pub(super) struct Connection {
     pub(super) cache: Arc<Cache>,
     pub(super) node: String,
@@ -19,15 +19,15 @@
 
 impl Protocol for Connection {
     fn take_request(&mut self, buffer: &mut BytesMut, arrival: Arrival) -> Result<Option<Reply>, Malformed> {
-        let Some(words) = resp::take_command(buffer).map_err(|_| Malformed)? else { return Ok(None) };
-        if let Some(request) = Request::from_command(&words) {
+        let Some(arguments) = resp::take_command(buffer).map_err(|_| Malformed)? else { return Ok(None) };
+        if let Some(request) = Request::from_command(&arguments) {
             return Ok(Some(self.cache.serve(&self.node, &request, arrival)));
         }
         let now = arrival.last_byte.latest;
-        let answer: &'static [u8] = match self.cache.copy_command(&words, now) {
+        let answer: &'static [u8] = match self.cache.copy_command(&arguments, now) {
             Some(true) => b"+OK\r\n",
             Some(false) => b"-ERR copy\r\n",
-            None => other_command(&words),
+            None => other_command(&arguments),
         };
         Ok(Some(Reply { due_us: now, bytes: Bytes::from_static(answer), number: 0 }))
     }
@@ -37,13 +37,13 @@
         None
     }
 
-    fn on_spoilt_reply(&mut self, reply: &Reply) -> Option<Bytes> {
-        self.cache.record_over(reply.number);
+    fn on_incomplete_reply(&mut self, reply: &Reply) -> Option<Bytes> {
+        self.cache.record_attempt_ended(reply.number);
         None
     }
 
     fn on_abandoned(&mut self, reply: &Reply) {
-        self.cache.record_over(reply.number);
+        self.cache.record_attempt_ended(reply.number);
     }
 
     fn idle_timeout(&self) -> Duration {
@@ -51,9 +51,9 @@
     }
 }
 
-/// The answer to a command that neither reads, writes nor concerns copies.
-fn other_command(words: &[Bytes]) -> &'static [u8] {
-    let command = words.first().map(|word| word.to_ascii_uppercase()).unwrap_or_default();
+/// Returns the answer to a command that is neither a valid read or write nor a command for copies.
+fn other_command(arguments: &[Bytes]) -> &'static [u8] {
+    let command = arguments.first().map(|name| name.to_ascii_uppercase()).unwrap_or_default();
     match command.as_slice() {
         b"PING" => b"+PONG\r\n",
         b"CLIENT" | b"SELECT" => b"+OK\r\n",
--- a/crates/stonevane-emulators/src/cache/copies.rs
+++ b/crates/stonevane-emulators/src/cache/copies.rs
@@ -1,13 +1,13 @@
-//! The copies that a cache holds: least recently used first out.
+//! The copies that a cache server holds, with eviction of the least recently used.
 
 use std::collections::{BTreeMap, HashMap};
 
 use bytes::Bytes;
 
-/// Invalidations that are remembered before the expired ones are dropped.
+/// Number of invalidations above which the expired ones are removed.
 const MAX_INVALIDATIONS: usize = 65_536;
 
-/// A time to live, from now.
+/// A time to live, with the time at which it begins.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Lifetime {
     now: u64,
@@ -30,7 +30,7 @@
 struct Copy {
     version: u64,
     last_used: u64,
-    /// Where a node has filled it.
+    /// The value and its expiry, if a node has filled the copy.
     filled: Option<Filled>,
 }
 
@@ -39,25 +39,25 @@
     expires_us: u64,
 }
 
-/// Copies older than a version are not to be held, until a time.
+/// A lower bound for the versions of a key's copies, with its expiry.
 #[derive(Default)]
 struct Invalidation {
     below: u64,
     expires_us: u64,
 }
 
-/// The copies that a cache holds.
+/// The copies that a cache server holds, up to a limit.
 pub(super) struct Copies {
     limit: usize,
     by_key: HashMap<String, Copy>,
-    /// Keys by their last use.
+    /// Keys in the order of their last use.
     by_use: BTreeMap<u64, String>,
     uses: u64,
     invalidations: HashMap<String, Invalidation>,
 }
 
 impl Copies {
-    /// No copies, with space for `limit`.
+    /// Returns an empty store for at most `limit` copies.
     pub(super) fn new(limit: usize) -> Copies {
         Copies {
             limit,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The version of a copy, and its value where a node filled it.
+    /// Returns the version of a copy, and its value if a node filled it; removes an expired one.
     pub(super) fn get(&mut self, key: &str, now: u64) -> Option<(u64, Option<Bytes>)> {
         let expired = |filled: &Filled| filled.expires_us <= now;
         if self.by_key.get(key)?.filled.as_ref().is_some_and(expired) {
@@ -83,7 +83,7 @@
         Some((copy.version, copy.filled.as_ref().map(|filled| filled.value.clone())))
     }
 
-    /// Stores a copy, and evicts the least recently used above the limit.
+    /// Stores a copy, and evicts the least recently used ones above the limit.
     pub(super) fn insert(&mut self, key: &str, version: u64) {
         self.remove(key);
         self.uses += 1;
@@ -95,12 +95,12 @@
         }
     }
 
-    /// Stores a node's copy, unless a newer one is held or this one is invalidated.
+    /// Stores a node's copy, unless a newer one is stored or its version has been invalidated.
     pub(super) fn fill(&mut self, key: &str, fill: Fill) {
         let Fill { version, value, lifetime } = fill;
-        let invalidated = self.least_version(key, lifetime.now).is_some_and(|least| version < least);
-        let newer_held = self.by_key.get(key).is_some_and(|copy| copy.version > version);
-        if invalidated || newer_held {
+        let invalidated = self.min_version(key, lifetime.now).is_some_and(|min| version < min);
+        let newer_stored = self.by_key.get(key).is_some_and(|copy| copy.version > version);
+        if invalidated || newer_stored {
             return;
         }
         self.insert(key, version);
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Holds nothing older than a version from now on.
+    /// Removes a copy older than `version`, and rejects such copies until the lifetime expires.
     pub(super) fn invalidate_below(&mut self, key: &str, version: u64, lifetime: Lifetime) {
         if self.by_key.get(key).is_some_and(|copy| copy.version < version) {
             self.remove(key);
@@ -128,8 +128,8 @@
         }
     }
 
-    /// The least version that may be held of a key, where a node has named one.
-    pub(super) fn least_version(&self, key: &str, now: u64) -> Option<u64> {
+    /// Returns the lowest version that may be stored for a key, if an invalidation is in force.
+    pub(super) fn min_version(&self, key: &str, now: u64) -> Option<u64> {
         let invalidation = self.invalidations.get(key)?;
         (now < invalidation.expires_us).then_some(invalidation.below)
     }
--- a/crates/stonevane-emulators/src/cache/spec.rs
+++ b/crates/stonevane-emulators/src/cache/spec.rs
@@ -1,50 +1,51 @@
-//! The figures of a cache server.
+//! Capacity, limits and times of a cache server.
 
 use std::collections::BTreeMap;
 
-/// The figures of a cache server. Times in microseconds.
+/// Capacity, limits and times of a cache server. Times are in microseconds.
 #[derive(Debug, Clone)]
 pub struct CacheSpec {
-    /// Its name, the same at every node.
+    /// Name of the server, the same at every node.
     pub name: String,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: String,
-    /// Its cell.
+    /// Number of the server's cell.
     pub cell: u16,
-    /// Its machine kind.
+    /// Machine type, as discovery reports it.
     pub kind: String,
-    /// Requests that it works on at once.
+    /// Number of requests that are processed concurrently.
     pub cores: usize,
-    /// Mean work of a read that hits; a miss takes a tenth.
+    /// Mean work of a read that hits and of a write; a miss takes a tenth of it.
     pub work_us: u64,
-    /// The work's coefficient of variation.
+    /// Coefficient of variation of the work.
     pub work_cv: f64,
-    /// The round trip to each node in another zone.
+    /// Round-trip time to each node in another zone, by the node's name.
     pub far_us: BTreeMap<String, u64>,
-    /// The longest wait in its queue.
+    /// Longest wait in the queue; an attempt that would wait longer is rejected.
     pub queue_us: u64,
-    /// The share of its capacity that it starts with after a restart.
+    /// Share of the capacity that is available directly after a restart (slow start).
     pub cold_share: f64,
-    /// How long it takes to warm up.
+    /// Length of the warm-up after a restart.
     pub warm_us: u64,
-    /// While it warms up, it becomes overloaded by more than this multiple of its capacity ...
+    /// Multiple of its capacity above which a server that warms up becomes overloaded, over a window of
+    /// `fall_us`.
     pub fall_multiple: f64,
-    /// ... over a window of this length.
+    /// Length of the window over which `fall_multiple` is measured.
     pub fall_us: u64,
-    /// Keys that it can hold.
+    /// Number of copies that the server can hold.
     pub objects: usize,
-    /// Connections that it accepts, for all nodes together.
+    /// Maximum number of open connections, from all nodes together.
     pub connections: usize,
-    /// It closes a connection that stands idle for this long.
+    /// Time after which an idle connection is closed.
     pub idle_us: u64,
-    /// It drops repeats of an idempotency key for this long.
+    /// Time for which repeats of an idempotency key are dropped.
     pub dedup_us: u64,
-    /// Length of its values, in bytes.
+    /// Length of the values, in bytes.
     pub value_len: usize,
 }
 
 impl CacheSpec {
-    /// Work that it does in a second when warm, in microseconds.
+    /// Returns the work that a warmed-up server does per second, in microseconds.
     pub(super) fn capacity(&self) -> f64 {
         self.cores as f64 * 1e6
     }
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -1,5 +1,5 @@
-//! Clients: a load that is drawn ahead from a seed, and sent on persistent connections with deadlines and retries, as
-//! the deployment's clients do.
+//! Clients: a load that is drawn in advance from a seed, and sent over persistent connections with deadlines
+//! and retries, as the deployment's clients do.
 
 mod connection;
 mod load;
@@ -25,59 +25,59 @@
 pub use self::load::{Crowd, Load, LoadClass, Tenant};
 pub use self::plan::{Planned, key, plan};
 
-/// How long past its deadline an answer is still waited for, to tell a late one from none, in microseconds.
-const LATE_US: u64 = 300_000;
-/// For this long new connections still go to a node that terminates, in microseconds.
-const NOTICE_US: u64 = 300_000;
-/// After a failed connect no connections are made to a node for this long, in microseconds.
+/// Time past the deadline for which a client waits, to distinguish a late answer from none, in microseconds.
+const LATE_ANSWER_GRACE_US: u64 = 300_000;
+/// Time for which new connections still go to a terminating node, in microseconds.
+const TERMINATION_NOTICE_US: u64 = 300_000;
+/// Time after a failed connect for which no connections are made to the node, in microseconds.
 const CONNECT_BACKOFF_US: u64 = 500_000;
-/// The time limit for connecting to a node.
+/// Time limit for connecting to a node.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// An idle connection is not used again after this, in microseconds.
-const IDLE_US: u64 = 10_000_000;
-/// A request isn't sent with less than this left, in milliseconds.
+/// Idle time after which a connection is not reused, in microseconds.
+const MAX_IDLE_US: u64 = 10_000_000;
+/// Remaining time to the deadline below which a request is not sent, in milliseconds.
 const MIN_DEADLINE_MS: u64 = 5;
-/// The pause before another node is tried.
+/// Pause before another node is tried when one is unreachable.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(20);
-/// How long stray bytes are waited for at the end.
-const STRAY_WAIT: Duration = Duration::from_millis(20);
+/// Time for which the clients wait for unsolicited bytes at the end of a load.
+const UNSOLICITED_WAIT: Duration = Duration::from_millis(20);
 
-/// A node, as clients see it.
+/// A node as the clients reach it, with its idle connections.
 struct Target {
     name: String,
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
-    /// No connections are made to it before this moment.
+    /// Time before which no connections are made to the node, in microseconds.
     avoided_until: AtomicU64,
-    /// Since when it terminates; `u64::MAX` for a node that doesn't.
+    /// Time at which the node began to terminate, in microseconds; `u64::MAX` if it does not.
     terminating_since: AtomicU64,
 }
 
-/// The clients of a cluster.
+/// The clients of a cluster of nodes.
 pub struct Clients {
     targets: Vec<Target>,
     load: Load,
     seed: u64,
     clock: MonotonicClock,
     recorder: Recorder,
-    asked: AtomicU64,
+    requests_sent: AtomicU64,
 }
 
-/// How one attempt ended for its client.
+/// Outcome of one attempt for its client.
 enum AttemptOutcome {
     Answered(Answer),
-    /// No connection came up: nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreachable,
-    /// The node ended the connection without an answer.
+    /// The connection ended without an answer.
     Lost,
-    /// The client gave up early.
+    /// The client gave up before the deadline.
     Abandoned,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
 }
 
 impl Clients {
-    /// Clients of these nodes.
+    /// Returns clients of these nodes; no connection is made yet.
     pub fn new(
         nodes: &[(String, SocketAddr)],
         load: Load,
@@ -98,11 +98,11 @@
             seed,
             clock: clock.clone(),
             recorder,
-            asked: AtomicU64::new(0),
+            requests_sent: AtomicU64::new(0),
         })
     }
 
-    /// The load balancer in front learns that a node terminates, or is back.
+    /// Notifies the load balancer in front of the nodes that a node terminates, or is available again.
     pub fn set_terminating(&self, node: usize, terminating: bool) {
         let target = &self.targets[node];
         let since = if terminating { MonotonicClock::now() } else { u64::MAX };
@@ -112,12 +112,14 @@
         }
     }
 
-    /// Requests sent so far.
+    /// Returns the number of attempts sent so far. A message that is sent again on a new connection counts
+    /// once.
     pub fn asked(&self) -> u64 {
-        self.asked.load(Ordering::Relaxed)
+        self.requests_sent.load(Ordering::Relaxed)
     }
 
-    /// Sends what was planned, each at its time from `start` on, and waits until all is answered or given up.
+    /// Sends the planned requests, each at its time after `start` (in microseconds of the monotonic clock),
+    /// and waits until all are answered or given up.
     pub async fn play(self: &Arc<Self>, planned: Vec<Planned>, start: u64) {
         let mut tasks = JoinSet::new();
         for (number, planned) in planned.into_iter().enumerate() {
@@ -133,7 +135,8 @@
         self.check_idle_connections().await;
     }
 
-    /// Sends as fast as answers arrive, on a number of connections, until a moment.
+    /// Sends the planned requests in a loop on `connections` connections until the time `until`, each
+    /// connection's next one when the previous one has ended.
     pub async fn hammer(self: &Arc<Self>, planned: &[Planned], connections: usize, until: u64) {
         let next = Arc::new(AtomicU64::new(0));
         let mut tasks = JoinSet::new();
@@ -158,15 +161,15 @@
         let mut node = planned.node;
         loop {
             let id = format!("{:x}-{number:x}-{retries}", self.seed);
-            let left_ms = deadline.saturating_sub(MonotonicClock::now()) / 1_000;
-            if left_ms < MIN_DEADLINE_MS {
+            let remaining_ms = deadline.saturating_sub(MonotonicClock::now()) / 1_000;
+            if remaining_ms < MIN_DEADLINE_MS {
                 return;
             }
             let tenant = self.load.tenants.get(planned.tenant);
-            let message = Message::new(&id, planned, class, tenant, left_ms, retries > 0);
+            let message = Message::new(&id, planned, class, tenant, remaining_ms, retries > 0);
             let outcome = self.attempt(message, node).await;
             if matches!(outcome, AttemptOutcome::Unreachable) {
-                // The load balancer in front gives the connection to another node.
+                // The load balancer in front of the nodes passes the connection to another node.
                 node = (node + 1) % self.targets.len();
                 tokio::time::sleep(UNREACHABLE_PAUSE).await;
                 continue;
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The wait before a retry; `None` where the outcome is final.
+    /// Returns the wait before a retry; `None` if the outcome is final.
     fn retry_delay_ms(&self, outcome: &AttemptOutcome, planned: &Planned, class: &LoadClass) -> Option<u64> {
         let retryable = match outcome {
             AttemptOutcome::Answered(answer) => match answer.outcome {
@@ -197,14 +200,14 @@
         retryable.then_some(self.load.backoff_ms)
     }
 
-    /// The node for a new connection: the one that was drawn, or the next that is not known to be away.
+    /// Returns the node for a new connection: the planned one, or the next one not known to be unreachable.
     fn reachable_node(&self, node: usize) -> usize {
         let now = MonotonicClock::now();
         let reachable = |node: &usize| {
             let target = &self.targets[*node];
             let terminating_since = target.terminating_since.load(Ordering::Relaxed);
             target.avoided_until.load(Ordering::Relaxed) <= now
-                && now.saturating_sub(terminating_since) < NOTICE_US
+                && now.saturating_sub(terminating_since) < TERMINATION_NOTICE_US
         };
         let mut order = (0..self.targets.len()).map(|offset| (node + offset) % self.targets.len());
         order.find(reachable).unwrap_or(node)
@@ -214,7 +217,7 @@
         let target = &self.targets[node];
         let connect = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(target.address)).await;
         let Ok(Ok(stream)) = connect else {
-            tracing::debug!(node = target.name, "no connection came up");
+            tracing::debug!(node = target.name, "connection to node failed");
             let until = MonotonicClock::now() + CONNECT_BACKOFF_US;
             target.avoided_until.store(until, Ordering::Relaxed);
             return None;
@@ -223,7 +226,8 @@
         Some(Connection::new(stream))
     }
 
-    /// An idle connection that the node has not ended, as far as can be seen.
+    /// Returns an idle connection that is still open as far as the client can see. Closed and expired ones
+    /// are dropped, as are those with unsolicited bytes.
     fn idle_connection(&self, node: usize) -> Option<Connection> {
         let target = &self.targets[node];
         loop {
@@ -231,33 +235,34 @@
             match connection.stream.try_read_buf(&mut connection.input) {
                 Err(error)
                     if error.kind() == std::io::ErrorKind::WouldBlock
-                        && MonotonicClock::now() < connection.idle_since + IDLE_US =>
+                        && MonotonicClock::now() < connection.idle_since + MAX_IDLE_US =>
                 {
                     return Some(connection);
                 }
-                Ok(count) if count > 0 => self.record_stray(target, &connection),
+                Ok(count) if count > 0 => self.record_unsolicited(target, &connection),
                 _ => {}
             }
         }
     }
 
     async fn check_idle_connections(&self) {
-        tokio::time::sleep(STRAY_WAIT).await;
+        tokio::time::sleep(UNSOLICITED_WAIT).await;
         for node in 0..self.targets.len() {
             while self.idle_connection(node).is_some() {}
         }
     }
 
-    /// Sends a message to a node; once more on a new connection where an idle one was closed under it.
+    /// Sends a message to a node, and sends it again on a new connection if a reused one was closed before
+    /// the answer.
     async fn attempt(&self, mut message: Message<'_>, node: usize) -> AttemptOutcome {
         loop {
-            let mut at = if message.resent { self.reachable_node(node) } else { node };
-            let connection = match self.idle_connection(at) {
+            let mut target_index = if message.resent { self.reachable_node(node) } else { node };
+            let connection = match self.idle_connection(target_index) {
                 Some(connection) if !message.resent => connection,
-                // Another idle connection may be closed as well.
+                // Other idle connections may be closed as well: a resent message needs a new one.
                 _ => {
-                    at = self.reachable_node(node);
-                    match self.connect(at).await {
+                    target_index = self.reachable_node(node);
+                    match self.connect(target_index).await {
                         Some(connection) => connection,
                         None if message.resent => return AttemptOutcome::Lost,
                         None => return AttemptOutcome::Unreachable,
@@ -265,7 +270,7 @@
                 }
             };
             let reused = connection.is_reused();
-            match self.exchange(connection, &self.targets[at], &mut message).await {
+            match self.exchange(connection, &self.targets[target_index], &mut message).await {
                 AttemptOutcome::Lost if reused && !message.resent => message.resent = true,
                 outcome => return outcome,
             }
@@ -278,37 +283,37 @@
         target: &Target,
         message: &mut Message<'_>,
     ) -> AttemptOutcome {
-        let left_ms = message.left_ms();
-        let command = message.command(left_ms);
-        let begun = MonotonicClock::now();
+        let remaining_ms = message.remaining_ms();
+        let command = message.command(remaining_ms);
+        let started_us = MonotonicClock::now();
         if connection.stream.write_all(&command).await.is_err() {
-            // Its last byte was not written: it was not asked.
+            // Its last byte was not written, so the node has not received the request.
             return AttemptOutcome::Lost;
         }
-        let ended = MonotonicClock::now();
+        let sent_us = MonotonicClock::now();
         if !message.resent {
-            message.until_us = ended + left_ms * 1_000;
-            self.asked.fetch_add(1, Ordering::Relaxed);
+            message.deadline_us = sent_us + remaining_ms * 1_000;
+            self.requests_sent.fetch_add(1, Ordering::Relaxed);
         }
         let reused = connection.is_reused();
-        self.recorder.line(message.ask_line(
+        self.recorder.line(message.request_line(
             &target.name,
-            TimeInterval { earliest: begun, latest: ended },
+            TimeInterval { earliest: started_us, latest: sent_us },
             reused,
         ));
         let timeout_us = match message.planned.impatient {
-            true => left_ms * 1_000 / 2,
-            false => (message.until_us + LATE_US).saturating_sub(ended),
+            true => remaining_ms * 1_000 / 2,
+            false => (message.deadline_us + LATE_ANSWER_GRACE_US).saturating_sub(sent_us),
         };
         let read = tokio::time::timeout(Duration::from_micros(timeout_us), connection.read_value()).await;
         let arrival = self.clock.arrival();
-        let t = TimeInterval { earliest: arrival.earliest.max(begun), latest: arrival.latest };
-        let line = message.line(&target.name, t);
+        let interval = TimeInterval { earliest: arrival.earliest.max(started_us), latest: arrival.latest };
+        let line = message.history_line(&target.name, interval);
         match read {
             Ok(Some(value)) => {
                 let answer = Answer::from(value);
-                self.recorder.line(answer.line(line));
-                self.put_back(connection, target, message.id);
+                self.recorder.line(answer.history_line(line));
+                self.return_to_pool(connection, target, message.id);
                 AttemptOutcome::Answered(answer)
             }
             Ok(None) => {
@@ -327,23 +332,24 @@
         }
     }
 
-    /// Keeps a connection for later requests, unless more than the answer came on it.
-    fn put_back(&self, mut connection: Connection, target: &Target, request: &str) {
+    /// Keeps a connection for later requests, unless it has received bytes beyond the answer.
+    fn return_to_pool(&self, mut connection: Connection, target: &Target, request: &str) {
         request.clone_into(&mut connection.last_request);
         connection.idle_since = MonotonicClock::now();
         if connection.input.is_empty() {
             lock(&target.idle).push(connection);
         } else {
-            self.record_stray(target, &connection);
+            self.record_unsolicited(target, &connection);
         }
     }
 
-    fn record_stray(&self, target: &Target, connection: &Connection) {
-        let (t, who, event) = (self.clock.arrival(), "client".to_owned(), Event::UnsolicitedResponse);
+    fn record_unsolicited(&self, target: &Target, connection: &Connection) {
+        let (interval, recorder, event) =
+            (self.clock.arrival(), "client".to_owned(), Event::UnsolicitedResponse);
         let (node, request) = (target.name.clone(), connection.last_request.clone());
         self.recorder.line(HistoryRecord {
-            time: t,
-            recorder: who,
+            time: interval,
+            recorder,
             event,
             node,
             request,
--- a/crates/stonevane-emulators/src/client/connection.rs
+++ b/crates/stonevane-emulators/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of a client, and what an answer on it means.
+//! A connection of a client, and the interpretation of the answers on it.
 
 use bytes::{Bytes, BytesMut};
 use stonevane_audit::{Event, HistoryRecord, Outcome};
@@ -6,20 +6,20 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Space for each read, in bytes.
+/// Space reserved for each read, in bytes.
 const READ_SIZE: usize = 4096;
-/// The longest value of an answer, in bytes.
-const MAX_VALUE: usize = 16 * 1024 * 1024;
-/// What is recorded of a value at the most, in bytes.
-const MAX_RECORDED: usize = 200;
-/// Begins an answer that rejects a request; its Retry-After may follow.
+/// Longest value of an answer, in bytes.
+const MAX_VALUE_BYTES: usize = 16 * 1024 * 1024;
+/// Maximum length of a value in the history, in bytes.
+const MAX_RECORDED_BYTES: usize = 200;
+/// Prefix of an answer that rejects a request; a Retry-After in milliseconds may follow.
 const BUSY: &[u8] = b"BUSY";
 
 /// A connection to a node.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
     pub(super) input: BytesMut,
-    /// The last request that it answered, empty for none.
+    /// Id of the last request answered on the connection; empty for a new connection.
     pub(super) last_request: String,
     pub(super) idle_since: u64,
 }
@@ -29,15 +29,15 @@
         Connection { stream, input: BytesMut::new(), last_request: String::new(), idle_since: 0 }
     }
 
-    /// Whether it has answered a request before.
+    /// Whether a request has been answered on the connection before.
     pub(super) fn is_reused(&self) -> bool {
         !self.last_request.is_empty()
     }
 
-    /// Reads one answer; `None` at the connection's end.
+    /// Reads one answer; `None` at the end of the connection.
     pub(super) async fn read_value(&mut self) -> Option<Value> {
         loop {
-            match resp::take_value(&mut self.input, MAX_VALUE) {
+            match resp::take_value(&mut self.input, MAX_VALUE_BYTES) {
                 Ok(Some(value)) => return Some(value),
                 Ok(None) => {}
                 Err(_) => return Some(Value::Error(Bytes::from_static(b"malformed"))),
@@ -50,18 +50,18 @@
     }
 }
 
-/// What an answer means to a client.
+/// An answer as the client interprets it.
 pub(super) struct Answer {
     pub(super) outcome: Outcome,
     /// The unique part of the value.
     value: String,
-    /// The wait that a rejection asks for, in milliseconds; 0 for none.
+    /// Wait that a rejection requests, in milliseconds; 0 if it requests none.
     pub(super) retry_after_ms: u64,
 }
 
 impl Answer {
-    /// The history line of this answer.
-    pub(super) fn line(&self, line: HistoryRecord) -> HistoryRecord {
+    /// Completes a history line with this answer.
+    pub(super) fn history_line(&self, line: HistoryRecord) -> HistoryRecord {
         HistoryRecord {
             event: Event::Answer,
             outcome: Some(self.outcome),
@@ -101,8 +101,8 @@
     }
 }
 
-/// What is unique of a value stands first, up to a space.
+/// Returns the unique part of a value: the text before the first space, up to [`MAX_RECORDED_BYTES`].
 fn unique_part(value: &[u8]) -> String {
-    let end = value.iter().position(|byte| *byte == b' ').unwrap_or(value.len()).min(MAX_RECORDED);
+    let end = value.iter().position(|byte| *byte == b' ').unwrap_or(value.len()).min(MAX_RECORDED_BYTES);
     String::from_utf8_lossy(&value[..end]).into_owned()
 }
--- a/crates/stonevane-emulators/src/client/load.rs
+++ b/crates/stonevane-emulators/src/client/load.rs
@@ -1,37 +1,37 @@
-//! The load that clients offer.
+//! The load that clients offer: rate, classes, tenants, and the behavior of the clients.
 
-/// A class of requests.
+/// A class of requests in a load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadClass {
-    /// Its name.
+    /// Name of the class, as requests carry it.
     pub name: String,
-    /// Its share of the requests.
+    /// Share of the requests, relative to the other classes.
     pub share: f64,
-    /// How long the client waits for a request and its retries, in milliseconds.
+    /// Time for which the client waits for a request including its retries, in milliseconds.
     pub deadline_ms: u64,
-    /// Whether it writes.
+    /// Whether the requests are writes.
     pub write: bool,
-    /// Whether it carries an idempotency key.
+    /// Whether the requests carry an idempotency key.
     pub idempotent: bool,
-    /// Whether its clients may retry it after a failure.
+    /// Whether clients retry a request after a failure or a lost connection; a rejection is always retried.
     pub retries_failures: bool,
-    /// Length of what it writes, in bytes.
+    /// Length of the written values, in bytes.
     pub value_len: usize,
 }
 
-/// A time of increased load.
+/// A period of increased load.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Crowd {
-    /// When it begins, in milliseconds.
+    /// Start of the period, in milliseconds from the start of the load.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Length of the period, in milliseconds.
     pub for_ms: u64,
-    /// The multiple of the rate.
+    /// Multiple of the base rate during the period.
     pub times: f64,
 }
 
 impl Crowd {
-    /// Whether it is there at a moment, in microseconds.
+    /// Whether the period contains a time, in microseconds from the start of the load.
     pub(super) fn contains(&self, at_us: f64) -> bool {
         (self.at_ms as f64..(self.at_ms + self.for_ms) as f64).contains(&(at_us / 1e3))
     }
@@ -40,38 +40,38 @@
 /// A tenant of the load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant, as requests carry it.
     pub name: String,
-    /// Its share of the requests.
+    /// Share of the requests, relative to the other tenants.
     pub share: f64,
 }
 
-/// A load.
+/// A load that clients offer to the nodes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
-    /// Requests per second, arriving at random.
+    /// Mean rate of a Poisson process of requests, per second.
     pub per_s: f64,
-    /// Its length, in milliseconds.
+    /// Length of the load, in milliseconds.
     pub for_ms: u64,
-    /// Times of increased load.
+    /// Periods of increased load.
     pub crowds: Vec<Crowd>,
-    /// The number of keys. The popularity of the n-th is 1 / (n + offset) ^ zipf.
+    /// Number of keys. The weight of the n-th key is 1 / (n + offset) ^ zipf.
     pub keys: usize,
-    /// The exponent of the keys' popularity.
+    /// Exponent of the key popularity.
     pub zipf: f64,
-    /// The offset of the keys' popularity: the greater, the flatter is its head.
+    /// Offset of the key popularity; a greater offset makes the most popular keys more alike.
     pub offset: f64,
-    /// Its classes.
+    /// Classes among which the requests are distributed.
     pub classes: Vec<LoadClass>,
-    /// Its tenants.
+    /// Tenants among which the requests are distributed; empty for requests without a tenant.
     pub tenants: Vec<Tenant>,
-    /// Retries of a request, at most.
+    /// Maximum number of retries of a request.
     pub retries: u32,
-    /// The share of clients that wait for as long as an answer's Retry-After says.
+    /// Share of clients that obey the Retry-After of a rejection, from 0 to 1.
     pub obeys_retry_after: f64,
-    /// The wait of the others before a retry, in milliseconds.
+    /// Wait before a retry without an obeyed Retry-After, in milliseconds.
     pub backoff_ms: u64,
-    /// The share of clients that give up halfway.
+    /// Share of clients that give up halfway to the deadline, from 0 to 1.
     pub impatient: f64,
 }
 
--- a/crates/stonevane-emulators/src/client/message.rs
+++ b/crates/stonevane-emulators/src/client/message.rs
@@ -1,4 +1,4 @@
-//! The message of one attempt.
+//! The message of one attempt, and its history lines.
 
 use bytes::Bytes;
 use stonevane_audit::{Event, HistoryRecord, TimeInterval};
@@ -8,23 +8,24 @@
 use super::{LoadClass, Planned, Tenant};
 use crate::record::MonotonicClock;
 
-/// The message of one attempt, which may be sent twice.
+/// The message of one attempt. It may be sent twice: again on a new connection if a reused one was closed.
 pub(super) struct Message<'a> {
     pub(super) id: &'a str,
     pub(super) planned: &'a Planned,
     class: &'a LoadClass,
     tenant: &'a str,
     key: String,
-    /// The idempotency key, empty for none.
+    /// The idempotency key; empty if there is none.
     token: String,
-    /// What a write writes: unique, so that two that are mixed up are seen.
+    /// Value of a write; unique, so that the audit detects mixed-up writes.
     value: Vec<u8>,
-    deadline_ms: u64,
-    /// Whether it is an attempt after the first.
+    /// Remaining time to the deadline when the message is created, in milliseconds.
+    timeout_ms: u64,
+    /// Whether this is an attempt after the first.
     retry: bool,
-    /// Until when the client waits, in microseconds; 0 before it is sent.
-    pub(super) until_us: u64,
-    /// Whether it is sent once more on a new connection.
+    /// Deadline of the client, in microseconds of the monotonic clock; 0 before the message is sent.
+    pub(super) deadline_us: u64,
+    /// Whether the message is sent for the second time, on a new connection.
     pub(super) resent: bool,
 }
 
@@ -34,7 +35,7 @@
         planned: &'a Planned,
         class: &'a LoadClass,
         tenant: Option<&'a Tenant>,
-        deadline_ms: u64,
+        timeout_ms: u64,
         retry: bool,
     ) -> Message<'a> {
         Message {
@@ -45,24 +46,24 @@
             key: format!("{:016x}", planned.key),
             token: if class.idempotent { format!("{:016x}", planned.token) } else { String::new() },
             value: padded(id, class.value_len).into_bytes(),
-            deadline_ms,
+            timeout_ms,
             retry,
-            until_us: 0,
+            deadline_us: 0,
             resent: false,
         }
     }
 
-    /// What is left of its deadline, in milliseconds.
-    pub(super) fn left_ms(&self) -> u64 {
+    /// Returns the remaining time to the deadline, in milliseconds.
+    pub(super) fn remaining_ms(&self) -> u64 {
         match self.resent {
-            true => self.until_us.saturating_sub(MonotonicClock::now()) / 1_000,
-            false => self.deadline_ms,
+            true => self.deadline_us.saturating_sub(MonotonicClock::now()) / 1_000,
+            false => self.timeout_ms,
         }
     }
 
-    /// The bytes on the wire.
-    pub(super) fn command(&self, left_ms: u64) -> Bytes {
-        let facts = self.facts(left_ms);
+    /// Returns the command on the wire.
+    pub(super) fn command(&self, remaining_ms: u64) -> Bytes {
+        let facts = self.facts(remaining_ms);
         let (key, id, facts) = (self.key.as_bytes(), self.id.as_bytes(), facts.as_bytes());
         match self.class.write {
             true => resp::command(&[b"OBJ.SET", key, id, facts, &self.value]),
@@ -70,8 +71,8 @@
         }
     }
 
-    fn facts(&self, left_ms: u64) -> String {
-        let mut facts = vec![format!("c={}", self.class.name), format!("d={left_ms}")];
+    fn facts(&self, remaining_ms: u64) -> String {
+        let mut facts = vec![format!("c={}", self.class.name), format!("d={remaining_ms}")];
         if !self.tenant.is_empty() {
             facts.push(format!("t={}", self.tenant));
         }
@@ -84,10 +85,10 @@
         facts.join(",")
     }
 
-    /// A history line of this request at a node.
-    pub(super) fn line(&self, node: &str, t: TimeInterval) -> HistoryRecord {
+    /// Returns the common fields of this request's history lines at a node.
+    pub(super) fn history_line(&self, node: &str, interval: TimeInterval) -> HistoryRecord {
         HistoryRecord {
-            time: t,
+            time: interval,
             recorder: "client".into(),
             request: self.id.into(),
             node: node.into(),
@@ -95,8 +96,8 @@
         }
     }
 
-    /// The history line of its sending.
-    pub(super) fn ask_line(&self, node: &str, t: TimeInterval, reused: bool) -> HistoryRecord {
+    /// Returns the history line that records the sending of the message.
+    pub(super) fn request_line(&self, node: &str, interval: TimeInterval, reused: bool) -> HistoryRecord {
         HistoryRecord {
             event: Event::Request,
             class: self.class.name.clone(),
@@ -104,11 +105,11 @@
             key: self.key.clone(),
             idempotency_key: self.token.clone(),
             digest: if self.class.write { digest(&self.value) } else { String::new() },
-            deadline: self.until_us,
+            deadline: self.deadline_us,
             resent: self.resent,
             reused_connection: reused,
             retry: self.retry,
-            ..self.line(node, t)
+            ..self.history_line(node, interval)
         }
     }
 }
--- a/crates/stonevane-emulators/src/client/plan.rs
+++ b/crates/stonevane-emulators/src/client/plan.rs
@@ -1,42 +1,42 @@
-//! A load drawn ahead: the requests are the same for the same seed, whatever becomes of them.
+//! Requests of a load, drawn in advance from a seed: they don't depend on the outcome of earlier requests.
 
 use oorandom::Rand64;
 
 use super::Load;
 
-/// Mixed into the seed, so that other draws from it are different ones.
+/// Combined with the seed, so that the draws differ from other draws with the same seed.
 const SEED_MASK: u128 = 0x10ad;
 
-/// One request that will be sent.
+/// A request that will be sent.
 ///
-/// The digest of a load is taken of its debug form: names of fields stay.
+/// The digest of a load covers the debug form of this struct, so the names of its fields must not change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Planned {
-    /// Microseconds from the start.
+    /// Time of sending, in microseconds from the start of the load.
     pub at_us: u64,
-    /// The index of its class.
+    /// Index of the request's class in the load.
     pub class: usize,
-    /// The index of its tenant.
+    /// Index of the request's tenant in the load.
     pub tenant: usize,
-    /// Its key, as it stands on the wire.
+    /// Requested key, sent as 16 hexadecimal digits.
     pub key: u64,
-    /// The node that it is sent to.
+    /// Index of the node to which the request is sent.
     pub node: usize,
-    /// Its idempotency key.
+    /// Idempotency key, sent if the class is idempotent.
     pub token: u64,
-    /// Whether its client gives up halfway.
+    /// Whether the client gives up halfway to the deadline.
     pub impatient: bool,
-    /// Whether its client obeys Retry-After.
+    /// Whether the client obeys Retry-After.
     pub honours: bool,
 }
 
-/// The key of a rank of popularity: the same for all loads.
+/// Returns the key with a popularity rank (0 is the most popular), the same for all loads.
 pub fn key(rank: usize) -> u64 {
-    // An odd factor: no two ranks meet.
+    // Multiplication by an odd factor maps different ranks to different keys.
     (rank as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15)
 }
 
-/// Draws a load. The same seed gives the same requests.
+/// Draws the requests of a load for a number of nodes. The same seed gives the same requests.
 pub fn plan(load: &Load, nodes: usize, seed: u64) -> Vec<Planned> {
     let mut planned = Vec::new();
     if load.per_s <= 0.0 {
@@ -50,7 +50,7 @@
     while let Some(at_us) = arrivals.next(&mut rng) {
         planned.push(Planned {
             at_us,
-            // The key is drawn first.
+            // The key is drawn before the other fields; the order of draws decides the load of a seed.
             key: key(popularity.rank(rng.rand_float())),
             class: pick(&class_shares, rng.rand_float()),
             tenant: pick(&tenant_shares, rng.rand_float()),
@@ -63,67 +63,67 @@
     planned
 }
 
-/// The times of requests: a Poisson process, drawn at the highest rate and thinned to that of each moment.
+/// Arrival times of requests: a Poisson process, drawn at the highest rate and thinned to the current rate.
 struct Arrivals<'a> {
     load: &'a Load,
     at_us: f64,
 }
 
 impl Arrivals<'_> {
-    /// The next time, in microseconds; `None` at the end of the load.
+    /// Returns the next arrival time, in microseconds; `None` at the end of the load.
     fn next(&mut self, rng: &mut Rand64) -> Option<u64> {
         let load = self.load;
-        let highest = load.crowds.iter().map(|crowd| crowd.times).fold(1.0, f64::max);
+        let highest_multiple = load.crowds.iter().map(|crowd| crowd.times).fold(1.0, f64::max);
         loop {
-            self.at_us += -(1.0 - rng.rand_float()).ln() / (load.per_s * highest) * 1e6;
+            self.at_us += -(1.0 - rng.rand_float()).ln() / (load.per_s * highest_multiple) * 1e6;
             if self.at_us >= load.for_ms as f64 * 1e3 {
                 return None;
             }
-            if highest > 1.0 && rng.rand_float() * highest >= self.times() {
+            if highest_multiple > 1.0 && rng.rand_float() * highest_multiple >= self.rate_multiple() {
                 continue;
             }
             return Some(self.at_us as u64);
         }
     }
 
-    /// The multiple of the rate at this moment.
-    fn times(&self) -> f64 {
+    /// Returns the multiple of the base rate at the current time.
+    fn rate_multiple(&self) -> f64 {
         let crowd = self.load.crowds.iter().find(|crowd| crowd.contains(self.at_us));
         crowd.map_or(1.0, |crowd| crowd.times)
     }
 }
 
-/// The popularity of keys, by rank.
+/// Popularity distribution of the keys, by rank.
 struct Popularity {
-    /// The sum of the weights up to each rank.
-    sums: Vec<f64>,
+    /// Sum of the weights up to and including each rank.
+    cumulative_weights: Vec<f64>,
     total: f64,
 }
 
 impl Popularity {
     fn new(load: &Load) -> Popularity {
-        let mut sums = Vec::with_capacity(load.keys);
+        let mut cumulative_weights = Vec::with_capacity(load.keys);
         let mut total = 0.0;
         for rank in 0..load.keys.max(1) {
             total += (rank as f64 + 1.0 + load.offset).powf(-load.zipf);
-            sums.push(total);
+            cumulative_weights.push(total);
         }
-        Popularity { sums, total }
+        Popularity { cumulative_weights, total }
     }
 
-    /// The rank of a uniform draw.
+    /// Returns the rank for a uniform draw in [0, 1).
     fn rank(&self, uniform: f64) -> usize {
         let drawn = uniform * self.total;
-        self.sums.partition_point(|sum| *sum < drawn).min(self.sums.len() - 1)
+        self.cumulative_weights.partition_point(|sum| *sum < drawn).min(self.cumulative_weights.len() - 1)
     }
 }
 
-/// The index of a uniform draw among shares, which need not add up to one.
+/// Returns the index for a uniform draw in [0, 1) among shares, which need not add up to 1.
 fn pick(shares: &[f64], uniform: f64) -> usize {
-    let mut left = uniform * shares.iter().sum::<f64>();
+    let mut remaining = uniform * shares.iter().sum::<f64>();
     let found = shares.iter().position(|share| {
-        left -= share;
-        left < 0.0
+        remaining -= share;
+        remaining < 0.0
     });
     found.unwrap_or(shares.len().saturating_sub(1))
 }
--- a/crates/stonevane-emulators/src/client/plan/tests.rs
+++ b/crates/stonevane-emulators/src/client/plan/tests.rs
@@ -17,25 +17,25 @@
 }
 
 #[test]
-fn the_same_seed_draws_the_same_load_and_another_seed_another() {
+fn the_same_seed_draws_the_same_load_and_another_seed_a_different_one() {
     assert_eq!(plan(&load(), 4, 7), plan(&load(), 4, 7));
     assert_ne!(plan(&load(), 4, 7), plan(&load(), 4, 8));
 }
 
 #[test]
-fn a_load_has_its_rate_its_shares_and_a_popular_head() {
+fn a_load_matches_its_rate_shares_popularity_and_crowds() {
     let planned = plan(&load(), 4, 7);
-    let part = |of: &dyn Fn(&Planned) -> bool| {
-        planned.iter().filter(|p| of(p)).count() as f64 / planned.len() as f64
+    let share_of = |matches: &dyn Fn(&Planned) -> bool| {
+        planned.iter().filter(|p| matches(p)).count() as f64 / planned.len() as f64
     };
     assert!((5_500..6_500).contains(&planned.len()), "{} of about 6000", planned.len());
-    assert!((0.07..0.13).contains(&part(&|p| p.class == 1)));
-    assert!((0.70..0.80).contains(&part(&|p| p.tenant == 0)));
-    let (first, last) = (part(&|p| p.key == key(0)), part(&|p| p.key == key(499)));
+    assert!((0.07..0.13).contains(&share_of(&|p| p.class == 1)));
+    assert!((0.70..0.80).contains(&share_of(&|p| p.tenant == 0)));
+    let (first, last) = (share_of(&|p| p.key == key(0)), share_of(&|p| p.key == key(499)));
     assert!(first > 5.0 * last, "{first} against {last}");
     assert!(planned.windows(2).all(|p| p[0].at_us <= p[1].at_us));
     assert!(plan(&Load { per_s: 0.0, ..load() }, 4, 7).is_empty());
-    // A crowd of twice the rate for a third of the time.
+    // Twice the rate during one third of the load.
     let crowd = Crowd { at_ms: 1_000, for_ms: 1_000, times: 2.0 };
     let crowded = plan(&Load { crowds: vec![crowd], ..load() }, 4, 7);
     let within = crowded.iter().filter(|p| (1_000_000..2_000_000).contains(&p.at_us)).count();
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -1,5 +1,6 @@
-//! Discovery: one service that learns late which servers run, handles calls one after another, loses watches, and
-//! misleads within what the protocol allows (old lists, repeated changes, steps of the clock in its reports).
+//! Discovery: a single service that applies server changes after a delay, handles calls one after another,
+//! drops watches, and reports misleading data as far as the protocol allows (old lists, repeated changes,
+//! clock steps).
 
 mod connection;
 mod list;
@@ -21,30 +22,30 @@
 
 pub use self::list::Entry;
 
-/// What is wrong with discovery.
+/// A fault of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum DiscoveryFault {
-    /// Nothing.
+    /// Discovery works as specified.
     #[default]
     None,
-    /// It is down: watches end, calls are refused, and it learns of nothing.
+    /// Discovery is down: watches end, connections are refused, and changes wait until it is up again.
     Down,
     /// Calls are answered with 503.
     Failing,
-    /// Connections stay open and silent.
+    /// Connections stay open, but calls are not answered and watches send nothing.
     Silent,
-    /// Every watch ends after a change was sent.
+    /// Every watch is closed after it has sent an update.
     Dropping,
 }
 
 /// The capacity of discovery, which handles calls one after another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoverySpec {
-    /// The work of each call ...
+    /// Work of each call.
     pub call: Duration,
-    /// ... and of each line of its first answer.
+    /// Additional work of a call for each entry in its first answer.
     pub line: Duration,
-    /// A call with more work than this ahead of it is rejected.
+    /// Maximum work queued ahead of a call; a call with more ahead of it is rejected with 503.
     pub most_ahead: Duration,
 }
 
@@ -54,29 +55,29 @@
     }
 }
 
-/// Discovery.
+/// An emulated discovery service.
 pub struct Discovery {
     endpoints: Mutex<Endpoints>,
-    /// The index of the endpoint list, for watches.
+    /// Index of the endpoint list, which wakes the watches when it changes.
     index: watch::Sender<u64>,
     fault: watch::Sender<DiscoveryFault>,
-    /// Nodes that are cut off from it, each by how many cuts.
+    /// Number of active cuts for each node; a node with any is cut off from discovery.
     cuts: watch::Sender<BTreeMap<String, usize>>,
     addresses: Mutex<BTreeMap<String, SocketAddr>>,
     turns: Mutex<Turns>,
     spec: DiscoverySpec,
-    /// Changes announced so far.
+    /// Number of changes announced so far, from which each change takes its order.
     changes: AtomicU64,
-    /// The step of the clock in its reports, in milliseconds.
+    /// Offset of the clock in the reports, in milliseconds.
     skew_ms: Mutex<i64>,
     recorder: Recorder,
 }
 
 impl Discovery {
-    /// Starts it with a listener for each node, holding a list.
+    /// Starts discovery with a listener for each node and an initial list.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Fails if a listener can't be bound.
     pub async fn start(
         nodes: &[(String, SocketAddr)],
         recorder: Recorder,
@@ -105,31 +106,31 @@
         Ok(discovery)
     }
 
-    /// Where a node reaches it.
+    /// Returns the address at which a node reaches discovery.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
         lock(&self.addresses).get(node).copied()
     }
 
-    /// The present list for a node, as its configuration holds a list that it knows.
+    /// Returns the current list for a node, in the form of the initial list in the node's configuration.
     pub fn known(&self, node: &str) -> String {
-        lock(&self.endpoints).snapshot(node, self.skew_ms()).text
+        lock(&self.endpoints).snapshot(node, self.skew_ms()).body
     }
 
-    /// Steps the clock of its reports.
-    pub fn step_clock(&self, by_ms: i64) {
-        *lock(&self.skew_ms) = by_ms;
+    /// Sets the offset of the clock in the reports.
+    pub fn step_clock(&self, offset_ms: i64) {
+        *lock(&self.skew_ms) = offset_ms;
     }
 
     fn skew_ms(&self) -> i64 {
         *lock(&self.skew_ms)
     }
 
-    /// Changes its fault.
+    /// Injects a fault, or clears it with [`DiscoveryFault::None`].
     pub fn set_fault(&self, fault: DiscoveryFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Cuts a node off, in both directions, or lifts one cut. Connections of before stay open and silent.
+    /// Cuts a node off in both directions, or lifts one cut. Existing connections stay open and silent.
     pub fn set_cut(&self, node: &str, cut: bool) {
         self.cuts.send_modify(|cuts| {
             let count = cuts.entry(node.into()).or_default();
@@ -137,13 +138,14 @@
         });
     }
 
-    /// Waits until a node is cut off, or is no longer.
+    /// Waits until a node is cut off (`cut`), or until no cut is left.
     async fn wait_for_cut(&self, node: &str, cut: bool) {
         let is_cut = |cuts: &BTreeMap<String, usize>| cuts.get(node).is_some_and(|count| *count > 0);
         let _ = self.cuts.subscribe().wait_for(|cuts| is_cut(cuts) == cut).await;
     }
 
-    /// Announces a change, which it learns of after a delay, or when it is up again.
+    /// Announces a change, which discovery applies after a delay and, if it is down then, when it is up
+    /// again.
     pub fn change(self: &Arc<Self>, name: &str, status: &'static str, since: Option<u64>, delay: Duration) {
         let (discovery, name) = (self.clone(), name.to_owned());
         let order = 1 + self.changes.fetch_add(1, Ordering::Relaxed);
@@ -151,12 +153,12 @@
             tokio::time::sleep(delay).await;
             let mut fault = discovery.fault.subscribe();
             let _ = fault.wait_for(|fault| *fault != DiscoveryFault::Down).await;
-            discovery.learn(&name, status, since, order);
+            discovery.apply_change(&name, status, since, order);
         });
     }
 
-    /// Learns of a change, unless a newer one of the same server was learnt before.
-    fn learn(&self, name: &str, status: &str, since: Option<u64>, order: u64) {
+    /// Applies a change, unless a newer one of the same server has already been applied.
+    fn apply_change(&self, name: &str, status: &str, since: Option<u64>, order: u64) {
         let mut endpoints = lock(&self.endpoints);
         if !endpoints.begin_change(name, order) {
             return;
@@ -164,12 +166,13 @@
         let index = endpoints.index();
         if let Some(entry) = endpoints.change(name, status, since) {
             let (since, status) = (entry.since, entry.status.clone());
-            tracing::debug!(server = name, status, index, "change");
-            let (t, who, server) = (MonotonicClock::moment(), "discovery".to_owned(), name.to_owned());
+            tracing::debug!(server = name, status, index, "endpoint list changed");
+            let (moment, recorder, server) =
+                (MonotonicClock::moment(), "discovery".to_owned(), name.to_owned());
             let event = Event::Change;
             self.recorder.line(HistoryRecord {
-                time: t,
-                recorder: who,
+                time: moment,
+                recorder,
                 event,
                 server,
                 status,
@@ -218,7 +221,7 @@
         }
     }
 
-    /// Serves a connection; one that a cut strikes stays open and silent until the cut is lifted.
+    /// Serves a connection until it ends; after a cut it stays open and silent until the cut is lifted.
     async fn serve_until_cut(&self, mut stream: TcpStream, node: &str) {
         tokio::select! {
             biased;
@@ -230,11 +233,11 @@
 
     /// Records a call and whether it was accepted.
     fn record_call(&self, node: &str, accepted: bool) {
-        let (t, who, node) = (MonotonicClock::moment(), "discovery".into(), node.to_owned());
+        let (moment, recorder, node) = (MonotonicClock::moment(), "discovery".into(), node.to_owned());
         let state = if accepted { "taken" } else { "turned-away" }.into();
         self.recorder.line(HistoryRecord {
-            time: t,
-            recorder: who,
+            time: moment,
+            recorder,
             event: Event::Call,
             node,
             state,
@@ -242,10 +245,10 @@
         });
     }
 
-    /// Records what a node was sent.
-    fn record_update(&self, node: &str, t: TimeInterval, update: Update) {
+    /// Records an update that was sent to a node, over the time in which it was written.
+    fn record_update(&self, node: &str, interval: TimeInterval, update: Update) {
         let line = |server: String, status: String, since| HistoryRecord {
-            time: t,
+            time: interval,
             recorder: "discovery".into(),
             event: Event::Notified,
             node: node.into(),
@@ -255,7 +258,7 @@
             ..HistoryRecord::default()
         };
         if update.is_snapshot {
-            // A server that a snapshot lacks has left.
+            // A server that is missing from a snapshot has left.
             for (name, since) in lock(&self.endpoints).missing_from(&update.entries) {
                 self.recorder.line(line(name, "left".into(), since));
             }
--- a/crates/stonevane-emulators/src/discovery/connection.rs
+++ b/crates/stonevane-emulators/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! The protocol of discovery on one connection: lists and watches over HTTP.
+//! The protocol of discovery on one connection: snapshots and watches of the list over HTTP.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::record::MonotonicClock;
 use crate::server::lock;
 
-/// An idle watch is sent an empty line this often.
+/// Interval at which an empty line is sent on an idle watch.
 const KEEP_ALIVE: Duration = Duration::from_secs(2);
 
 const BAD_REQUEST: &[u8] = b"HTTP/1.1 400 Bad Request\r\n\r\n";
@@ -35,8 +35,8 @@
             if !self.wait_for_turn(node, &head.target).await {
                 return stream.write_all(UNAVAILABLE).await;
             }
-            let now = *fault.borrow_and_update();
-            match now {
+            let active_fault = *fault.borrow_and_update();
+            match active_fault {
                 DiscoveryFault::Silent => {
                     let _ = fault.changed().await;
                     return Ok(());
@@ -49,17 +49,17 @@
                 continue;
             }
             if is_watch(&head.target) {
-                return self.watch(stream, node, after(&head.target)).await;
+                return self.watch(stream, node, held_index(&head.target)).await;
             }
             self.send_snapshot(stream, node).await?;
         }
     }
 
-    /// Waits until a call's work is done, after those before it from all nodes; `false` where it is rejected.
+    /// Waits until the work of a call and of all calls before it is done; `false` if the call is rejected.
     async fn wait_for_turn(&self, node: &str, target: &str) -> bool {
-        let held_index = after(target).filter(|_| is_watch(target));
-        let lines = lock(&self.endpoints).update_lines(held_index);
-        let work_us = (self.spec.call + self.spec.line * lines).as_micros() as u64;
+        let held_index = held_index(target).filter(|_| is_watch(target));
+        let entries = lock(&self.endpoints).update_entries(held_index);
+        let work_us = (self.spec.call + self.spec.line * entries).as_micros() as u64;
         let most_ahead_us = self.spec.most_ahead.as_micros() as u64;
         let done = lock(&self.turns).take(MonotonicClock::now(), work_us, most_ahead_us);
         self.record_call(node, done.is_some());
@@ -70,15 +70,19 @@
 
     async fn send_snapshot(&self, stream: &mut TcpStream, node: &str) -> std::io::Result<()> {
         let update = lock(&self.endpoints).snapshot(node, self.skew_ms());
-        let body = &update.text;
+        let body = &update.body;
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        let begun = MonotonicClock::now();
+        let started_us = MonotonicClock::now();
         stream.write_all(text.as_bytes()).await?;
-        self.record_update(node, TimeInterval { earliest: begun, latest: MonotonicClock::now() }, update);
+        self.record_update(
+            node,
+            TimeInterval { earliest: started_us, latest: MonotonicClock::now() },
+            update,
+        );
         Ok(())
     }
 
-    /// Sends each change after an index that the node holds, or the list first where it holds none.
+    /// Sends each change after the index that the node holds; if it holds none, sends the list first.
     async fn watch(
         &self,
         stream: &mut TcpStream,
@@ -90,22 +94,22 @@
         stream.write_all(CHUNKED).await?;
         loop {
             index.borrow_and_update();
-            let now = *fault.borrow_and_update();
-            if now == DiscoveryFault::Silent {
+            let active_fault = *fault.borrow_and_update();
+            if active_fault == DiscoveryFault::Silent {
                 let _ = fault.changed().await;
                 return Ok(());
             }
             let update = lock(&self.endpoints).update(held_index, node, self.skew_ms());
             held_index = Some(update.index);
             if update.is_snapshot || !update.entries.is_empty() {
-                let begun = MonotonicClock::now();
-                stream.write_all(chunk(&format!("{}\n", update.text)).as_bytes()).await?;
+                let started_us = MonotonicClock::now();
+                stream.write_all(chunk(&format!("{}\n", update.body)).as_bytes()).await?;
                 self.record_update(
                     node,
-                    TimeInterval { earliest: begun, latest: MonotonicClock::now() },
+                    TimeInterval { earliest: started_us, latest: MonotonicClock::now() },
                     update,
                 );
-                if now == DiscoveryFault::Dropping {
+                if active_fault == DiscoveryFault::Dropping {
                     return Ok(());
                 }
             }
@@ -118,7 +122,7 @@
     }
 }
 
-/// What a connection brings next.
+/// The next input on a connection.
 enum Call {
     Request(RequestHead),
     Malformed,
@@ -145,14 +149,14 @@
     target.contains("watch=1")
 }
 
-/// The index that the caller holds.
-fn after(target: &str) -> Option<u64> {
+/// Returns the index of the list that the caller holds, from the query parameter `after`.
+fn held_index(target: &str) -> Option<u64> {
     let query = target.split_once('?')?.1;
     let pair = query.split('&').find_map(|pair| pair.strip_prefix("after="))?;
     pair.parse().ok()
 }
 
-/// A chunk of a chunked body.
+/// Encodes a chunk of a chunked body.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
--- a/crates/stonevane-emulators/src/discovery/list.rs
+++ b/crates/stonevane-emulators/src/discovery/list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and its form on the wire.
+//! The endpoint list and its JSON form on the wire.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,28 +9,28 @@
 /// A server in the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
-    /// Its name.
+    /// Name of the server, unique in the list.
     pub name: String,
-    /// Its address at each node.
+    /// Address of the server as each node reaches it, by the node's name.
     pub addresses: BTreeMap<String, SocketAddr>,
-    /// Its zone.
+    /// Zone in which the server runs.
     pub zone: String,
-    /// Its machine kind.
+    /// Machine type of the server, `type` on the wire.
     pub kind: String,
-    /// Its cell.
+    /// Number of the server's cell.
     pub group: u16,
-    /// `active`, `leaving` or `left`.
+    /// Status of the server: `active`, `leaving` or `left`.
     pub status: String,
-    /// Its weight.
+    /// Relative weight of the server in load balancing.
     pub weight: f32,
-    /// When it last started, in microseconds of the monotonic clock; 0 for long ago.
+    /// Time of the last start, in microseconds of the monotonic clock; 0 if long ago.
     pub since: u64,
-    /// The index of the list at its last change.
+    /// Index of the list at the entry's last change.
     pub index: u64,
 }
 
 impl Entry {
-    /// The entry as one node is sent it.
+    /// Returns the entry as it is sent to one node.
     fn json(&self, node: &str, skew_ms: i64) -> String {
         let address = self.addresses.get(node).map(SocketAddr::to_string).unwrap_or_default();
         serde_json::json!({
@@ -41,7 +41,7 @@
     }
 }
 
-/// A moment of the monotonic clock as Unix time of a clock that is off by `skew_ms`; 0 stays 0.
+/// Converts a time of the monotonic clock to Unix time of a clock that is off by `skew_ms`; 0 stays 0.
 fn unix_ms(moment_us: u64, skew_ms: i64) -> u64 {
     if moment_us == 0 {
         return 0;
@@ -51,22 +51,22 @@
     now_ms.saturating_sub(ago_ms).saturating_add_signed(skew_ms)
 }
 
-/// A message for a node: the list, or what has changed in it.
+/// A message for a node: the list, or the entries that have changed.
 pub(super) struct Update {
-    /// The index of the list.
+    /// Index of the list.
     pub(super) index: u64,
     pub(super) is_snapshot: bool,
-    /// The message.
-    pub(super) text: String,
-    /// The entries in it.
+    /// The message, as JSON.
+    pub(super) body: String,
+    /// The entries in the message.
     pub(super) entries: Vec<Entry>,
 }
 
-/// The list and its changes.
+/// The endpoint list, with the order of the changes applied to it.
 pub(super) struct Endpoints {
     entries: BTreeMap<String, Entry>,
     index: u64,
-    /// The order of the newest change of each server that was learnt.
+    /// Order of the newest change applied to each server.
     newest_changes: BTreeMap<String, u64>,
 }
 
@@ -80,7 +80,7 @@
         self.index
     }
 
-    /// Begins a change of a server; `false` where a newer one was learnt before.
+    /// Begins a change of a server; `false` if a newer one has already been applied.
     pub(super) fn begin_change(&mut self, name: &str, order: u64) -> bool {
         let newest = self.newest_changes.entry(name.to_owned()).or_default();
         if *newest > order {
@@ -91,7 +91,7 @@
         true
     }
 
-    /// Changes a server, where it is known.
+    /// Changes the entry of a server; `None` if the list has none.
     pub(super) fn change(&mut self, name: &str, status: &str, since: Option<u64>) -> Option<&Entry> {
         let entry = self.entries.get_mut(name)?;
         status.clone_into(&mut entry.status);
@@ -100,24 +100,24 @@
         Some(entry)
     }
 
-    /// The list for a node.
+    /// Returns the list for a node.
     pub(super) fn snapshot(&self, node: &str, skew_ms: i64) -> Update {
         self.update(None, node, skew_ms)
     }
 
-    /// What has changed after an index, or the list where there is none.
+    /// Returns the entries that have changed after an index, or the list if `after` is `None`.
     pub(super) fn update(&self, after: Option<u64>, node: &str, skew_ms: i64) -> Update {
         let is_snapshot = after.is_none();
         let index = self.index;
         let entries: Vec<_> = self.entries_after(after).cloned().collect();
         let json: Vec<_> = entries.iter().map(|entry| entry.json(node, skew_ms)).collect();
-        let text =
+        let body =
             format!(r#"{{"index":{index},"snapshot":{is_snapshot},"endpoints":[{}]}}"#, json.join(","));
-        Update { index, is_snapshot, text, entries }
+        Update { index, is_snapshot, body, entries }
     }
 
-    /// Lines of an update.
-    pub(super) fn update_lines(&self, after: Option<u64>) -> u32 {
+    /// Returns the number of entries in an update.
+    pub(super) fn update_entries(&self, after: Option<u64>) -> u32 {
         self.entries_after(after).count() as u32
     }
 
@@ -128,7 +128,7 @@
         })
     }
 
-    /// Servers that a snapshot lacks, with their starts.
+    /// Returns the servers that are missing from a snapshot, with the times of their last starts.
     pub(super) fn missing_from(&self, snapshot: &[Entry]) -> Vec<(String, u64)> {
         let missing = |entry: &&Entry| !snapshot.iter().any(|sent| sent.name == entry.name);
         self.entries.values().filter(missing).map(|entry| (entry.name.clone(), entry.since)).collect()
--- a/crates/stonevane-emulators/src/lib.rs
+++ b/crates/stonevane-emulators/src/lib.rs
@@ -1,9 +1,9 @@
-//! Emulators of all that surrounds a node, on loopback sockets: cache servers, the origin, discovery, the store of
-//! record, clients, and the network between nodes. Each follows the platform's protocol, can be made to fail in the
-//! ways that real ones do, and records what it sees as a history.
+//! Emulators of the systems around a node, on loopback sockets: cache servers, the origin, discovery, the
+//! store of record, clients, and the network between nodes. Each follows the platform's protocol, can be made
+//! to fail like a real one, and records the events that it observes in a history.
 //!
-//! They are one process's tasks on one thread, or processes of their own. Nothing here is linked into the daemon.
-//! Randomness comes from seeds only.
+//! The emulators run as tasks of one process on one thread, or as separate processes. None of this code is
+//! linked into the daemon. All random numbers come from seeds.
 
 pub mod cache;
 pub mod client;
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -1,4 +1,4 @@
-//! The origin: one slow store of fixed capacity that queues, and stops when overloaded.
+//! The origin: a slow store of fixed capacity that queues work, and stops for a time when it is overloaded.
 
 mod connection;
 mod remote;
@@ -22,15 +22,15 @@
 
 pub use self::spec::OriginSpec;
 
-/// The part of a write's work that a dropped repeat takes is one over this.
-const REPEAT_DISCOUNT: u64 = 10;
-/// Caches that are filled by one fetch, of those that missed for its request.
+/// Divisor of a write's work that gives the work of a repeat that is dropped.
+const REPEAT_WORK_DIVISOR: u64 = 10;
+/// Maximum number of cache servers that one fetch fills, among those that missed for its request.
 const FILLED_CACHES: usize = 2;
 
 struct State {
     cores: Cores,
     recent_work: Window,
-    /// The version of each key that was written.
+    /// Version of each key that has been written; all other keys have version 0.
     versions: HashMap<String, u64>,
     newest_version: u64,
     idempotency: IdempotencyKeys,
@@ -39,41 +39,41 @@
     falls: u64,
     reads: u64,
     writes: u64,
-    /// Nothing is answered before then, not even with a rejection.
+    /// Time before which nothing is answered, not even a rejection, in microseconds.
     stopped_until: u64,
 }
 
-/// What is to be answered, and done, when an answer is due.
+/// Data from which an answer is produced when it is due.
 struct Answer {
     request: Request,
     version: u64,
     effect: Effect,
 }
 
-/// Whether an answer reaches the node.
+/// Whether an answer reaches the node complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Delivery {
     Complete,
-    /// A fault or the connection's end keeps it from arriving complete.
+    /// A fault or the end of the connection keeps the answer from arriving complete.
     Failed,
 }
 
-/// What the origin has counted.
+/// Event counts of the origin since it was started.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
-    /// Fetches.
+    /// Reads received.
     pub reads: u64,
-    /// Writes, dropped repeats included.
+    /// Writes received, including dropped repeats.
     pub writes: u64,
-    /// Times that it stopped.
+    /// Number of times that overload stopped the origin.
     pub falls: u64,
-    /// The most work in a window, as a multiple of its capacity.
+    /// Highest work within a window, as a multiple of the capacity.
     pub peak: f64,
 }
 
-/// The origin.
+/// An emulated origin.
 pub struct Origin {
-    /// Its figures.
+    /// Capacity, limits and times of the origin.
     pub spec: OriginSpec,
     state: Mutex<State>,
     caches: Mutex<Vec<Weak<Cache>>>,
@@ -104,7 +104,7 @@
         self.cores.stop_until(until);
     }
 
-    /// The version that an earlier write with the same idempotency key has made.
+    /// Returns the version of an earlier write with the same idempotency key.
     fn repeated_version(&self, request: &Request, now: u64) -> Option<u64> {
         if !request.write || request.token.is_empty() {
             return None;
@@ -112,7 +112,7 @@
         self.idempotency.version(&request.token, now)
     }
 
-    /// Adds work to the window; whether it is too much, which stops the origin.
+    /// Adds work to the window and returns whether it overloads the origin, which then stops for a time.
     fn overloads(&mut self, spec: &OriginSpec, now: u64, work_us: u64) -> bool {
         let window_us = self.recent_work.add(now, work_us, spec.fall_us) as f64;
         let overloaded = window_us > spec.fall_multiple * spec.capacity() / 1e6 * spec.fall_us as f64;
@@ -124,7 +124,7 @@
         overloaded
     }
 
-    /// Carries out a write; returns its version.
+    /// Applies a write and returns its version.
     fn write(&mut self, request: &Request, now: u64, dedup_us: u64) -> u64 {
         self.newest_version += 1;
         let version = self.newest_version;
@@ -137,10 +137,10 @@
 }
 
 impl Origin {
-    /// Starts it with a listener for each node.
+    /// Starts the origin with a listener for each node.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Fails if a listener can't be bound.
     pub async fn start(
         spec: OriginSpec,
         nodes: &[(String, SocketAddr)],
@@ -162,34 +162,35 @@
         Ok(origin)
     }
 
-    /// Attaches the caches whose copies follow it: filled where they missed, invalidated by writes.
+    /// Attaches cache servers of this process: a fetch fills those that missed, and a write invalidates their
+    /// copies.
     pub fn attach(&self, caches: &[Arc<Cache>]) {
         *lock(&self.caches) = caches.iter().map(Arc::downgrade).collect();
     }
 
-    /// Attaches caches in other processes, which are notified of fills and writes by commands of their own.
+    /// Attaches cache servers of other processes, which receive fills and invalidations as commands.
     pub fn attach_remote(&self, caches: &[SocketAddr]) {
         *lock(&self.remote_caches) = RemoteCaches::connect(caches);
     }
 
-    /// The address that a node knows it by.
+    /// Returns the address at which a node reaches the origin.
     pub fn address(&self, node: &str) -> Option<SocketAddr> {
         lock(&self.listeners).as_ref().and_then(|listeners| listeners.address(node))
     }
 
-    /// Changes its fault, for one node or for all.
+    /// Sets the fault for one node, or for all if `node` is `None`.
     pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
         if let Some(listeners) = &*lock(&self.listeners) {
             listeners.set_fault(node, fault);
         }
     }
 
-    /// Stops all work for a time.
+    /// Stops all work for `for_us` microseconds.
     pub fn stop(&self, for_us: u64) {
         lock(&self.state).stop_until(MonotonicClock::now() + for_us);
     }
 
-    /// What it has counted so far.
+    /// Returns the event counts so far.
     pub fn counts(&self) -> Counts {
         let state = lock(&self.state);
         let window_capacity_us = self.spec.capacity() / 1e6 * self.spec.fall_us as f64;
@@ -197,7 +198,7 @@
         Counts { reads: state.reads, writes: state.writes, falls: state.falls, peak }
     }
 
-    /// Works on an attempt; the bytes of the reply are made when it is due.
+    /// Processes an attempt; the bytes of the reply are produced when it is due.
     fn serve(&self, node: &str, request: Request, arrival: Arrival) -> Reply {
         let now = arrival.last_byte.latest;
         let spec = &self.spec;
@@ -208,14 +209,14 @@
         let mean_work_us = match (request.write, repeated) {
             (false, _) => spec.read_us,
             (true, None) => spec.write_us,
-            (true, Some(_)) => spec.write_us / REPEAT_DISCOUNT,
+            (true, Some(_)) => spec.write_us / REPEAT_WORK_DIVISOR,
         };
         let work_us = drawn(mean_work_us, spec.work_cv, &request.id);
         if state.overloads(spec, now, work_us) {
             self.record_stop(arrival.last_byte);
         }
-        let done_us = state.cores.take(now, work_us, spec.queue_us);
-        let effect = match (done_us, repeated) {
+        let done_at_us = state.cores.take(now, work_us, spec.queue_us);
+        let effect = match (done_at_us, repeated) {
             (None, _) => Effect::Busy,
             (_, Some(_)) => Effect::Deduplicated,
             _ => Effect::Ran,
@@ -226,7 +227,7 @@
         }
         let mut version = repeated.unwrap_or(0);
         if effect == Effect::Ran && request.write {
-            // It takes effect when it is taken up: copies that are made from now on are new.
+            // A write takes effect when it is accepted: copies filled from now on have the new version.
             version = state.write(&request, now, spec.dedup_us);
             self.invalidate_copies(&request.key);
         }
@@ -235,7 +236,7 @@
         self.recorder.line(HistoryRecord { origin: true, ..line });
         state.answers.insert(number, Answer { request, version, effect });
         let far_us = spec.far_us.get(node).copied().unwrap_or(0);
-        let due_us = done_us.unwrap_or(now.max(state.stopped_until)) + far_us;
+        let due_us = done_at_us.unwrap_or(now.max(state.stopped_until)) + far_us;
         Reply { due_us, bytes: Bytes::new(), number }
     }
 
@@ -254,14 +255,14 @@
         lock(&self.remote_caches).fill(&request.key, &request.id, version);
     }
 
-    /// The bytes of an answer; its effects on copies take place.
+    /// Returns the bytes of an answer, and fills the copies if a read is delivered.
     fn finish(&self, number: u64, delivery: Delivery) -> Bytes {
         let mut state = lock(&self.state);
         let Some(Answer { request, mut version, effect }) = state.answers.remove(number) else {
             return Bytes::new();
         };
         if effect == Effect::Ran && !request.write {
-            // A read shows the version of this moment.
+            // A read returns the version that is current when its answer is written.
             version = state.versions.get(&request.key).copied().unwrap_or(0);
         }
         drop(state);
@@ -281,12 +282,12 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into()
     }
 
-    fn record_stop(&self, t: TimeInterval) {
-        tracing::warn!(server = self.spec.name, "stopped");
-        let (who, state) = (self.spec.name.clone(), "stopped".to_owned());
+    fn record_stop(&self, interval: TimeInterval) {
+        tracing::warn!(server = self.spec.name, "origin overloaded, work stopped");
+        let (name, state) = (self.spec.name.clone(), "stopped".to_owned());
         self.recorder.line(HistoryRecord {
-            time: t,
-            recorder: who,
+            time: interval,
+            recorder: name,
             event: Event::Fault,
             state,
             ..HistoryRecord::default()
@@ -294,10 +295,10 @@
     }
 
     fn record_answer(&self, request: String, number: u64, delivery: Delivery, value: String, version: u64) {
-        let (t, who) = (MonotonicClock::moment(), self.spec.name.clone());
+        let (moment, name) = (MonotonicClock::moment(), self.spec.name.clone());
         let line = HistoryRecord {
-            time: t,
-            recorder: who,
+            time: moment,
+            recorder: name,
             request,
             number,
             event: Event::AttemptEnded,
--- a/crates/stonevane-emulators/src/origin/connection.rs
+++ b/crates/stonevane-emulators/src/origin/connection.rs
@@ -1,4 +1,4 @@
-//! The protocol of the origin on one connection.
+//! The HTTP protocol of the origin on one connection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,16 +11,16 @@
 use crate::request::Request;
 use crate::server::{Arrival, Malformed, Protocol, Reply};
 
-/// The longest value of a write, in bytes.
-const MAX_BODY: usize = 16 * 1024 * 1024;
-/// It closes a connection that stands idle for this long.
+/// Longest value of a write, in bytes.
+const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 const HEALTHY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const BAD_REQUEST: &str = "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n";
 const METHOD_NOT_ALLOWED: &str = "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 0\r\n\r\n";
 
-/// A connection of a node.
+/// A connection from a node.
 pub(super) struct Connection {
     pub(super) origin: Arc<Origin>,
     pub(super) node: String,
@@ -30,7 +30,7 @@
     fn take_request(&mut self, buffer: &mut BytesMut, arrival: Arrival) -> Result<Option<Reply>, Malformed> {
         let Some(head) = http::request_head(buffer).map_err(|_| Malformed)? else { return Ok(None) };
         let body_len = head.content_length.unwrap_or(0);
-        if body_len > MAX_BODY {
+        if body_len > MAX_BODY_BYTES {
             return Err(Malformed);
         }
         if buffer.len() < head.length + body_len {
@@ -52,7 +52,7 @@
         (reply.number > 0).then(|| self.origin.finish(reply.number, Delivery::Complete))
     }
 
-    fn on_spoilt_reply(&mut self, reply: &Reply) -> Option<Bytes> {
+    fn on_incomplete_reply(&mut self, reply: &Reply) -> Option<Bytes> {
         (reply.number > 0).then(|| self.origin.finish(reply.number, Delivery::Failed))
     }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// The read or write of a request, or the answer to one that is neither.
+/// Parses a read or a write; the error is the response to any other request.
 fn read_request(head: &RequestHead, body: &[u8]) -> Result<Request, &'static str> {
     let write = match head.method.as_str() {
         "GET" if head.target == "/healthz" => return Err(HEALTHY),
--- a/crates/stonevane-emulators/src/origin/remote.rs
+++ b/crates/stonevane-emulators/src/origin/remote.rs
@@ -1,4 +1,4 @@
-//! Caches in other processes, notified of fills and writes by commands.
+//! Cache servers in other processes, which receive fills and invalidations as commands.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,10 +9,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Commands that wait for a slow cache before further ones are dropped.
-const QUEUE: usize = 1024;
+/// Number of commands that are queued for a slow cache server; further ones are dropped.
+const COMMAND_QUEUE_LENGTH: usize = 1024;
 
-/// Queues of commands, one for each cache.
+/// Command queues, one for each cache server.
 #[derive(Default)]
 pub(super) struct RemoteCaches {
     queues: Vec<mpsc::Sender<Bytes>>,
@@ -21,7 +21,7 @@
 impl RemoteCaches {
     pub(super) fn connect(caches: &[SocketAddr]) -> RemoteCaches {
         let queue = |address: &SocketAddr| {
-            let (sender, receiver) = mpsc::channel(QUEUE);
+            let (sender, receiver) = mpsc::channel(COMMAND_QUEUE_LENGTH);
             tokio::spawn(forward(*address, receiver));
             sender
         };
@@ -36,16 +36,16 @@
         self.send(&["LAB.FILL", key, request, &version.to_string()]);
     }
 
-    fn send(&self, words: &[&str]) {
-        let words: Vec<&[u8]> = words.iter().map(|word| word.as_bytes()).collect();
-        let command = resp::command(&words);
+    fn send(&self, arguments: &[&str]) {
+        let arguments: Vec<&[u8]> = arguments.iter().map(|argument| argument.as_bytes()).collect();
+        let command = resp::command(&arguments);
         for queue in &self.queues {
             let _ = queue.try_send(command.clone());
         }
     }
 }
 
-/// Sends commands to a cache; those of a time when it is away are dropped, as it is empty when it is back.
+/// Forwards commands to a cache server. While it is unreachable they are dropped: it restarts without copies.
 async fn forward(address: SocketAddr, mut commands: mpsc::Receiver<Bytes>) {
     let mut stream = None;
     while let Some(command) = commands.recv().await {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Sends a command and reads its answer, one short line.
+/// Sends a command and reads its answer, a single line.
 async fn call(stream: &mut TcpStream, command: &[u8]) -> io::Result<()> {
     stream.write_all(command).await?;
     let mut answer = [0; 1];
--- a/crates/stonevane-emulators/src/origin/spec.rs
+++ b/crates/stonevane-emulators/src/origin/spec.rs
@@ -1,40 +1,40 @@
-//! The figures of the origin.
+//! Capacity, limits and times of the origin.
 
 use std::collections::BTreeMap;
 
-/// The figures of the origin. Times in microseconds.
+/// Capacity, limits and times of the origin. Times are in microseconds.
 #[derive(Debug, Clone)]
 pub struct OriginSpec {
-    /// Its name.
+    /// Name of the origin, as the history records it.
     pub name: String,
-    /// Its machine kind.
+    /// Machine type of the origin.
     pub kind: String,
-    /// Requests that it works on at once.
+    /// Number of requests that are processed concurrently.
     pub slots: usize,
-    /// Work of a read.
+    /// Mean work of a read.
     pub read_us: u64,
-    /// Work of a write.
+    /// Mean work of a write; a dropped repeat takes a tenth of it.
     pub write_us: u64,
-    /// The coefficient of variation of both.
+    /// Coefficient of variation of the work of reads and writes.
     pub work_cv: f64,
-    /// The round trip to each node in another zone.
+    /// Round-trip time to each node in another zone, by the node's name.
     pub far_us: BTreeMap<String, u64>,
-    /// The longest wait in its queue.
+    /// Longest wait in the queue; an attempt that would wait longer is rejected.
     pub queue_us: u64,
-    /// It stops when sent more than this multiple of its capacity ...
+    /// Multiple of its capacity above which the origin is overloaded and stops, over a window of `fall_us`.
     pub fall_multiple: f64,
-    /// ... over a window of this length ...
+    /// Length of the window over which `fall_multiple` is measured.
     pub fall_us: u64,
-    /// ... and for this long.
+    /// Time for which an overloaded origin stops all work.
     pub stop_us: u64,
-    /// It drops repeats of an idempotency key for this long.
+    /// Time for which repeats of an idempotency key are dropped.
     pub dedup_us: u64,
-    /// Length of its values, in bytes.
+    /// Length of the values, in bytes.
     pub value_len: usize,
 }
 
 impl OriginSpec {
-    /// Work that it does in a second, in microseconds.
+    /// Returns the work that the origin does per second, in microseconds.
     pub(super) fn capacity(&self) -> f64 {
         self.slots as f64 * 1e6
     }
--- a/crates/stonevane-emulators/src/peers.rs
+++ b/crates/stonevane-emulators/src/peers.rs
@@ -1,5 +1,6 @@
-//! The datagram network between nodes: each sees the others under addresses of its own, and what it sends is lost,
-//! delayed, reordered or duplicated as the conditions say. The same seed treats the n-th datagram of a pair alike.
+//! The datagram network between nodes. Each node reaches the others under separate addresses, and its
+//! datagrams are lost, delayed, reordered or duplicated according to the active conditions. With the same
+//! seed the n-th datagram of a pair of nodes gets the same random draws.
 
 mod conditions;
 
@@ -16,39 +17,40 @@
 
 pub use self::conditions::NetworkConditions;
 
-/// The longest datagram that the network carries, in bytes.
+/// Longest datagram that the network carries, in bytes.
 pub const MAX_DATAGRAM: usize = 256;
-/// Space for a datagram that may be too long, in bytes.
-const RECEIVE_BUFFER: usize = 2048;
-/// Up to this number of nodes each sees each other under an address of its own, as the platform may have it; in larger
-/// clusters a node has one address at which all others find it.
-const MAX_NODES_WITH_OWN_ADDRESSES: usize = 8;
+/// Length of the receive buffer, in bytes; above [`MAX_DATAGRAM`], so that longer datagrams are detected.
+const RECEIVE_BUFFER_BYTES: usize = 2048;
+/// Number of nodes up to which each node reaches each other one under a separate address, as the platform may
+/// do. In larger clusters all nodes reach a node at the same address.
+const MAX_NODES_WITH_SEPARATE_ADDRESSES: usize = 8;
 
-/// What became of datagrams.
+/// Counts of datagrams by their outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent.
+    /// Datagrams received for forwarding; a broadcast counts once for each receiver.
     pub sent: u64,
-    /// Datagrams lost.
+    /// Datagrams dropped by the active conditions.
     pub lost: u64,
-    /// Datagrams duplicated.
-    pub doubled: u64,
-    /// Datagrams longer than the network carries.
+    /// Datagrams forwarded twice.
+    pub duplicated: u64,
+    /// Datagrams dropped because they exceed [`MAX_DATAGRAM`].
     pub too_long: u64,
 }
 
 struct Network {
     names: Vec<String>,
-    /// Where each node listens.
+    /// Address at which each node listens.
     targets: Vec<SocketAddr>,
-    /// Nodes by the address that they send from.
+    /// Nodes by the address from which they send.
     senders: HashMap<SocketAddr, usize>,
-    /// `sockets[i][j]`, or `sockets[0][j]`: where node `i` finds node `j`.
+    /// `sockets[i][j]` is the socket at which node `i` reaches node `j`; with one row, `sockets[0][j]` for
+    /// all nodes.
     sockets: Vec<Vec<Arc<UdpSocket>>>,
     conditions: Mutex<ActiveConditions>,
     counts: Mutex<Counts>,
     seed: u64,
-    /// One generator for each ordered pair that has sent.
+    /// One random generator for each ordered pair of sender and receiver.
     generators: Mutex<HashMap<(usize, usize), Rand64>>,
 }
 
@@ -56,7 +58,7 @@
 struct Draws {
     loss: f64,
     duplicate: f64,
-    /// For the datagram and its duplicate.
+    /// One draw for the delay of the datagram and one for that of its duplicate.
     delays: [f64; 2],
 }
 
@@ -65,7 +67,7 @@
         &self.sockets[from.min(self.sockets.len() - 1)][to]
     }
 
-    /// Draws for a datagram whatever becomes of it, so that its fate does not change the next one's.
+    /// Draws all random numbers of a datagram whatever its outcome, so that later draws don't depend on it.
     fn draw(&self, from: usize, to: usize) -> Draws {
         let mut generators = lock(&self.generators);
         let pair = (from * self.names.len() + to) as u128;
@@ -75,7 +77,7 @@
         Draws { loss, duplicate, delays: [generator.rand_float(), generator.rand_float()] }
     }
 
-    /// Forwards a datagram.
+    /// Forwards a datagram according to the active conditions.
     fn forward(&self, from: usize, to: usize, bytes: &[u8]) {
         let path = lock(&self.conditions).between(&self.names[from], &self.names[to]);
         let mut counts = lock(&self.counts);
@@ -90,11 +92,11 @@
             return;
         }
         let duplicated = draws.duplicate < path.duplicate;
-        counts.doubled += u64::from(duplicated);
+        counts.duplicated += u64::from(duplicated);
         let copies = if duplicated { 2 } else { 1 };
         for draw in &draws.delays[..copies] {
             let delay = path.min_delay + path.max_delay.saturating_sub(path.min_delay).mul_f64(*draw);
-            // The receiver sees as the sender's address the one where it finds that node.
+            // The receiver must see the address at which it reaches the sender.
             let (socket, target, bytes) = (self.socket(to, from).clone(), self.targets[to], bytes.to_vec());
             tokio::spawn(async move {
                 tokio::time::sleep(delay).await;
@@ -104,7 +106,7 @@
     }
 }
 
-/// The network.
+/// A running network between nodes.
 pub struct PeerNetwork {
     network: Arc<Network>,
     addresses: Vec<Vec<SocketAddr>>,
@@ -115,7 +117,7 @@
     /// Starts a network of nodes that listen at these addresses.
     ///
     /// # Errors
-    /// Where no port is free.
+    /// Fails if a socket can't be bound.
     pub async fn start(nodes: &[(String, SocketAddr)], ip: IpAddr, seed: u64) -> io::Result<PeerNetwork> {
         let sockets = bind_all(nodes.len(), ip).await?;
         let local_addresses =
@@ -142,35 +144,35 @@
         Ok(PeerNetwork { network, addresses, broadcast })
     }
 
-    /// The peers of a node as it finds them, in the order of their numbers, its own among them.
+    /// Returns the addresses at which a node reaches the nodes, by their numbers and including itself.
     pub fn peers(&self, node: usize) -> &[SocketAddr] {
         &self.addresses[node.min(self.addresses.len() - 1)]
     }
 
-    /// Where a node reaches all others.
+    /// Returns the address at which a node reaches all others at once.
     pub fn broadcast(&self) -> SocketAddr {
         self.broadcast
     }
 
-    /// Puts conditions in force; returns the number by which they are lifted.
+    /// Activates conditions and returns the number to pass to [`PeerNetwork::lift`].
     pub fn apply(&self, conditions: NetworkConditions) -> u64 {
         lock(&self.network.conditions).apply(conditions)
     }
 
-    /// Lifts conditions.
+    /// Deactivates the conditions with a number that [`PeerNetwork::apply`] returned.
     pub fn lift(&self, number: u64) {
         lock(&self.network.conditions).lift(number);
     }
 
-    /// What became of datagrams so far.
+    /// Returns the datagram counts so far.
     pub fn counts(&self) -> Counts {
         *lock(&self.network.counts)
     }
 }
 
-/// A row of sockets for each node, or one row that all share.
+/// Binds a row of sockets for each node, or one row that all nodes share.
 async fn bind_all(nodes: usize, ip: IpAddr) -> io::Result<Vec<Vec<Arc<UdpSocket>>>> {
-    let rows = if nodes <= MAX_NODES_WITH_OWN_ADDRESSES { nodes.max(1) } else { 1 };
+    let rows = if nodes <= MAX_NODES_WITH_SEPARATE_ADDRESSES { nodes.max(1) } else { 1 };
     let mut sockets = Vec::new();
     for _ in 0..rows {
         let mut row = Vec::new();
@@ -182,9 +184,9 @@
     Ok(sockets)
 }
 
-/// Forwards what arrives for one node; datagrams of unknown senders are dropped.
+/// Forwards the datagrams for one node; those from unknown senders are dropped.
 async fn forward_to_one(network: Arc<Network>, socket: Arc<UdpSocket>, to: usize) {
-    let mut buffer = [0; RECEIVE_BUFFER];
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         if let Some(from) = network.senders.get(&from) {
             network.forward(*from, to, &buffer[..length]);
@@ -192,9 +194,9 @@
     }
 }
 
-/// Forwards what arrives for all nodes to each but its sender.
+/// Forwards broadcast datagrams to all nodes except the sender.
 async fn forward_to_all(network: Arc<Network>, socket: UdpSocket) {
-    let mut buffer = [0; RECEIVE_BUFFER];
+    let mut buffer = [0; RECEIVE_BUFFER_BYTES];
     while let Ok((length, from)) = socket.recv_from(&mut buffer).await {
         let Some(from) = network.senders.get(&from).copied() else { continue };
         for to in (0..network.names.len()).filter(|to| *to != from) {
--- a/crates/stonevane-emulators/src/peers/conditions.rs
+++ b/crates/stonevane-emulators/src/peers/conditions.rs
@@ -3,45 +3,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The delay of a datagram on a path without conditions.
+/// Delay of a datagram on a path without conditions.
 const BASE_DELAY: Duration = Duration::from_millis(1);
 
-/// What is wrong between some nodes. Several conditions may be in force: losses multiply, delays add up.
+/// Impairments of the paths between some nodes. If several apply to a path, delivery rates multiply and
+/// delays add up.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct NetworkConditions {
-    /// The senders that are concerned; empty: all.
+    /// Names of the affected senders; empty for all.
     pub from: Vec<String>,
-    /// The receivers that are concerned; empty: all.
+    /// Names of the affected receivers; empty for all.
     pub to: Vec<String>,
-    /// The share that is lost; 1: the path is cut.
+    /// Share of datagrams that is lost, from 0 to 1; 1 cuts the path.
     pub loss: f64,
-    /// The share that is duplicated.
+    /// Share of datagrams that is duplicated, from 0 to 1.
     pub duplicate: f64,
-    /// The shortest delay.
+    /// Shortest added delay.
     pub min_delay: Duration,
-    /// The longest delay: later datagrams may overtake.
+    /// Longest added delay; above `min_delay` it lets datagrams overtake each other.
     pub max_delay: Duration,
 }
 
 impl NetworkConditions {
-    fn concern(&self, from: &str, to: &str) -> bool {
-        let among =
-            |names: &[String], name: &str| names.is_empty() || names.iter().any(|known| known == name);
-        among(&self.from, from) && among(&self.to, to)
+    fn apply_to(&self, from: &str, to: &str) -> bool {
+        let contains =
+            |names: &[String], name: &str| names.is_empty() || names.iter().any(|listed| listed == name);
+        contains(&self.from, from) && contains(&self.to, to)
     }
 }
 
-/// What is in force on the path of one ordered pair.
+/// Combined effect of all active conditions on the path from one node to another.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Path {
-    /// The share of datagrams that is not lost.
+    /// Share of datagrams that is not lost, from 0 to 1.
     pub(super) delivery: f64,
     pub(super) duplicate: f64,
     pub(super) min_delay: Duration,
     pub(super) max_delay: Duration,
 }
 
-/// All conditions in force, by the numbers under which they were applied.
+/// All active conditions, by the numbers that [`ActiveConditions::apply`] returned.
 #[derive(Debug, Default)]
 pub(super) struct ActiveConditions {
     last_number: u64,
@@ -61,7 +62,7 @@
 
     pub(super) fn between(&self, from: &str, to: &str) -> Path {
         let mut path = Path { delivery: 1.0, duplicate: 0.0, min_delay: BASE_DELAY, max_delay: BASE_DELAY };
-        for conditions in self.active.values().filter(|conditions| conditions.concern(from, to)) {
+        for conditions in self.active.values().filter(|conditions| conditions.apply_to(from, to)) {
             path.delivery *= 1.0 - conditions.loss;
             path.duplicate = 1.0 - (1.0 - path.duplicate) * (1.0 - conditions.duplicate);
             path.min_delay += conditions.min_delay;
--- a/crates/stonevane-emulators/src/postgres.rs
+++ b/crates/stonevane-emulators/src/postgres.rs
@@ -1,8 +1,9 @@
-//! An emulator of PostgreSQL for the statements of a store of record: the published wire protocol, version 3
-//! (PostgreSQL, "Frontend/Backend Protocol"), on loopback, over a SQLite file, with scripted faults.
+//! An emulator of PostgreSQL for the statements of a store of record. It speaks the published wire protocol,
+//! version 3 (PostgreSQL, "Frontend/Backend Protocol"), on loopback, keeps its data in a SQLite file, and
+//! injects scripted faults.
 //!
-//! Transactions run one after another, which is stricter than READ COMMITTED; a read outside of one sees committed
-//! data only. Parameter types come from their casts (`$1::bigint`), column types from the schema.
+//! Transactions run one after another, which is stricter than READ COMMITTED. A read outside a transaction
+//! sees committed data only. Parameter types come from casts (`$1::bigint`), column types from the schema.
 
 mod database;
 mod error;
@@ -33,21 +34,21 @@
 
 pub use self::fault::PgFault;
 
-/// Notifications that a slow listener may fall behind before it misses some.
+/// Number of notifications that are queued for a slow session; beyond it the session loses the oldest.
 const NOTIFICATION_BACKLOG: usize = 1_024;
 
-/// What the server has counted.
+/// Event counts of a PostgreSQL emulator since it was started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Connections accepted.
     pub connections: u64,
-    /// Statements run, without those that begin or end a transaction.
+    /// Statements run, except SET, LISTEN, BEGIN, COMMIT and ROLLBACK.
     pub statements: u64,
-    /// Statements that are SELECTs of zones.
+    /// SELECT statements on the table `zones`.
     pub reads: u64,
     /// Transactions committed.
     pub commits: u64,
-    /// Cancel requests.
+    /// Cancel requests received.
     pub cancels: u64,
 }
 
@@ -60,15 +61,16 @@
     cancels: AtomicU64,
 }
 
-/// Called after each commit, in commit order, with the data and the moment before the commit.
+/// A callback after each commit, in commit order. It gets the data and the start of the commit, in
+/// microseconds of the monotonic clock.
 type CommitObserver = Box<dyn Fn(&Connection, u64) + Send + Sync>;
 
-/// The server. Its files are removed when it is dropped.
+/// An emulated PostgreSQL server. Its files are removed when it is dropped.
 pub struct Postgres {
     commit_observer: OnceLock<CommitObserver>,
     folder: PathBuf,
     database: Mutex<Database>,
-    /// Held by the session whose transaction is open.
+    /// Held by the session with the open transaction.
     transaction_lock: Arc<AsyncMutex<()>>,
     fault: watch::Sender<PgFault>,
     counters: Counters,
@@ -90,7 +92,7 @@
     /// Starts a server with empty data on a free port of `ip`.
     ///
     /// # Errors
-    /// Where no port is free or no file can be created.
+    /// Fails if no port is free or a file can't be created.
     pub async fn start(ip: IpAddr) -> std::io::Result<Arc<Postgres>> {
         static SERVERS: AtomicU64 = AtomicU64::new(0);
         let listener = TcpListener::bind((ip, 0)).await?;
@@ -118,7 +120,7 @@
         Ok(server)
     }
 
-    /// The connection URL for clients.
+    /// Returns the connection URL for clients.
     pub fn url(&self) -> String {
         format!("postgres://stonevane@{}/zones", self.address)
     }
@@ -128,7 +130,7 @@
         self.fault.send_replace(fault);
     }
 
-    /// What the server has counted so far.
+    /// Returns the event counts so far.
     pub fn counts(&self) -> Counts {
         let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.counters;
@@ -152,21 +154,21 @@
         }));
     }
 
-    /// Copies the committed data aside for [`Postgres::fail_over`].
+    /// Copies the committed data for a later [`Postgres::fail_over`].
     ///
     /// # Errors
-    /// Where SQLite can't write the copy.
+    /// Fails if SQLite can't write the copy.
     pub fn copy(&self) -> rusqlite::Result<()> {
         let copy = self.folder.join("copy.db");
         let _ = std::fs::remove_file(&copy);
         lock(&self.database).reader.execute("VACUUM INTO ?1", [copy.display().to_string()]).map(drop)
     }
 
-    /// Replaces the data by the copy, as an asynchronous standby that takes over: all sessions are reset, and
-    /// commits since the copy are lost.
+    /// Replaces the data with the copy, as in a failover to an asynchronous standby: all sessions are reset,
+    /// and commits since the copy are lost. Connections are refused until the fault is cleared.
     ///
     /// # Errors
-    /// Where SQLite can't open the copy.
+    /// Fails if SQLite can't open the copy.
     pub fn fail_over(&self) -> rusqlite::Result<()> {
         self.set_fault(PgFault::Refuse);
         *lock(&self.database) = Database::open(&self.folder.join("copy.db"), &self.pending_notifications)?;
@@ -176,7 +178,7 @@
     /// Runs a query on the committed data and returns the first column of each row.
     ///
     /// # Errors
-    /// Where SQLite rejects the query.
+    /// Fails if SQLite rejects the query.
     pub fn query_column(&self, query: &str) -> rusqlite::Result<Vec<Value>> {
         let database = lock(&self.database);
         let mut statement = database.reader.prepare(query)?;
@@ -184,7 +186,7 @@
     }
 }
 
-/// History lines of all zone versions above `newest`, which is raised to the last of them.
+/// Returns the history lines of all zone versions above `newest`, and raises `newest` to the last of them.
 fn committed_versions(
     connection: &Connection,
     newest: &AtomicI64,
--- a/crates/stonevane-emulators/src/postgres/database.rs
+++ b/crates/stonevane-emulators/src/postgres/database.rs
@@ -1,4 +1,4 @@
-//! The data behind the server: a SQLite file, with what PostgreSQL has and SQLite lacks added as functions.
+//! The data of the server: a SQLite file, with the PostgreSQL functions that SQLite lacks.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -13,32 +13,32 @@
 use super::statement::{Column, Statement};
 use crate::server::lock;
 
-/// The length of a NULL on the wire.
+/// Length field of a NULL value on the wire.
 const NULL_LENGTH: i32 = -1;
 
-/// Two connections to one file: reads outside of a transaction must not see what one has not committed.
+/// Two connections to one file, so that reads outside a transaction don't see its uncommitted changes.
 pub(super) struct Database {
-    /// For the open transaction.
+    /// Connection for the open transaction.
     pub(super) writer: Connection,
-    /// For statements outside of one.
+    /// Connection for statements outside a transaction.
     pub(super) reader: Connection,
 }
 
-/// What a statement returned.
+/// Result of a statement.
 pub(super) struct QueryResult {
-    /// The rows as `DataRow` messages carry them.
+    /// Rows, each encoded as the body of a `DataRow` message.
     pub(super) rows: Vec<BytesMut>,
-    /// Rows changed, or returned where the statement returns rows.
+    /// Number of rows returned, or changed if the statement returns none.
     pub(super) affected: usize,
 }
 
 impl Database {
-    /// Opens a file; `pg_notify` adds to the pending notifications.
+    /// Opens a file; `pg_notify` adds its payload to `pending`.
     pub(super) fn open(file: &Path, pending: &Arc<Mutex<Vec<String>>>) -> rusqlite::Result<Database> {
         Ok(Database { writer: connect(file, pending)?, reader: connect(file, pending)? })
     }
 
-    /// The connection for a statement inside or outside of a transaction.
+    /// Returns the connection for a statement inside or outside a transaction.
     pub(super) fn connection(&self, in_transaction: bool) -> &Connection {
         if in_transaction { &self.writer } else { &self.reader }
     }
@@ -49,7 +49,7 @@
     connection.pragma_update(None, "journal_mode", "WAL")?;
     connection.pragma_update(None, "synchronous", "OFF")?;
     let flags = FunctionFlags::SQLITE_UTF8;
-    // Transactions are serial already: an advisory lock has nothing to do.
+    // Transactions run one after another, so an advisory lock has no effect.
     connection.create_scalar_function("pg_advisory_xact_lock", 1, flags, |_| Ok(Value::Null))?;
     let pending = pending.clone();
     connection.create_scalar_function("pg_notify", 2, flags, move |args| {
@@ -94,7 +94,7 @@
     Ok(body)
 }
 
-/// A value as its column's format has it; `None` for NULL.
+/// Encodes a value in a format; `None` for NULL.
 fn encode_value(value: Value, format: Format) -> Option<Vec<u8>> {
     match (value, format) {
         (Value::Null, _) => None,
@@ -103,12 +103,12 @@
         (Value::Real(number), _) => Some(number.to_string().into_bytes()),
         (Value::Text(text), _) => Some(text.into_bytes()),
         (Value::Blob(bytes), Format::Binary) => Some(bytes),
-        (Value::Blob(bytes), Format::Text) => Some(hexadecimal(&bytes).into_bytes()),
+        (Value::Blob(bytes), Format::Text) => Some(bytea_text(&bytes).into_bytes()),
     }
 }
 
-/// The text form of a `bytea`.
-fn hexadecimal(bytes: &[u8]) -> String {
+/// Returns the text form of a `bytea` value.
+fn bytea_text(bytes: &[u8]) -> String {
     let mut text = String::from("\\x");
     for byte in bytes {
         let _ = write!(text, "{byte:02x}");
--- a/crates/stonevane-emulators/src/postgres/error.rs
+++ b/crates/stonevane-emulators/src/postgres/error.rs
@@ -1,6 +1,6 @@
-//! Errors of a session.
+//! Errors of a session: those reported to the client and those that end it.
 
-/// An error that the client receives as an `ErrorResponse`.
+/// An error that is sent to the client as an `ErrorResponse`.
 #[derive(Debug, thiserror::Error)]
 #[error("{sqlstate}: {message}")]
 pub(super) struct SqlError {
@@ -27,13 +27,14 @@
     }
 }
 
-/// Why a message of the client was not carried out.
+/// The reason why a message of the client failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SessionError {
-    /// The client is told, and the session goes on.
+    /// The error is reported to the client, and the session continues.
     #[error(transparent)]
     Sql(#[from] SqlError),
-    /// The connection has failed, or the client has broken the protocol: the session is over.
+    /// The connection has ended (by a failure, a fault or a Terminate message), or the client has violated
+    /// the protocol.
     #[error("the session has ended")]
     Ended,
 }
--- a/crates/stonevane-emulators/src/postgres/execute.rs
+++ b/crates/stonevane-emulators/src/postgres/execute.rs
@@ -1,4 +1,4 @@
-//! Statements as a session runs them: transactions, queries, and the faults that strike them.
+//! Execution of statements in a session: transactions, queries, and the faults injected into them.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::record::MonotonicClock;
 use crate::server::lock;
 
-/// After this a session that a commit left silent ends by itself.
-const SILENT_SESSION: Duration = Duration::from_secs(20);
+/// Time after which a session without an answer to its commit ends ([`PgFault::CommitSilent`]).
+const SILENT_SESSION_TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Session {
-    /// Runs a statement, and queues its rows and its end.
+    /// Runs a statement, and queues its rows and its `CommandComplete`.
     pub(super) async fn run_statement(
         &mut self,
         statement: &Statement,
@@ -90,7 +90,7 @@
                 Err(SessionError::Ended)
             }
             PgFault::CommitSilent => {
-                tokio::time::sleep(SILENT_SESSION).await;
+                tokio::time::sleep(SILENT_SESSION_TIMEOUT).await;
                 Err(SessionError::Ended)
             }
             _ => {
@@ -102,15 +102,15 @@
 
     fn commit_database(&self) -> rusqlite::Result<()> {
         let database = lock(&self.server.database);
-        let begun = MonotonicClock::now();
+        let started_us = MonotonicClock::now();
         database.writer.execute_batch("COMMIT")?;
         if let Some(observe) = self.server.commit_observer.get() {
-            observe(&database.writer, begun);
+            observe(&database.writer, started_us);
         }
         Ok(())
     }
 
-    /// Rolls the open transaction back, where there is one.
+    /// Rolls back the open transaction, if there is one.
     pub(super) fn roll_back(&mut self) {
         if self.transaction.take().is_some() {
             let _ = lock(&self.server.database).writer.execute_batch("ROLLBACK");
@@ -127,7 +127,7 @@
     ) -> Result<(), SessionError> {
         let command = statement.command();
         self.count_statement(&command, &statement.sql);
-        self.work_slowly().await?;
+        self.apply_slow_fault().await?;
         let result = self.execute(statement, parameters, format);
         if let PgFault::Late(ms) = self.fault() {
             tokio::time::sleep(Duration::from_millis(ms)).await;
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Takes the time of [`PgFault::Slow`], up to the statement's timeout or a cancel request.
-    async fn work_slowly(&self) -> Result<(), SqlError> {
+    /// Waits for the delay of [`PgFault::Slow`]; fails on the statement timeout or a cancel request.
+    async fn apply_slow_fault(&self) -> Result<(), SqlError> {
         let PgFault::Slow(ms) = self.fault() else { return Ok(()) };
         let timeout = async {
             match self.statement_timeout.is_zero() {
--- a/crates/stonevane-emulators/src/postgres/fault.rs
+++ b/crates/stonevane-emulators/src/postgres/fault.rs
@@ -1,23 +1,23 @@
-//! Faults of the PostgreSQL emulator.
+//! Faults that are injected into the PostgreSQL emulator.
 
-/// Delay of [`PgFault::Slow`] and [`PgFault::Late`] where a script gives none, in milliseconds.
+/// Delay of [`PgFault::Slow`] and [`PgFault::Late`] if a script specifies none, in milliseconds.
 const DEFAULT_DELAY_MS: u64 = 100;
 
-/// What is wrong with the server.
+/// A fault of the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum PgFault {
-    /// Nothing.
+    /// The server works as specified.
     #[default]
     None,
-    /// It accepts connections and stays silent on all of them.
+    /// Connections are accepted, but no session gets an answer.
     Stall,
-    /// It refuses connections and resets open ones.
+    /// New connections are refused, open ones are reset.
     Refuse,
-    /// It ends sessions in the middle of a row.
+    /// Sessions are reset in the middle of a row.
     MidRow,
-    /// Each statement takes this long, in milliseconds; a timeout or a cancel request ends it with `57014`.
+    /// Each statement is delayed by this many milliseconds; a timeout or cancel request ends it with `57014`.
     Slow(u64),
-    /// Each statement runs at once and is answered this much later, in milliseconds.
+    /// Each statement runs at once, and its answer is delayed by this many milliseconds.
     Late(u64),
     /// Sessions end with `57P01`; new ones are rejected with `57P03`.
     Shutdown,
@@ -32,7 +32,7 @@
 }
 
 impl PgFault {
-    /// All faults, with the default delays.
+    /// All faults except [`PgFault::None`], with the default delays.
     pub const ALL: [PgFault; 10] = [
         PgFault::Stall,
         PgFault::Refuse,
@@ -46,7 +46,7 @@
         PgFault::CommitSilent,
     ];
 
-    /// The name that scripts use.
+    /// Returns the name that scripts use.
     pub fn name(self) -> &'static str {
         match self {
             PgFault::None => "none",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The fault of a name that scripts use.
+    /// Returns the fault with a name that scripts use; `None` for unknown names and for `none`.
     pub fn from_name(name: &str) -> Option<PgFault> {
         PgFault::ALL.into_iter().find(|fault| fault.name() == name)
     }
--- a/crates/stonevane-emulators/src/postgres/listener.rs
+++ b/crates/stonevane-emulators/src/postgres/listener.rs
@@ -1,4 +1,4 @@
-//! The listening socket, closed while the server refuses connections.
+//! The listening socket, which is closed while the server refuses connections.
 
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, Weak};
@@ -43,7 +43,7 @@
     }
 }
 
-/// Serves a connection; a session that a fault cuts off is reset, and its transaction rolled back.
+/// Serves a connection; [`PgFault::Refuse`] resets its session. Rolls back a transaction that is left open.
 async fn serve(server: Arc<Postgres>, stream: TcpStream) {
     let mut fault = server.fault.subscribe();
     let mut session = Session::new(server.clone(), stream);
--- a/crates/stonevane-emulators/src/postgres/message.rs
+++ b/crates/stonevane-emulators/src/postgres/message.rs
@@ -1,18 +1,18 @@
-//! Messages of the protocol: a kind, a length that counts itself, and a body.
+//! Messages of the protocol: a kind, a length that includes itself, and a body.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
 use super::error::{SessionError, SqlError};
 use super::statement::Column;
 
-/// The longest message that is read, in bytes.
-pub(super) const MAX_MESSAGE: usize = 1 << 20;
-/// The kind and the length in front of a message's body, in bytes.
-pub(super) const HEADER: usize = 5;
-/// The length field, which counts itself, in bytes.
-pub(super) const LENGTH: usize = 4;
+/// Longest message that is accepted, in bytes.
+pub(super) const MAX_MESSAGE_BYTES: usize = 1 << 20;
+/// Length of the kind and the length field before a message's body, in bytes.
+pub(super) const HEADER_BYTES: usize = 5;
+/// Length of the length field, which includes itself, in bytes.
+pub(super) const LENGTH_BYTES: usize = 4;
 
-/// Codes of the first message, in place of a protocol version.
+/// Codes of the first message: a protocol version, or a request in its place.
 pub(super) mod startup {
     pub(in crate::postgres) const SSL_REQUEST: u32 = 80_877_103;
     pub(in crate::postgres) const CANCEL_REQUEST: u32 = 80_877_102;
@@ -31,7 +31,7 @@
     pub(in crate::postgres) const SYNC: u8 = b'S';
     pub(in crate::postgres) const FLUSH: u8 = b'H';
     pub(in crate::postgres) const TERMINATE: u8 = b'X';
-    /// What Describe and Close name a prepared statement by.
+    /// Target kind of Describe and Close for a prepared statement.
     pub(in crate::postgres) const STATEMENT: u8 = b'S';
 }
 
@@ -59,7 +59,7 @@
     pub(in crate::postgres) const TEXT: u32 = 25;
     pub(in crate::postgres) const BYTEA: u32 = 17;
 
-    /// The type of a name in a cast or a schema.
+    /// Returns the object id of a type name in a cast or a schema.
     pub(in crate::postgres) fn of_type(name: &str) -> u32 {
         match name.to_ascii_lowercase().as_str() {
             "bigint" | "int8" => INT8,
@@ -69,7 +69,7 @@
     }
 }
 
-/// How values go over the wire.
+/// Encoding of values on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Format {
     Text,
@@ -77,7 +77,7 @@
 }
 
 impl Format {
-    /// The format of a code in Bind.
+    /// Returns the format for a format code in Bind.
     pub(super) fn of_code(code: i16) -> Format {
         if code == 1 { Format::Binary } else { Format::Text }
     }
@@ -87,33 +87,33 @@
     }
 }
 
-/// What names a session in cancel requests.
+/// Key that identifies a session in cancel requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct BackendKey {
     pub(super) process_id: i32,
     pub(super) secret: i32,
 }
 
-/// Messages to the client that are not yet written.
+/// Buffer of messages to the client that are not yet written.
 #[derive(Default)]
 pub(super) struct Outgoing {
     buffer: BytesMut,
 }
 
 impl Outgoing {
-    /// Takes all that is to be written.
+    /// Removes and returns all buffered bytes.
     pub(super) fn take(&mut self) -> BytesMut {
         self.buffer.split()
     }
 
-    /// Removes bytes from the end.
+    /// Removes `bytes` bytes from the end of the buffer.
     pub(super) fn truncate_by(&mut self, bytes: usize) {
         self.buffer.truncate(self.buffer.len() - bytes);
     }
 
     pub(super) fn message(&mut self, kind: u8, body: &[u8]) {
         self.buffer.put_u8(kind);
-        self.buffer.put_u32((body.len() + LENGTH) as u32);
+        self.buffer.put_u32((body.len() + LENGTH_BYTES) as u32);
         self.buffer.put_slice(body);
     }
 
@@ -137,7 +137,7 @@
 
     pub(super) fn notification(&mut self, payload: &str) {
         let mut body = BytesMut::new();
-        // The id of the notifying process: clients of the store don't look at it.
+        // Process id of the notifying session, which clients of the store ignore.
         body.put_i32(1);
         put_string(&mut body, "stonevane");
         put_string(&mut body, payload);
@@ -179,11 +179,11 @@
         body.put_i16(columns.len() as i16);
         for column in columns {
             put_string(&mut body, &column.name);
-            // Table and attribute number: none.
+            // No table object id and no attribute number.
             body.put_u32(0);
             body.put_i16(0);
             body.put_u32(column.oid);
-            // Type size and modifier: variable, none.
+            // Variable type size, no type modifier.
             body.put_i16(-1);
             body.put_i32(-1);
             body.put_i16(format.code());
@@ -192,13 +192,13 @@
     }
 }
 
-/// Writes a string with its closing zero.
+/// Writes a string with its terminating zero byte.
 fn put_string(body: &mut BytesMut, value: &str) {
     body.put_slice(value.as_bytes());
     body.put_u8(0);
 }
 
-/// Reads a string up to its closing zero.
+/// Reads a string up to its terminating zero byte.
 pub(super) fn get_string(body: &mut Bytes) -> Result<String, SessionError> {
     let end = body.iter().position(|byte| *byte == 0).ok_or(SessionError::Ended)?;
     let text = body.split_to(end);
@@ -206,14 +206,14 @@
     String::from_utf8(text.to_vec()).map_err(|_| SessionError::Ended)
 }
 
-/// Reads a number of two bytes.
+/// Reads a two-byte integer.
 pub(super) fn get_i16(body: &mut Bytes) -> Result<i16, SessionError> {
     (body.remaining() >= size_of::<i16>()).then(|| body.get_i16()).ok_or(SessionError::Ended)
 }
 
-/// Reads a value with its length in front; `None` for NULL.
+/// Reads a value prefixed with its length; `None` for NULL.
 pub(super) fn get_value(body: &mut Bytes) -> Result<Option<Bytes>, SessionError> {
-    if body.remaining() < LENGTH {
+    if body.remaining() < LENGTH_BYTES {
         return Err(SessionError::Ended);
     }
     match usize::try_from(body.get_i32()) {
--- a/crates/stonevane-emulators/src/postgres/session.rs
+++ b/crates/stonevane-emulators/src/postgres/session.rs
@@ -1,4 +1,4 @@
-//! One session: its start-up, and the messages of the simple and the extended query protocol.
+//! A session: its start-up, and the messages of the simple and the extended query protocol.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,32 +12,32 @@
 
 use super::error::{SessionError, SqlError};
 use super::message::{
-    BackendKey, Format, HEADER, LENGTH, MAX_MESSAGE, Outgoing, backend, frontend, get_i16, get_string,
-    get_value, startup,
+    BackendKey, Format, HEADER_BYTES, LENGTH_BYTES, MAX_MESSAGE_BYTES, Outgoing, backend, frontend, get_i16,
+    get_string, get_value, startup,
 };
 use super::statement::{Portal, Statement};
 use super::{PgFault, Postgres};
 use crate::server::lock;
 
-/// The secret of all sessions: a cancel request names one by its process id.
+/// Secret of all sessions; cancel requests identify a session by its process id.
 const CANCEL_SECRET: i32 = 7;
-/// The length and the code of the first message, in bytes.
-const STARTUP_HEADER: usize = 8;
+/// Length of the length field and the code of the first message, in bytes.
+const STARTUP_HEADER_BYTES: usize = 8;
 
-/// Which protocol a statement came by: only the simple one describes rows unasked.
+/// Protocol by which a statement was received. Only the simple protocol describes the rows with the result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum QueryProtocol {
     Simple,
     Extended,
 }
 
-/// What the client wants to happen next.
+/// The next event of a session: a message of the client, or a notification to send.
 enum Received {
     Message { kind: u8, body: Bytes },
     Notification(String),
 }
 
-/// A session and the state that the protocol gives it.
+/// A session, with the state that the protocol keeps for it.
 pub(super) struct Session {
     pub(super) server: Arc<Postgres>,
     pub(super) stream: TcpStream,
@@ -47,11 +47,11 @@
     portals: HashMap<String, Portal>,
     /// Held while a transaction is open.
     pub(super) transaction: Option<OwnedMutexGuard<()>>,
-    /// A statement of the transaction has failed: only its end is accepted.
+    /// A statement of the open transaction has failed; only COMMIT and ROLLBACK are accepted.
     pub(super) transaction_failed: bool,
-    /// An extended query has failed: messages are skipped up to Sync.
+    /// An extended query has failed; messages are skipped up to Sync.
     skip_to_sync: bool,
-    /// Zero for none.
+    /// Timeout that the client has set with SET; zero for none.
     pub(super) statement_timeout: Duration,
     pub(super) cancelled: Arc<Notify>,
     key: BackendKey,
@@ -86,7 +86,7 @@
         *self.server.fault.borrow()
     }
 
-    /// Makes the connection end with a reset.
+    /// Sets the socket to send a TCP reset when it is dropped.
     pub(super) fn reset(&self) {
         let _ = self.stream.set_zero_linger();
     }
@@ -115,9 +115,9 @@
         }
     }
 
-    /// The next message; notifications go out between messages.
+    /// Waits for the next message, or for a notification that arrives between messages.
     async fn receive(&mut self) -> Result<Received, SessionError> {
-        while self.input.len() < HEADER {
+        while self.input.len() < HEADER_BYTES {
             let (notifications, stream, input) = (&mut self.notifications, &mut self.stream, &mut self.input);
             let notification = async {
                 match notifications {
@@ -138,14 +138,14 @@
                 }
             }
         }
-        let length = (&self.input[1..HEADER]).get_u32() as usize;
-        if !(LENGTH..=MAX_MESSAGE).contains(&length) {
+        let length = (&self.input[1..HEADER_BYTES]).get_u32() as usize;
+        if !(LENGTH_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
             return Err(SessionError::Ended);
         }
         self.read_at_least(1 + length).await?;
         let mut message = self.input.split_to(1 + length);
         let kind = message[0];
-        message.advance(HEADER);
+        message.advance(HEADER_BYTES);
         Ok(Received::Message { kind, body: message.freeze() })
     }
 
@@ -169,7 +169,7 @@
         let _ = fault.wait_for(|fault| *fault != PgFault::Stall).await;
     }
 
-    /// Greets the client; `false` where no session comes about.
+    /// Performs the start-up; `false` if no session is established.
     async fn start_up(&mut self) -> Result<bool, SessionError> {
         if !self.negotiate().await? {
             return Ok(false);
@@ -195,20 +195,20 @@
         Ok(true)
     }
 
-    /// Reads up to the start-up message; `false` where the connection brought a cancel request.
+    /// Reads messages up to the start-up message; `false` if the connection carried a cancel request.
     async fn negotiate(&mut self) -> Result<bool, SessionError> {
         loop {
-            self.read_at_least(STARTUP_HEADER).await?;
-            let length = (&self.input[..LENGTH]).get_u32() as usize;
-            let code = (&self.input[LENGTH..STARTUP_HEADER]).get_u32();
-            if !(STARTUP_HEADER..=MAX_MESSAGE).contains(&length) {
+            self.read_at_least(STARTUP_HEADER_BYTES).await?;
+            let length = (&self.input[..LENGTH_BYTES]).get_u32() as usize;
+            let code = (&self.input[LENGTH_BYTES..STARTUP_HEADER_BYTES]).get_u32();
+            if !(STARTUP_HEADER_BYTES..=MAX_MESSAGE_BYTES).contains(&length) {
                 return Err(SessionError::Ended);
             }
             self.read_at_least(length).await?;
             let mut message = self.input.split_to(length);
-            message.advance(STARTUP_HEADER);
+            message.advance(STARTUP_HEADER_BYTES);
             match code {
-                // There is no TLS here.
+                // TLS is not supported.
                 startup::SSL_REQUEST => self.stream.write_all(b"N").await?,
                 startup::CANCEL_REQUEST if message.len() >= 2 * size_of::<i32>() => {
                     let key = BackendKey { process_id: message.get_i32(), secret: message.get_i32() };
@@ -321,7 +321,7 @@
         let Some(statement) = self.statements.get(&name).cloned() else {
             return Err(SqlError::new("26000", format!("there is no statement `{name}`")).into());
         };
-        // One format may stand for all parameters.
+        // A single format code applies to all parameters.
         let format = |index| formats.get(index).or(formats.first()).copied().unwrap_or(Format::Text);
         let values = values.into_iter().enumerate();
         let parameters =
@@ -349,7 +349,7 @@
         Ok(())
     }
 
-    /// Reports an error; it fails the transaction, where one is open.
+    /// Sends an error to the client, and marks an open transaction as failed.
     fn fail(&mut self, error: &SqlError) {
         self.output.error(error);
         self.transaction_failed = self.transaction.is_some();
--- a/crates/stonevane-emulators/src/postgres/statement.rs
+++ b/crates/stonevane-emulators/src/postgres/statement.rs
@@ -1,4 +1,4 @@
-//! Statements: PostgreSQL's SQL as far as the store of record uses it, translated to SQLite's.
+//! Statements: the subset of PostgreSQL's SQL that the store of record uses, translated to SQLite's SQL.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use super::message::{Format, oid};
 
-/// The highest parameter number whose cast is read.
+/// Highest parameter number whose cast sets a type.
 const MAX_PARAMETERS: usize = 64;
 
 /// A column of a result.
@@ -21,11 +21,11 @@
 /// A parsed statement.
 #[derive(Debug, Clone)]
 pub(super) struct Statement {
-    /// The text for SQLite: no casts, `?1` for `$1`.
+    /// The statement for SQLite: without casts, and with `?1` for `$1`.
     pub(super) sql: String,
-    /// Types of the parameters `$1`, `$2`, ...
+    /// Object ids of the types of the parameters `$1`, `$2`, ...
     pub(super) parameter_types: Vec<u32>,
-    /// Columns of the result, empty where there is none.
+    /// Columns of the result; empty if the statement returns no rows.
     pub(super) columns: Vec<Column>,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Statement {
-    /// Translates a statement; SQLite names its columns.
+    /// Translates a statement, and takes the names of its result columns from SQLite.
     pub(super) fn parse(sql: &str, connection: &Connection) -> rusqlite::Result<Statement> {
         let mut statement = strip_casts(sql);
         if matches!(statement.command().as_str(), "SELECT" | "UPDATE" | "INSERT" | "DELETE") {
@@ -46,12 +46,12 @@
         Ok(statement)
     }
 
-    /// The first word, in capitals.
+    /// Returns the first word of the statement in upper case.
     pub(super) fn command(&self) -> String {
         self.sql.split_whitespace().next().unwrap_or_default().to_ascii_uppercase()
     }
 
-    /// The value of a bound parameter.
+    /// Decodes the value of a bound parameter.
     pub(super) fn decode_parameter(&self, index: usize, format: Format, value: Option<Bytes>) -> Value {
         let Some(mut bytes) = value else { return Value::Null };
         let kind = self.parameter_types.get(index).copied().unwrap_or(oid::TEXT);
@@ -67,7 +67,7 @@
     }
 }
 
-/// Removes casts, and keeps those of parameters as their types.
+/// Removes all casts, and takes the types of the parameters from theirs.
 fn strip_casts(sql: &str) -> Statement {
     let mut types = BTreeMap::new();
     let (mut plain, mut rest) = (String::new(), sql);
@@ -99,7 +99,7 @@
     Ok(columns.map(|each| column(&each)).collect())
 }
 
-/// The type of a column that is known by name alone, as those of RETURNING are.
+/// Returns the type of a column that SQLite reports without a declared type, as it does for RETURNING.
 fn type_of_name(name: &str, connection: &Connection) -> u32 {
     let query = "SELECT p.type FROM sqlite_master m JOIN pragma_table_info(m.name) p WHERE p.name = ?1";
     let declared = connection.query_row(query, [name], |row| row.get::<_, String>(0));
--- a/crates/stonevane-emulators/src/record.rs
+++ b/crates/stonevane-emulators/src/record.rs
@@ -1,4 +1,4 @@
-//! The clock of a machine, and the history that emulators write.
+//! The machine's monotonic clock, and the recorder of the history that emulators write.
 
 use std::io::Write;
 use std::sync::Arc;
@@ -10,22 +10,21 @@
 use rustix::time::{ClockId, clock_gettime};
 use stonevane_audit::{HistoryRecord, TimeInterval};
 
-/// The period of the heartbeat: what an emulator reads has arrived within the last two periods.
-const HEARTBEAT: Duration = Duration::from_millis(2);
-/// Lines are written once this much text has gathered, in bytes.
-const WRITE_BATCH: usize = 256 * 1024;
+/// Period of the heartbeat. Data that an emulator reads has arrived within the last two periods.
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(2);
+/// Length above which the gathered lines are written without waiting for further ones, in bytes.
+const WRITE_BATCH_BYTES: usize = 256 * 1024;
 
 /// The monotonic clock that all processes of a machine share, and a heartbeat of this process's event loop.
 ///
-/// A socket that becomes readable is seen at the next turn of the loop that watches it. The loop has turned at each
-/// heartbeat, so that what is read now arrived after the heartbeat before the last: that is how uncertain the moment
-/// of an event is, also when the process was held up.
+/// The event loop polls its sockets between two heartbeats, so data that is read now arrived after the last
+/// heartbeat but one. This bounds the uncertainty of an event's time, also after the process was paused.
 #[derive(Clone)]
 pub struct MonotonicClock {
     heartbeats: Arc<Heartbeats>,
 }
 
-/// The last two heartbeats, in microseconds.
+/// Times of the last two heartbeats, in microseconds.
 struct Heartbeats {
     last: AtomicU64,
     previous: AtomicU64,
@@ -40,19 +39,19 @@
 }
 
 impl MonotonicClock {
-    /// The time, in microseconds.
+    /// Returns the current time, in microseconds.
     pub fn now() -> u64 {
         let time = clock_gettime(ClockId::Monotonic);
         (time.tv_sec as u64) * 1_000_000 + (time.tv_nsec as u64) / 1_000
     }
 
-    /// The present moment, for an event that this process causes itself.
+    /// Returns the current time as an interval of zero length, for an event that this process causes itself.
     pub fn moment() -> TimeInterval {
         let now = MonotonicClock::now();
         TimeInterval { earliest: now, latest: now }
     }
 
-    /// The span within which what has just been read must have arrived.
+    /// Returns the interval within which data that has just been read arrived.
     pub fn arrival(&self) -> TimeInterval {
         TimeInterval {
             earliest: self.heartbeats.previous.load(Ordering::Relaxed),
@@ -60,9 +59,9 @@
         }
     }
 
-    /// Runs the heartbeat until it is dropped; to be spawned on the loop that reads the sockets.
+    /// Runs the heartbeat until the future is dropped. Spawn it on the event loop that reads the sockets.
     pub async fn run_heartbeat(self) {
-        let mut ticks = tokio::time::interval(HEARTBEAT);
+        let mut ticks = tokio::time::interval(HEARTBEAT_PERIOD);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -73,7 +72,7 @@
     }
 }
 
-/// Where events are recorded. A clone writes to the same history.
+/// Sends events to the thread that writes the history. A clone writes to the same history.
 #[derive(Clone)]
 pub struct Recorder {
     lines: Option<Sender<HistoryRecord>>,
@@ -83,30 +82,30 @@
 pub struct Writer(JoinHandle<std::io::Result<u64>>);
 
 impl Writer {
-    /// Waits until all recorders are dropped and all lines are written; returns how many they were.
+    /// Waits until all recorders are dropped and all lines are written; returns the number of lines.
     ///
     /// # Errors
-    /// The first write error.
+    /// Returns the first write error.
     pub fn finish(self) -> std::io::Result<u64> {
-        self.0.join().unwrap_or_else(|_| Err(std::io::Error::other("the writer of the history has ended")))
+        self.0.join().unwrap_or_else(|_| Err(std::io::Error::other("the history writer thread panicked")))
     }
 }
 
 impl Recorder {
-    /// A recorder that drops all lines.
+    /// Returns a recorder that drops all lines.
     pub fn none() -> Self {
         Recorder { lines: None }
     }
 
-    /// A recorder that appends lines to `out` from a thread of its own. Lines that wait together are written and
-    /// flushed together: a kill leaves at most the last one cut off.
+    /// Returns a recorder that appends lines to `out` from a separate thread. Queued lines are written and
+    /// flushed together: if the process is killed, at most the last line is incomplete.
     pub fn to(out: impl Write + Send + 'static) -> (Self, Writer) {
         let (lines, queue) = channel();
         let writer = std::thread::spawn(move || write_lines(out, &queue));
         (Recorder { lines: Some(lines) }, Writer(writer))
     }
 
-    /// Records an event.
+    /// Queues the history line of an event.
     pub fn line(&self, line: HistoryRecord) {
         if let Some(lines) = &self.lines {
             let _ = lines.send(line);
@@ -123,7 +122,7 @@
         while let Ok(line) = queue.try_recv() {
             text.push_str(&line.to_json_line());
             count += 1;
-            if text.len() > WRITE_BATCH {
+            if text.len() > WRITE_BATCH_BYTES {
                 break;
             }
         }
--- a/crates/stonevane-emulators/src/relay.rs
+++ b/crates/stonevane-emulators/src/relay.rs
@@ -1,5 +1,6 @@
-//! A bare relay in a node's place: it forwards each read to one server and the value back, and decides nothing. Its
-//! cost is what no node can save; the load that can be offered through it bounds what can be measured.
+//! A bare relay in place of a node: it forwards each read to one server and returns the value, without any
+//! decision. Its cost is the minimum for any node, and the load that it sustains is an upper bound for
+//! measurements.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,12 +10,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Space for each read, in bytes.
+/// Space reserved for each read, in bytes.
 const READ_SIZE: usize = 4096;
-/// The time limit for each read from the server.
+/// Time limit for each read from the server.
 const SERVER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Relays until the listener fails.
+/// Accepts connections and relays their requests to `server` until the listener fails.
 pub async fn relay(listener: TcpListener, server: SocketAddr) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::spawn(async move {
@@ -30,12 +31,12 @@
     let mut input = BytesMut::new();
     loop {
         input.reserve(READ_SIZE);
-        while let Some(words) = resp::take_command(&mut input).map_err(malformed)? {
-            if words.first().is_some_and(|word| word.eq_ignore_ascii_case(b"PING")) {
+        while let Some(arguments) = resp::take_command(&mut input).map_err(malformed)? {
+            if arguments.first().is_some_and(|name| name.eq_ignore_ascii_case(b"PING")) {
                 client.write_all(b"+PONG\r\n").await?;
                 continue;
             }
-            let Some(value) = server.call(&words).await? else { return Ok(()) };
+            let Some(value) = server.call(&arguments).await? else { return Ok(()) };
             client.write_all(&answer(value)).await?;
         }
         if client.read_buf(&mut input).await? == 0 {
@@ -54,10 +55,10 @@
 }
 
 impl ServerConnection {
-    /// Sends a command and reads its value; `None` at the connection's end.
-    async fn call(&mut self, words: &[Bytes]) -> std::io::Result<Option<Value>> {
-        let words: Vec<&[u8]> = words.iter().map(Bytes::as_ref).collect();
-        self.stream.write_all(&resp::command(&words)).await?;
+    /// Sends a command and reads the response; `None` when the server has closed the connection.
+    async fn call(&mut self, arguments: &[Bytes]) -> std::io::Result<Option<Value>> {
+        let arguments: Vec<&[u8]> = arguments.iter().map(Bytes::as_ref).collect();
+        self.stream.write_all(&resp::command(&arguments)).await?;
         loop {
             if let Some(value) = resp::take_value(&mut self.input, resp::MAX_VALUE).map_err(malformed)? {
                 return Ok(Some(value));
@@ -71,7 +72,7 @@
     }
 }
 
-/// The answer to the client for a server's value.
+/// Converts a server's response to the response for the client.
 fn answer(value: Value) -> BytesMut {
     let mut answer = BytesMut::new();
     match value {
--- a/crates/stonevane-emulators/src/request.rs
+++ b/crates/stonevane-emulators/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests as nodes and clients write them, and what caches and the origin do alike with them.
+//! Requests as nodes and clients send them, and the bookkeeping that cache servers and the origin share.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,44 +8,44 @@
 
 use crate::server::Arrival;
 
-/// Answers that a server remembers until they are written; the oldest of those that never are give way.
+/// Number of pending answers above which the oldest are evicted, as some answers are never written.
 const MAX_PENDING_ANSWERS: usize = 50_000;
 
 /// A read or a write of a key.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Request {
-    /// The key.
+    /// The requested key, as text.
     pub key: String,
-    /// The request's id.
+    /// The request's id, unique for each attempt of a client.
     pub id: String,
-    /// The class.
+    /// Name of the request's class.
     pub class: String,
-    /// The idempotency key, empty for none.
+    /// The idempotency key; empty if there is none.
     pub token: String,
-    /// Whether it is a write.
+    /// Whether the request is a write.
     pub write: bool,
-    /// How long the sender waits, in milliseconds.
+    /// Time for which the sender waits for the answer, in milliseconds; 0 if the request states none.
     pub deadline_ms: u64,
-    /// A digest of the written value.
+    /// Digest of the written value; empty for a read.
     pub digest: String,
 }
 
 impl Request {
-    /// Reads the words of a command, `OBJ.GET KEY ID FACTS` or `OBJ.SET KEY ID FACTS VALUE`; `None` for others.
-    pub fn from_command(words: &[Bytes]) -> Option<Request> {
-        let write = match (word(words, 0)?, words.len()) {
+    /// Parses the command `OBJ.GET KEY ID FACTS` or `OBJ.SET KEY ID FACTS VALUE`; `None` for other commands.
+    pub fn from_command(arguments: &[Bytes]) -> Option<Request> {
+        let write = match (text_argument(arguments, 0)?, arguments.len()) {
             ("OBJ.GET", 4) => false,
             ("OBJ.SET", 5) => true,
             _ => return None,
         };
-        let (key, id) = (word(words, 1)?.into(), word(words, 2)?.into());
+        let (key, id) = (text_argument(arguments, 1)?.into(), text_argument(arguments, 2)?.into());
         let mut request = Request { key, id, write, ..Request::default() };
-        request.read_facts(word(words, 3)?);
-        request.digest = words.get(4).map(|value| digest(value)).unwrap_or_default();
+        request.read_facts(text_argument(arguments, 3)?);
+        request.digest = arguments.get(4).map(|value| digest(value)).unwrap_or_default();
         Some(request)
     }
 
-    /// Reads the facts of a request, a list like `c=CLASS,k=TOKEN,d=DEADLINE_MS`.
+    /// Parses the facts of a request, a list like `c=CLASS,k=TOKEN,d=DEADLINE_MS`; unknown names are ignored.
     pub fn read_facts(&mut self, facts: &str) {
         for (name, value) in facts.split(',').filter_map(|fact| fact.split_once('=')) {
             match name {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The history line of an attempt of this request at a server.
+    /// Returns the history line of an attempt of this request at a server.
     pub(crate) fn attempt_line(
         &self,
         server: &str,
@@ -83,13 +83,13 @@
         }
     }
 
-    /// The unique part of the value that a server answers with.
+    /// Returns the unique part of the value with which a server answers.
     pub(crate) fn value(&self, version: u64, server: &str, number: u64) -> String {
         format!("{}.{version}.{}.{server}.{number}", self.key, self.id)
     }
 }
 
-/// What a server did with an attempt.
+/// An attempt as a server processed it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) number: u64,
@@ -97,9 +97,9 @@
     pub(crate) work_us: u64,
 }
 
-/// A word of a command, where it is text.
-pub(crate) fn word(words: &[Bytes], index: usize) -> Option<&str> {
-    words.get(index).and_then(|word| std::str::from_utf8(word).ok())
+/// Returns an argument of a command if it is valid UTF-8.
+pub(crate) fn text_argument(arguments: &[Bytes], index: usize) -> Option<&str> {
+    arguments.get(index).and_then(|argument| std::str::from_utf8(argument).ok())
 }
 
 /// The idempotency keys of recent writes, each with the version that its write made.
@@ -114,19 +114,19 @@
 }
 
 impl IdempotencyKeys {
-    /// The version of an earlier write with this key.
+    /// Returns the version of an earlier write with this key, until the key expires.
     pub(crate) fn version(&self, key: &str, now: u64) -> Option<u64> {
         self.writes.get(key).filter(|write| write.expires_us > now).map(|write| write.version)
     }
 
-    /// Remembers a write's key for a time.
+    /// Remembers a write's key for `for_us` microseconds.
     pub(crate) fn remember(&mut self, key: &str, version: u64, now: u64, for_us: u64) {
         self.writes.insert(key.to_owned(), RecentWrite { expires_us: now + for_us, version });
         self.writes.retain(|_, write| write.expires_us > now);
     }
 }
 
-/// Answers by their attempts' numbers, until they are written or can't be any more.
+/// Answers by the number of their attempt, until they are written or can no longer be written.
 pub(crate) struct PendingAnswers<A> {
     answers: BTreeMap<u64, A>,
 }
--- a/crates/stonevane-emulators/src/server.rs
+++ b/crates/stonevane-emulators/src/server.rs
@@ -1,5 +1,5 @@
-//! What all servers have in common: a listener for each node, faults, and connections that end in the ways that
-//! real ones do.
+//! The parts that all emulated servers share: a listener for each node, injected faults, and connections that
+//! end in the ways in which real connections do.
 
 mod connection;
 mod fault;
@@ -13,21 +13,21 @@
 pub use fault::Fault;
 pub(crate) use listeners::Listeners;
 
-/// The pause before a listener tries again to bind its address.
+/// Pause before a listener retries to bind its address.
 pub(crate) const REBIND_PAUSE: Duration = Duration::from_millis(5);
 
-/// Locks a mutex that is held for moments only; a panic elsewhere is no reason to stop.
+/// Locks a mutex and ignores poisoning: a panic in another task must not stop the emulators.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A place in a limited number of connections, given back when dropped.
+/// A permit for one of a limited number of connections, released when dropped.
 pub(crate) struct ConnectionPermit {
     open: Arc<AtomicUsize>,
 }
 
 impl ConnectionPermit {
-    /// Takes a place; `None` where `limit` are taken already.
+    /// Acquires a permit; `None` if `limit` permits are in use.
     pub(crate) fn acquire(open: &Arc<AtomicUsize>, limit: usize) -> Option<ConnectionPermit> {
         let before = open.fetch_add(1, Ordering::Relaxed);
         let permit = ConnectionPermit { open: open.clone() };
--- a/crates/stonevane-emulators/src/server/connection.rs
+++ b/crates/stonevane-emulators/src/server/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a server: requests are read as they arrive, replies written in order when they are due, both as
-//! the fault in force allows.
+//! One connection of a server: requests are read as they arrive, and replies are written in order when they
+//! are due, both subject to the active fault.
 
 use std::collections::VecDeque;
 use std::io;
@@ -15,69 +15,69 @@
 use super::Fault;
 use crate::record::MonotonicClock;
 
-/// Space for each read, in bytes.
+/// Space reserved for each read, in bytes.
 const READ_SIZE: usize = 4096;
-/// The pause between the bytes of an answer under [`Fault::Slow`].
-const SLOW_BYTE: Duration = Duration::from_millis(1);
-/// What [`Fault::Noise`] sends in place of an answer.
+/// Pause between the bytes of a reply under [`Fault::Slow`].
+const SLOW_BYTE_PAUSE: Duration = Duration::from_millis(1);
+/// Bytes that [`Fault::Noise`] sends in place of a reply.
 const NOISE: &[u8] = b"\x00\xffwhat is this?\r\n\r\n";
-/// What [`Fault::Tail`] sends behind an answer.
+/// Bytes that [`Fault::Tail`] appends to a reply.
 const TAIL: &[u8] = b"$5\r\nother\r\n";
 
-/// The node at the other end of a connection.
+/// The node at the other end of a connection, and the fault with which it is served.
 pub(super) struct Peer {
     pub(super) stream: TcpStream,
     pub(super) fault: watch::Receiver<Fault>,
     pub(super) clock: MonotonicClock,
 }
 
-/// When the first and the last byte of a request arrived.
+/// Arrival times of the first and the last byte of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Arrival {
     pub(crate) first_byte: TimeInterval,
     pub(crate) last_byte: TimeInterval,
 }
 
-/// A reply and the moment at which it is due.
+/// A reply and the time at which it is due.
 pub(crate) struct Reply {
-    /// In microseconds of the monotonic clock.
+    /// Time at which the reply is written, in microseconds of the monotonic clock.
     pub(crate) due_us: u64,
     pub(crate) bytes: Bytes,
-    /// The attempt that it answers; 0 for none.
+    /// Number of the attempt that the reply answers; 0 if it answers none.
     pub(crate) number: u64,
 }
 
-/// The bytes are no request: the connection is closed.
+/// The received bytes are not a valid request; the server closes the connection.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed request")]
 pub(crate) struct Malformed;
 
-/// What a server makes of the bytes of a connection.
+/// The protocol of a server: parses requests and produces their replies.
 pub(crate) trait Protocol: Send + 'static {
-    /// Takes one complete request off the front and returns its reply; `None` while no request is complete.
+    /// Removes a complete request from the buffer and returns its reply; `None` while none is complete.
     fn take_request(&mut self, buffer: &mut BytesMut, arrival: Arrival) -> Result<Option<Reply>, Malformed>;
 
-    /// A reply is being written; returns its bytes, where they were not known before.
+    /// Called when a reply is about to be written; returns its bytes if they were not known before.
     fn on_reply(&mut self, reply: &Reply) -> Option<Bytes>;
 
-    /// The same for a reply that a fault keeps from arriving complete.
-    fn on_spoilt_reply(&mut self, reply: &Reply) -> Option<Bytes>;
+    /// Called in place of [`Protocol::on_reply`] for a reply that a fault keeps from arriving complete.
+    fn on_incomplete_reply(&mut self, reply: &Reply) -> Option<Bytes>;
 
-    /// The connection ended before this reply was written.
+    /// Called for each reply that was not written before the connection ended.
     fn on_abandoned(&mut self, reply: &Reply);
 
-    /// How long a connection may stand idle.
+    /// Returns the time after which an idle connection is closed.
     fn idle_timeout(&self) -> Duration;
 }
 
-/// How a connection ends.
+/// The way in which a connection ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
     Closed,
     Reset,
 }
 
-/// Serves one connection until it ends, and reports the replies that it still owed then.
+/// Serves one connection until it ends, and reports the replies that are still pending then.
 pub(super) async fn serve(peer: Peer, protocol: impl Protocol) {
     let mut connection = Connection {
         peer,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Makes a connection end with a reset when it is dropped.
+/// Sets the socket to send a TCP reset when it is dropped.
 pub(super) fn reset(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
@@ -108,11 +108,11 @@
     peer: Peer,
     protocol: P,
     input: BytesMut,
-    /// Replies that are not written yet, in the order of their requests.
+    /// Replies that are not yet written, in the order of their requests.
     pending: VecDeque<Reply>,
-    /// When the first byte of what stands in `input` arrived.
+    /// Arrival time of the first byte in `input`.
     first_byte: Option<TimeInterval>,
-    /// Since when nothing was read, where a write held this task up.
+    /// Start of the writes since the last read: requests may have arrived unread from then on.
     unread_since: Option<u64>,
     idle_since: u64,
 }
@@ -142,7 +142,7 @@
     async fn send(&mut self, mut reply: Reply, fault: Fault) -> ControlFlow<Ending> {
         let bytes = match fault.delivers_answers() {
             true => self.protocol.on_reply(&reply),
-            false => self.protocol.on_spoilt_reply(&reply),
+            false => self.protocol.on_incomplete_reply(&reply),
         };
         reply.bytes = bytes.unwrap_or(reply.bytes);
         let before = MonotonicClock::now();
@@ -154,7 +154,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Waits for a request, a due reply, another fault, or the end of the idle timeout.
+    /// Waits until a request arrives, a reply is due, the fault changes, or the idle timeout expires.
     async fn wait(&mut self, fault: Fault) -> ControlFlow<Ending> {
         let idle_us = self.protocol.idle_timeout().as_micros() as u64;
         let wake_us = self.pending.front().map_or(self.idle_since + idle_us, |reply| reply.due_us);
@@ -204,7 +204,7 @@
     }
 }
 
-/// Writes an answer as a fault lets it through; an error ends the connection.
+/// Writes a reply as modified by the active fault; an error ends the connection.
 async fn write(peer: &mut Peer, bytes: &[u8], fault: Fault) -> io::Result<()> {
     let half = &bytes[..bytes.len() / 2];
     match fault {
@@ -220,7 +220,7 @@
         Fault::Slow => {
             for byte in bytes.chunks(1) {
                 peer.stream.write_all(byte).await?;
-                tokio::time::sleep(SLOW_BYTE).await;
+                tokio::time::sleep(SLOW_BYTE_PAUSE).await;
             }
             Ok(())
         }
--- a/crates/stonevane-emulators/src/server/fault.rs
+++ b/crates/stonevane-emulators/src/server/fault.rs
@@ -1,33 +1,33 @@
-//! Faults of a server as one node sees it.
+//! Faults that are injected into a server, separately for each node.
 
-/// What is wrong with a server, as one node sees it.
+/// The fault of a server towards one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Fault {
-    /// Nothing.
+    /// The server works as specified.
     #[default]
     None,
-    /// The process is gone: connections are reset and refused.
+    /// The process has died: open connections are reset, new ones are refused.
     Dead,
-    /// The machine has vanished or is cut off: connections stay open and silent, new ones never come up.
+    /// The machine is unreachable: open connections stay open and silent, new ones are never established.
     Silent,
     /// New connections are refused; open ones are reset.
     Refuse,
-    /// Each connection is reset when a request has arrived.
+    /// Each connection is reset when a request arrives.
     Reset,
-    /// Half of each answer is sent, and then nothing more.
+    /// Half of each answer is sent, and the connection stays open without the rest.
     Stall,
-    /// Answers are sent a byte at a time.
+    /// Answers are sent one byte at a time.
     Slow,
-    /// Half of each answer is sent, and the connection ends.
+    /// Half of each answer is sent, and the connection is closed.
     Truncate,
-    /// Answers are noise.
+    /// Answers are replaced by bytes that are invalid in the protocol.
     Noise,
-    /// Other bytes follow each answer.
+    /// Each answer is followed by bytes that belong to no request.
     Tail,
 }
 
 impl Fault {
-    /// All faults.
+    /// All faults except [`Fault::None`].
     pub const ALL: [Fault; 9] = [
         Fault::Dead,
         Fault::Silent,
@@ -40,7 +40,7 @@
         Fault::Tail,
     ];
 
-    /// The name that scenarios use.
+    /// Returns the name that scenarios use.
     pub fn name(self) -> &'static str {
         match self {
             Fault::None => "none",
@@ -56,17 +56,17 @@
         }
     }
 
-    /// The fault of a name that scenarios use.
+    /// Returns the fault with a name that scenarios use; `None` for unknown names and for `none`.
     pub fn from_name(name: &str) -> Option<Fault> {
         Fault::ALL.into_iter().find(|fault| fault.name() == name)
     }
 
-    /// Whether new connections come up.
+    /// Whether new connections are accepted.
     pub(super) fn accepts_connections(self) -> bool {
         !matches!(self, Fault::Dead | Fault::Silent | Fault::Refuse)
     }
 
-    /// Whether an answer arrives with all its bytes.
+    /// Whether an answer arrives complete.
     pub(super) fn delivers_answers(self) -> bool {
         !matches!(self, Fault::Stall | Fault::Truncate | Fault::Noise)
     }
--- a/crates/stonevane-emulators/src/server/listeners.rs
+++ b/crates/stonevane-emulators/src/server/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of a server: an address for each node, with the fault that this node sees.
+//! The listeners of a server: an address for each node, with the fault injected for this node.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,23 +12,23 @@
 use super::{Fault, REBIND_PAUSE};
 use crate::record::MonotonicClock;
 
-/// Connections that fill the accept queue of a machine that has vanished, so that no other comes up.
+/// Connections that fill the accept queue under [`Fault::Silent`], so that no other one is established.
 const QUEUE_FILLERS: usize = 3;
 
-/// The listeners of a server.
+/// The listeners of a server, by node.
 pub(crate) struct Listeners {
-    by_node: BTreeMap<String, Entrance>,
+    by_node: BTreeMap<String, NodeListener>,
 }
 
-/// Where one node reaches the server.
-struct Entrance {
+/// The address at which one node reaches the server, and the fault injected there.
+struct NodeListener {
     address: SocketAddr,
     fault: watch::Sender<Fault>,
 }
 
 impl Listeners {
-    /// Opens a listener for each node at an address of this machine (port 0: any) and serves its connections by
-    /// `protocol`, which returns `None` where no further connection is accepted.
+    /// Opens a listener for each node at an address of this machine (port 0: any free port) and serves its
+    /// connections with the protocol that `protocol` returns; it returns `None` to reject a connection.
     pub(crate) async fn open<P: Protocol>(
         nodes: &[(String, SocketAddr)],
         clock: &MonotonicClock,
@@ -39,7 +39,7 @@
             let listener = TcpListener::bind(address).await?;
             let address = listener.local_addr()?;
             let (fault, observed_fault) = watch::channel(Fault::None);
-            by_node.insert(node.clone(), Entrance { address, fault });
+            by_node.insert(node.clone(), NodeListener { address, fault });
             let acceptor = Acceptor {
                 node: node.clone(),
                 address,
@@ -54,23 +54,23 @@
         Ok(Listeners { by_node })
     }
 
-    /// The address that a node knows.
+    /// Returns the address at which a node reaches the server.
     pub(crate) fn address(&self, node: &str) -> Option<SocketAddr> {
-        self.by_node.get(node).map(|entrance| entrance.address)
+        self.by_node.get(node).map(|listener| listener.address)
     }
 
-    /// Changes the fault for one node or for all; nothing happens where it is in force already.
+    /// Sets the fault for one node, or for all if `node` is `None`; has no effect where it is already active.
     pub(crate) fn set_fault(&self, node: Option<&str>, fault: Fault) {
-        let meant = |name: &String| node.is_none_or(|node| node == name);
-        for (_, entrance) in self.by_node.iter().filter(|(name, _)| meant(name)) {
-            if entrance.fault.send_if_modified(|now| std::mem::replace(now, fault) != fault) {
-                tracing::debug!(address = %entrance.address, ?fault, "door");
+        let selected = |name: &String| node.is_none_or(|node| node == name);
+        for (_, listener) in self.by_node.iter().filter(|(name, _)| selected(name)) {
+            if listener.fault.send_if_modified(|current| std::mem::replace(current, fault) != fault) {
+                tracing::debug!(address = %listener.address, ?fault, "listener fault changed");
             }
         }
     }
 }
 
-/// Accepts connections of one node as the fault in force allows.
+/// Accepts connections of one node, subject to the active fault.
 struct Acceptor<F> {
     node: String,
     address: SocketAddr,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Keeps new connections from coming up, without refusing them.
+    /// Fills the accept queue, so that new connections are neither established nor refused.
     fn fill_queue(&mut self) {
         let Some(listener) = &self.listener else { return };
         let _ = rustix::net::listen(listener, 0);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Opens the listener anew; connections that came up meanwhile are reset.
+    /// Opens a new listener; connections in the old one's accept queue are reset.
     async fn reopen(&mut self) {
         for filler in self.fillers.drain(..) {
             filler.abort();
@@ -145,7 +145,7 @@
     fn accept(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let Some(protocol) = (self.protocol)(&self.node) else {
-            tracing::debug!(address = %self.address, node = self.node, "its table of connections is full");
+            tracing::debug!(address = %self.address, node = self.node, "connection limit reached, rejected");
             reset(&stream);
             return;
         };
