--- a/crates/stonevane-capacity/src/cpu.rs
+++ b/crates/stonevane-capacity/src/cpu.rs
@@ -2,8 +2,8 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// One call in so many is timed.
-const SAMPLED: u64 = 16;
+/// One in this many calls is timed.
+const SAMPLING_INTERVAL: u64 = 16;
 
 /// Processor time that the calling thread has used, in nanoseconds.
 pub fn thread_nanos() -> u64 {
@@ -11,7 +11,7 @@
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-/// Adds up the processor time of many short calls by timing every sixteenth of them.
+/// Estimates the processor time of many short calls by timing every 16th one.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct CpuMeter {
     calls: u64,
@@ -19,20 +19,20 @@
 }
 
 impl CpuMeter {
-    /// Runs a call, and times it where it is its turn.
+    /// Runs a call and times it if it is one of the sampled calls.
     pub fn run<T>(&mut self, call: impl FnOnce() -> T) -> T {
         self.calls += 1;
-        if !self.calls.is_multiple_of(SAMPLED) {
+        if !self.calls.is_multiple_of(SAMPLING_INTERVAL) {
             return call();
         }
-        let begun = thread_nanos();
+        let started = thread_nanos();
         let result = call();
-        self.timed_nanos += thread_nanos() - begun;
+        self.timed_nanos += thread_nanos() - started;
         result
     }
 
-    /// The processor time of all calls, in microseconds, as the timed ones tell.
+    /// Estimated processor time of all calls, in microseconds: the timed calls scaled up to all calls.
     pub fn micros(&self) -> f64 {
-        (self.timed_nanos * SAMPLED) as f64 / 1e3
+        (self.timed_nanos * SAMPLING_INTERVAL) as f64 / 1e3
     }
 }
--- a/crates/stonevane-capacity/src/csv.rs
+++ b/crates/stonevane-capacity/src/csv.rs
@@ -1,41 +1,41 @@
-//! Measurements as CSV, one figure a line.
+//! Measurements as CSV, one metric value per line.
 
 use serde::{Deserialize, Serialize};
 
 use crate::roles::{Basis, Figure, Measurement, Role};
 
-/// One figure of one role at one size, as a line of the file.
+/// A CSV line: one metric value of one role at one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Line {
-    /// The role's name.
+    /// Name of the role, as [`Role::name`] returns it.
     pub role: String,
-    /// The size that it was measured at.
+    /// Size that was measured, in the role's unit ([`Role::size_unit`]).
     pub size: u64,
-    /// The seed of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Name of the figure.
+    /// Name of the metric.
     pub metric: String,
-    /// Its unit.
+    /// Unit of `value`.
     pub unit: String,
-    /// How it was come by.
+    /// How the value was obtained.
     pub basis: Basis,
-    /// Its value.
+    /// Value of the metric; NaN if the measured event did not occur in time.
     pub value: f64,
 }
 
-/// Why a file of measurements cannot be read.
+/// Error in a CSV file of measurements.
 #[derive(Debug)]
-pub struct Unreadable(String);
+pub struct CsvError(String);
 
-impl std::fmt::Display for Unreadable {
+impl std::fmt::Display for CsvError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.0)
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for CsvError {}
 
-/// The lines of a measurement.
+/// Returns one line for each metric of a measurement.
 pub fn lines(measurement: &Measurement) -> Vec<Line> {
     let line = |figure: &Figure| Line {
         role: measurement.role.name().to_owned(),
@@ -49,16 +49,17 @@
     measurement.figures.iter().map(line).collect()
 }
 
-/// The measurement that lines of one role at one size are of.
+/// Rebuilds a measurement from its lines.
 ///
 /// # Errors
-/// Where there are none, or they are of several.
-pub fn measurement(lines: &[Line]) -> Result<Measurement, Unreadable> {
-    let first = lines.first().ok_or_else(|| Unreadable("there are no figures".into()))?;
-    let role = Role::named(&first.role).ok_or_else(|| Unreadable(format!("no role {:?}", first.role)))?;
-    let alike = |line: &Line| (&line.role, line.size, line.seed) == (&first.role, first.size, first.seed);
-    if !lines.iter().all(alike) {
-        return Err(Unreadable("the figures are of several measurements".into()));
+/// If there are no lines, the role is unknown, or the lines differ in role, size or seed.
+pub fn measurement(lines: &[Line]) -> Result<Measurement, CsvError> {
+    let first = lines.first().ok_or_else(|| CsvError("the measurements hold no lines".into()))?;
+    let role = Role::named(&first.role).ok_or_else(|| CsvError(format!("unknown role {:?}", first.role)))?;
+    let same_measurement =
+        |line: &Line| (&line.role, line.size, line.seed) == (&first.role, first.size, first.seed);
+    if !lines.iter().all(same_measurement) {
+        return Err(CsvError("all lines must have the same role, size and seed".into()));
     }
     let figure = |line: &Line| Figure {
         metric: line.metric.clone().into(),
@@ -69,21 +70,21 @@
     Ok(Measurement { role, size: first.size, seed: first.seed, figures: lines.iter().map(figure).collect() })
 }
 
-/// Writes lines with a header.
+/// Writes lines as CSV text with a header.
 pub fn write(lines: &[Line]) -> String {
     let mut writer = ::csv::Writer::from_writer(Vec::new());
     for line in lines {
-        // A vector takes all that is written to it.
+        // Writing to a vector does not fail.
         let _ = writer.serialize(line);
     }
     String::from_utf8(writer.into_inner().unwrap_or_default()).unwrap_or_default()
 }
 
-/// Reads lines below a header.
+/// Reads CSV text with a header.
 ///
 /// # Errors
-/// Where a line is not what [`write`] makes.
-pub fn read(text: &str) -> Result<Vec<Line>, Unreadable> {
+/// If a line does not have the form that [`write()`] produces.
+pub fn read(text: &str) -> Result<Vec<Line>, CsvError> {
     let mut reader = ::csv::Reader::from_reader(text.as_bytes());
-    reader.deserialize().map(|line| line.map_err(|e| Unreadable(e.to_string()))).collect()
+    reader.deserialize().map(|line| line.map_err(|e| CsvError(e.to_string()))).collect()
 }
--- a/crates/stonevane-capacity/src/lib.rs
+++ b/crates/stonevane-capacity/src/lib.rs
@@ -1,8 +1,9 @@
-//! Capacity: what each role of the fleet costs at several sizes, how the cost grows, and what that makes at a target.
+//! Capacity model: measures the cost of each role of the fleet at several sizes, fits its growth, and
+//! computes the cost at the target size.
 //!
-//! [`roles`] measures, with the code that the daemon runs. [`fit`] draws lines through measured points. [`model`] turns
-//! slopes into the table of `docs/CAPACITY.md`. Only `roles`, `cpu` and the readers in [`limits`] touch the machine; all
-//! else is pure.
+//! [`roles`] runs and measures the daemon's own code. [`fit`] fits lines through the measured points.
+//! [`model`] turns the measurements into the tables of `docs/CAPACITY.md`. Only `roles`, `cpu` and the
+//! readers in [`limits`] touch the machine; everything else is pure.
 
 pub mod cpu;
 pub mod csv;
--- a/crates/stonevane-capacity/src/limits.rs
+++ b/crates/stonevane-capacity/src/limits.rs
@@ -1,24 +1,24 @@
-//! How much memory a measurement may take: at most half of what the machine has. The check itself is pure.
+//! Memory limit of a measurement: at most half of the machine's memory. The check itself is pure.
 
-/// A megabyte, as messages count it.
-const MEGABYTE: u64 = 1 << 20;
+/// Bytes of a megabyte in messages.
+const BYTES_PER_MB: u64 = 1 << 20;
 
 /// Memory of the machine, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineMemory {
-    /// All that it has.
+    /// Total memory.
     pub total: u64,
-    /// What may be taken without swapping.
+    /// Memory that can be allocated without swapping.
     pub available: u64,
 }
 
 impl MachineMemory {
-    /// What a measurement may take: half of the machine's memory, and no more than is available.
+    /// Memory that a measurement may use, in bytes: half of the total, and at most what is available.
     pub fn allowed(self) -> u64 {
         (self.total / 2).min(self.available)
     }
 
-    /// Reads the fields of `/proc/meminfo`; `None` where they are missing.
+    /// Parses the text of `/proc/meminfo`; `None` if a field is missing or malformed.
     pub fn parse(meminfo: &str) -> Option<MachineMemory> {
         let field = |name: &str| {
             let line = meminfo.lines().find_map(|line| line.strip_prefix(name))?;
@@ -28,26 +28,26 @@
         Some(MachineMemory { total: field("MemTotal:")?, available: field("MemAvailable:")? })
     }
 
-    /// The memory of this machine; `None` where the system does not tell.
+    /// Reads the memory of this machine; `None` if `/proc/meminfo` cannot be read.
     pub fn read() -> Option<MachineMemory> {
         Self::parse(&std::fs::read_to_string("/proc/meminfo").ok()?)
     }
 }
 
-/// A measurement would take more memory than it may.
+/// Error of a measurement that needs more memory than its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooMuchMemory {
-    /// The size that is too large.
+    /// Size of the measurement.
     pub size: u64,
-    /// What it needs, in bytes.
+    /// Memory that the measurement needs, in bytes.
     pub needed: u64,
-    /// What it may take, in bytes.
+    /// Memory limit, in bytes.
     pub allowed: u64,
 }
 
 impl std::fmt::Display for TooMuchMemory {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (needed, allowed) = (self.needed / MEGABYTE, self.allowed / MEGABYTE);
+        let (needed, allowed) = (self.needed / BYTES_PER_MB, self.allowed / BYTES_PER_MB);
         let size = self.size;
         write!(f, "size {size} needs {needed} MB of memory, and at most {allowed} MB may be taken")
     }
@@ -55,16 +55,16 @@
 
 impl std::error::Error for TooMuchMemory {}
 
-/// Whether a size that needs so many bytes fits into what is allowed.
+/// Checks the memory that a size needs against the limit, both in bytes.
 ///
 /// # Errors
-/// Where it does not.
+/// If `needed` exceeds `allowed`.
 pub fn check(size: u64, needed: u64, allowed: u64) -> Result<(), TooMuchMemory> {
     if needed <= allowed { Ok(()) } else { Err(TooMuchMemory { size, needed, allowed }) }
 }
 
-/// Resident memory of this process, in bytes; 0 where the system does not tell.
-pub fn resident() -> u64 {
+/// Resident memory of this process, in bytes; 0 if `/proc/self/status` cannot be read.
+pub fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().next()?.parse::<u64>().ok());
--- a/crates/stonevane-capacity/src/model/discovery.rs
+++ b/crates/stonevane-capacity/src/model/discovery.rs
@@ -1,90 +1,121 @@
-//! What the discovery service bears. Its processor and memory are its own software's and were not measured.
+//! Load on the discovery service. Its processor time and memory depend on its own software and were not
+//! measured.
 
-use super::figures::{Figures, MissingFigure, Value};
-use super::row::{Mechanism, Party, Quantity, Row, Rows, Situation, amount};
+use super::figures::{Figures, MissingMetric, Value};
+use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::TARGET;
 use crate::roles::Role;
 
-const WATCHES: Mechanism = Mechanism::Today("one watch of each node");
-const CHANGES: Mechanism = Mechanism::Missing("changes told once a region and on from there");
-const WHOLE: Mechanism = Mechanism::Missing("lists by region, or from a neighbour");
+const WATCH_PER_NODE: Mechanism = Mechanism::Today("one watch of each node");
+const CHANGES_BY_REGION: Mechanism = Mechanism::Missing("changes told once a region and on from there");
+const LISTS_BY_REGION: Mechanism = Mechanism::Missing("lists by region, or from a neighbour");
 
-/// Bytes of a change told to every node.
-fn told(changes: f64, change: &Value) -> f64 {
+/// Bytes of `changes` list changes delivered to every node; `change` is the size of one, in bytes.
+fn delivered_bytes(changes: f64, change: &Value) -> f64 {
     changes * TARGET.nodes * change.value
 }
 
-/// The rows of the discovery service.
+/// Computes the rows of the discovery service.
 ///
 /// # Errors
-/// Where a figure was not measured.
+/// If a metric was not measured.
 #[expect(clippy::too_many_lines, reason = "one table: a few lines for each row of the page")]
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingFigure> {
+pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
     let list = |metric| figures.at(Role::ServerList, metric, TARGET.servers);
     let calls = |metric, nodes| figures.at(Role::Discovery, metric, nodes);
-    let (whole, change, beat) = (list("whole_bytes")?, list("change_bytes")?, list("watch_bytes")?);
+    let (full_list, change, heartbeat) = (list("whole_bytes")?, list("change_bytes")?, list("watch_bytes")?);
     let start = calls("start_busiest", TARGET.nodes)?;
     let lost = calls("lost_busiest", TARGET.nodes)?;
     let lost_region = calls("lost_busiest", TARGET.region_nodes)?;
-    let mut rows = Rows::of(Party::Discovery);
+    let mut rows = Rows::new(Component::Discovery);
 
-    rows.add(amount(State, "watches open", TARGET.nodes, "watches", "nodes"), &[], None, WATCHES);
-    let beats = TARGET.nodes / 2.0;
-    rows.add(amount(Messages, "empty lines", beats, "1/s", "nodes / 2 s"), &[], None, WATCHES);
-    let what = "empty lines";
-    let quiet = amount(Bytes, what, TARGET.nodes * beat.value, "B/s", "nodes x beat of a watch");
-    rows.add(quiet, &[&beat], None, WATCHES);
+    rows.add(amount(State, "watches open", TARGET.nodes, "watches", "nodes"), &[], None, WATCH_PER_NODE);
+    let heartbeats = TARGET.nodes / 2.0;
+    rows.add(amount(Messages, "empty lines", heartbeats, "1/s", "nodes / 2 s"), &[], None, WATCH_PER_NODE);
+    let label = "empty lines";
+    let idle = amount(Bytes, label, TARGET.nodes * heartbeat.value, "B/s", "nodes x beat of a watch");
+    rows.add(idle, &[&heartbeat], None, WATCH_PER_NODE);
     let changes = 3.0 * TARGET.server_restarts();
     let formula = "3 x server restarts/s x nodes";
     let lines = amount(Messages, "lines told", changes * TARGET.nodes, "1/s", formula);
-    rows.add(lines, &[], None, WATCHES);
+    rows.add(lines, &[], None, WATCH_PER_NODE);
     let formula = "lines x bytes of a change";
-    let lines = amount(Bytes, "lines told", told(changes, &change), "B/s", formula);
-    rows.add(lines, &[&change], None, WATCHES);
+    let lines = amount(Bytes, "lines told", delivered_bytes(changes, &change), "B/s", formula);
+    rows.add(lines, &[&change], None, WATCH_PER_NODE);
 
-    rows.during(Situation::BusiestSecond);
+    rows.set_situation(Situation::BusiestSecond);
     let site = TARGET.servers / TARGET.sites;
-    let what = "lines when the servers of a site are gone";
+    let label = "lines when the servers of a site are gone";
     let formula = "servers / sites x nodes";
-    rows.add(amount(Messages, what, site * TARGET.nodes, "1/s", formula), &[], None, CHANGES);
+    rows.add(amount(Messages, label, site * TARGET.nodes, "1/s", formula), &[], None, CHANGES_BY_REGION);
     let formula = "lines x bytes of a change";
-    rows.add(amount(Bytes, what, told(site, &change), "B/s", formula), &[&change], None, CHANGES);
+    rows.add(
+        amount(Bytes, label, delivered_bytes(site, &change), "B/s", formula),
+        &[&change],
+        None,
+        CHANGES_BY_REGION,
+    );
 
-    rows.during(Situation::ZoneLost);
+    rows.set_situation(Situation::ZoneLost);
     let gone = TARGET.zone_servers();
-    let what = "lines when its servers are gone, and again when they are back";
+    let label = "lines when its servers are gone, and again when they are back";
     let formula = "servers of a zone x nodes";
-    rows.add(amount(Messages, what, gone * TARGET.nodes, "lines", formula), &[], None, CHANGES);
+    rows.add(amount(Messages, label, gone * TARGET.nodes, "lines", formula), &[], None, CHANGES_BY_REGION);
     let formula = "lines x bytes of a change";
-    rows.add(amount(Bytes, what, told(gone, &change), "B", formula), &[&change], None, CHANGES);
-    let what = "whole lists when its nodes are back with none kept";
-    let back = TARGET.zone_nodes() * whole.value;
-    rows.add(amount(Bytes, what, back, "B", "nodes of a zone x whole list"), &[&whole], None, WHOLE);
+    rows.add(
+        amount(Bytes, label, delivered_bytes(gone, &change), "B", formula),
+        &[&change],
+        None,
+        CHANGES_BY_REGION,
+    );
+    let label = "whole lists when its nodes are back with none kept";
+    let returned = TARGET.zone_nodes() * full_list.value;
+    rows.add(
+        amount(Bytes, label, returned, "B", "nodes of a zone x whole list"),
+        &[&full_list],
+        None,
+        LISTS_BY_REGION,
+    );
 
-    rows.during(Situation::RegionStarts);
+    rows.set_situation(Situation::RegionStarts);
     let calls = TARGET.region_nodes;
-    rows.add(amount(Messages, "calls at once", calls, "calls", "643"), &[&start], None, WATCHES);
-    let what = "whole lists, where none is kept";
-    rows.add(amount(Bytes, what, calls * whole.value, "B", "643 x whole list"), &[&whole], None, WHOLE);
+    rows.add(amount(Messages, "calls at once", calls, "calls", "643"), &[&start], None, WATCH_PER_NODE);
+    let label = "whole lists, where none is kept";
+    rows.add(
+        amount(Bytes, label, calls * full_list.value, "B", "643 x whole list"),
+        &[&full_list],
+        None,
+        LISTS_BY_REGION,
+    );
 
-    rows.during(Situation::RegionsCut);
-    let what = "calls in the busiest second after all watches of a region are lost";
+    rows.set_situation(Situation::RegionsCut);
+    let label = "calls in the busiest second after all watches of a region are lost";
     let formula = "calls are spread by each node's own draw";
-    rows.add(amount(Messages, what, lost_region.value, "1/s", formula), &[&lost_region], None, WATCHES);
-    let missed = TARGET.cut * changes * change.value * TARGET.region_nodes;
-    let what = "changes told after it";
+    rows.add(
+        amount(Messages, label, lost_region.value, "1/s", formula),
+        &[&lost_region],
+        None,
+        WATCH_PER_NODE,
+    );
+    let missed = TARGET.cut_s * changes * change.value * TARGET.region_nodes;
+    let label = "changes told after it";
     let formula = "600 s x 3 x server restarts/s x 643 x bytes of a change";
-    rows.add(amount(Bytes, what, missed, "B", formula), &[&change], None, WATCHES);
+    rows.add(amount(Bytes, label, missed, "B", formula), &[&change], None, WATCH_PER_NODE);
 
-    rows.during(Situation::AllRestarted);
-    let what = "calls in the busiest second of a start at once";
-    rows.add(amount(Messages, what, start.value, "1/s", "nodes"), &[&start], None, WHOLE);
-    let what = "calls in the busiest second after all watches are lost";
+    rows.set_situation(Situation::AllRestarted);
+    let label = "calls in the busiest second of a start at once";
+    rows.add(amount(Messages, label, start.value, "1/s", "nodes"), &[&start], None, LISTS_BY_REGION);
+    let label = "calls in the busiest second after all watches are lost";
     let formula = "calls are spread by each node's own draw";
-    rows.add(amount(Messages, what, lost.value, "1/s", formula), &[&lost], None, WATCHES);
-    let what = "whole lists, where none is kept";
-    let all = TARGET.nodes * whole.value;
-    rows.add(amount(Bytes, what, all, "B", "nodes x whole list"), &[&whole], None, WHOLE);
-    Ok(rows.done())
+    rows.add(amount(Messages, label, lost.value, "1/s", formula), &[&lost], None, WATCH_PER_NODE);
+    let label = "whole lists, where none is kept";
+    let full_lists = TARGET.nodes * full_list.value;
+    rows.add(
+        amount(Bytes, label, full_lists, "B", "nodes x whole list"),
+        &[&full_list],
+        None,
+        LISTS_BY_REGION,
+    );
+    Ok(rows.finish())
 }
--- a/crates/stonevane-capacity/src/model/figures.rs
+++ b/crates/stonevane-capacity/src/model/figures.rs
@@ -1,60 +1,60 @@
-//! Measured figures at a size: as measured there, or on the line through the sizes that were measured.
+//! Value of a metric at a size: as measured at that size, or on the line through the measured sizes.
 
 use crate::csv::Line;
 use crate::fit::{self, Point};
 use crate::report::number;
 use crate::roles::{Basis, Role};
 
-/// A figure that a formula needs was not measured.
+/// Error for a metric that a formula needs and that was not measured at enough sizes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct MissingFigure {
-    /// Of which role.
+pub struct MissingMetric {
+    /// Name of the role.
     pub role: &'static str,
-    /// Its name.
+    /// Name of the metric.
     pub metric: &'static str,
 }
 
-impl std::fmt::Display for MissingFigure {
+impl std::fmt::Display for MissingMetric {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "the measurements lack {} of {}", self.metric, self.role)
     }
 }
 
-impl std::error::Error for MissingFigure {}
+impl std::error::Error for MissingMetric {}
 
-/// A figure at a size.
+/// Value of a metric at a size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Value {
-    /// The figure.
+    /// Value, in the unit of the metric.
     pub value: f64,
-    /// Where it is from, as tables say it.
+    /// Source of the value, as the tables print it.
     pub source: String,
 }
 
-/// All measurements.
+/// Measurements of all roles, the input of the model.
 #[derive(Debug, Clone, Default)]
 pub struct Figures {
     lines: Vec<Line>,
 }
 
 impl Figures {
-    /// Of lines as files hold them.
+    /// Creates it from the lines of the CSV files.
     pub fn new(lines: Vec<Line>) -> Figures {
         Figures { lines }
     }
 
-    /// The lines of a figure that have a value.
-    fn of(&self, role: Role, metric: &str) -> impl Iterator<Item = &Line> {
+    /// Lines of a metric whose value is finite.
+    fn finite_lines(&self, role: Role, metric: &str) -> impl Iterator<Item = &Line> {
         let same = move |line: &&Line| line.role == role.name() && line.metric == metric;
         self.lines.iter().filter(same).filter(|line| line.value.is_finite())
     }
 
-    /// A figure at a size: as it was measured or sampled there, else on the line through all sizes.
+    /// Returns a metric at a size: the value recorded for that size, or else the line through all sizes.
     ///
     /// # Errors
-    /// Where there are fewer than two sizes and none of them is the one asked for.
-    pub fn at(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingFigure> {
-        let exact = self.of(role, metric).find(|line| line.size as f64 == size);
+    /// If that size is not recorded and there are fewer than two sizes to fit a line through.
+    pub fn at(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingMetric> {
+        let exact = self.finite_lines(role, metric).find(|line| line.size as f64 == size);
         if let Some(line) = exact {
             let basis = line.basis.name();
             let slope = self.slope(role, metric);
@@ -64,25 +64,27 @@
         self.on_line(role, metric, size, |size| size, |_| true)
     }
 
-    /// The slope of the line through all sizes of a figure, in words; empty where there is none.
+    /// Text for the slope of the line through all sizes of a metric; empty if there is no line.
     fn slope(&self, role: Role, metric: &str) -> String {
-        let points: Vec<Point> = self.of(role, metric).map(|line| (line.size as f64, line.value)).collect();
+        let points: Vec<Point> =
+            self.finite_lines(role, metric).map(|line| (line.size as f64, line.value)).collect();
         fit::line(&points).map_or(String::new(), |line| format!("; {} a size", number(line.slope)))
     }
 
-    /// A figure on the line through the sizes at which every participant ran.
+    /// Returns a metric on the line through the sizes that were measured with every participant running.
     ///
     /// # Errors
-    /// Where there are fewer than two such sizes.
-    pub fn at_measured(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingFigure> {
+    /// If there are fewer than two such sizes.
+    pub fn at_measured(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingMetric> {
         self.on_line(role, metric, size, |size| size, |line| line.basis == Basis::Measured)
     }
 
-    /// A figure that grows with the logarithm of the size, on the line through the sizes at which every participant ran.
+    /// Returns a metric that grows with the logarithm of the size, on the line through the sizes that were
+    /// measured with every participant running.
     ///
     /// # Errors
-    /// As [`Figures::at_measured`].
-    pub fn at_logarithm(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingFigure> {
+    /// If there are fewer than two such sizes.
+    pub fn at_logarithm(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingMetric> {
         self.on_line(role, metric, size, f64::log10, |line| line.basis == Basis::Measured)
     }
 
@@ -92,24 +94,24 @@
         metric: &'static str,
         size: f64,
         scale: fn(f64) -> f64,
-        counts: fn(&Line) -> bool,
-    ) -> Result<Value, MissingFigure> {
-        let lines: Vec<&Line> = self.of(role, metric).filter(|line| counts(line)).collect();
+        include: fn(&Line) -> bool,
+    ) -> Result<Value, MissingMetric> {
+        let lines: Vec<&Line> = self.finite_lines(role, metric).filter(|line| include(line)).collect();
         let points: Vec<Point> = lines.iter().map(|line| (scale(line.size as f64), line.value)).collect();
-        let fitted = fit::line(&points).ok_or(MissingFigure { role: role.name(), metric })?;
+        let fitted = fit::line(&points).ok_or(MissingMetric { role: role.name(), metric })?;
         let largest = lines.iter().map(|line| line.size).max().unwrap_or(0) as f64;
-        let how = match size > largest {
+        let range = match size > largest {
             true => format!("extrapolated, x{} beyond {largest}", number(size / largest)),
             false => format!("between measured sizes, to {largest}"),
         };
         let (slope, intercept) = (number(fitted.slope), number(fitted.intercept));
         let name = format!("{}.{metric}", role.name());
-        let source = format!("{name} = {intercept} + {slope} a {}; {how}", unit(scale));
+        let source = format!("{name} = {intercept} + {slope} a {}; {range}", slope_unit(scale));
         Ok(Value { value: fitted.at(scale(size)), source })
     }
 }
 
-/// What a slope is counted by.
-fn unit(scale: fn(f64) -> f64) -> &'static str {
+/// Unit of size that a slope refers to.
+fn slope_unit(scale: fn(f64) -> f64) -> &'static str {
     if scale(10.0) == 10.0 { "size" } else { "power of ten" }
 }
--- a/crates/stonevane-capacity/src/model/mod.rs
+++ b/crates/stonevane-capacity/src/model/mod.rs
@@ -1,5 +1,5 @@
-//! From measured slopes to the fleet's costs at the target: figures, formulas, budgets and the tables of
-//! `docs/CAPACITY.md`. Pure: measurements come in as lines, rows go out.
+//! Capacity model: computes the fleet's costs at the target from measurements, compares them with budgets,
+//! and writes the tables of `docs/CAPACITY.md`. Pure: CSV lines are the input, table rows the output.
 
 mod control_machine;
 mod discovery;
@@ -12,16 +12,16 @@
 mod server;
 mod target;
 
-pub use figures::{Figures, MissingFigure, Value};
+pub use figures::{Figures, MissingMetric, Value};
 pub use page::{Mismatch, compare, tables};
-pub use row::{Mechanism, Party, Quantity, Row, Situation};
+pub use row::{Component, Mechanism, Quantity, Row, Situation};
 pub use target::{Budget, TARGET, Target};
 
-/// All rows of all tables.
+/// Computes the rows of all tables.
 ///
 /// # Errors
-/// Where a figure that a formula needs was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingFigure> {
+/// If a metric that a formula needs was not measured.
+pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
     let parts = [
         node::rows(figures)?,
         server::rows(figures)?,
--- a/crates/stonevane-capacity/src/model/page.rs
+++ b/crates/stonevane-capacity/src/model/page.rs
@@ -1,27 +1,28 @@
-//! The tables of `docs/CAPACITY.md`: written, found in a page, and compared with it.
+//! Tables of `docs/CAPACITY.md`: writes them as Markdown, and compares the tables in a page with the computed
+//! rows.
 
 use crate::report::number;
 
-use super::row::{Party, Row};
+use super::row::{Component, Row};
 
-/// The columns of a table.
+/// Header of a component's table.
 const HEADER: &str =
     "| when | kind | what | at the target | formula | measured figures | budget | ratio | carried by |";
-const RULE: &str = "| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
+const SEPARATOR: &str = "| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// The columns of the list of what is over its budget, and that list's name.
-const OVER_HEADER: &str = "| ratio | whom | when | what | at the target | budget | carried by |";
-const OVER_RULE: &str = "| --- | --- | --- | --- | --- | --- | --- |";
-const OVER: &str = "over the budget";
+/// Header and name of the table of loads that exceed their budgets.
+const OVER_BUDGET_HEADER: &str = "| ratio | whom | when | what | at the target | budget | carried by |";
+const OVER_BUDGET_SEPARATOR: &str = "| --- | --- | --- | --- | --- | --- | --- |";
+const OVER_BUDGET: &str = "over the budget";
 
-/// A page that does not say what the formulas say.
+/// Difference between a table in the page and the computed rows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Mismatch {
-    /// The table's name.
+    /// Name of the table.
     pub table: &'static str,
-    /// The line that the formulas give, empty where the page has one too many.
+    /// Computed line; empty if the page has a surplus line.
     pub expected: String,
-    /// The line of the page, empty where it has one too few.
+    /// Line in the page; empty if the page lacks a line.
     pub found: String,
 }
 
@@ -44,52 +45,57 @@
         "| {} | {} | {} | {} {} | {} | {} | {} | {} | {} |",
         row.situation.name(),
         row.quantity.name(),
-        row.what,
+        row.label,
         number(row.value),
         row.unit,
         row.formula,
         sources,
         optional(row.budget),
         optional(row.ratio()),
-        row.mechanism.words()
+        row.mechanism.description()
     )
 }
 
-/// The lines of a party's table, header and all.
-fn lines(party: Party, rows: &[Row]) -> Vec<String> {
-    let own = rows.iter().filter(|row| row.party == party).map(line);
-    [HEADER.to_owned(), RULE.to_owned()].into_iter().chain(own).collect()
+/// Lines of a component's table, with its header.
+fn lines(component: Component, rows: &[Row]) -> Vec<String> {
+    let own = rows.iter().filter(|row| row.component == component).map(line);
+    [HEADER.to_owned(), SEPARATOR.to_owned()].into_iter().chain(own).collect()
 }
 
-/// The rows that are over their budgets, the furthest first; the operators' own reckonings are not among them.
-fn over_lines(rows: &[Row]) -> Vec<String> {
-    let over = |row: &&Row| row.party != Party::Reckonings && row.ratio().is_some_and(|ratio| ratio > 1.0);
-    let mut over: Vec<&Row> = rows.iter().filter(over).collect();
-    over.sort_by(|one, other| other.ratio().unwrap_or(0.0).total_cmp(&one.ratio().unwrap_or(0.0)));
+/// Lines of the rows that exceed their budgets, the highest ratio first, without the operators' own
+/// estimates.
+fn over_budget_lines(rows: &[Row]) -> Vec<String> {
+    let over_budget =
+        |row: &&Row| row.component != Component::Estimates && row.ratio().is_some_and(|ratio| ratio > 1.0);
+    let mut over_budget: Vec<&Row> = rows.iter().filter(over_budget).collect();
+    over_budget.sort_by(|one, other| other.ratio().unwrap_or(0.0).total_cmp(&one.ratio().unwrap_or(0.0)));
     let line = |row: &Row| {
         format!(
             "| {} | {} | {} | {}: {} | {} {} | {} | {} |",
             number(row.ratio().unwrap_or(0.0)),
-            row.party.name(),
+            row.component.name(),
             row.situation.name(),
             row.quantity.name(),
-            row.what,
+            row.label,
             number(row.value),
             row.unit,
             number(row.budget.unwrap_or(0.0)),
-            row.mechanism.words()
+            row.mechanism.description()
         )
     };
-    [OVER_HEADER.to_owned(), OVER_RULE.to_owned()].into_iter().chain(over.into_iter().map(line)).collect()
+    [OVER_BUDGET_HEADER.to_owned(), OVER_BUDGET_SEPARATOR.to_owned()]
+        .into_iter()
+        .chain(over_budget.into_iter().map(line))
+        .collect()
 }
 
-/// All tables by their names, in the order of the page.
+/// Lines of all tables with their names, in the order of the page.
 fn all_lines(rows: &[Row]) -> Vec<(&'static str, Vec<String>)> {
-    let parties = Party::ALL.into_iter().map(|party| (party.name(), lines(party, rows)));
-    [(OVER, over_lines(rows))].into_iter().chain(parties).collect()
+    let components = Component::ALL.into_iter().map(|component| (component.name(), lines(component, rows)));
+    [(OVER_BUDGET, over_budget_lines(rows))].into_iter().chain(components).collect()
 }
 
-/// All tables with their marks, as the page holds them.
+/// Formats all tables with the marks that delimit them in the page.
 pub fn tables(rows: &[Row]) -> String {
     let block = |(name, lines): (&str, Vec<String>)| {
         format!("{}\n{}\n{END_MARK}\n", begin_mark(name), lines.join("\n"))
@@ -97,7 +103,7 @@
     all_lines(rows).into_iter().map(block).collect::<Vec<_>>().join("\n")
 }
 
-/// Compares a page with the formulas; the first line of each table that differs.
+/// Compares the tables in a page with the computed rows; returns the first difference of each table.
 pub fn compare(page: &str, rows: &[Row]) -> Vec<Mismatch> {
     all_lines(rows).into_iter().filter_map(|(name, expected)| compare_table(page, name, &expected)).collect()
 }
@@ -107,9 +113,9 @@
     let found: Vec<&str> =
         page.lines().skip_while(|line| *line != begin).skip(1).take_while(|line| *line != END_MARK).collect();
     let count = expected.len().max(found.len());
-    (0..count).find_map(|place| {
-        let expected = expected.get(place).map_or("", String::as_str);
-        let found = found.get(place).copied().unwrap_or("");
+    (0..count).find_map(|index| {
+        let expected = expected.get(index).map_or("", String::as_str);
+        let found = found.get(index).copied().unwrap_or("");
         let differ = expected != found;
         differ.then(|| Mismatch { table: name, expected: expected.into(), found: found.into() })
     })
--- a/crates/stonevane-capacity/src/model/row.rs
+++ b/crates/stonevane-capacity/src/model/row.rs
@@ -1,61 +1,67 @@
-//! A row of a table: what a part of the fleet bears in a situation.
+//! Table rows: the load on one component of the fleet in one situation.
 
 use super::figures::Value;
 
-/// A part of the fleet, with a table of its own.
+/// Component of the fleet; each has its own table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Party {
-    /// A node.
+pub enum Component {
+    /// Node, which runs the daemon.
     Node,
-    /// A cache server.
+    /// Cache server, under the load of all nodes.
     Server,
-    /// The discovery service.
+    /// Discovery service as a whole.
     Discovery,
-    /// One of the control machines.
+    /// One control machine; the load is divided evenly among them.
     ControlMachine,
-    /// The link between two regions, in one direction.
+    /// Link between two regions, in one direction.
     Link,
-    /// What the operators reckoned, checked.
-    Reckonings,
+    /// Operators' own estimates, recomputed.
+    Estimates,
 }
 
-impl Party {
-    /// All of them, in the order of the page.
-    pub const ALL: [Party; 6] =
-        [Party::Node, Party::Server, Party::Discovery, Party::ControlMachine, Party::Link, Party::Reckonings];
-
-    /// Its name in the page.
+impl Component {
+    /// All components, in the order of the page.
+    pub const ALL: [Component; 6] = [
+        Component::Node,
+        Component::Server,
+        Component::Discovery,
+        Component::ControlMachine,
+        Component::Link,
+        Component::Estimates,
+    ];
+
+    /// Returns the title of its table in the page.
     pub fn name(self) -> &'static str {
         match self {
-            Party::Node => "node",
-            Party::Server => "cache server",
-            Party::Discovery => "discovery",
-            Party::ControlMachine => "control machine",
-            Party::Link => "link between two regions",
-            Party::Reckonings => "reckonings",
+            Component::Node => "node",
+            Component::Server => "cache server",
+            Component::Discovery => "discovery",
+            Component::ControlMachine => "control machine",
+            Component::Link => "link between two regions",
+            Component::Estimates => "reckonings",
         }
     }
 }
 
-/// When something is borne.
+/// Situation in which a load occurs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Situation {
-    /// The mean of an ordinary day.
+    /// Mean over an ordinary day.
     OrdinaryDay,
-    /// The busiest second.
+    /// Busiest second.
     BusiestSecond,
-    /// A zone is lost, and comes back.
+    /// A zone fails and returns.
     ZoneLost,
     /// All nodes of a region start at once.
     RegionStarts,
-    /// Two regions lose one another for ten minutes.
+    /// Two regions are partitioned from each other for ten minutes.
     RegionsCut,
-    /// Everything is restarted.
+    /// All machines restart at once.
     AllRestarted,
 }
 
 impl Situation {
-    /// Its words in the page.
+    /// Returns its text in the page.
     pub fn name(self) -> &'static str {
         match self {
             Situation::OrdinaryDay => "ordinary day",
@@ -68,25 +74,25 @@
     }
 }
 
-/// What is borne.
+/// Kind of a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Quantity {
-    /// Things that are held: records, connections.
+    /// Number of records or connections held.
     State,
-    /// Messages, calls, deliveries.
+    /// Number or rate of messages, calls or deliveries.
     Messages,
-    /// Bytes that travel.
+    /// Bytes transferred, or bytes per second.
     Bytes,
-    /// Processor time.
+    /// Processor time, in microseconds or microseconds per second.
     Processor,
-    /// Memory.
+    /// Memory, in bytes.
     Memory,
-    /// How long something lasts.
+    /// Duration, in seconds.
     Time,
 }
 
 impl Quantity {
-    /// Its word in the page.
+    /// Returns its word in the page.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::State => "state",
@@ -99,94 +105,94 @@
     }
 }
 
-/// What carries it.
+/// Mechanism that carries a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Something that the fleet has today.
+    /// Exists today.
     Today(&'static str),
-    /// Nothing yet; what it would take, in a few words.
+    /// Does not exist yet; names what would be needed.
     Missing(&'static str),
 }
 
 impl Mechanism {
-    /// Its words in the page.
-    pub fn words(self) -> String {
+    /// Returns its text in the page.
+    pub fn description(self) -> String {
         match self {
-            Mechanism::Today(what) => what.into(),
-            Mechanism::Missing(what) => format!("missing: {what}"),
+            Mechanism::Today(label) => label.into(),
+            Mechanism::Missing(label) => format!("missing: {label}"),
         }
     }
 }
 
-/// A row.
+/// Row of a table: one load with its formula and budget.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// Whose table it stands in.
-    pub party: Party,
-    /// When.
+    /// Component whose table holds the row.
+    pub component: Component,
+    /// Situation in which the load occurs.
     pub situation: Situation,
-    /// What kind of thing.
+    /// Kind of the load.
     pub quantity: Quantity,
-    /// What, in words.
-    pub what: &'static str,
-    /// How much.
+    /// Description of the load.
+    pub label: &'static str,
+    /// Amount, in `unit`.
     pub value: f64,
-    /// Its unit.
+    /// Unit of `value` and `budget`.
     pub unit: &'static str,
-    /// How it is reckoned.
+    /// Formula of `value`, in words.
     pub formula: &'static str,
-    /// The measured figures in it; empty where it is arithmetic on the target alone.
+    /// Sources of the measured values in it; empty if the formula uses only the target.
     pub sources: Vec<String>,
-    /// What it may be.
+    /// Largest allowed value, in `unit`.
     pub budget: Option<f64>,
-    /// What carries it.
+    /// Mechanism that carries the load.
     pub mechanism: Mechanism,
 }
 
 impl Row {
-    /// The value as a part of its budget.
+    /// Returns the value as a fraction of its budget.
     pub fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.value / budget)
     }
 }
 
-/// Rows of one party that are being written.
+/// Builder of the rows of one component.
 pub(super) struct Rows {
-    party: Party,
+    component: Component,
     situation: Situation,
     rows: Vec<Row>,
 }
 
-/// An amount, its unit and formula.
+/// Amount of a row with its kind, description, unit and formula.
 #[derive(Clone, Copy)]
 pub(super) struct Amount {
     pub quantity: Quantity,
-    pub what: &'static str,
+    pub label: &'static str,
     pub value: f64,
     pub unit: &'static str,
     pub formula: &'static str,
 }
 
 impl Rows {
-    pub fn of(party: Party) -> Rows {
-        Rows { party, situation: Situation::OrdinaryDay, rows: Vec::new() }
+    pub fn new(component: Component) -> Rows {
+        Rows { component, situation: Situation::OrdinaryDay, rows: Vec::new() }
     }
 
-    /// What is added from now on is of another situation.
-    pub fn during(&mut self, situation: Situation) {
+    /// Sets the situation of the rows that are added from now on.
+    pub fn set_situation(&mut self, situation: Situation) {
         self.situation = situation;
     }
 
-    /// Adds a row that rests on measured figures.
+    /// Adds a row; `sources` are the measured values in its formula.
     pub fn add(&mut self, amount: Amount, sources: &[&Value], budget: Option<f64>, mechanism: Mechanism) {
-        let Amount { quantity, what, value, unit, formula } = amount;
+        let Amount { quantity, label, value, unit, formula } = amount;
         let sources = sources.iter().map(|value| value.source.clone()).collect();
-        let (party, situation) = (self.party, self.situation);
+        let (component, situation) = (self.component, self.situation);
         self.rows.push(Row {
-            party,
+            component,
             situation,
             quantity,
-            what,
+            label,
             value,
             unit,
             formula,
@@ -196,18 +202,18 @@
         });
     }
 
-    pub fn done(self) -> Vec<Row> {
+    pub fn finish(self) -> Vec<Row> {
         self.rows
     }
 }
 
-/// Shorthand of an amount.
+/// Short constructor of an [`Amount`].
 pub(super) fn amount(
     quantity: Quantity,
-    what: &'static str,
+    label: &'static str,
     value: f64,
     unit: &'static str,
     formula: &'static str,
 ) -> Amount {
-    Amount { quantity, what, value, unit, formula }
+    Amount { quantity, label, value, unit, formula }
 }
--- a/crates/stonevane-capacity/src/model/target.rs
+++ b/crates/stonevane-capacity/src/model/target.rs
@@ -1,43 +1,43 @@
-//! The fleet that the operators plan for, and what control may cost.
+//! The operators' planned fleet, and the budget of its control traffic and control work.
 
-/// Seconds of a day.
-const DAY: f64 = 86_400.0;
+/// Seconds in a day.
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// The fleet at its target.
+/// Size and load of the planned fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Target {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: f64,
-    /// Cache servers.
+    /// Number of cache servers.
     pub servers: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Zones.
+    /// Number of zones, over all regions.
     pub zones: f64,
-    /// Sites.
+    /// Number of sites, over all regions.
     pub sites: f64,
-    /// Nodes of a region.
+    /// Nodes in each region.
     pub region_nodes: f64,
-    /// Cache servers of a region.
+    /// Cache servers in each region.
     pub region_servers: f64,
-    /// Requests a second at the peak.
+    /// Requests per second at the peak, over all nodes.
     pub requests: f64,
-    /// Bits a second at the peak.
+    /// Bits per second of responses at the peak, over all nodes.
     pub bits: f64,
-    /// Purges a second, and the bytes of one.
+    /// Purges per second.
     pub purges: f64,
-    /// Bytes of one purge: a hash.
+    /// Bytes of one purge, a hash.
     pub purge_bytes: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_a_day: f64,
-    /// Bytes of one change.
+    /// Bytes of one configuration change.
     pub change_bytes: f64,
-    /// Tenants that a settings text names: an assumption, not the operators' figure.
+    /// Tenants in the settings: an assumption, not the operators' number.
     pub tenants: f64,
-    /// Machines that fail, are restarted or replaced in a day.
+    /// Machines that fail, are restarted or are replaced per day.
     pub restarts_a_day: f64,
-    /// How long two regions are cut from one another, in seconds.
-    pub cut: f64,
+    /// Duration of a partition between two regions, in seconds.
+    pub cut_s: f64,
 }
 
 /// The operators' target.
@@ -57,63 +57,63 @@
     change_bytes: 1_024.0,
     tenants: 1_000.0,
     restarts_a_day: 37.0 + 2_800.0,
-    cut: 600.0,
+    cut_s: 600.0,
 };
 
 impl Target {
-    /// Requests a second of one node.
+    /// Requests per second of one node at the peak.
     pub fn node_requests(&self) -> f64 {
         self.requests / self.nodes
     }
 
-    /// Bytes of one answer.
-    pub fn answer_bytes(&self) -> f64 {
+    /// Mean bytes of one response.
+    pub fn response_bytes(&self) -> f64 {
         self.bits / 8.0 / self.requests
     }
 
-    /// Changes of configuration a second.
+    /// Configuration changes per second.
     pub fn changes(&self) -> f64 {
-        self.changes_a_day / DAY
+        self.changes_a_day / SECONDS_PER_DAY
     }
 
-    /// Nodes that restart in a second: machines are nodes and cache servers, each as likely.
+    /// Node restarts per second, assuming that nodes and cache servers are equally likely to restart.
     pub fn node_restarts(&self) -> f64 {
-        self.restarts_a_day / DAY * self.nodes / (self.nodes + self.servers)
+        self.restarts_a_day / SECONDS_PER_DAY * self.nodes / (self.nodes + self.servers)
     }
 
-    /// Cache servers that restart in a second.
+    /// Cache server restarts per second.
     pub fn server_restarts(&self) -> f64 {
-        self.restarts_a_day / DAY * self.servers / (self.nodes + self.servers)
+        self.restarts_a_day / SECONDS_PER_DAY * self.servers / (self.nodes + self.servers)
     }
 
-    /// Nodes of a zone.
+    /// Mean number of nodes in a zone.
     pub fn zone_nodes(&self) -> f64 {
         self.nodes / self.zones
     }
 
-    /// Cache servers of a zone.
+    /// Mean number of cache servers in a zone.
     pub fn zone_servers(&self) -> f64 {
         self.servers / self.zones
     }
 }
 
-/// What control may cost.
+/// Budget of control on each node, and the number of control machines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Microseconds of processor time a second at a node: 1.7 % of a core.
+    /// Processor time per node, in microseconds per second: 1.7 % of a core.
     pub cpu: f64,
-    /// Bytes of memory at a node.
+    /// Memory per node, in bytes.
     pub memory: f64,
-    /// Bytes a second at a node.
+    /// Traffic per node, in bytes per second.
     pub bytes: f64,
-    /// Sockets that a node may hold.
+    /// Open sockets per node.
     pub sockets: f64,
-    /// Control machines.
+    /// Number of control machines.
     pub machines: f64,
 }
 
 impl Budget {
-    /// The operators' budget, and the daemon's bound on sockets.
+    /// The operators' budget, with the daemon's limit on sockets.
     pub const OPERATORS: Budget =
         Budget { cpu: 17_000.0, memory: 64e6, bytes: 3_000.0, sockets: 1_024.0, machines: 30.0 };
 }
--- a/crates/stonevane-capacity/src/report.rs
+++ b/crates/stonevane-capacity/src/report.rs
@@ -1,12 +1,12 @@
-//! What a run of measurements says in words: a line for each size, and a line for each figure's growth.
+//! Text report of a run of measurements: one line for each size, and one line for the growth of each metric.
 
 use crate::fit::{self, Point};
 use crate::roles::{Basis, Measurement};
 
-/// Digits that a figure is printed with.
-const DIGITS: i32 = 4;
+/// Significant digits of a printed number.
+const SIGNIFICANT_DIGITS: i32 = 4;
 
-/// A number with a few digits that count.
+/// Formats a number with four significant digits, without trailing zeros; "not reached" if it is not finite.
 pub fn number(value: f64) -> String {
     if !value.is_finite() {
         return "not reached".into();
@@ -14,12 +14,12 @@
     if value == 0.0 {
         return "0".into();
     }
-    let places = (DIGITS - 1 - value.abs().log10().floor() as i32).clamp(0, 9) as usize;
+    let places = (SIGNIFICANT_DIGITS - 1 - value.abs().log10().floor() as i32).clamp(0, 9) as usize;
     let text = format!("{value:.places$}");
     if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
 
-/// The line of a size.
+/// Formats all metrics of a measurement on one line.
 pub fn size_line(measurement: &Measurement) -> String {
     let (role, size, unit) = (measurement.role.name(), measurement.size, measurement.role.size_unit());
     let figures = measurement.figures.iter().map(|figure| {
@@ -30,7 +30,7 @@
     format!("{role} {size} {unit}: {}", figures.collect::<Vec<_>>().join(", "))
 }
 
-/// The points of one figure over sizes, without those that were not reached.
+/// Points of one metric over the sizes, without values that are not finite.
 fn points(measurements: &[Measurement], metric: &str) -> Vec<Point> {
     let value = |measurement: &Measurement| {
         let figure = measurement.figures.iter().find(|figure| figure.metric == metric)?;
@@ -39,7 +39,7 @@
     measurements.iter().filter_map(value).collect()
 }
 
-/// How far the measured sizes go before a figure is sampled or counted, in words.
+/// Describes how a metric was obtained, and from which size on it is sampled or counted instead of measured.
 fn basis(measurements: &[Measurement], metric: &str) -> String {
     let basis = |measurement: &Measurement| {
         let figure = measurement.figures.iter().find(|figure| figure.metric == metric);
@@ -60,23 +60,24 @@
         return format!("{metric}: too few sizes for a line ({basis})");
     };
     let exponent = fit::exponent(&points).map_or("none".into(), number);
-    let straight = match fit::bend(&points, tolerance) {
-        Some(bend) => format!(
+    let linearity = match fit::first_deviation(&points, tolerance) {
+        Some(deviation) => format!(
             "leaves its line at {}: {} where {} was expected",
-            bend.size,
-            number(bend.found),
-            number(bend.expected)
+            deviation.size,
+            number(deviation.found),
+            number(deviation.expected)
         ),
         None if points.len() < 3 => "too few sizes to see a bend".into(),
         None => format!("straight to {}", points.last().map_or(0.0, |point| point.0)),
     };
     let (slope, intercept, residual) = (number(line.slope), number(line.intercept), number(line.residual));
     format!(
-        "{metric}: {intercept} + {slope} a size, residual {residual} {unit}, exponent {exponent}, {straight} ({basis})"
+        "{metric}: {intercept} + {slope} a size, residual {residual} {unit}, exponent {exponent}, {linearity} ({basis})"
     )
 }
 
-/// A line for each figure: slope, residual, exponent, and where it stops being straight.
+/// Formats one line for each metric: slope, residual, exponent, and the first size that deviates from the
+/// line.
 pub fn growth_lines(measurements: &[Measurement], tolerance: f64) -> Vec<String> {
     let Some(first) = measurements.first() else { return Vec::new() };
     let line = |figure: &crate::roles::Figure| growth(measurements, &figure.metric, &figure.unit, tolerance);
--- a/crates/stonevane-capacity/src/roles/listing.rs
+++ b/crates/stonevane-capacity/src/roles/listing.rs
@@ -1,17 +1,18 @@
-//! Lists of cache servers as discovery sends them.
+//! Generated server lists in the JSON form of the discovery service.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use serde::Serialize;
 
-/// Zones that servers are spread over.
+/// Zones that the servers are distributed over.
 const ZONES: u64 = 57;
-/// Servers in a cell.
-const CELL: u64 = 16;
-/// Unix time of servers' last starts, in milliseconds.
-const SINCE_MS: u64 = 1_790_000_000_000;
+/// Servers in each cell.
+const SERVERS_PER_CELL: u64 = 16;
+/// Unix time of the first server's last start, in milliseconds; each next server started one millisecond
+/// later.
+const FIRST_START_MS: u64 = 1_790_000_000_000;
 
-/// A server as discovery words it.
+/// List entry of one server.
 #[derive(Serialize)]
 struct Entry {
     name: String,
@@ -40,31 +41,31 @@
         address: SocketAddr::from((address, 7001)).to_string(),
         zone: format!("zone-{zone:02}"),
         kind: "cache",
-        group: number / CELL,
+        group: number / SERVERS_PER_CELL,
         status,
         weight: 1.0,
-        since_ms: SINCE_MS + number,
+        since_ms: FIRST_START_MS + number,
     }
 }
 
-fn text(list: &List) -> String {
-    // Nothing in it can fail to be written.
+fn to_json(list: &List) -> String {
+    // The types have no value that JSON cannot represent.
     serde_json::to_string(list).unwrap_or_default()
 }
 
-/// The whole list of so many servers.
-pub fn whole(servers: u64) -> String {
+/// Full list of `servers` servers, as JSON.
+pub fn full_list(servers: u64) -> String {
     let endpoints = (0..servers).map(|number| entry(number, "active")).collect();
-    text(&List { index: 1, snapshot: true, endpoints })
+    to_json(&List { index: 1, snapshot: true, endpoints })
 }
 
-/// The change of one server: it drains, or runs again.
-pub fn change(index: u64, server: u64, drains: bool) -> String {
-    let status = if drains { "leaving" } else { "active" };
-    text(&List { index, snapshot: false, endpoints: vec![entry(server, status)] })
+/// List update for one server that is draining or active again, as JSON.
+pub fn server_change(index: u64, server: u64, draining: bool) -> String {
+    let status = if draining { "leaving" } else { "active" };
+    to_json(&List { index, snapshot: false, endpoints: vec![entry(server, status)] })
 }
 
-/// Names of the zones.
-pub fn zones() -> Vec<String> {
+/// Names of all zones, in the order of their numbers.
+pub fn zone_names() -> Vec<String> {
     (0..ZONES).map(|zone| format!("zone-{zone:02}")).collect()
 }
--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -1,4 +1,4 @@
-//! A fleet whose every member is a real machine.
+//! Simulated fleet in which every member runs the real membership machine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -10,38 +10,42 @@
 use crate::limits;
 use crate::roles::{Conditions, Figure, MeasureError};
 
-/// A second, in microseconds.
+/// One second, in microseconds.
 const SECOND: Micros = 1_000_000;
-/// Members start within this.
-const STARTS: Micros = 2 * SECOND;
-/// The shortest time that a datagram takes, in microseconds.
+/// Interval in which all members start, at random times.
+const START_SPREAD: Micros = 2 * SECOND;
+/// Shortest network delay of a datagram.
 const MIN_DELAY: Micros = 200;
-/// Every datagram takes less than this, in microseconds.
+/// Exclusive upper bound of the network delay of a datagram.
 const DELAY_LIMIT: Micros = 10_200;
-/// What counts as the start: the first minute.
+/// Measurement window of the start: the first minute.
 const START_WINDOW: Micros = 60 * SECOND;
-/// The start's news must have ended by then.
-const LONGEST_START: Micros = 1_200 * SECOND;
-/// The news has ended when fewer datagrams of nothing but news than this are sent, for each member and second.
-const QUIET: f64 = 0.01;
-/// How long a steady state is measured.
+/// Longest wait until the gossip of the start ends.
+const START_TIMEOUT: Micros = 1_200 * SECOND;
+/// Rate of gossip-only datagrams, per member and second, below which the gossip counts as ended.
+const QUIET_GOSSIP_RATE: f64 = 0.01;
+/// Measurement window of the steady state.
 const STEADY_WINDOW: Micros = 30 * SECOND;
-/// Restarts that are measured, and the time from one to the next.
-const RESTARTS: u16 = 10;
-const RESTART_EVERY: Micros = 4 * SECOND;
-/// A process that is told to end drains for this long, and its successor starts after the second time.
-const RESTART_DRAINS: Micros = SECOND / 2;
-const RESTART_TAKES: Micros = 2 * SECOND;
-/// What restarts set off has ended after this.
+/// Number of measured restarts.
+const RESTART_COUNT: u16 = 10;
+/// Time from one restart to the next.
+const RESTART_INTERVAL: Micros = 4 * SECOND;
+/// Drain of a restarting process, from the order to leave to its end.
+const RESTART_DRAIN_TIME: Micros = SECOND / 2;
+/// Time from the order to leave to the start of the successor.
+const RESTART_TIME: Micros = 2 * SECOND;
+/// Measurement window of the restarts; their gossip has ended by its end.
 const RESTART_WINDOW: Micros = 70 * SECOND;
-/// Members that die without a word, all at once, and how long the others may take to know.
-const DEATHS: u16 = 3;
-const LONGEST_DEATH: Micros = 180 * SECOND;
-/// The place of a datagram's kind in its bytes, and the kind that carries nothing but news.
-const KIND_AT: usize = 2;
+/// Members that are killed at once, without leaving.
+const DEATH_COUNT: u16 = 3;
+/// Longest wait until all other members know of the deaths.
+const DEATH_TIMEOUT: Micros = 180 * SECOND;
+/// Offset of a datagram's kind in its bytes.
+const KIND_OFFSET: usize = 2;
+/// Kind of a datagram that carries only gossip.
 const KIND_GOSSIP: u8 = 4;
 
-enum Due {
+enum Action {
     Start(MemberId),
     Leave(MemberId),
     End(MemberId),
@@ -51,13 +55,13 @@
 
 struct Event {
     at: Micros,
-    order: u64,
-    due: Due,
+    sequence: u64,
+    action: Action,
 }
 
 impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.order) == (other.at, other.order)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 
@@ -71,123 +75,123 @@
 
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// What members have sent and used since a moment.
+/// Traffic and processor time of all members since the start of a window.
 #[derive(Debug, Default, Clone, Copy)]
 struct Traffic {
     datagrams: u64,
     bytes: u64,
-    gossip: u64,
-    most_bytes: u64,
+    gossip_datagrams: u64,
+    peak_bytes_per_s: u64,
     cpu: CpuMeter,
 }
 
-/// What a member tells about another that died.
+/// Killed member, and when the other members learn of its death.
 struct Death {
     member: MemberId,
     at: Micros,
     unaware: BTreeSet<MemberId>,
-    first: Option<Micros>,
-    last: Micros,
+    first_known: Option<Micros>,
+    last_known: Micros,
 }
 
 struct Process {
     machine: Option<Machine>,
-    armed: Micros,
-    /// Others that it has heard of.
+    next_wake: Micros,
+    /// Number of other members that it knows.
     known: u32,
-    /// Bytes sent in the second that began last.
-    second: (Micros, u64),
+    /// Start of the current one-second interval, and the bytes sent in it.
+    current_second: (Micros, u64),
 }
 
 struct Fleet {
     members: MemberId,
     now: Micros,
-    order: u64,
+    sequence: u64,
     queue: BinaryHeap<Reverse<Event>>,
     rng: Rand64,
     processes: Vec<Process>,
     outputs: Outputs,
     traffic: Traffic,
-    /// Members that have heard of all others, and when the last one had.
-    informed: (u32, Micros),
+    /// Number of members that know all others, and when the last of them did.
+    fully_informed: (u32, Micros),
     deaths: Vec<Death>,
     false_deaths: u64,
-    memory: u64,
-    checked: Micros,
+    memory_limit: u64,
+    memory_checked_at: Micros,
 }
 
 impl Fleet {
     fn new(members: MemberId, conditions: &Conditions) -> Fleet {
-        let process = || Process { machine: None, armed: Micros::MAX, known: 0, second: (0, 0) };
+        let process = || Process { machine: None, next_wake: Micros::MAX, known: 0, current_second: (0, 0) };
         let mut fleet = Fleet {
             members,
             now: 0,
-            order: 0,
+            sequence: 0,
             queue: BinaryHeap::new(),
             rng: Rand64::new(u128::from(conditions.seed) << 16 | 0xca),
             processes: (0..members).map(|_| process()).collect(),
             outputs: Outputs::default(),
             traffic: Traffic::default(),
-            informed: (0, 0),
+            fully_informed: (0, 0),
             deaths: Vec::new(),
             false_deaths: 0,
-            memory: conditions.memory,
-            checked: 0,
+            memory_limit: conditions.memory,
+            memory_checked_at: 0,
         };
         for member in 0..members {
-            let at = fleet.rng.rand_range(0..STARTS);
-            fleet.push(at, Due::Start(member));
+            let at = fleet.rng.rand_range(0..START_SPREAD);
+            fleet.schedule(at, Action::Start(member));
         }
         fleet
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
-        self.order += 1;
-        self.queue.push(Reverse(Event { at, order: self.order, due }));
+    fn schedule(&mut self, at: Micros, action: Action) {
+        self.sequence += 1;
+        self.queue.push(Reverse(Event { at, sequence: self.sequence, action }));
     }
 
     fn run_until(&mut self, end: Micros) -> Result<(), MeasureError> {
         while self.queue.peek().is_some_and(|Reverse(event)| event.at <= end) {
             let Some(Reverse(event)) = self.queue.pop() else { break };
             self.now = event.at;
-            self.take(event.due);
+            self.perform(event.action);
             self.check_memory()?;
         }
         self.now = end;
         Ok(())
     }
 
-    /// Once a simulated second, whether the process has grown beyond what it may take.
+    /// Checks the resident memory against the limit, once per simulated second.
     fn check_memory(&mut self) -> Result<(), MeasureError> {
-        if self.now < self.checked + SECOND {
+        if self.now < self.memory_checked_at + SECOND {
             return Ok(());
         }
-        self.checked = self.now;
-        limits::check(u64::from(self.members), limits::resident(), self.memory)?;
+        self.memory_checked_at = self.now;
+        limits::check(u64::from(self.members), limits::resident_bytes(), self.memory_limit)?;
         Ok(())
     }
 
-    fn take(&mut self, due: Due) {
-        match due {
-            Due::Start(member) => self.start(member),
-            Due::Leave(member) => {
-                self.tell(member, Input::Leave);
-                self.push(self.now + RESTART_DRAINS, Due::End(member));
-                self.push(self.now + RESTART_TAKES, Due::Start(member));
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::Start(member) => self.start(member),
+            Action::Leave(member) => {
+                self.handle_input(member, Input::Leave);
+                self.schedule(self.now + RESTART_DRAIN_TIME, Action::End(member));
+                self.schedule(self.now + RESTART_TIME, Action::Start(member));
             }
-            Due::End(member) => self.processes[usize::from(member)].machine = None,
-            Due::Wake(member) => {
+            Action::End(member) => self.processes[usize::from(member)].machine = None,
+            Action::Wake(member) => {
                 let process = &mut self.processes[usize::from(member)];
-                if process.armed == self.now {
-                    process.armed = Micros::MAX;
-                    self.tell(member, Input::Wake);
+                if process.next_wake == self.now {
+                    process.next_wake = Micros::MAX;
+                    self.handle_input(member, Input::Wake);
                 }
             }
-            Due::Arrive { from, to, bytes } => self.tell(to, Input::Datagram(from, &bytes)),
+            Action::Arrive { from, to, bytes } => self.handle_input(to, Input::Datagram(from, &bytes)),
         }
     }
 
@@ -200,113 +204,120 @@
             ..Setup::default()
         };
         let process = &mut self.processes[usize::from(member)];
-        (process.machine, process.armed) = (Some(Machine::new(self.now, setup)), Micros::MAX);
-        self.tell(member, Input::Wake);
+        (process.machine, process.next_wake) = (Some(Machine::new(self.now, setup)), Micros::MAX);
+        self.handle_input(member, Input::Wake);
     }
 
-    fn tell(&mut self, member: MemberId, input: Input<'_>) {
+    fn handle_input(&mut self, member: MemberId, input: Input<'_>) {
         let process = &mut self.processes[usize::from(member)];
         let Some(machine) = &mut process.machine else { return };
         let (now, outputs) = (self.now, &mut self.outputs);
         self.traffic.cpu.run(|| machine.handle(now, input, outputs));
         let next = machine.next();
-        let wakes = next < process.armed;
-        process.armed = process.armed.min(next);
-        if wakes {
-            self.push(next.max(now), Due::Wake(member));
+        let wakes_earlier = next < process.next_wake;
+        process.next_wake = process.next_wake.min(next);
+        if wakes_earlier {
+            self.schedule(next.max(now), Action::Wake(member));
         }
-        self.hear_news(member);
-        self.carry(member);
+        self.process_events(member);
+        self.send_datagrams(member);
     }
 
-    fn hear_news(&mut self, observer: MemberId) {
+    fn process_events(&mut self, observer: MemberId) {
         let others = u32::from(self.members) - 1;
-        for news in std::mem::take(&mut self.outputs.events) {
+        for event in std::mem::take(&mut self.outputs.events) {
             let process = &mut self.processes[usize::from(observer)];
-            if news.previous.is_none() && news.record.member != observer {
+            if event.previous.is_none() && event.record.member != observer {
                 process.known += 1;
                 if process.known == others {
-                    self.informed = (self.informed.0 + 1, self.now);
+                    self.fully_informed = (self.fully_informed.0 + 1, self.now);
                 }
             }
-            if news.record.state == State::Dead {
-                self.hear_death(observer, news.record.member);
+            if event.record.state == State::Dead {
+                self.record_death_known(observer, event.record.member);
             }
         }
     }
 
-    fn hear_death(&mut self, observer: MemberId, member: MemberId) {
+    fn record_death_known(&mut self, observer: MemberId, member: MemberId) {
         let now = self.now;
         let Some(death) = self.deaths.iter_mut().find(|death| death.member == member) else {
             self.false_deaths += u64::from(self.processes[usize::from(member)].machine.is_some());
             return;
         };
         if death.unaware.remove(&observer) {
-            death.first.get_or_insert(now);
-            death.last = now;
+            death.first_known.get_or_insert(now);
+            death.last_known = now;
         }
     }
 
-    fn carry(&mut self, from: MemberId) {
+    fn send_datagrams(&mut self, from: MemberId) {
         let mut bytes_sent = 0;
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.traffic.datagrams += 1;
-            self.traffic.gossip += u64::from(bytes.get(KIND_AT) == Some(&KIND_GOSSIP));
+            self.traffic.gossip_datagrams += u64::from(bytes.get(KIND_OFFSET) == Some(&KIND_GOSSIP));
             bytes_sent += bytes.len() as u64;
             let at = self.now + self.rng.rand_range(MIN_DELAY..DELAY_LIMIT);
-            self.push(at, Due::Arrive { from, to, bytes: bytes.into() });
+            self.schedule(at, Action::Arrive { from, to, bytes: bytes.into() });
         }
         self.traffic.bytes += bytes_sent;
         let process = &mut self.processes[usize::from(from)];
-        if self.now >= process.second.0 + SECOND {
-            process.second = (self.now, 0);
+        if self.now >= process.current_second.0 + SECOND {
+            process.current_second = (self.now, 0);
         }
-        process.second.1 += bytes_sent;
-        self.traffic.most_bytes = self.traffic.most_bytes.max(process.second.1);
+        process.current_second.1 += bytes_sent;
+        self.traffic.peak_bytes_per_s = self.traffic.peak_bytes_per_s.max(process.current_second.1);
     }
 
-    /// Runs for a time, and tells what was sent and used in it.
-    fn window(&mut self, lasts: Micros) -> Result<Traffic, MeasureError> {
+    /// Runs for a duration and returns the traffic and processor time in it.
+    fn run_window(&mut self, duration: Micros) -> Result<Traffic, MeasureError> {
         self.traffic = Traffic::default();
-        self.run_until(self.now + lasts)?;
+        self.run_until(self.now + duration)?;
         Ok(self.traffic)
     }
 
-    /// Runs until hardly any news is passed on; when that was.
+    /// Runs until the gossip of the start ends and returns when that was; `None` if it does not end in time.
     fn run_until_quiet(&mut self) -> Result<Option<Micros>, MeasureError> {
-        let lasts = 5 * SECOND;
-        while self.now < LONGEST_START {
-            let traffic = self.window(lasts)?;
-            if per_member_second(traffic.gossip as f64, self.members, lasts) < QUIET {
-                return Ok(Some(self.now - lasts));
+        let duration = 5 * SECOND;
+        while self.now < START_TIMEOUT {
+            let traffic = self.run_window(duration)?;
+            if per_member_second(traffic.gossip_datagrams as f64, self.members, duration) < QUIET_GOSSIP_RATE
+            {
+                return Ok(Some(self.now - duration));
             }
         }
         Ok(None)
     }
 
     fn restart_some(&mut self) {
-        let first = self.members / 2;
-        for turn in 0..RESTARTS.min(self.members / 4) {
-            let at = self.now + u64::from(turn) * RESTART_EVERY;
-            self.push(at, Due::Leave(first + turn));
+        let first_member = self.members / 2;
+        for index in 0..RESTART_COUNT.min(self.members / 4) {
+            let at = self.now + u64::from(index) * RESTART_INTERVAL;
+            self.schedule(at, Action::Leave(first_member + index));
         }
     }
 
     fn kill_some(&mut self) {
-        for member in 0..DEATHS.min(self.members / 4) {
+        for member in 0..DEATH_COUNT.min(self.members / 4) {
             self.processes[usize::from(member)].machine = None;
             let living = (0..self.members).filter(|m| self.processes[usize::from(*m)].machine.is_some());
             let unaware = living.collect();
-            self.deaths.push(Death { member, at: self.now, unaware, first: None, last: self.now });
+            self.deaths.push(Death {
+                member,
+                at: self.now,
+                unaware,
+                first_known: None,
+                last_known: self.now,
+            });
         }
-        // Those that died with it need not know.
+        // Members that were killed too cannot learn of the death.
         for death in &mut self.deaths {
             death.unaware.retain(|member| self.processes[usize::from(*member)].machine.is_some());
         }
     }
 
-    fn run_until_known(&mut self) -> Result<(), MeasureError> {
-        let end = self.now + LONGEST_DEATH;
+    fn run_until_deaths_known(&mut self) -> Result<(), MeasureError> {
+        let end = self.now + DEATH_TIMEOUT;
         while self.now < end && self.deaths.iter().any(|death| !death.unaware.is_empty()) {
             self.run_until(self.now + SECOND)?;
         }
@@ -314,39 +325,40 @@
     }
 }
 
-fn per_member_second(total: f64, members: MemberId, lasts: Micros) -> f64 {
-    total / f64::from(members) / (lasts as f64 / SECOND as f64)
+fn per_member_second(total: f64, members: MemberId, duration: Micros) -> f64 {
+    total / f64::from(members) / (duration as f64 / SECOND as f64)
 }
 
 fn seconds(time: Micros) -> f64 {
     time as f64 / SECOND as f64
 }
 
-/// Measures a fleet from its start, in a steady state, through restarts and after deaths.
+/// Measures a fleet at its start, in the steady state, during restarts and after deaths.
 ///
 /// # Errors
-/// Where memory runs out on the way.
+/// If the memory limit is exceeded during the measurement.
 pub fn measure(members: MemberId, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
-    let before = limits::resident();
+    let before = limits::resident_bytes();
     let mut fleet = Fleet::new(members, conditions);
     let mut figures = Vec::new();
-    let per = |total: f64, lasts: Micros| per_member_second(total, members, lasts);
+    let per = |total: f64, duration: Micros| per_member_second(total, members, duration);
 
-    let start = fleet.window(START_WINDOW)?;
+    let start = fleet.run_window(START_WINDOW)?;
     figures.push(Figure::measured("start_bytes", "B/member/s", per(start.bytes as f64, START_WINDOW)));
     figures.push(Figure::measured(
         "start_datagrams",
         "1/member/s",
         per(start.datagrams as f64, START_WINDOW),
     ));
-    figures.push(Figure::measured("start_most_bytes", "B/s", start.most_bytes as f64));
+    figures.push(Figure::measured("start_most_bytes", "B/s", start.peak_bytes_per_s as f64));
     figures.push(Figure::measured("start_cpu", "us/member/s", per(start.cpu.micros(), START_WINDOW)));
     let quiet = fleet.run_until_quiet()?;
-    let known = if fleet.informed.0 == u32::from(members) { seconds(fleet.informed.1) } else { f64::NAN };
+    let known =
+        if fleet.fully_informed.0 == u32::from(members) { seconds(fleet.fully_informed.1) } else { f64::NAN };
     figures.push(Figure::measured("start_known", "s", known));
     figures.push(Figure::measured("start_quiet", "s", quiet.map_or(f64::NAN, seconds)));
 
-    let steady = fleet.window(STEADY_WINDOW)?;
+    let steady = fleet.run_window(STEADY_WINDOW)?;
     let steady_bytes = per(steady.bytes as f64, STEADY_WINDOW);
     let steady_cpu = per(steady.cpu.micros(), STEADY_WINDOW);
     figures.push(Figure::measured("steady_bytes", "B/member/s", steady_bytes));
@@ -356,12 +368,12 @@
         per(steady.datagrams as f64, STEADY_WINDOW),
     ));
     figures.push(Figure::measured("steady_cpu", "us/member/s", steady_cpu));
-    let memory = limits::resident().saturating_sub(before) as f64 / f64::from(members);
+    let memory = limits::resident_bytes().saturating_sub(before) as f64 / f64::from(members);
     figures.push(Figure::measured("memory", "B/member", memory));
 
     fleet.restart_some();
-    let count = f64::from(RESTARTS.min(members / 4));
-    let restarts = fleet.window(RESTART_WINDOW)?;
+    let count = f64::from(RESTART_COUNT.min(members / 4));
+    let restarts = fleet.run_window(RESTART_WINDOW)?;
     let added = |total: f64, steady: f64| {
         let window = seconds(RESTART_WINDOW);
         (per(total, RESTART_WINDOW) - steady) * window / count
@@ -372,11 +384,11 @@
     fleet.kill_some();
     fleet.traffic = Traffic::default();
     let killed_at = fleet.now;
-    fleet.run_until_known()?;
+    fleet.run_until_deaths_known()?;
     let lasted = fleet.now - killed_at;
-    let first = fleet.deaths.iter().filter_map(|death| Some(death.first? - death.at)).min();
+    let first = fleet.deaths.iter().filter_map(|death| Some(death.first_known? - death.at)).min();
     let all_know = fleet.deaths.iter().all(|death| death.unaware.is_empty());
-    let last = fleet.deaths.iter().map(|death| death.last - death.at).max().filter(|_| all_know);
+    let last = fleet.deaths.iter().map(|death| death.last_known - death.at).max().filter(|_| all_know);
     figures.push(Figure::measured("death_first", "s", first.map_or(f64::NAN, seconds)));
     figures.push(Figure::measured("death_all", "s", last.map_or(f64::NAN, seconds)));
     figures.push(Figure::measured("death_bytes", "B/member/s", per(fleet.traffic.bytes as f64, lasted)));
--- a/crates/stonevane-capacity/src/roles/membership/mod.rs
+++ b/crates/stonevane-capacity/src/roles/membership/mod.rs
@@ -1,32 +1,32 @@
-//! Membership: every member a real machine in one queue of events, or one real member among modelled peers where the
-//! tables of all would not fit into memory.
+//! Membership: a fleet in which every member runs the real membership machine in one event queue, or one real
+//! member among modelled peers if the tables of all members would not fit into memory.
 //!
-//! Bytes are those of datagrams; the headers of UDP and IP (28 bytes a datagram) are not in them.
+//! Byte counts are those of datagram payloads, without the UDP and IP headers (28 bytes per datagram).
 
 mod full;
 mod sampled;
 
 use crate::roles::{Conditions, Figure, MeasureError};
 
-/// Members are numbers of 16 bits.
+/// Most members: a member number has 16 bits.
 pub const LARGEST: u64 = u16::MAX as u64;
-/// The smallest fleet that has others to ask.
+/// Fewest members: smaller fleets have too few other members for indirect probes.
 pub const SMALLEST: u64 = 5;
-/// Memory of one member's record of another, with its part of queues and of the simulator.
+/// Memory of one member's record of another, including its share of queues and of the simulator, in bytes.
 const RECORD_BYTES: u64 = 320;
-/// Memory of the rest.
+/// Memory that does not depend on the number of members, in bytes.
 const BASE_BYTES: u64 = 64 << 20;
 
-/// Memory that a measurement needs.
-pub fn needs(members: u64, full_up_to: u64) -> u64 {
+/// Estimated memory that a measurement needs, in bytes.
+pub fn required_memory(members: u64, full_up_to: u64) -> u64 {
     let tables = if members <= full_up_to { members } else { u64::from(sampled::REAL_MEMBERS) };
     BASE_BYTES + tables * members * RECORD_BYTES
 }
 
-/// Measures a fleet.
+/// Measures a fleet, in full up to [`Conditions::full_up_to`] members and sampled above.
 ///
 /// # Errors
-/// Where memory runs out on the way.
+/// If the memory limit is exceeded during the measurement, or a member sends a malformed datagram.
 pub fn measure(members: u64, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
     let members = members as u16;
     if u64::from(members) <= conditions.full_up_to {
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -1,9 +1,10 @@
-//! A few real members, one after another, each among peers that are modelled.
+//! Real members, one after another, each among modelled peers.
 //!
-//! A modelled peer answers each probe with the digest of the real member's own table, as a peer with the same table
-//! does. All of them together probe the real member once a period, and for each datagram of news that the real member
-//! sends it receives one that is as full: in a fleet of equals a member receives on average what it sends. What only the
-//! whole fleet shows (the time until all know of a death) is not told.
+//! A modelled peer answers each probe with the digest of the real member's own table, as a peer with the same
+//! table does. All peers together probe the real member once per period on average. For each gossip datagram
+//! that the real member sends it receives one with as many records, because in a fleet of equal members a
+//! member receives on average what it sends. Metrics that need the whole fleet (the time until all members
+//! know of a death) are not measured.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,71 +17,72 @@
 use crate::limits;
 use crate::roles::{Figure, MeasureError};
 
-/// Members that are real.
+/// Number of real members.
 pub const REAL_MEMBERS: u16 = 4;
 
-/// A second, in microseconds.
+/// One second, in microseconds.
 const SECOND: Micros = 1_000_000;
-/// The shortest time that a datagram takes, in microseconds.
+/// Shortest network delay of a datagram.
 const MIN_DELAY: Micros = 200;
-/// Every datagram takes less than this, in microseconds.
+/// Exclusive upper bound of the network delay of a datagram.
 const DELAY_LIMIT: Micros = 10_200;
-/// What counts as the start: the first minute.
+/// Measurement window of the start: the first minute.
 const START_WINDOW: Micros = 60 * SECOND;
-/// The news of a start must have ended by then.
-const LONGEST_START: Micros = 7_200 * SECOND;
-/// How long a steady state is measured.
+/// Longest wait until the gossip of the start ends.
+const START_TIMEOUT: Micros = 7_200 * SECOND;
+/// Measurement window of the steady state.
 const STEADY_WINDOW: Micros = 60 * SECOND;
-/// Restarts of others that are measured, and the time from one to the next.
-const RESTARTS: u16 = 10;
-const RESTART_EVERY: Micros = 4 * SECOND;
-/// How long after a member's last word its successor is heard of.
-const RESTART_TAKES: Micros = 2 * SECOND;
-/// What restarts set off has ended after this.
+/// Number of measured restarts of peers.
+const RESTART_COUNT: u16 = 10;
+/// Time from one restart to the next.
+const RESTART_INTERVAL: Micros = 4 * SECOND;
+/// Time from the record that a member left to the record of its successor.
+const RESTART_TIME: Micros = 2 * SECOND;
+/// Measurement window of the restarts; their gossip has ended by its end.
 const RESTART_WINDOW: Micros = 70 * SECOND;
-/// The number of the real member.
-const REAL: MemberId = 0;
+/// Member number of the real member.
+const REAL_MEMBER: MemberId = 0;
 
-enum Due {
+enum Action {
     Wake,
-    PeerProbes,
+    PeerProbe,
     Arrive { from: MemberId, bytes: Box<[u8]> },
-    Restarts(MemberId),
-    Returns(MemberId),
+    PeerLeaves(MemberId),
+    PeerReturns(MemberId),
 }
 
 type Event = Reverse<(Micros, u64, usize)>;
 
-struct Scene {
+struct Simulation {
     members: MemberId,
     now: Micros,
     rng: Rand64,
     machine: Machine,
     outputs: Outputs,
-    /// Times of events, and the places of what is due in `dues`.
+    /// Times of events, with the index of each action in `actions`.
     queue: BinaryHeap<Event>,
-    dues: Vec<Option<Due>>,
-    vacant: Vec<usize>,
-    order: u64,
-    armed: Micros,
-    /// Sequence number of all peers' datagrams.
+    actions: Vec<Option<Action>>,
+    free_indices: Vec<usize>,
+    event_order: u64,
+    next_wake: Micros,
+    /// Last sequence number of the peers' datagrams.
     sequence: u64,
-    /// What every peer holds of every member.
+    /// Records of all members, the same at every peer.
     records: Vec<Record>,
-    /// Digest of the real member's table, which stands for that of its peers.
+    /// Digest of the real member's table, which also serves as that of its peers.
     digest: u32,
-    learned: bool,
+    digest_outdated: bool,
     datagrams: u64,
     bytes: u64,
-    gossip: u64,
+    gossip_datagrams: u64,
     cpu: CpuMeter,
 }
 
-impl Scene {
-    fn new(members: MemberId, seed: u64) -> Scene {
+impl Simulation {
+    fn new(members: MemberId, seed: u64) -> Simulation {
         let mut rng = Rand64::new(u128::from(seed) << 16 | 0x5a);
-        let draw = rng.rand_u64() as u32;
-        let setup = Setup { number: REAL, members, seed: rng.rand_u64(), nonce: draw, ..Setup::default() };
+        let nonce = rng.rand_u64() as u32;
+        let setup = Setup { number: REAL_MEMBER, members, seed: rng.rand_u64(), nonce, ..Setup::default() };
         let record = |member: MemberId| Record {
             member,
             instance: Instance { generation: 1, nonce: u32::from(member) + 7 },
@@ -88,43 +90,43 @@
             state: State::Alive,
             by: member,
         };
-        Scene {
+        Simulation {
             members,
             now: 0,
             rng,
             machine: Machine::new(0, setup),
             outputs: Outputs::default(),
             queue: BinaryHeap::new(),
-            dues: Vec::new(),
-            vacant: Vec::new(),
-            order: 0,
-            armed: Micros::MAX,
+            actions: Vec::new(),
+            free_indices: Vec::new(),
+            event_order: 0,
+            next_wake: Micros::MAX,
             sequence: 0,
             records: (0..members).map(record).collect(),
             digest: 0,
-            learned: true,
+            digest_outdated: true,
             datagrams: 0,
             bytes: 0,
-            gossip: 0,
+            gossip_datagrams: 0,
             cpu: CpuMeter::default(),
         }
     }
 
-    fn push(&mut self, at: Micros, due: Due) {
-        let place = self.vacant.pop().unwrap_or_else(|| {
-            self.dues.push(None);
-            self.dues.len() - 1
+    fn schedule(&mut self, at: Micros, action: Action) {
+        let index = self.free_indices.pop().unwrap_or_else(|| {
+            self.actions.push(None);
+            self.actions.len() - 1
         });
-        self.dues[place] = Some(due);
-        self.order += 1;
-        self.queue.push(Reverse((at, self.order, place)));
+        self.actions[index] = Some(action);
+        self.event_order += 1;
+        self.queue.push(Reverse((at, self.event_order, index)));
     }
 
-    fn peer(&mut self) -> MemberId {
+    fn random_peer(&mut self) -> MemberId {
         self.rng.rand_range(1..u64::from(self.members)) as MemberId
     }
 
-    /// A datagram of a peer to the real member.
+    /// Encodes a datagram from a peer to the real member.
     fn datagram(&mut self, from: MemberId, kind: Kind, probe: u32, records: Vec<Record>) -> Box<[u8]> {
         self.sequence += 1;
         let own = self.records[usize::from(from)];
@@ -133,7 +135,7 @@
             max_version: wire::VERSION,
             kind,
             from,
-            to: REAL,
+            to: REAL_MEMBER,
             instance: own.instance,
             incarnation: own.incarnation,
             sequence: self.sequence,
@@ -150,89 +152,90 @@
     fn deliver(&mut self, from: MemberId, kind: Kind, probe: u32, records: Vec<Record>) {
         let bytes = self.datagram(from, kind, probe, records);
         let at = self.now + self.rng.rand_range(MIN_DELAY..DELAY_LIMIT);
-        self.push(at, Due::Arrive { from, bytes });
+        self.schedule(at, Action::Arrive { from, bytes });
     }
 
-    fn tell(&mut self, input: Input<'_>) -> Result<(), MeasureError> {
+    fn handle_input(&mut self, input: Input<'_>) -> Result<(), MeasureError> {
         let (machine, outputs, now) = (&mut self.machine, &mut self.outputs, self.now);
         self.cpu.run(|| machine.handle(now, input, outputs));
         let next = self.machine.next();
-        if next < self.armed {
-            self.armed = next;
-            self.push(next.max(now), Due::Wake);
+        if next < self.next_wake {
+            self.next_wake = next;
+            self.schedule(next.max(now), Action::Wake);
         }
-        self.learned |= !self.outputs.events.is_empty();
+        self.digest_outdated |= !self.outputs.events.is_empty();
         self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
             self.datagrams += 1;
             self.bytes += bytes.len() as u64;
-            self.answer(to, &bytes)?;
+            self.handle_datagram(to, &bytes)?;
         }
         Ok(())
     }
 
-    /// What a peer does with a datagram of the real member.
-    fn answer(&mut self, to: MemberId, bytes: &[u8]) -> Result<(), MeasureError> {
-        let message = Message::read(bytes, None, self.members)
-            .map_err(|e| MeasureError::Broken(format!("a member sent what is no datagram: {e:?}")))?;
+    /// Handles a datagram of the real member as a peer.
+    fn handle_datagram(&mut self, to: MemberId, bytes: &[u8]) -> Result<(), MeasureError> {
+        let message = Message::read(bytes, None, self.members).map_err(|e| {
+            MeasureError::UnexpectedBehavior(format!("the real member sent a malformed datagram: {e:?}"))
+        })?;
         match message.kind {
             Kind::Ping => {
-                // Its table is that of the real member, as far as digests go.
-                if std::mem::take(&mut self.learned) {
+                // The digest of a peer is that of the real member.
+                if std::mem::take(&mut self.digest_outdated) {
                     self.digest = self.machine.status().digest;
                 }
                 self.deliver(to, Kind::Ack, message.probe, Vec::new());
             }
             Kind::Gossip => {
-                self.gossip += 1;
-                let records = message.records.iter().map(|record| record.member).collect::<Vec<_>>();
-                let known = records.iter().map(|member| self.records[usize::from(*member)]);
-                let known = known.filter(|record| record.member != REAL).collect();
-                let from = self.peer();
-                self.deliver(from, Kind::Gossip, 0, known);
+                self.gossip_datagrams += 1;
+                let members = message.records.iter().map(|record| record.member).collect::<Vec<_>>();
+                let records = members.iter().map(|member| self.records[usize::from(*member)]);
+                let records = records.filter(|record| record.member != REAL_MEMBER).collect();
+                let from = self.random_peer();
+                self.deliver(from, Kind::Gossip, 0, records);
             }
             _ => {}
         }
         Ok(())
     }
 
-    fn take(&mut self, due: Due) -> Result<(), MeasureError> {
-        match due {
-            Due::Wake if self.armed == self.now => {
-                self.armed = Micros::MAX;
-                self.tell(Input::Wake)
+    fn perform(&mut self, action: Action) -> Result<(), MeasureError> {
+        match action {
+            Action::Wake if self.next_wake == self.now => {
+                self.next_wake = Micros::MAX;
+                self.handle_input(Input::Wake)
             }
-            Due::Wake => Ok(()),
-            Due::PeerProbes => {
-                let (from, probe) = (self.peer(), self.rng.rand_u64() as u32);
+            Action::Wake => Ok(()),
+            Action::PeerProbe => {
+                let (from, probe) = (self.random_peer(), self.rng.rand_u64() as u32);
                 self.deliver(from, Kind::Ping, probe, Vec::new());
-                // On average once a second.
-                let pause = self.rng.rand_range(0..2 * SECOND);
-                self.push(self.now + pause, Due::PeerProbes);
+                // Uniform delay with a mean of one second.
+                let delay = self.rng.rand_range(0..2 * SECOND);
+                self.schedule(self.now + delay, Action::PeerProbe);
                 Ok(())
             }
-            Due::Arrive { from, bytes } => self.tell(Input::Datagram(from, &bytes)),
-            Due::Restarts(member) => {
+            Action::Arrive { from, bytes } => self.handle_input(Input::Datagram(from, &bytes)),
+            Action::PeerLeaves(member) => {
                 self.records[usize::from(member)].state = State::Left;
-                self.spread(member);
-                self.push(self.now + RESTART_TAKES, Due::Returns(member));
+                self.gossip_record(member);
+                self.schedule(self.now + RESTART_TIME, Action::PeerReturns(member));
                 Ok(())
             }
-            Due::Returns(member) => {
+            Action::PeerReturns(member) => {
                 let record = &mut self.records[usize::from(member)];
                 record.state = State::Alive;
                 record.instance.generation += 1;
                 record.instance.nonce ^= 1 << 31;
-                self.spread(member);
+                self.gossip_record(member);
                 Ok(())
             }
         }
     }
 
-    /// The news of a member reaches the real one.
-    fn spread(&mut self, member: MemberId) {
+    /// Sends the record of a member to the real member, as gossip from a random living peer.
+    fn gossip_record(&mut self, member: MemberId) {
         let from = loop {
-            let peer = self.peer();
+            let peer = self.random_peer();
             if self.records[usize::from(peer)].state == State::Alive {
                 break peer;
             }
@@ -243,37 +246,37 @@
 
     fn run_until(&mut self, end: Micros) -> Result<(), MeasureError> {
         while self.queue.peek().is_some_and(|Reverse((at, ..))| *at <= end) {
-            let Some(Reverse((at, _, place))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, index))) = self.queue.pop() else { break };
             self.now = at;
-            self.vacant.push(place);
-            if let Some(due) = self.dues[place].take() {
-                self.take(due)?;
+            self.free_indices.push(index);
+            if let Some(action) = self.actions[index].take() {
+                self.perform(action)?;
             }
         }
         self.now = end;
         Ok(())
     }
 
-    /// Runs for a time: datagrams, bytes and microseconds of CPU in it.
-    fn window(&mut self, lasts: Micros) -> Result<[f64; 3], MeasureError> {
-        (self.datagrams, self.bytes, self.gossip, self.cpu) = (0, 0, 0, CpuMeter::default());
-        self.run_until(self.now + lasts)?;
+    /// Runs for a duration; returns the datagrams and bytes sent and the processor time in microseconds.
+    fn run_window(&mut self, duration: Micros) -> Result<[f64; 3], MeasureError> {
+        (self.datagrams, self.bytes, self.gossip_datagrams, self.cpu) = (0, 0, 0, CpuMeter::default());
+        self.run_until(self.now + duration)?;
         Ok([self.datagrams as f64, self.bytes as f64, self.cpu.micros()])
     }
 
-    /// All that peers know reaches the real member within the first seconds.
-    fn fill(&mut self) {
-        let room = wire::record_capacity(wire::VERSION, false, false);
+    /// Schedules the records of all peers to reach the real member within the first seconds.
+    fn schedule_full_table(&mut self) {
+        let capacity = wire::record_capacity(wire::VERSION, false, false);
         let all: Vec<Record> = self.records[1..].to_vec();
-        for (turn, records) in all.chunks(room).enumerate() {
+        for (index, records) in all.chunks(capacity).enumerate() {
             let bytes = self.datagram(records[0].member, Kind::Gossip, 0, records.to_vec());
-            let at = self.now + turn as Micros * 100;
-            self.push(at, Due::Arrive { from: records[0].member, bytes });
+            let at = self.now + index as Micros * 100;
+            self.schedule(at, Action::Arrive { from: records[0].member, bytes });
         }
     }
 }
 
-/// Sums over the real members.
+/// Sums over the real members; arrays hold datagrams, bytes and microseconds of processor time.
 #[derive(Default)]
 struct Sums {
     start: [f64; 3],
@@ -282,53 +285,56 @@
     quiet: f64,
 }
 
-fn add(sum: &mut [f64; 3], part: [f64; 3]) {
-    sum.iter_mut().zip(part).for_each(|(sum, part)| *sum += part);
+fn add(sum: &mut [f64; 3], values: [f64; 3]) {
+    sum.iter_mut().zip(values).for_each(|(sum, value)| *sum += value);
 }
 
 fn seconds(time: Micros) -> f64 {
     time as f64 / SECOND as f64
 }
 
-fn play(members: MemberId, seed: u64, sums: &mut Sums) -> Result<Scene, MeasureError> {
-    let mut scene = Scene::new(members, seed);
-    scene.fill();
-    scene.push(0, Due::PeerProbes);
-    scene.tell(Input::Wake)?;
-    add(&mut sums.start, scene.window(START_WINDOW)?);
-    while scene.now < LONGEST_START {
-        scene.window(5 * SECOND)?;
-        if scene.gossip == 0 {
+fn simulate(members: MemberId, seed: u64, sums: &mut Sums) -> Result<Simulation, MeasureError> {
+    let mut simulation = Simulation::new(members, seed);
+    simulation.schedule_full_table();
+    simulation.schedule(0, Action::PeerProbe);
+    simulation.handle_input(Input::Wake)?;
+    add(&mut sums.start, simulation.run_window(START_WINDOW)?);
+    while simulation.now < START_TIMEOUT {
+        simulation.run_window(5 * SECOND)?;
+        if simulation.gossip_datagrams == 0 {
             break;
         }
     }
-    sums.quiet += seconds(scene.now);
-    add(&mut sums.steady, scene.window(STEADY_WINDOW)?);
-    for turn in 0..RESTARTS.min(members / 4) {
-        scene.push(scene.now + u64::from(turn) * RESTART_EVERY, Due::Restarts(members / 2 + turn));
+    sums.quiet += seconds(simulation.now);
+    add(&mut sums.steady, simulation.run_window(STEADY_WINDOW)?);
+    for index in 0..RESTART_COUNT.min(members / 4) {
+        simulation.schedule(
+            simulation.now + u64::from(index) * RESTART_INTERVAL,
+            Action::PeerLeaves(members / 2 + index),
+        );
     }
-    add(&mut sums.restarts, scene.window(RESTART_WINDOW)?);
-    Ok(scene)
+    add(&mut sums.restarts, simulation.run_window(RESTART_WINDOW)?);
+    Ok(simulation)
 }
 
-/// Measures a few members.
+/// Measures [`REAL_MEMBERS`] real members of a fleet of `members` members.
 ///
 /// # Errors
-/// Where a member sends what can't be read.
+/// If a real member sends a malformed datagram.
 pub fn measure(members: MemberId, seed: u64) -> Result<Vec<Figure>, MeasureError> {
-    let before = limits::resident();
+    let before = limits::resident_bytes();
     let mut sums = Sums::default();
-    let mut scenes = Vec::new();
+    let mut simulations = Vec::new();
     for real in 0..REAL_MEMBERS {
-        scenes.push(play(members, seed.wrapping_add(u64::from(real) << 32), &mut sums)?);
+        simulations.push(simulate(members, seed.wrapping_add(u64::from(real) << 32), &mut sums)?);
     }
     let count = f64::from(REAL_MEMBERS);
-    let memory = limits::resident().saturating_sub(before) as f64 / count;
+    let memory = limits::resident_bytes().saturating_sub(before) as f64 / count;
     let rate = |sum: f64, window: Micros| sum / count / seconds(window);
     let steady = sums.steady.map(|sum| rate(sum, STEADY_WINDOW));
-    let restarts = f64::from(RESTARTS.min(members / 4));
-    let added = |place: usize| {
-        (rate(sums.restarts[place], RESTART_WINDOW) - steady[place]) * seconds(RESTART_WINDOW) / restarts
+    let restarts = f64::from(RESTART_COUNT.min(members / 4));
+    let added = |index: usize| {
+        (rate(sums.restarts[index], RESTART_WINDOW) - steady[index]) * seconds(RESTART_WINDOW) / restarts
     };
     Ok(vec![
         Figure::sampled("start_bytes", "B/member/s", rate(sums.start[1], START_WINDOW)),
--- a/crates/stonevane-capacity/src/roles/mod.rs
+++ b/crates/stonevane-capacity/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! The roles that are measured, one module each.
+//! Roles that are measured, one module each.
 
 pub mod discovery;
 mod listing;
@@ -16,20 +16,21 @@
 
 use crate::limits::{self, TooMuchMemory};
 
-/// How a figure was come by.
+/// How a metric value was obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Basis {
-    /// By running the code of the daemon for every participant of that size.
+    /// By running the daemon's code for every participant of that size.
     Measured,
-    /// By running the code of the daemon for some participants, among others that are modelled.
+    /// By running the daemon's code for some participants, among modelled ones.
     Sampled,
-    /// By arithmetic from the protocol or from other figures of the same line: nothing was run for it.
+    /// By arithmetic from the protocol or from other metrics of the same measurement, without running
+    /// anything.
     Counted,
 }
 
 impl Basis {
-    /// Its word in tables.
+    /// Returns its name in tables and CSV files.
     pub fn name(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
@@ -39,67 +40,67 @@
     }
 }
 
-/// One figure of a role at a size.
+/// Value of one metric of a role at a size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Figure {
-    /// Its name.
+    /// Name of the metric.
     pub metric: Cow<'static, str>,
-    /// Its unit.
+    /// Unit of `value`.
     pub unit: Cow<'static, str>,
-    /// How it was come by.
+    /// How the value was obtained.
     pub basis: Basis,
-    /// Its value.
+    /// Value of the metric; NaN if the measured event did not occur in time.
     pub value: f64,
 }
 
 impl Figure {
-    /// A figure that was measured.
+    /// Creates a value that was measured with every participant running.
     pub fn measured(metric: &'static str, unit: &'static str, value: f64) -> Figure {
         Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Measured, value }
     }
 
-    /// A figure that was measured at some participants among modelled ones.
+    /// Creates a value that was measured at some participants among modelled ones.
     pub fn sampled(metric: &'static str, unit: &'static str, value: f64) -> Figure {
         Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Sampled, value }
     }
 
-    /// A figure that was reckoned.
+    /// Creates a value that was computed.
     pub fn counted(metric: &'static str, unit: &'static str, value: f64) -> Figure {
         Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Counted, value }
     }
 }
 
-/// All figures of a role at a size.
+/// Values of all metrics of a role at one size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Measurement {
-    /// The role.
+    /// Measured role.
     pub role: Role,
-    /// The size.
+    /// Size, in the unit of [`Role::size_unit`].
     pub size: u64,
-    /// The seed of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// The figures.
+    /// Values of the metrics, in the order in which reports print them.
     pub figures: Vec<Figure>,
 }
 
-/// Why a measurement can't be had.
+/// Error of a measurement.
 #[derive(Debug, Clone, PartialEq)]
 pub enum MeasureError {
-    /// It takes more memory than it may.
+    /// The measurement needs more memory than its limit.
     Memory(TooMuchMemory),
-    /// The role can't be measured at that size.
+    /// The size is out of bounds for the role.
     Size {
-        /// The role.
+        /// Role to be measured.
         role: Role,
-        /// The size that was asked for.
+        /// Requested size.
         size: u64,
-        /// The smallest one.
+        /// Smallest size of the role.
         smallest: u64,
-        /// The largest one.
+        /// Largest size of the role.
         largest: u64,
     },
-    /// The code that is measured did something else than it should.
-    Broken(String),
+    /// The measured code behaved unexpectedly; the text says how.
+    UnexpectedBehavior(String),
 }
 
 impl std::fmt::Display for MeasureError {
@@ -109,7 +110,7 @@
             MeasureError::Size { role, size, smallest, largest } => {
                 write!(f, "{} can't be measured at size {size}; {smallest} to {largest}", role.name())
             }
-            MeasureError::Broken(what) => write!(f, "{what}"),
+            MeasureError::UnexpectedBehavior(message) => write!(f, "{message}"),
         }
     }
 }
@@ -122,38 +123,39 @@
     }
 }
 
-/// What holds for all sizes of a run.
+/// Conditions of all measurements of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Conditions {
-    /// The seed of all random choices.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Memory that may be taken, in bytes.
+    /// Memory limit of a measurement, in bytes.
     pub memory: u64,
-    /// The largest fleet in which every member is a real machine.
+    /// Largest fleet, in members, in which every member runs the real membership machine.
     pub full_up_to: u64,
 }
 
-/// A role of the fleet.
+/// Role whose cost is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
     /// Membership among the nodes; the size is the number of nodes.
     Membership,
-    /// A node's list of cache servers; the size is the number of servers.
+    /// Processing of the server list on a node; the size is the number of cache servers.
     ServerList,
-    /// What a node holds of the servers, and its placement; the size is the number of servers.
+    /// State of a node for its cache servers, and placement of requests; the size is the number of cache
+    /// servers.
     NodeState,
-    /// Connections that a cache server bears; the size is the number of nodes.
+    /// Connections of nodes to cache servers; the size is the number of nodes.
     ServerConnections,
-    /// Calls to the discovery service; the size is the number of nodes.
+    /// Calls of all nodes to the discovery service; the size is the number of nodes.
     Discovery,
-    /// Settings by reload; the size is the number of tenants they name.
+    /// Reload of the settings; the size is the number of tenants in them.
     Reload,
-    /// Requests and bytes passed through; the size is the length of an answer in bytes.
+    /// Forwarding of a request and its response; the size is the length of a response in bytes.
     Passage,
 }
 
 impl Role {
-    /// All of them.
+    /// All roles.
     pub const ALL: [Role; 7] = [
         Role::Membership,
         Role::ServerList,
@@ -164,7 +166,7 @@
         Role::Passage,
     ];
 
-    /// Its name on the command line.
+    /// Returns its name on the command line and in CSV files.
     pub fn name(self) -> &'static str {
         match self {
             Role::Membership => "membership",
@@ -177,12 +179,12 @@
         }
     }
 
-    /// The role of a name.
+    /// Looks up a role by its name.
     pub fn named(name: &str) -> Option<Role> {
         Role::ALL.into_iter().find(|role| role.name() == name)
     }
 
-    /// What its size counts.
+    /// Returns the unit of its size.
     pub fn size_unit(self) -> &'static str {
         match self {
             Role::Membership | Role::ServerConnections | Role::Discovery => "nodes",
@@ -192,12 +194,12 @@
         }
     }
 
-    /// The smallest size that it can be measured at.
+    /// Returns the smallest size that it can be measured at.
     pub fn smallest(self) -> u64 {
         if self == Role::Membership { membership::SMALLEST } else { 1 }
     }
 
-    /// The largest size that it can be measured at.
+    /// Returns the largest size that it can be measured at.
     pub fn largest(self) -> u64 {
         match self {
             Role::Membership => membership::LARGEST,
@@ -210,36 +212,37 @@
         }
     }
 
-    /// Memory that it needs at a size, in bytes.
-    pub fn needs(self, size: u64, conditions: &Conditions) -> u64 {
+    /// Estimates the memory that a measurement at a size needs, in bytes.
+    pub fn required_memory(self, size: u64, conditions: &Conditions) -> u64 {
         match self {
-            Role::Membership => membership::needs(size, conditions.full_up_to),
-            Role::ServerList => server_list::needs(size),
-            Role::NodeState => node_state::needs(size),
-            Role::ServerConnections => server_connections::needs(size),
-            Role::Discovery => discovery::needs(size),
-            Role::Reload => reload::needs(size),
-            Role::Passage => passage::needs(size),
+            Role::Membership => membership::required_memory(size, conditions.full_up_to),
+            Role::ServerList => server_list::required_memory(size),
+            Role::NodeState => node_state::required_memory(size),
+            Role::ServerConnections => server_connections::required_memory(size),
+            Role::Discovery => discovery::required_memory(size),
+            Role::Reload => reload::required_memory(size),
+            Role::Passage => passage::required_memory(size),
         }
     }
 
-    /// Whether it can be measured at a size; nothing is started.
+    /// Checks whether it can be measured at a size, without starting anything.
     ///
     /// # Errors
-    /// Where the size is out of bounds or needs too much memory.
+    /// If the size is out of bounds or needs more memory than the limit.
     pub fn check(self, size: u64, conditions: &Conditions) -> Result<(), MeasureError> {
         let (smallest, largest) = (self.smallest(), self.largest());
         if !(smallest..=largest).contains(&size) {
             return Err(MeasureError::Size { role: self, size, smallest, largest });
         }
-        limits::check(size, self.needs(size, conditions), conditions.memory)?;
+        limits::check(size, self.required_memory(size, conditions), conditions.memory)?;
         Ok(())
     }
 
     /// Measures it at a size.
     ///
     /// # Errors
-    /// As [`Role::check`], where memory runs out on the way, and where the code measured does not do what it should.
+    /// If [`Role::check`] fails, the memory limit is exceeded during the measurement, or the measured code
+    /// behaves unexpectedly.
     pub fn measure(self, size: u64, conditions: &Conditions) -> Result<Measurement, MeasureError> {
         self.check(size, conditions)?;
         let seed = conditions.seed;
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -1,4 +1,4 @@
-//! A node's core, driven in process: clients that ask and servers that answer, without sockets.
+//! A node's core driven in process, with simulated clients and cache servers instead of sockets.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -14,23 +14,24 @@
 
 use crate::cpu::CpuMeter;
 
-/// Unix time at the start, in microseconds.
+/// Unix time at the start of a measurement, in microseconds.
 pub const START: Micros = 1_790_000_100_000_000;
-/// A second, in microseconds.
+/// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// How long a connection takes to open, and a server to answer.
-const OPENS_AFTER: Micros = 300;
-const ANSWERS_AFTER: Micros = 2_000;
-/// The platform's rule: servers close connections that were idle for so long.
+/// Time that a connection takes to open, in microseconds.
+const CONNECT_DELAY: Micros = 300;
+/// Time that a server takes to respond, in microseconds.
+const RESPONSE_DELAY: Micros = 2_000;
+/// Idle time after which servers close a connection, a rule of the platform, in microseconds.
 pub const IDLE_CLOSE: Micros = 15_000_000;
-/// Connections rest for so long after an answer: the operator file's default.
-const REST: Duration = Duration::from_millis(15);
-/// The most that a server's connection is fed at once.
-const PIECE: usize = 64 * 1024;
-/// A quota that never turns anybody away.
-const QUOTA: f64 = 1e9;
+/// Time after a response during which a server connection is not reused: the operator file's default.
+const CONNECTION_REST: Duration = Duration::from_millis(15);
+/// Most bytes of a response that are read at once.
+const READ_LIMIT_BYTES: usize = 64 * 1024;
+/// Quota that never rejects a request, in requests per second.
+const QUOTA_PER_S: f64 = 1e9;
 
-/// A deployment at the target's size, in the platform's defaults.
+/// Deployment of `nodes` nodes with the platform's defaults.
 pub fn deployment(nodes: u32) -> Deployment {
     let class = RequestClass {
         latency_objective: SECOND,
@@ -41,7 +42,7 @@
     let settings = Settings {
         nodes,
         classes: vec![class],
-        tenants: vec![Tenant { quota_per_s: QUOTA }],
+        tenants: vec![Tenant { quota_per_s: QUOTA_PER_S }],
         poll_discovery: true,
         startup_attempts_per_server: 0.0,
         ..Settings::default()
@@ -50,7 +51,7 @@
         settings,
         classes: vec!["read".into()],
         tenants: vec!["all".into()],
-        zones: super::listing::zones(),
+        zones: super::listing::zone_names(),
         machine_types: vec!["cache".into()],
         connect_timeout: 250_000,
         idle_close: IDLE_CLOSE,
@@ -59,7 +60,7 @@
     }
 }
 
-/// What a core is told at its start.
+/// Start configuration of a core that already has the list `known`.
 pub fn setup(deployment: Deployment, known: EndpointList, sockets: usize, seed: u64) -> CoreConfig {
     CoreConfig {
         deployment,
@@ -69,7 +70,7 @@
         cached_list: known,
         discovery: SocketAddr::from(([127, 0, 0, 1], 3)),
         clients: operator::Clients::default(),
-        servers: operator::Servers { rest: REST },
+        servers: operator::Servers { rest: CONNECTION_REST },
         has_store: false,
         notifies_caches: false,
         other_sockets: 0,
@@ -80,58 +81,59 @@
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum Event {
     Opened(ConnId),
-    Answered(ConnId),
+    Responded(ConnId),
 }
 
-/// Counts of what a node did.
+/// Counters of a driven node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Requests that clients sent.
-    pub asked: u64,
+pub struct Counters {
+    /// Requests from clients.
+    pub requests: u64,
     /// Bytes written to clients.
-    pub answered_bytes: u64,
-    /// Connections to servers that were opened.
+    pub response_bytes: u64,
+    /// Connections opened to servers.
     pub opened: u64,
-    /// Requests written to servers.
+    /// Attempts: requests written to servers.
     pub attempts: u64,
-    /// Calls to discovery: watches and whole lists.
+    /// Calls to discovery: watches and fetches of the full list.
     pub discovery_calls: u64,
 }
 
-/// A core, its clients and its servers.
+/// Core with its simulated clients and servers.
 pub struct DrivenNode {
-    /// The core.
+    /// Core under measurement.
     pub core: Core,
-    /// The time.
+    /// Simulated Unix time, in microseconds.
     pub now: Micros,
-    /// What it did.
-    pub tally: Tally,
-    /// Processor time of the core.
+    /// Counters since the start.
+    pub counters: Counters,
+    /// Processor time of the core since the start.
     pub cpu: CpuMeter,
     rng: Rand64,
     clients: Vec<ConnId>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Step)>>,
-    order: u64,
-    answer: Vec<u8>,
-    /// Answers that servers have written, as far as they are not read yet.
+    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    sequence: u64,
+    response: Vec<u8>,
+    /// Responses that were not read completely, with the offset of the next byte.
     unread: Vec<(ConnId, usize)>,
 }
 
 impl DrivenNode {
-    /// A node with clients that are connected, before servers that answer with so many bytes.
-    pub fn new(setup: CoreConfig, clients: usize, answer: usize, seed: u64) -> DrivenNode {
+    /// Creates a node with `clients` connected clients. Its servers respond with values of `value_bytes`
+    /// bytes.
+    pub fn new(setup: CoreConfig, clients: usize, value_bytes: usize, seed: u64) -> DrivenNode {
         let mut node = DrivenNode {
             core: Core::new(START, setup),
             now: START,
-            tally: Tally::default(),
+            counters: Counters::default(),
             cpu: CpuMeter::default(),
             rng: Rand64::new(seed.into()),
             clients: Vec::new(),
             queue: BinaryHeap::new(),
-            order: 0,
-            answer: hit(answer),
+            sequence: 0,
+            response: hit_response(value_bytes),
             unread: Vec::new(),
         };
         for _ in 0..clients {
@@ -142,119 +144,120 @@
         node
     }
 
-    fn push(&mut self, after: Micros, step: Step) {
-        self.order += 1;
-        self.queue.push(Reverse((self.now + after, self.order, step)));
+    fn schedule(&mut self, after: Micros, event: Event) {
+        self.sequence += 1;
+        self.queue.push(Reverse((self.now + after, self.sequence, event)));
     }
 
-    /// Gives the core an input, and does what it says.
+    /// Passes an input to the core and executes its outputs.
     pub fn feed(&mut self, input: Input<'_>) {
         let mut outputs = Outputs::new();
         let (core, now) = (&mut self.core, self.now);
         self.cpu.run(|| core.handle(now, input, &mut outputs));
         let mut flushed = VecDeque::new();
-        self.carry_out(outputs, &mut flushed);
+        self.execute(outputs, &mut flushed);
         while let Some(id) = flushed.pop_front() {
             let mut outputs = Outputs::new();
             let core = &mut self.core;
             self.cpu.run(|| core.handle(now, Input::Flushed(id), &mut outputs));
-            self.carry_out(outputs, &mut flushed);
+            self.execute(outputs, &mut flushed);
         }
     }
 
-    fn carry_out(&mut self, outputs: Outputs, flushed: &mut VecDeque<ConnId>) {
+    fn execute(&mut self, outputs: Outputs, flushed: &mut VecDeque<ConnId>) {
         for output in outputs {
             match output {
                 Output::Open(id, _) => {
-                    self.tally.opened += 1;
-                    self.push(OPENS_AFTER, Step::Opened(id));
+                    self.counters.opened += 1;
+                    self.schedule(CONNECT_DELAY, Event::Opened(id));
                 }
                 Output::WriteRequest { id, .. } => {
-                    self.tally.attempts += 1;
+                    self.counters.attempts += 1;
                     flushed.push_back(id);
-                    self.push(ANSWERS_AFTER, Step::Answered(id));
+                    self.schedule(RESPONSE_DELAY, Event::Responded(id));
                 }
                 Output::Write(id, bytes) | Output::WriteAndClose(id, bytes) => {
                     if self.clients.contains(&id) {
-                        self.tally.answered_bytes += bytes.len() as u64;
+                        self.counters.response_bytes += bytes.len() as u64;
                     }
                     flushed.push_back(id);
                 }
                 Output::Close(id) => self.unread.retain(|(conn, _)| *conn != id),
                 Output::Discovery(call) => {
-                    let asks =
+                    let counted =
                         matches!(call.request, DiscoveryRequest::Watch { .. } | DiscoveryRequest::FetchList);
-                    self.tally.discovery_calls += u64::from(asks);
+                    self.counters.discovery_calls += u64::from(counted);
                 }
                 _ => {}
             }
         }
     }
 
-    /// A client asks for a key that is drawn from so many.
-    pub fn ask(&mut self, keys: u64) {
-        self.tally.asked += 1;
-        let client = self.clients[self.tally.asked as usize % self.clients.len()];
+    /// Sends a request of the next client for a random key out of `keys`.
+    pub fn send_request(&mut self, keys: u64) {
+        self.counters.requests += 1;
+        let client = self.clients[self.counters.requests as usize % self.clients.len()];
         let key = format!("{:016x}", 1 + self.rng.rand_range(0..keys));
-        let id = format!("{:x}", self.tally.asked);
-        let words: [&[u8]; 4] = [b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=1900"];
-        self.feed(Input::Bytes(client, &resp::command(&words)));
+        let id = format!("{:x}", self.counters.requests);
+        let arguments: [&[u8]; 4] = [b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=1900"];
+        self.feed(Input::Bytes(client, &resp::command(&arguments)));
     }
 
-    /// What has come on a connection is read as far as the core reads.
-    fn read(&mut self, id: ConnId, mut from: usize) {
-        let answer = std::mem::take(&mut self.answer);
-        while from < answer.len() {
-            let room = self.core.read_budget(id).min(PIECE).min(answer.len() - from);
-            if room == 0 {
-                self.unread.push((id, from));
+    /// Passes a response to the core from an offset on, as far as the read budget of the core allows.
+    fn read(&mut self, id: ConnId, mut offset: usize) {
+        let response = std::mem::take(&mut self.response);
+        while offset < response.len() {
+            let length = self.core.read_budget(id).min(READ_LIMIT_BYTES).min(response.len() - offset);
+            if length == 0 {
+                self.unread.push((id, offset));
                 break;
             }
-            self.feed(Input::Bytes(id, &answer[from..from + room]));
-            from += room;
+            self.feed(Input::Bytes(id, &response[offset..offset + length]));
+            offset += length;
         }
-        self.answer = answer;
+        self.response = response;
     }
 
-    fn read_on(&mut self) {
-        for (id, from) in std::mem::take(&mut self.unread) {
-            self.read(id, from);
+    fn resume_reads(&mut self) {
+        for (id, offset) in std::mem::take(&mut self.unread) {
+            self.read(id, offset);
         }
     }
 
-    /// Does all that is due until a time.
+    /// Processes all events that are due until a time.
     pub fn run_until(&mut self, end: Micros) {
         loop {
-            let step = self.queue.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
+            let event_at = self.queue.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
             let wake = self.core.next_timeout().unwrap_or(Micros::MAX).max(self.now);
-            let next = step.min(wake);
+            let next = event_at.min(wake);
             if next > end {
                 break;
             }
             self.now = next;
-            if step <= wake {
-                self.take_step();
+            if event_at <= wake {
+                self.process_next_event();
             } else {
                 self.feed(Input::Wake);
             }
             if !self.unread.is_empty() {
-                self.read_on();
+                self.resume_reads();
             }
         }
         self.now = end;
     }
 
-    fn take_step(&mut self) {
+    fn process_next_event(&mut self) {
         match self.queue.pop() {
-            Some(Reverse((_, _, Step::Opened(id)))) => self.feed(Input::Opened(id)),
-            Some(Reverse((_, _, Step::Answered(id)))) => self.read(id, 0),
+            Some(Reverse((_, _, Event::Opened(id)))) => self.feed(Input::Opened(id)),
+            Some(Reverse((_, _, Event::Responded(id)))) => self.read(id, 0),
             None => {}
         }
     }
 
-    /// Clients ask at a rate for a time; times between requests are drawn.
-    pub fn serve(&mut self, per_second: f64, lasts: Micros, keys: u64) {
-        let end = self.now + lasts;
+    /// Sends requests at a mean rate for a duration; the times between requests are exponentially
+    /// distributed.
+    pub fn serve(&mut self, per_second: f64, duration: Micros, keys: u64) {
+        let end = self.now + duration;
         loop {
             let pause = -(1.0 - self.rng.rand_float()).ln() / per_second;
             let next = self.now + (pause * SECOND as f64) as Micros;
@@ -262,16 +265,16 @@
                 break;
             }
             self.run_until(next);
-            self.ask(keys);
+            self.send_request(keys);
         }
         self.run_until(end);
     }
 }
 
-/// A cache's answer with a value of so many bytes.
-fn hit(bytes: usize) -> Vec<u8> {
-    let mut answer = format!("*3\r\n${bytes}\r\n").into_bytes();
-    answer.resize(answer.len() + bytes, b'v');
-    answer.extend_from_slice(b"\r\n$3\r\nhit\r\n$0\r\n\r\n");
-    answer
+/// Response of a cache server to a hit with a value of `bytes` bytes.
+fn hit_response(bytes: usize) -> Vec<u8> {
+    let mut response = format!("*3\r\n${bytes}\r\n").into_bytes();
+    response.resize(response.len() + bytes, b'v');
+    response.extend_from_slice(b"\r\n$3\r\nhit\r\n$0\r\n\r\n");
+    response
 }
--- a/crates/stonevane-capacity/src/roles/passage.rs
+++ b/crates/stonevane-capacity/src/roles/passage.rs
@@ -1,51 +1,59 @@
-//! One request passed through a node and its answer of so many bytes: processor time of the core and the decision module
-//! for reads that one of a region's caches answers. Sockets, the kernel and the driver's tasks are not in it.
+//! Processor time of forwarding one request and its response through a node, by the length of the response.
+//! It covers the core and the decision module for reads that a cache of the region answers, but not sockets,
+//! the kernel or the driver's tasks.
 
 use super::node::{self, DrivenNode, SECOND};
 use super::{Figure, MeasureError, listing};
 
-/// The longest value that the node passes on.
+/// Longest value that the node forwards, in bytes.
 pub const LARGEST: u64 = 4 * 1024 * 1024;
-/// Caches of a region.
-const SERVERS: u64 = 150;
+/// Cache servers of a region.
+const REGION_SERVERS: u64 = 150;
 /// Nodes of the fleet.
 const NODES: u32 = 18_000;
-/// Requests a second, and how long they come, in seconds: first until the module has learned, then measured.
-const PER_SECOND: f64 = 778.0;
-const LEARNS: u64 = 1;
-const MEASURED: u64 = 4;
-/// Keys that are asked for.
-const KEYS: u64 = 1 << 40;
-/// The daemon's most sockets, and clients.
-const SOCKETS: usize = 1_024;
+/// Requests per second of one node at the peak.
+const REQUESTS_PER_S: f64 = 778.0;
+/// Time for the decision module to learn of the servers before the measurement, in seconds.
+const WARMUP_S: u64 = 1;
+/// Length of the measurement, in seconds.
+const MEASURED_S: u64 = 4;
+/// Number of keys that requests draw from.
+const KEY_COUNT: u64 = 1 << 40;
+/// The daemon's limit on sockets.
+const MAX_SOCKETS: usize = 1_024;
+/// Client connections of the node.
 const CLIENTS: usize = 64;
 
-/// Memory that a measurement needs.
-pub fn needs(bytes: u64) -> u64 {
+/// Estimated memory that a measurement needs, in bytes.
+pub fn required_memory(bytes: u64) -> u64 {
     (256 << 20) + bytes * 4
 }
 
-/// Measures requests with answers of so many bytes.
+/// Measures requests with responses of `bytes` bytes.
 ///
 /// # Errors
-/// Where requests are not answered.
+/// If fewer than 90 % of the response bytes arrive.
 pub fn measure(bytes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
-    let known = serde_json::from_str(&listing::whole(SERVERS));
-    let known = known.map_err(|e| MeasureError::Broken(format!("no list: {e}")))?;
-    let setup = node::setup(node::deployment(NODES), known, SOCKETS, seed);
+    let known = serde_json::from_str(&listing::full_list(REGION_SERVERS));
+    let known = known.map_err(|e| {
+        MeasureError::UnexpectedBehavior(format!("the generated server list cannot be parsed: {e}"))
+    })?;
+    let setup = node::setup(node::deployment(NODES), known, MAX_SOCKETS, seed);
     let mut node = DrivenNode::new(setup, CLIENTS, bytes as usize, seed);
-    node.serve(PER_SECOND, LEARNS * SECOND, KEYS);
-    let (before, cpu_before) = (node.tally, node.cpu.micros());
-    node.serve(PER_SECOND, MEASURED * SECOND, KEYS);
-    let asked = (node.tally.asked - before.asked) as f64;
-    let answered = (node.tally.answered_bytes - before.answered_bytes) as f64;
-    if answered < 0.9 * asked * bytes as f64 {
-        return Err(MeasureError::Broken(format!("{answered} bytes were answered to {asked} requests")));
+    node.serve(REQUESTS_PER_S, WARMUP_S * SECOND, KEY_COUNT);
+    let (before, cpu_before) = (node.counters, node.cpu.micros());
+    node.serve(REQUESTS_PER_S, MEASURED_S * SECOND, KEY_COUNT);
+    let requests = (node.counters.requests - before.requests) as f64;
+    let response_bytes = (node.counters.response_bytes - before.response_bytes) as f64;
+    if response_bytes < 0.9 * requests * bytes as f64 {
+        return Err(MeasureError::UnexpectedBehavior(format!(
+            "{response_bytes} response bytes arrived for {requests} requests of {bytes} bytes each"
+        )));
     }
     let cpu = node.cpu.micros() - cpu_before;
     Ok(vec![
-        Figure::measured("request_cpu", "us", cpu / asked),
-        Figure::measured("answered", "B", answered / asked),
-        Figure::measured("attempts", "1", (node.tally.attempts - before.attempts) as f64 / asked),
+        Figure::measured("request_cpu", "us", cpu / requests),
+        Figure::measured("answered", "B", response_bytes / requests),
+        Figure::measured("attempts", "1", (node.counters.attempts - before.attempts) as f64 / requests),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/reload.rs
+++ b/crates/stonevane-capacity/src/roles/reload.rs
@@ -1,5 +1,5 @@
-//! Settings by reload: the whole text is read and taken by a running core, however little of it changed. The size is the
-//! number of tenants that the text names.
+//! Reload of the settings: a running core parses and applies the full settings even if only a small part
+//! changed. The size is the number of tenants in the settings.
 
 use std::fmt::Write as _;
 
@@ -9,71 +9,72 @@
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
 
-/// As many as a text of some megabytes names.
+/// Most tenants: settings of a few megabytes.
 pub const LARGEST: u64 = 100_000;
-/// Cache servers that the node knows meanwhile.
+/// Cache servers that the node knows during the reloads.
 const SERVERS: u64 = 4_200;
-/// How often it is done; the middle one of the times counts.
-const TIMES: usize = 9;
+/// Number of reloads; the median time is reported.
+const REPETITIONS: usize = 9;
 
-/// Memory that a measurement needs.
-pub fn needs(tenants: u64) -> u64 {
+/// Estimated memory that a measurement needs, in bytes.
+pub fn required_memory(tenants: u64) -> u64 {
     (96 << 20) + tenants * 2_048
 }
 
-/// A settings text with so many tenants, whose first has a quota that tells one text from another.
-fn text(tenants: u64, quota: u64) -> String {
-    let mut realms = String::new();
+/// Settings with `tenants` tenants as JSON; the quota of the first one makes each text different.
+fn settings_json(tenants: u64, quota: u64) -> String {
+    let mut tenant_list = String::new();
     for tenant in 0..tenants {
         let comma = if tenant == 0 { "" } else { "," };
         let quota = if tenant == 0 { quota } else { 1_000 + tenant % 977 };
-        // A string takes all that is written to it.
-        let _ = write!(realms, r#"{comma}{{"name":"tenant-{tenant:06}","quotaPerS":{quota}}}"#);
+        // Writing to a string does not fail.
+        let _ = write!(tenant_list, r#"{comma}{{"name":"tenant-{tenant:06}","quotaPerS":{quota}}}"#);
     }
-    let zones: Vec<String> = listing::zones().iter().map(|zone| format!("{zone:?}")).collect();
+    let zones: Vec<String> = listing::zone_names().iter().map(|zone| format!("{zone:?}")).collect();
     format!(
-        r#"{{"balancers":18000,"me":17,"zone":3,"classes":[{{"name":"read","goalTimeUs":250000,"deadlineUs":1000000,"gain":1.0,"lateValue":0.2,"effect":"pure"}},{{"name":"write","goalTimeUs":500000,"deadlineUs":2000000,"gain":3.0,"lateValue":0.5,"effect":"token","dedupScope":"zone","dedupWindowUs":2000000}}],"realms":[{realms}],"zones":[{}],"machineTypes":["cache","origin"],"discovery":"ask","limits":{{"maxAttempts":3,"connectTimeoutUs":250000,"idleCloseUs":15000000,"maxOpen":20000}},"guarantees":{{"askWithinUs":10000000,"coldShare":0.25,"coldUs":10000000,"drainGraceUs":500000}}}}"#,
+        r#"{{"balancers":18000,"me":17,"zone":3,"classes":[{{"name":"read","goalTimeUs":250000,"deadlineUs":1000000,"gain":1.0,"lateValue":0.2,"effect":"pure"}},{{"name":"write","goalTimeUs":500000,"deadlineUs":2000000,"gain":3.0,"lateValue":0.5,"effect":"token","dedupScope":"zone","dedupWindowUs":2000000}}],"realms":[{tenant_list}],"zones":[{}],"machineTypes":["cache","origin"],"discovery":"ask","limits":{{"maxAttempts":3,"connectTimeoutUs":250000,"idleCloseUs":15000000,"maxOpen":20000}},"guarantees":{{"askWithinUs":10000000,"coldShare":0.25,"coldUs":10000000,"drainGraceUs":500000}}}}"#,
         zones.join(",")
     )
 }
 
-fn middle(mut values: Vec<f64>) -> f64 {
+fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
 }
 
-/// Measures the reload of a text with so many tenants.
+/// Measures the reload of settings with `tenants` tenants.
 ///
 /// # Errors
-/// Where the text can't be read.
+/// If the settings cannot be read or a reload is not applied.
 pub fn measure(tenants: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
-    let broken = |e: String| MeasureError::Broken(e);
-    let known = serde_json::from_str(&listing::whole(SERVERS)).map_err(|e| broken(e.to_string()))?;
-    let first = settings::read(text(tenants, 500).as_bytes()).map_err(|e| broken(e.to_string()))?;
+    let unexpected = |e: String| MeasureError::UnexpectedBehavior(e);
+    let known = serde_json::from_str(&listing::full_list(SERVERS)).map_err(|e| unexpected(e.to_string()))?;
+    let first =
+        settings::read(settings_json(tenants, 500).as_bytes()).map_err(|e| unexpected(e.to_string()))?;
     let mut core = Core::new(node::START, node::setup(first, known, 1024, seed));
-    let (mut reading, mut taking, mut now) = (Vec::new(), Vec::new(), node::START);
+    let (mut read_us, mut apply_us, mut now) = (Vec::new(), Vec::new(), node::START);
     let mut outputs = Outputs::new();
     core.handle(now, Input::Wake, &mut outputs);
-    for turn in 0..TIMES as u64 {
-        let text = text(tenants, 501 + turn);
-        let begun = cpu::thread_nanos();
-        let deployment = settings::read(text.as_bytes()).map_err(|e| broken(e.to_string()))?;
+    for round in 0..REPETITIONS as u64 {
+        let settings_json = settings_json(tenants, 501 + round);
+        let started = cpu::thread_nanos();
+        let deployment = settings::read(settings_json.as_bytes()).map_err(|e| unexpected(e.to_string()))?;
         let read = cpu::thread_nanos();
         core.handle(now, Input::Settings(Box::new(deployment)), &mut outputs);
-        let taken = cpu::thread_nanos();
-        reading.push((read - begun) as f64 / 1e3);
-        taking.push((taken - read) as f64 / 1e3);
+        let applied = cpu::thread_nanos();
+        read_us.push((read - started) as f64 / 1e3);
+        apply_us.push((applied - read) as f64 / 1e3);
         now += 2 * node::SECOND;
         core.handle(now, Input::Wake, &mut outputs);
         outputs.clear();
     }
     let reloads = core.report().reloads_ok;
-    if reloads != TIMES as u64 {
-        return Err(broken(format!("{reloads} of {TIMES} reloads were taken")));
+    if reloads != REPETITIONS as u64 {
+        return Err(unexpected(format!("the core applied {reloads} of {REPETITIONS} reloads")));
     }
     Ok(vec![
-        Figure::measured("text_bytes", "B", text(tenants, 500).len() as f64),
-        Figure::measured("read_cpu", "us", middle(reading)),
-        Figure::measured("take_cpu", "us", middle(taking)),
+        Figure::measured("text_bytes", "B", settings_json(tenants, 500).len() as f64),
+        Figure::measured("read_cpu", "us", median(read_us)),
+        Figure::measured("take_cpu", "us", median(apply_us)),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -1,12 +1,13 @@
-//! Connections that a cache server bears, against the number of nodes: the core's own pool of one node at the target's
-//! rate, times the nodes that share the servers. Servers grow with nodes as at the target.
+//! Connections of a cache server by the number of nodes. The connection pool of one node's core is measured
+//! at the target's request rate and multiplied by the nodes that share the servers. The number of servers is
+//! proportional to the number of nodes, as at the target.
 
 use super::node::{self, DrivenNode, SECOND};
 use super::{Figure, MeasureError, listing};
 
-/// More nodes than twice the target.
+/// Most nodes: more than twice the target.
 pub const LARGEST: u64 = 40_000;
-/// Nodes at the target; their proportion to servers holds at every size.
+/// Nodes at the target; the ratio of nodes to servers is the same at every size.
 const TARGET_NODES: u64 = 18_000;
 /// Servers at the target.
 const TARGET_SERVERS: u64 = 4_200;
@@ -14,35 +15,38 @@
 const REGION_SERVERS: u64 = 150;
 /// Nodes of a region.
 const REGION_NODES: u64 = 643;
-/// Requests a second at a node at the target.
-const PER_SECOND: f64 = 778.0;
-/// Keys that are asked for.
-const KEYS: u64 = 1 << 40;
-/// Simulated time until connections have settled, and in which they are counted.
-const SETTLES: u64 = 16;
-const COUNTED: u64 = 8;
-/// The most sockets that the daemon takes, and as many as never run out.
+/// Requests per second of one node at the target.
+const REQUESTS_PER_S: f64 = 778.0;
+/// Number of keys that requests draw from.
+const KEY_COUNT: u64 = 1 << 40;
+/// Simulated time until the number of connections is stable, in seconds.
+const SETTLING_S: u64 = 16;
+/// Simulated time in which connections are counted, in seconds.
+const COUNTED_S: u64 = 8;
+/// The daemon's limit on sockets.
 const DAEMON_SOCKETS: usize = 1_024;
-const ENOUGH_SOCKETS: usize = 65_536;
-/// Clients of the node, and the bytes of an answer.
+/// Limit on sockets that is never reached.
+const UNLIMITED_SOCKETS: usize = 65_536;
+/// Client connections of the node.
 const CLIENTS: usize = 32;
-const ANSWER: usize = 100;
+/// Length of a value in a response, in bytes.
+const RESPONSE_BYTES: usize = 100;
 
-/// Memory that a measurement needs.
-pub fn needs(nodes: u64) -> u64 {
+/// Estimated memory that a measurement needs, in bytes.
+pub fn required_memory(nodes: u64) -> u64 {
     (96 << 20) + servers(nodes) * 4_096
 }
 
-/// Servers before so many nodes.
+/// Number of servers for `nodes` nodes.
 fn servers(nodes: u64) -> u64 {
     (nodes * TARGET_SERVERS / TARGET_NODES).max(1)
 }
 
-/// Connections of one node.
+/// Connections of one node to servers.
 struct ConnectionCount {
-    /// To all servers.
+    /// Mean number held, to all servers together.
     connections: f64,
-    /// Opened in a second.
+    /// Mean number opened per second.
     opened: f64,
 }
 
@@ -52,48 +56,52 @@
     sockets: usize,
     seed: u64,
 ) -> Result<ConnectionCount, MeasureError> {
-    let known = serde_json::from_str(&listing::whole(servers));
-    let known = known.map_err(|e| MeasureError::Broken(format!("no list: {e}")))?;
+    let known = serde_json::from_str(&listing::full_list(servers));
+    let known = known.map_err(|e| {
+        MeasureError::UnexpectedBehavior(format!("the generated server list cannot be parsed: {e}"))
+    })?;
     let setup = node::setup(node::deployment(nodes as u32), known, sockets, seed);
-    let mut node = DrivenNode::new(setup, CLIENTS, ANSWER, seed);
-    node.serve(PER_SECOND, SETTLES * SECOND, KEYS);
-    let (opened, mut connections) = (node.tally.opened, 0);
-    for _ in 0..COUNTED {
-        node.serve(PER_SECOND, SECOND, KEYS);
+    let mut node = DrivenNode::new(setup, CLIENTS, RESPONSE_BYTES, seed);
+    node.serve(REQUESTS_PER_S, SETTLING_S * SECOND, KEY_COUNT);
+    let (opened, mut connections) = (node.counters.opened, 0);
+    for _ in 0..COUNTED_S {
+        node.serve(REQUESTS_PER_S, SECOND, KEY_COUNT);
         connections += node.core.count().server_connections;
     }
-    let served = node.tally.attempts;
-    if served * 10 < node.tally.asked * 9 {
-        let asked = node.tally.asked;
-        return Err(MeasureError::Broken(format!("{served} of {asked} requests went to a server")));
+    let attempts = node.counters.attempts;
+    if attempts * 10 < node.counters.requests * 9 {
+        let requests = node.counters.requests;
+        return Err(MeasureError::UnexpectedBehavior(format!(
+            "only {attempts} attempts were made for {requests} requests"
+        )));
     }
     Ok(ConnectionCount {
-        connections: connections as f64 / COUNTED as f64,
-        opened: (node.tally.opened - opened) as f64 / COUNTED as f64,
+        connections: connections as f64 / COUNTED_S as f64,
+        opened: (node.counters.opened - opened) as f64 / COUNTED_S as f64,
     })
 }
 
-/// Measures one node of so many.
+/// Measures one node of a fleet of `nodes` nodes.
 ///
 /// # Errors
-/// Where its requests do not reach servers.
+/// If fewer than 90 % of its requests reach a server.
 pub fn measure(nodes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
-    let count = servers(nodes);
-    let all = count_connections(nodes, count, DAEMON_SOCKETS, seed)?;
-    let wanted = count_connections(nodes, count, ENOUGH_SOCKETS, seed)?;
-    let subset = REGION_SERVERS.min(count);
+    let server_count = servers(nodes);
+    let all = count_connections(nodes, server_count, DAEMON_SOCKETS, seed)?;
+    let unlimited = count_connections(nodes, server_count, UNLIMITED_SOCKETS, seed)?;
+    let subset = REGION_SERVERS.min(server_count);
     let region = count_connections(nodes, subset, DAEMON_SOCKETS, seed)?;
-    let (nodes, count) = (nodes as f64, count as f64);
+    let (nodes, server_count) = (nodes as f64, server_count as f64);
     let region_nodes = nodes.min(REGION_NODES as f64);
     Ok(vec![
         Figure::measured("node_connections", "1/node", all.connections),
         Figure::measured("node_opened", "1/node/s", all.opened),
-        Figure::measured("node_wanted", "1/node", wanted.connections),
+        Figure::measured("node_wanted", "1/node", unlimited.connections),
         Figure::measured("node_region", "1/node", region.connections),
         Figure::measured("node_region_opened", "1/node/s", region.opened),
-        Figure::counted("server_connections", "1/server", all.connections * nodes / count),
-        Figure::counted("server_opened", "1/server/s", all.opened * nodes / count),
-        Figure::counted("server_wanted", "1/server", wanted.connections * nodes / count),
+        Figure::counted("server_connections", "1/server", all.connections * nodes / server_count),
+        Figure::counted("server_opened", "1/server/s", all.opened * nodes / server_count),
+        Figure::counted("server_wanted", "1/server", unlimited.connections * nodes / server_count),
         Figure::counted("server_region", "1/server", region.connections * region_nodes / subset as f64),
         Figure::counted("server_region_opened", "1/server/s", region.opened * region_nodes / subset as f64),
     ])
--- a/crates/stonevane-capacity/src/roles/server_list.rs
+++ b/crates/stonevane-capacity/src/roles/server_list.rs
@@ -1,7 +1,8 @@
-//! A node's list of cache servers: the whole list, one change of it, and a watch on which nothing happens.
+//! Processing of the server list on a node: the full list, one change to it, and an idle watch.
 //!
-//! The bytes go through the functions that the daemon's calls to discovery are made of, in their order and in reads of
-//! the same length: head, chunks, lines, the list's form, and the core with the decision module. Sockets are not in it.
+//! The bytes pass through the same functions as in the daemon's calls to discovery, in the same order and
+//! with reads of the same length: response head, chunks, lines, list format, and the core with the decision
+//! module. Sockets are not included.
 
 use bytes::BytesMut;
 use stonevane_codec::http::{self, Chunks};
@@ -11,55 +12,57 @@
 use super::{Figure, MeasureError, listing, node};
 use crate::cpu;
 
-/// The daemon takes no list that is longer than 4 MB.
+/// Most servers: the daemon rejects a list longer than 4 MB.
 pub const LARGEST: u64 = 26_000;
-/// What the daemon reads at once.
-const READ: usize = 4096;
-/// Nodes of the fleet that shares the servers.
+/// Length of one read of the daemon, in bytes.
+const READ_BYTES: usize = 4096;
+/// Nodes of the fleet that share the servers.
 const NODES: u32 = 18_000;
-/// How often each is done; the middle one of the times counts.
-const TIMES: usize = 9;
-/// A watch brings an empty line every two seconds.
-const BEAT_S: f64 = 2.0;
+/// Number of measurements; the median time is reported.
+const REPETITIONS: usize = 9;
+/// Interval between the empty lines of an idle watch, in seconds.
+const HEARTBEAT_INTERVAL_S: f64 = 2.0;
 
-/// Memory that a measurement needs.
-pub fn needs(servers: u64) -> u64 {
+/// Estimated memory that a measurement needs, in bytes.
+pub fn required_memory(servers: u64) -> u64 {
     (64 << 20) + servers * 16 * 1024
 }
 
-/// A chunk of a watch's answer.
+/// Formats a chunk of the response to a watch.
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The answer to a watch that brings a list at once, head and all.
-fn watch_answer(list: &str) -> String {
+/// Response to a watch that sends a list immediately, including the response head.
+fn watch_response(list: &str) -> String {
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&format!("{list}\n")))
 }
 
-/// A reader of a watch, as the daemon has it.
+/// Reader of a watch, built as in the daemon.
 #[derive(Default)]
 struct Watch {
     raw: BytesMut,
     body: BytesMut,
     chunks: Chunks,
     objects: ObjectReader,
-    begun: bool,
+    head_read: bool,
 }
 
 impl Watch {
-    /// Takes what was read; a list where one is whole.
+    /// Processes bytes that were read; returns a list once it is complete.
     fn read(&mut self, bytes: &[u8]) -> Result<Option<EndpointList>, MeasureError> {
-        let broken = || MeasureError::Broken("the list can't be read by the daemon's own functions".into());
+        let unexpected = || {
+            MeasureError::UnexpectedBehavior("the daemon's functions cannot read the generated list".into())
+        };
         self.raw.extend_from_slice(bytes);
-        if !self.begun {
-            let Some(head) = http::head(&self.raw).map_err(|_| broken())? else { return Ok(None) };
+        if !self.head_read {
+            let Some(head) = http::head(&self.raw).map_err(|_| unexpected())? else { return Ok(None) };
             let _ = self.raw.split_to(head.length);
-            self.begun = true;
+            self.head_read = true;
         }
-        self.chunks.take(&mut self.raw, &mut self.body).map_err(|_| broken())?;
+        self.chunks.take(&mut self.raw, &mut self.body).map_err(|_| unexpected())?;
         let Some(line) = self.objects.take(&mut self.body) else { return Ok(None) };
-        serde_json::from_slice(&line).map(Some).map_err(|_| broken())
+        serde_json::from_slice(&line).map(Some).map_err(|_| unexpected())
     }
 }
 
@@ -67,55 +70,59 @@
     Core::new(node::START, node::setup(node::deployment(NODES), known, 1024, 1))
 }
 
-/// Passes an answer through a watch into a core: microseconds of reading and of taking the list in.
-fn take(watch: &mut Watch, answer: &str, core: &mut Core) -> Result<[f64; 2], MeasureError> {
-    let begun = cpu::thread_nanos();
+/// Passes a response through a watch into a core; returns the processor time of reading and of applying the
+/// list, in microseconds.
+fn read_and_apply(watch: &mut Watch, response: &str, core: &mut Core) -> Result<[f64; 2], MeasureError> {
+    let started = cpu::thread_nanos();
     let mut list = None;
-    for piece in answer.as_bytes().chunks(READ) {
+    for piece in response.as_bytes().chunks(READ_BYTES) {
         list = watch.read(piece)?;
     }
     let read = cpu::thread_nanos();
-    let list = list.ok_or_else(|| MeasureError::Broken("the answer held no whole list".into()))?;
+    let list =
+        list.ok_or_else(|| MeasureError::UnexpectedBehavior("the response holds no complete list".into()))?;
     let mut outputs = Outputs::new();
     core.handle(node::START + 1, Input::List(0, list), &mut outputs);
-    let taken = cpu::thread_nanos();
-    Ok([(read - begun) as f64 / 1e3, (taken - read) as f64 / 1e3])
+    let applied = cpu::thread_nanos();
+    Ok([(read - started) as f64 / 1e3, (applied - read) as f64 / 1e3])
 }
 
-fn middle(mut values: Vec<f64>) -> f64 {
+fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values[values.len() / 2]
 }
 
-/// Measures a list of so many servers.
+/// Measures a list of `servers` servers.
 ///
 /// # Errors
-/// Where the daemon's functions can't read the list.
+/// If the daemon's functions cannot read the list or the core does not know all its servers.
 pub fn measure(servers: u64) -> Result<Vec<Figure>, MeasureError> {
-    let whole = watch_answer(&listing::whole(servers));
-    let (mut read, mut taken, mut changed) = (Vec::new(), Vec::new(), Vec::new());
+    let full_list = watch_response(&listing::full_list(servers));
+    let (mut read, mut applied, mut change) = (Vec::new(), Vec::new(), Vec::new());
     let mut change_bytes = 0;
-    for turn in 0..TIMES {
+    for round in 0..REPETITIONS {
         let (mut watch, mut core) = (Watch::default(), core(EndpointList::default()));
-        let [reading, taking] = take(&mut watch, &whole, &mut core)?;
-        let text = listing::change(2 + turn as u64, servers / 2, true);
+        let [reading, applying] = read_and_apply(&mut watch, &full_list, &mut core)?;
+        let text = listing::server_change(2 + round as u64, servers / 2, true);
         let line = chunk(&format!("{text}\n"));
         change_bytes = line.len();
-        let [reading_change, taking_change] = take(&mut watch, &line, &mut core)?;
+        let [reading_change, applying_change] = read_and_apply(&mut watch, &line, &mut core)?;
         let known = core.report().cache_servers_known as u64;
         if known != servers {
-            return Err(MeasureError::Broken(format!("the core knows {known} servers of {servers}")));
+            return Err(MeasureError::UnexpectedBehavior(format!(
+                "the core knows {known} servers of {servers}"
+            )));
         }
         read.push(reading);
-        taken.push(taking);
-        changed.push(reading_change + taking_change);
+        applied.push(applying);
+        change.push(reading_change + applying_change);
     }
     Ok(vec![
-        Figure::measured("whole_bytes", "B", whole.len() as f64),
-        Figure::measured("whole_read_cpu", "us", middle(read)),
-        Figure::measured("whole_take_cpu", "us", middle(taken)),
+        Figure::measured("whole_bytes", "B", full_list.len() as f64),
+        Figure::measured("whole_read_cpu", "us", median(read)),
+        Figure::measured("whole_take_cpu", "us", median(applied)),
         Figure::measured("change_bytes", "B", change_bytes as f64),
-        Figure::measured("change_cpu", "us", middle(changed)),
-        Figure::counted("watch_bytes", "B/s", chunk("\n").len() as f64 / BEAT_S),
+        Figure::measured("change_cpu", "us", median(change)),
+        Figure::counted("watch_bytes", "B/s", chunk("\n").len() as f64 / HEARTBEAT_INTERVAL_S),
     ])
 }
--- a/crates/stonevane-capacity/tests/limits.rs
+++ b/crates/stonevane-capacity/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How much memory a measurement may take.
+//! Memory and size limits of measurements.
 #![allow(missing_docs)]
 
 use stonevane_capacity::limits::{MachineMemory, TooMuchMemory, check};
@@ -7,7 +7,7 @@
 const GIGABYTE: u64 = 1 << 30;
 
 #[test]
-fn half_of_the_memory_is_allowed_and_no_more_than_is_available() {
+fn half_of_the_memory_is_allowed_but_at_most_what_is_available() {
     let text = "MemTotal:       25165824 kB\nMemFree:  100 kB\nMemAvailable:   20971520 kB\n";
     let memory = MachineMemory::parse(text).unwrap();
     assert_eq!(memory, MachineMemory { total: 24 * GIGABYTE, available: 20 * GIGABYTE });
@@ -19,45 +19,47 @@
 }
 
 #[test]
-fn what_is_too_much_is_one_line_with_the_figures() {
+fn the_memory_error_is_one_line_with_size_need_and_limit() {
     assert_eq!(check(300, 5, 5), Ok(()));
-    let wrong = check(18_000, 99 * GIGABYTE, 12 * GIGABYTE).unwrap_err();
-    assert_eq!(wrong, TooMuchMemory { size: 18_000, needed: 99 * GIGABYTE, allowed: 12 * GIGABYTE });
-    let said = wrong.to_string();
-    assert_eq!(said, "size 18000 needs 101376 MB of memory, and at most 12288 MB may be taken");
+    let error = check(18_000, 99 * GIGABYTE, 12 * GIGABYTE).unwrap_err();
+    assert_eq!(error, TooMuchMemory { size: 18_000, needed: 99 * GIGABYTE, allowed: 12 * GIGABYTE });
+    let message = error.to_string();
+    assert_eq!(message, "size 18000 needs 101376 MB of memory, and at most 12288 MB may be taken");
 }
 
 #[test]
-fn a_flat_fleet_of_the_target_is_refused_before_anything_is_made() {
+fn a_full_fleet_of_the_target_size_is_rejected_before_it_is_built() {
     let full = Conditions { seed: 1, memory: 12 * GIGABYTE, full_up_to: 18_000 };
-    let refused = Role::Membership.measure(18_000, &full).unwrap_err();
-    assert!(matches!(refused, MeasureError::Memory(TooMuchMemory { size: 18_000, .. })), "{refused}");
-    // The same size among modelled peers fits.
+    let error = Role::Membership.measure(18_000, &full).unwrap_err();
+    assert!(matches!(error, MeasureError::Memory(TooMuchMemory { size: 18_000, .. })), "{error}");
+    // A sampled fleet of the same size, with modelled peers, fits.
     let sampled = Conditions { full_up_to: 3_000, ..full };
     assert_eq!(Role::Membership.check(18_000, &sampled), Ok(()));
 }
 
 #[test]
-fn memory_is_looked_at_while_a_fleet_runs_too() {
-    // As much as the fleet needs by its own account is allowed, and that is less than this process has already.
-    let conditions = Conditions { seed: 1, memory: Role::Membership.needs(5, &FULL), full_up_to: 5 };
-    let ballast = vec![1u8; conditions.memory as usize + (1 << 20)];
-    let refused = Role::Membership.measure(5, &conditions).unwrap_err();
-    assert!(matches!(refused, MeasureError::Memory(_)), "{refused}");
-    assert_eq!(ballast.iter().map(|byte| u64::from(*byte)).sum::<u64>(), ballast.len() as u64);
+fn the_memory_limit_is_also_checked_while_a_fleet_runs() {
+    // The limit equals the fleet's estimate, so the check before the start passes, but the allocation alone
+    // exceeds it.
+    let conditions =
+        Conditions { seed: 1, memory: Role::Membership.required_memory(5, &FULL), full_up_to: 5 };
+    let allocation = vec![1u8; conditions.memory as usize + (1 << 20)];
+    let error = Role::Membership.measure(5, &conditions).unwrap_err();
+    assert!(matches!(error, MeasureError::Memory(_)), "{error}");
+    assert_eq!(allocation.iter().map(|byte| u64::from(*byte)).sum::<u64>(), allocation.len() as u64);
 }
 
 const FULL: Conditions = Conditions { seed: 1, memory: u64::MAX, full_up_to: 5 };
 
 #[test]
-fn sizes_out_of_bounds_are_refused_by_every_role() {
+fn every_role_rejects_sizes_out_of_bounds() {
     let conditions = Conditions { seed: 1, memory: u64::MAX, full_up_to: 300 };
     for role in Role::ALL {
         assert_eq!(Role::named(role.name()), Some(role));
         for size in [0, role.smallest() - 1, role.largest() + 1] {
-            let refused = role.measure(size, &conditions).unwrap_err();
-            assert!(matches!(refused, MeasureError::Size { .. }), "{refused}");
-            assert!(!refused.to_string().contains('\n'));
+            let error = role.measure(size, &conditions).unwrap_err();
+            assert!(matches!(error, MeasureError::Size { .. }), "{error}");
+            assert!(!error.to_string().contains('\n'));
         }
     }
     assert_eq!(Role::named("nodes"), None);
--- a/crates/stonevane-capacity/tests/roles.rs
+++ b/crates/stonevane-capacity/tests/roles.rs
@@ -1,4 +1,5 @@
-//! Every role at tiny sizes: counts are sane, and the same for the same seed. Times are never asserted.
+//! Every role at small sizes: counts are plausible, and equal for equal seeds. Processor times are not
+//! asserted.
 #![allow(missing_docs)]
 
 use stonevane_capacity::csv;
@@ -18,7 +19,7 @@
     figure.unwrap_or_else(|| panic!("no {metric} in {measurement:?}")).value
 }
 
-/// Figures that are counts, which a seed fixes: neither processor time nor resident memory.
+/// Metrics that the seed determines: all except processor time and resident memory.
 fn counts(measurement: &Measurement) -> Vec<(String, f64)> {
     let timed = |unit: &str| unit.starts_with("us") || unit.starts_with("ns") || unit == "%";
     let figures =
@@ -27,10 +28,10 @@
 }
 
 #[test]
-fn a_small_fleet_knows_itself_rests_and_learns_of_deaths() {
+fn a_small_fleet_converges_reaches_a_steady_state_and_detects_deaths() {
     let fleet = measure(Role::Membership, 24, 3);
     assert!(fleet.figures.iter().all(|figure| figure.basis == Basis::Measured));
-    // One probe and one answer in each period.
+    // Each member sends one probe and one acknowledgement per period.
     let datagrams = value(&fleet, "steady_datagrams");
     assert!((1.9..2.3).contains(&datagrams), "{datagrams}");
     let mean = value(&fleet, "steady_bytes") / datagrams;
@@ -44,16 +45,16 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_counts_and_another_one_others() {
+fn equal_seeds_give_equal_counts_and_different_seeds_different_ones() {
     for size in [24, 60] {
-        let again = counts(&measure(Role::Membership, size, 3));
-        assert_eq!(counts(&measure(Role::Membership, size, 3)), again);
-        assert_ne!(counts(&measure(Role::Membership, size, 4)), again);
+        let expected = counts(&measure(Role::Membership, size, 3));
+        assert_eq!(counts(&measure(Role::Membership, size, 3)), expected);
+        assert_ne!(counts(&measure(Role::Membership, size, 4)), expected);
     }
 }
 
 #[test]
-fn a_member_among_modelled_peers_sends_what_one_of_a_full_fleet_sends_at_rest() {
+fn a_sampled_member_sends_about_as_much_as_a_member_of_a_full_fleet() {
     let sampled = measure(Role::Membership, 60, 3);
     assert!(sampled.figures.iter().all(|figure| figure.basis == Basis::Sampled));
     let full = Role::Membership.measure(60, &Conditions { full_up_to: 60, ..conditions(3) }).unwrap();
@@ -66,24 +67,24 @@
 }
 
 #[test]
-fn a_fleet_too_small_to_ask_others_is_refused() {
+fn a_fleet_too_small_for_indirect_probes_is_rejected() {
     assert!(Role::Membership.measure(4, &conditions(1)).is_err());
 }
 
 #[test]
-fn a_list_is_as_long_as_its_servers_and_a_change_is_not() {
+fn the_list_grows_with_the_servers_but_a_change_does_not() {
     let (small, large) = (measure(Role::ServerList, 10, 1), measure(Role::ServerList, 100, 1));
     let entry = (value(&large, "whole_bytes") - value(&small, "whole_bytes")) / 90.0;
     assert!((120.0..200.0).contains(&entry), "{entry} bytes a server");
     let change = value(&small, "change_bytes");
     assert!((change - value(&large, "change_bytes")).abs() <= 4.0);
     assert!((entry..entry + 80.0).contains(&change), "{change}");
-    // The body of a beat is one line end in a chunk of its own.
+    // The body of a heartbeat is one line end in its own chunk: 6 bytes every 2 s.
     assert_eq!(value(&small, "watch_bytes"), 3.0);
 }
 
 #[test]
-fn requests_are_placed_among_few_and_many_servers() {
+fn requests_are_placed_among_one_and_among_many_servers() {
     for servers in [1, 40] {
         let node = measure(Role::NodeState, servers, 1);
         let metrics: Vec<_> = node.figures.iter().map(|figure| &figure.metric[..]).collect();
@@ -93,40 +94,41 @@
 }
 
 #[test]
-fn connections_follow_the_requests_and_are_shared_by_nodes() {
-    let few = measure(Role::ServerConnections, 20, 1);
-    assert_eq!(counts(&few), counts(&measure(Role::ServerConnections, 20, 1)));
-    // Four servers, 778 requests a second of 2 ms each, and connections that rest 15 ms: some dozens are held.
-    let held = value(&few, "node_connections");
-    assert!((4.0..200.0).contains(&held), "{held}");
-    assert_eq!(held, value(&few, "node_wanted"));
-    assert_eq!(value(&few, "server_connections"), held * 20.0 / 4.0);
-    let counted = few.figures.iter().filter(|figure| figure.metric.starts_with("server_"));
+fn connections_follow_the_request_rate_and_are_divided_among_servers() {
+    let small_fleet = measure(Role::ServerConnections, 20, 1);
+    assert_eq!(counts(&small_fleet), counts(&measure(Role::ServerConnections, 20, 1)));
+    // 4 servers, 778 requests per second of 2 ms each, and a rest of 15 ms after each response: a few dozen
+    // connections.
+    let connections = value(&small_fleet, "node_connections");
+    assert!((4.0..200.0).contains(&connections), "{connections}");
+    assert_eq!(connections, value(&small_fleet, "node_wanted"));
+    assert_eq!(value(&small_fleet, "server_connections"), connections * 20.0 / 4.0);
+    let counted = small_fleet.figures.iter().filter(|figure| figure.metric.starts_with("server_"));
     assert!(counted.into_iter().all(|figure| figure.basis == Basis::Counted));
 }
 
 #[test]
-fn more_servers_than_sockets_make_a_node_open_connections_again() {
-    let many = measure(Role::ServerConnections, 6_000, 1);
-    assert!(value(&many, "node_connections") < 1_024.0);
-    assert!(value(&many, "node_wanted") > 1_024.0);
-    assert!(value(&many, "node_opened") > 10.0 * value(&many, "node_region_opened"));
+fn a_node_with_fewer_sockets_than_servers_reopens_connections() {
+    let large_fleet = measure(Role::ServerConnections, 6_000, 1);
+    assert!(value(&large_fleet, "node_connections") < 1_024.0);
+    assert!(value(&large_fleet, "node_wanted") > 1_024.0);
+    assert!(value(&large_fleet, "node_opened") > 10.0 * value(&large_fleet, "node_region_opened"));
 }
 
 #[test]
-fn every_node_calls_discovery_once_and_after_a_loss_not_all_at_once() {
+fn every_node_calls_discovery_once_and_calls_are_spread_after_lost_watches() {
     let fleet = measure(Role::Discovery, 50, 1);
     assert_eq!(counts(&fleet), counts(&measure(Role::Discovery, 50, 1)));
     assert_eq!(value(&fleet, "start_calls"), 50.0);
     assert_eq!(value(&fleet, "lost_calls"), 50.0);
     assert!(value(&fleet, "lost_busiest") < 30.0, "{}", value(&fleet, "lost_busiest"));
-    // Each has a list, and asks for what changed since.
+    // Each node has a list and requests only the changes since.
     assert_eq!(value(&fleet, "lost_whole"), 0.0);
     assert_eq!(value(&fleet, "change_lines"), 50.0);
 }
 
 #[test]
-fn a_reload_is_as_long_as_its_tenants() {
+fn the_settings_grow_with_the_tenants() {
     let (small, large) = (measure(Role::Reload, 10, 1), measure(Role::Reload, 110, 1));
     let tenant = (value(&large, "text_bytes") - value(&small, "text_bytes")) / 100.0;
     assert!((30.0..60.0).contains(&tenant), "{tenant} bytes a tenant");
@@ -134,18 +136,18 @@
 }
 
 #[test]
-fn requests_are_passed_through_whole_short_and_long() {
+fn short_and_long_responses_are_forwarded_completely() {
     for bytes in [1, 200_000] {
-        let passed = measure(Role::Passage, bytes, 1);
-        assert_eq!(counts(&passed), counts(&measure(Role::Passage, bytes, 1)));
-        let answered = value(&passed, "answered");
+        let measured = measure(Role::Passage, bytes, 1);
+        assert_eq!(counts(&measured), counts(&measure(Role::Passage, bytes, 1)));
+        let answered = value(&measured, "answered");
         assert!((answered - bytes as f64).abs() <= 2_000.0 + bytes as f64 * 0.02, "{answered} of {bytes}");
-        assert_eq!(value(&passed, "attempts"), 1.0);
+        assert_eq!(value(&measured, "attempts"), 1.0);
     }
 }
 
 #[test]
-fn lines_of_a_file_come_back_as_they_were_written() {
+fn csv_lines_are_read_back_as_written() {
     let measured = measure(Role::Discovery, 20, 1);
     let lines = csv::lines(&measured);
     assert_eq!(lines.len(), measured.figures.len());
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn a_report_marks_what_was_not_measured_and_says_where_a_curve_bends() {
+fn a_report_marks_values_that_were_not_measured_and_names_the_first_deviation() {
     let measured: Vec<_> = [20, 40, 80].map(|size| measure(Role::Discovery, size, 1)).into();
     let line = report::size_line(&measured[0]);
     assert!(line.starts_with("discovery 20 nodes: start_calls 20 1, "), "{line}");
@@ -173,9 +175,9 @@
         calls.contains("0 + 1 a size") && calls.contains("exponent 1, straight to 80 (measured)"),
         "{calls}"
     );
-    let mut bent = measured;
-    bent[2].figures[0].value *= 3.0;
-    let growth = report::growth_lines(&bent, 0.1);
+    let mut nonlinear = measured;
+    nonlinear[2].figures[0].value *= 3.0;
+    let growth = report::growth_lines(&nonlinear, 0.1);
     assert!(growth[0].contains("leaves its line at 80: 240 where 80 was expected"), "{}", growth[0]);
     let mixed = [Role::Membership.measure(24, &conditions(1)).unwrap(), measure(Role::Membership, 60, 1)];
     let line = report::growth_lines(&mixed, 0.1).into_iter().find(|line| line.starts_with("steady_bytes"));
