--- a/crates/stonevane-lab/src/active_faults.rs
+++ b/crates/stonevane-lab/src/active_faults.rs
@@ -1,4 +1,5 @@
-//! The faults of servers while steps overlap: each step adds its own fault and removes only that. No I/O, no clock.
+//! Server faults of overlapping steps: each step adds its own fault and removes only that one. No I/O, no
+//! clock.
 
 use std::collections::BTreeMap;
 
@@ -8,20 +9,21 @@
 #[derive(Debug, Clone, PartialEq)]
 struct ActiveFault {
     server: String,
-    /// The node that sees it; `None` for all nodes.
+    /// Node that observes the fault; `None` for all nodes.
     node: Option<String>,
     fault: Fault,
 }
 
-/// The faults in force.
+/// All faults in force.
 #[derive(Debug, Default)]
 pub struct ActiveFaults {
     last_number: u64,
     active: BTreeMap<u64, ActiveFault>,
 }
 
-/// Which fault shows where several are in force: a process that is gone, then a machine that can't be reached, then
-/// refused connections; of the rest the newest.
+/// Returns the rank of a fault; the highest-ranked one is observed when several are in force. A dead process
+/// ranks above an unreachable machine, and that above refused connections. Among equals the newest is
+/// observed.
 fn precedence(fault: Fault) -> u8 {
     match fault {
         Fault::Dead => 4,
@@ -33,7 +35,7 @@
 }
 
 impl ActiveFaults {
-    /// Adds a fault; returns the number by which it is removed.
+    /// Adds a fault. Returns the number to pass to [`ActiveFaults::end`].
     pub fn begin(&mut self, server: &str, node: Option<&str>, fault: Fault) -> u64 {
         self.last_number += 1;
         let active = ActiveFault { server: server.into(), node: node.map(str::to_owned), fault };
@@ -41,24 +43,24 @@
         self.last_number
     }
 
-    /// Removes a fault.
+    /// Removes the fault with this number.
     pub fn end(&mut self, number: u64) {
         self.active.remove(&number);
     }
 
-    /// Whether a server's process is gone, for all nodes.
+    /// Returns whether a server's process is dead for all nodes.
     pub fn is_dead(&self, server: &str) -> bool {
         self.active
             .values()
             .any(|active| active.server == server && active.node.is_none() && active.fault == Fault::Dead)
     }
 
-    /// The fault that a node sees.
+    /// Returns the fault of a server that a node observes.
     pub fn seen_by(&self, server: &str, node: &str) -> Fault {
-        let concerns = |active: &&ActiveFault| {
-            active.server == server && active.node.as_ref().is_none_or(|concerned| concerned == node)
+        let applies = |active: &&ActiveFault| {
+            active.server == server && active.node.as_ref().is_none_or(|observer| observer == node)
         };
-        let seen = self.active.values().filter(concerns).map(|active| active.fault);
+        let seen = self.active.values().filter(applies).map(|active| active.fault);
         seen.max_by_key(|fault| precedence(*fault)).unwrap_or_default()
     }
 }
--- a/crates/stonevane-lab/src/chart.rs
+++ b/crates/stonevane-lab/src/chart.rs
@@ -1,10 +1,11 @@
-//! The picture of a run: goodput, rejections, the origin and the coldest server over time, and the faults.
+//! Chart of a run: request outcomes, origin load and the load of the coldest server over time, and the
+//! faults.
 
 use crate::plot::{COLOURS, Curve, Panel, Span, picture};
 use crate::run::Outcome;
 use crate::summary::{INTERVAL_US, Interval};
 
-/// An SVG of a run.
+/// Renders the chart of a run as SVG.
 pub fn svg(outcome: &Outcome) -> String {
     let intervals = &outcome.summary.steps;
     let seconds = intervals.len().max(1) as f64 * INTERVAL_US as f64 / 1e6;
@@ -13,7 +14,7 @@
     picture(&title, &panels(intervals), &fault_spans(&outcome.summary.faults, seconds), seconds)
 }
 
-/// A curve over the intervals of a run.
+/// Returns a curve of one figure over the intervals of a run, with a point in the middle of each interval.
 pub fn curve(name: &str, colour: usize, intervals: &[Interval], figure: &dyn Fn(&Interval) -> f64) -> Curve {
     let middle = |index: usize| (index as f64 + 0.5) * INTERVAL_US as f64 / 1e6;
     let points =
@@ -21,7 +22,7 @@
     Curve { name: name.into(), colour: COLOURS[colour % COLOURS.len()], points }
 }
 
-/// A panel of curves over time.
+/// Returns a panel of curves over time in seconds.
 pub fn panel_over_time(title: &str, y_label: &'static str, curves: Vec<Curve>, bound: Option<f64>) -> Panel {
     Panel { title: title.into(), x_label: "s", y_label, curves, bound }
 }
@@ -43,7 +44,7 @@
     ]
 }
 
-/// The faults of a run, each with its beginning and its end.
+/// Returns a span for each recorded fault. A fault without a recorded end lasts until `seconds`.
 pub fn fault_spans(faults: &[(f64, String)], seconds: f64) -> Vec<Span> {
     let mut spans: Vec<Span> = Vec::new();
     for (at, label) in faults.iter().filter(|(_, label)| !label.starts_with("load")) {
@@ -54,7 +55,7 @@
             }
             continue;
         }
-        // No end is recorded of what a server does by itself.
+        // A server's own overload or stop is recorded without an end.
         let momentary = label.ends_with("fell over") || label.ends_with("stopped");
         let until_s = if momentary { *at } else { f64::INFINITY };
         spans.push(Span { from_s: *at, until_s, label: label.clone() });
--- a/crates/stonevane-lab/src/faulty_member.rs
+++ b/crates/stonevane-lab/src/faulty_member.rs
@@ -1,5 +1,5 @@
-//! A faulty member of a fleet: the nodes' own membership machine with a deliberate fault, on a socket of its own; and
-//! forged datagrams.
+//! A faulty member of a fleet, which runs the nodes' membership machine with a deliberate fault on its own
+//! socket, and forged datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,35 +11,35 @@
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
-/// Space for a datagram, in bytes.
-const RECEIVE_BUFFER: usize = 512;
-/// Forged noise is shorter than this, in bytes: some of it is longer than the network carries.
-const MAX_NOISE: u64 = 300;
-/// The nonce of instances that never were.
+/// Size of the buffer for a received datagram.
+const RECEIVE_BUFFER_BYTES: usize = 512;
+/// Exclusive upper bound on the length of forged noise. Some of it is longer than the network carries.
+const MAX_NOISE_BYTES: u64 = 300;
+/// Nonce of forged instances, which no member has.
 const FORGED_NONCE: u32 = 666;
-/// Forged records of dead members in one datagram.
-const FORGED_DEATHS: usize = 5;
+/// Number of forged records of dead members in a datagram.
+const FORGED_DEAD_RECORDS: usize = 5;
 
-/// A member and its fault.
+/// A member with a deliberate fault.
 #[derive(Debug, Clone)]
 pub struct FaultyMember {
-    /// The configuration of its machine.
+    /// Configuration of the membership machine.
     pub setup: Setup,
-    /// Where it listens.
+    /// Address on which the member receives datagrams.
     pub listen: SocketAddr,
-    /// Where it finds the others, by their numbers.
+    /// Addresses of the members, indexed by number.
     pub peers: Vec<SocketAddr>,
-    /// Its fault.
+    /// Fault of the membership machine.
     pub mutant: Mutant,
 }
 
 impl FaultyMember {
-    /// Takes part in membership until it is terminated.
+    /// Takes part in membership until `terminate` changes.
     pub async fn run(self, mut terminate: watch::Receiver<bool>) {
         let Ok(socket) = UdpSocket::bind(self.listen).await else { return };
         let FaultyMember { setup, peers, mutant, .. } = self;
         let mut machine = Machine::with(MonotonicClock::now(), setup, Some(mutant));
-        let (mut outputs, mut buffer) = (Outputs::default(), [0; RECEIVE_BUFFER]);
+        let (mut outputs, mut buffer) = (Outputs::default(), [0; RECEIVE_BUFFER_BYTES]);
         loop {
             let wait = Duration::from_micros(machine.next().saturating_sub(MonotonicClock::now()));
             let received = tokio::select! {
@@ -61,26 +61,26 @@
     }
 }
 
-/// The number of the peer at an address.
+/// Returns the number of the peer at an address.
 fn number_of(address: SocketAddr, peers: &[SocketAddr]) -> Option<u16> {
     peers.iter().position(|peer| *peer == address).map(|number| number as u16)
 }
 
-/// A datagram that no member has sent: noise, or a well-formed message of false claims.
+/// Returns a datagram that no member has sent: noise, or a well-formed message with false records.
 pub fn forged_datagram(rng: &mut Rand64, to: u16, members: u16) -> Vec<u8> {
     let mut draw = || rng.rand_u64();
     if draw() % 2 == 0 {
-        let length = draw() % MAX_NOISE;
+        let length = draw() % MAX_NOISE_BYTES;
         return (0..length).map(|_| draw() as u8).collect();
     }
     let mut member = || (draw() % u64::from(members.max(1))) as u16;
     let (from, about) = (member(), member());
-    let false_claim = |member: u16, state| {
+    let false_record = |member: u16, state| {
         let instance = Instance { generation: u32::MAX / 2, nonce: FORGED_NONCE };
         Record { member, instance, incarnation: u32::MAX, state, by: from }
     };
-    let deaths = (0..FORGED_DEATHS).map(|_| false_claim(member(), State::Dead));
-    let records = deaths.chain([false_claim(members - 1, State::Alive)]).collect();
+    let dead = (0..FORGED_DEAD_RECORDS).map(|_| false_record(member(), State::Dead));
+    let records = dead.chain([false_record(members - 1, State::Alive)]).collect();
     let message = Message {
         version: 2,
         max_version: 2,
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet: emulators, nodes, and what can be done to them.
+//! A fleet of nodes and emulators on loopback, and the steps that act on it.
 
 mod config;
 mod cuts;
@@ -32,7 +32,8 @@
 
 pub use self::rules::rules;
 
-/// An address of this machine for one lab: no other lab that runs beside it has the same.
+/// Returns a loopback address for one fleet. It is derived from the process id and a counter, so that fleets
+/// that run at the same time don't share one.
 pub fn lab_ip() -> IpAddr {
     static LABS: AtomicU32 = AtomicU32::new(0);
     let lab = LABS.fetch_add(1, Ordering::Relaxed);
@@ -40,7 +41,7 @@
     IpAddr::V4(Ipv4Addr::new(127, 64 + (lab % 64) as u8, high, low))
 }
 
-/// A folder that is deleted with its fleet.
+/// Temporary folder of a fleet, deleted on drop.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -60,54 +61,54 @@
 
 /// A fleet on loopback. Dropping it ends every process that it started.
 pub struct Fleet {
-    /// The cache servers.
+    /// Cache servers, including successors that have not started.
     pub caches: Vec<Arc<Cache>>,
-    /// The origin.
+    /// Emulator of the origin.
     pub origin: Arc<Origin>,
-    /// The store of record in the origin's place, where it is an emulator.
+    /// Emulator of the store of record; `None` if the scenario has no store or uses SQLite.
     pub store: Option<Arc<Postgres>>,
-    /// Discovery.
+    /// Emulator of discovery, from which nodes get the server list.
     pub discovery: Arc<Discovery>,
-    /// The datagram network between nodes.
+    /// Datagram network between the nodes.
     pub peers: PeerNetwork,
-    /// The nodes and the state of each: both change together.
+    /// Nodes and their states, under one lock because both change together.
     nodes: Mutex<NodeSet>,
-    /// The configuration of each node at its start.
+    /// Configuration with which each node starts, by node number.
     configs: Vec<String>,
-    /// The nodes by name, and where clients connect.
+    /// Name of each node and the address to which clients connect, by node number.
     pub targets: Vec<(String, SocketAddr)>,
     faults: Mutex<ActiveFaults>,
-    /// Successors that have not started yet, with the fault that keeps each down.
+    /// Successors that have not started yet, with the number of the fault that keeps each down.
     standby: Mutex<BTreeMap<String, u64>>,
-    /// The delay after which discovery learns of a change.
+    /// Delay after which discovery reports a change.
     discovery_delay: Mutex<Duration>,
     recorder: Recorder,
     folder: Folder,
-    /// Where each member listens for others.
+    /// Address on which each member receives datagrams, by member number.
     peer_listens: Vec<SocketAddr>,
-    /// Where each node serves its view of the members.
+    /// Address on which each node serves its view of the members, by node number.
     views: Vec<SocketAddr>,
     membership: Option<MembershipSpec>,
 }
 
 impl Fleet {
-    /// Where the logs of its nodes are, for as long as it lives.
+    /// Returns the folder of the nodes' logs and configurations, which is deleted when the fleet is dropped.
     pub fn folder(&self) -> &Path {
         &self.folder.0
     }
 
-    /// The ids of its nodes' processes.
+    /// Returns the process ids of the running nodes.
     pub fn pids(&self) -> Vec<u32> {
         lock(&self.nodes).pids()
     }
 
-    /// Records that something was done.
-    pub fn note(&self, words: &str) {
-        tracing::info!(words, "lab");
+    /// Records a fault, or the beginning or the end of a step or of the load.
+    pub fn record_fault_event(&self, words: &str) {
+        tracing::info!(words, "lab event recorded");
         self.record(Event::Fault, words);
     }
 
-    /// Records an event of the lab itself.
+    /// Records an event of which the lab is the recorder.
     fn record(&self, event: Event, state: &str) {
         self.recorder.line(HistoryRecord {
             time: MonotonicClock::moment(),
--- a/crates/stonevane-lab/src/fleet/config.rs
+++ b/crates/stonevane-lab/src/fleet/config.rs
@@ -1,27 +1,28 @@
-//! The configuration of nodes: their settings and the sections of their operator files.
+//! Configuration of nodes: their settings and the sections of their operator files.
 
 use stonevane_emulators::client::LoadClass;
 
 use crate::scenario::{MembershipSpec, Scenario};
 
-/// How long repeats of an idempotency key are dropped, in microseconds.
+/// Time for which a server drops repeated writes with the same idempotency key, in microseconds.
 pub(super) const DEDUP_WINDOW_US: u64 = 200_000;
-/// The byte of which a fleet's shared key is made.
+/// Value of each byte of the key that the nodes share.
 pub(super) const KEY_BYTE: u8 = 0x5a;
-/// The length of a fleet's shared key, in bytes.
-pub(super) const KEY_LEN: usize = 32;
-/// Attempts where a scenario has no limit.
+/// Length of the key that the nodes share, in bytes.
+pub(super) const KEY_LEN_BYTES: usize = 32;
+/// Limit on attempts in the settings if the scenario has none.
 const UNLIMITED_ATTEMPTS: u32 = 100;
-/// The least quota of a tenant, in requests per second.
+/// Smallest quota of a tenant, in requests per second.
 const MIN_QUOTA_PER_S: f64 = 20.0;
 
-/// The `[fleet]` section of an operator file.
+/// Returns the `[fleet]` section of an operator file. `version` is the membership version that the node
+/// sends.
 pub(super) fn membership_section(spec: &MembershipSpec, version: u8) -> String {
     let period_ms = spec.period.as_millis();
     let answer_ms = period_ms / 2;
-    let heeds_health = spec.heeds_health;
+    let heeds_health = spec.uses_local_health;
     let key = match spec.authenticated {
-        true => format!("key = \"{}\"\n", format!("{KEY_BYTE:02x}").repeat(KEY_LEN)),
+        true => format!("key = \"{}\"\n", format!("{KEY_BYTE:02x}").repeat(KEY_LEN_BYTES)),
         false => String::new(),
     };
     format!(
@@ -29,7 +30,7 @@
     )
 }
 
-/// The settings of a deployment, as a node's configuration holds them.
+/// Returns the settings of the deployment for a node's configuration.
 pub(super) fn settings(scenario: &Scenario, node: usize) -> serde_json::Value {
     let cache = &scenario.cache;
     let classes: Vec<_> = scenario.load.classes.iter().map(class_settings).collect();
--- a/crates/stonevane-lab/src/fleet/cuts.rs
+++ b/crates/stonevane-lab/src/fleet/cuts.rs
@@ -1,4 +1,4 @@
-//! Cuts between nodes, servers and discovery, and network conditions between nodes.
+//! Cuts and partitions between nodes, servers and discovery, and network conditions between nodes.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
 use super::Fleet;
 use crate::scenario::{DISCOVERY, NodeSelector, node_name};
 
-/// Conditions that membership must bear without a false death lose no more than this ...
+/// Largest share of lost datagrams under mild conditions, in which membership must not declare a live member
+/// dead.
 const MAX_MILD_LOSS: f64 = 0.1;
-/// ... and delay by no more than the protocol period over this.
+/// Mild conditions delay datagrams by at most the protocol period divided by this.
 const MILD_DELAY_DIVISOR: u32 = 20;
 
-/// A fault of a server as a node sees it, in force.
+/// A server fault that one node observes, in force.
 struct ServerFault {
     server: String,
     number: u64,
 }
 
-/// What a cut has put in force.
+/// A one-way cut in force.
 pub(super) struct Cut {
     faults: Vec<ServerFault>,
-    /// The number of its network conditions.
+    /// Number of the network conditions that drop datagrams between nodes.
     conditions: Option<u64>,
     from: Vec<usize>,
     to: Vec<usize>,
-    /// Nodes that are cut off from discovery.
+    /// Names of nodes that are cut off from discovery.
     without_discovery: Vec<String>,
 }
 
@@ -42,13 +43,13 @@
 }
 
 impl Fleet {
-    /// Cuts what some send off from others.
+    /// Cuts the traffic from some nodes and servers to others, in this direction only.
     pub(super) fn begin_cut(&self, from: &[String], to: &[String]) -> Cut {
         let nodes = |names: &[String]| NodeSelector(names.to_vec()).numbers(self.targets.len());
         let (from_nodes, to_nodes) = (nodes(from), nodes(to));
         let mut faults = Vec::new();
-        // What a node sends to a server does not arrive: nothing is served. What a server answers does not arrive: the
-        // work is done, and its answer breaks off.
+        // If requests of a node don't reach a server, nothing is served. If answers of the server don't reach
+        // the node, the server does the work and its answer breaks off.
         self.cut_servers(&mut faults, &from_nodes, to, Fault::Silent);
         self.cut_servers(&mut faults, &to_nodes, from, Fault::Stall);
         let conditions = (!from_nodes.is_empty() && !to_nodes.is_empty()).then(|| {
@@ -56,7 +57,7 @@
             self.peers.apply(NetworkConditions { from, to, loss: 1.0, ..NetworkConditions::default() })
         });
         self.record_cut(&from_nodes, &to_nodes, "cut");
-        // Without requests or without answers, a node learns nothing from discovery.
+        // A cut in either direction keeps a node from getting answers of discovery.
         let cut_from_discovery = |nodes: &[usize], others: &[String]| {
             let cut = others.iter().any(|name| name == DISCOVERY);
             if cut { node_names(nodes) } else { Vec::new() }
@@ -69,7 +70,7 @@
         Cut { faults, conditions, from: from_nodes, to: to_nodes, without_discovery }
     }
 
-    /// Injects a fault between nodes and those of some names that are servers.
+    /// Injects a fault between the nodes and the servers among `names`.
     fn cut_servers(&self, faults: &mut Vec<ServerFault>, nodes: &[usize], names: &[String], fault: Fault) {
         let is_server = |name: &&String| self.cache(name).is_some() || **name == self.origin.spec.name;
         for node in nodes {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Records that datagrams between nodes are cut, or pass again.
+    /// Records for each pair of nodes that datagrams are cut or pass again.
     pub(super) fn record_cut(&self, from: &[usize], to: &[usize], state: &str) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Keeps nodes and servers of different groups from reaching each other.
+    /// Cuts nodes and servers of different groups off from each other in both directions.
     pub(super) fn begin_partition(&self, groups: &[Vec<String>]) -> Partition {
         let mut faults = Vec::new();
         for (node, server) in self.separated(groups) {
@@ -139,7 +140,7 @@
         self.end_faults(&partition.faults);
     }
 
-    /// Nodes and servers of different groups, each pair once.
+    /// Returns the pairs of a node and a server of different groups, each once.
     fn separated(&self, groups: &[Vec<String>]) -> Vec<(String, String)> {
         let group = |name: &str| groups.iter().position(|group| group.iter().any(|other| other == name));
         let servers = || self.caches.iter().map(|cache| &cache.spec.name).chain([&self.origin.spec.name]);
@@ -151,7 +152,7 @@
         separated.map(|(node, server)| (node.clone(), server.clone())).collect()
     }
 
-    /// Puts conditions between nodes in force for a time.
+    /// Applies network conditions between nodes for a duration.
     pub(super) async fn play_conditions(&self, conditions: NetworkConditions, duration: Duration) {
         let period = self.membership.as_ref().map_or(conditions.max_delay, |spec| spec.period);
         let mild = conditions.loss <= MAX_MILD_LOSS && conditions.max_delay <= period / MILD_DELAY_DIVISOR;
--- a/crates/stonevane-lab/src/fleet/membership.rs
+++ b/crates/stonevane-lab/src/fleet/membership.rs
@@ -1,4 +1,4 @@
-//! What the lab does with membership: reads the nodes' views, and forges datagrams.
+//! Reads the nodes' views of the members for the history, and sends forged membership datagrams.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,17 +18,18 @@
 use crate::lifecycle::State;
 use crate::scenario::{NodeSelector, node_name};
 
-/// Forged datagrams are sent in bursts, at this interval ...
+/// Interval between bursts of forged datagrams.
 const FORGE_INTERVAL: Duration = Duration::from_millis(5);
-/// ... which is this many times a second.
+/// Bursts per second, the inverse of [`FORGE_INTERVAL`].
 const FORGE_BURSTS_PER_S: u64 = 200;
-/// The time limit for reading a view.
+/// Time limit for reading a view.
 const VIEW_TIMEOUT: Duration = Duration::from_millis(500);
-/// Views are read no more often than this for each node, so that a large fleet leaves time for the nodes.
+/// Smallest interval between reads of one node's view, per node of the fleet. It limits the load that reading
+/// puts on the nodes of a large fleet.
 const MIN_VIEW_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
 
 impl Fleet {
-    /// Sends nodes datagrams that no member has sent, until it is dropped.
+    /// Sends forged datagrams to nodes, `per_s` to each, until the future is dropped.
     pub(super) async fn forge(&self, nodes: &NodeSelector, per_s: u64) {
         let Ok(socket) = UdpSocket::bind((self.targets[0].1.ip(), 0)).await else { return };
         let mut rng = Rand64::new(u128::from(per_s));
@@ -46,8 +47,8 @@
         }
     }
 
-    /// Reads the nodes' views of the members, twice in a protocol period or as often as their number allows, until it
-    /// is dropped.
+    /// Records the nodes' views of the members until the future is dropped. Each view is read twice in a
+    /// protocol period, or less often in a large fleet.
     pub async fn watch_views(self: Arc<Self>) {
         let Some(spec) = &self.membership else { return std::future::pending().await };
         let interval = (spec.period / 2).max(MIN_VIEW_INTERVAL_PER_NODE * self.targets.len() as u32);
@@ -62,7 +63,7 @@
     }
 
     async fn watch_view(self: Arc<Self>, node: usize, address: SocketAddr, interval: Duration) {
-        // Spread over the interval, so that they don't all answer at once.
+        // Spread the reads over the interval, so that the nodes don't all answer at once.
         tokio::time::sleep(interval.mul_f64(node as f64 / self.views.len() as f64)).await;
         let mut ticks = tokio::time::interval(interval);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -74,7 +75,7 @@
             };
             let earliest = MonotonicClock::now();
             let view = tokio::time::timeout(VIEW_TIMEOUT, read_view(address)).await;
-            // A view of one incarnation, read while it was ready all the time.
+            // Record only a view of one incarnation that was ready throughout the read.
             let still_ready = lock(&self.nodes).is(node, incarnation, State::Ready);
             if let (Ok(Ok(view)), true, true) = (view, was_ready, still_ready) {
                 self.recorder.line(HistoryRecord {
@@ -90,7 +91,7 @@
     }
 }
 
-/// Reads a node's view.
+/// Reads a node's view of the members from its management address.
 async fn read_view(address: SocketAddr) -> io::Result<String> {
     let mut stream = TcpStream::connect(address).await?;
     stream.write_all(b"GET /fleet/view HTTP/1.1\r\nHost: lab\r\n\r\n").await?;
@@ -99,5 +100,5 @@
     let body = answer.split_once("\r\n\r\n").map(|(_, body)| body);
     let value: Option<serde_json::Value> = body.and_then(|body| serde_json::from_str(body).ok());
     let view = value.as_ref().and_then(|value| value["view"].as_str());
-    view.map(str::to_owned).ok_or_else(|| io::Error::other("no view"))
+    view.map(str::to_owned).ok_or_else(|| io::Error::other("the answer to GET /fleet/view has no `view`"))
 }
--- a/crates/stonevane-lab/src/fleet/node_set.rs
+++ b/crates/stonevane-lab/src/fleet/node_set.rs
@@ -1,4 +1,4 @@
-//! The nodes of a fleet with their states.
+//! Nodes of a fleet together with their states.
 
 use std::io;
 
@@ -8,11 +8,11 @@
 use crate::lifecycle::{Incarnation, NodeStates, Paused, State};
 use crate::node::{Ended, Node, NotReady, PauseRecord};
 
-/// The nodes of a fleet, each at its number's place for good.
+/// Nodes of a fleet with their states, both indexed by node number.
 pub(super) struct NodeSet {
     states: NodeStates,
     nodes: Vec<Node>,
-    /// The last incarnation of each that was ready.
+    /// Last incarnation of each node that was ready; 0 if none was.
     last_ready: Vec<Incarnation>,
 }
 
@@ -34,12 +34,12 @@
         self.states.get(node).1
     }
 
-    /// Whether an incarnation is a node's present one, in this state.
+    /// Returns whether `incarnation` is the node's current one and the node is in `state`.
     pub(super) fn is(&self, node: usize, incarnation: Incarnation, state: State) -> bool {
         self.states.is(node, incarnation, state)
     }
 
-    /// Starts a node that is dead and not held down; `None` for another.
+    /// Starts a node. Returns `None` if it is not dead or is held down.
     pub(super) fn start(&mut self, node: usize, config: &str) -> io::Result<Option<Incarnation>> {
         let Some(incarnation) = self.states.start(node) else { return Ok(None) };
         match self.nodes[node].start(config) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Notes that a node has ended, where it has.
+    /// Checks whether a node has ended, and records its end.
     pub(super) fn check(&mut self, node: usize) {
         let (state, incarnation) = self.states.get(node);
         if state == State::Dead {
@@ -59,21 +59,21 @@
         }
         let Some(Ended { time, status }) = self.nodes[node].poll_end() else { return };
         self.states.mark_ended(node, incarnation);
-        // A process that was ready and told to terminate has crashed where it does not exit with 0.
+        // A process that was ready and signalled to terminate has crashed if its exit status is not 0.
         let failed = state == State::Ending && status.is_some_and(|status| !status.success());
         let was_ready = self.last_ready[node] == incarnation;
         self.nodes[node].record_end(time, failed && was_ready);
     }
 
-    /// The same for all nodes.
+    /// Checks all nodes.
     pub(super) fn check_all(&mut self) {
         for node in 0..self.states.len() {
             self.check(node);
         }
     }
 
-    /// What became of an incarnation that starts, and answered a ping sent at a moment: whether it is ready, or `None`
-    /// while it still starts.
+    /// Returns whether a starting incarnation became ready, or `None` while it is still starting. `pinged_at`
+    /// is the time in microseconds at which a PING was sent that it answered.
     pub(super) fn settle_start(
         &mut self,
         node: usize,
@@ -95,14 +95,15 @@
         self.nodes[node].not_ready()
     }
 
-    /// Kills a node and holds it down.
+    /// Kills a node and holds it down until [`NodeSet::release`].
     pub(super) fn kill(&mut self, node: usize) {
         if self.states.kill(node).is_some() {
             self.nodes[node].kill();
         }
     }
 
-    /// Terminates a node and holds it down; returns the incarnation that was signalled.
+    /// Signals a node to terminate and holds it down until [`NodeSet::release`]. Returns the signalled
+    /// incarnation.
     pub(super) fn terminate(&mut self, node: usize) -> Option<Incarnation> {
         self.check(node);
         let incarnation = self.states.terminate(node)?;
@@ -110,18 +111,18 @@
         Some(incarnation)
     }
 
-    /// Kills an incarnation that did not terminate in time.
+    /// Kills an incarnation that exceeded its shutdown limit.
     pub(super) fn kill_overdue(&mut self, node: usize, incarnation: Incarnation) {
         self.states.mark_ended(node, incarnation);
         self.nodes[node].kill();
     }
 
-    /// Ends a hold on a node, and starts it where that was the last.
+    /// Ends one hold on a node, and starts the node if no other step holds it.
     pub(super) fn release(&mut self, node: usize, config: &str) -> io::Result<Option<Incarnation>> {
         if self.states.release(node) { self.start(node, config) } else { Ok(None) }
     }
 
-    /// Pauses a node's process; returns its incarnation.
+    /// Pauses a node's process. Returns its incarnation; `None` if the node has no process.
     pub(super) fn pause(&mut self, node: usize, record: PauseRecord) -> Option<Incarnation> {
         let Paused { incarnation, was_running } = self.states.pause(node)?;
         if was_running || record == PauseRecord::Recorded {
@@ -130,7 +131,7 @@
         Some(incarnation)
     }
 
-    /// Resumes an incarnation, unless another step pauses it.
+    /// Ends one step's pause of an incarnation, and resumes the process unless another step pauses it.
     pub(super) fn resume(&mut self, node: usize, incarnation: Incarnation, record: PauseRecord) {
         let runs = self.states.resume(node, incarnation);
         if self.incarnation(node) != incarnation || self.state(node) == State::Dead {
@@ -143,19 +144,19 @@
         }
     }
 
-    /// Resumes a process that any step pauses.
+    /// Resumes a node's process if any step pauses it.
     pub(super) fn resume_paused(&mut self, node: usize) {
         if self.states.is_paused(node) {
             self.nodes[node].resume(PauseRecord::Silent);
         }
     }
 
-    /// Records that a node is slowed, or no longer is.
+    /// Records the beginning or the end of a node's slowdown.
     pub(super) fn record_slowed(&self, node: usize, slowed: bool) {
         self.nodes[node].record_slowed(slowed);
     }
 
-    /// Has a ready node reload its configuration.
+    /// Makes a node reload its configuration; does nothing if it is not ready.
     pub(super) fn reload(&mut self, node: usize, config: &str) -> io::Result<()> {
         self.check(node);
         match self.state(node) {
--- a/crates/stonevane-lab/src/fleet/node_steps.rs
+++ b/crates/stonevane-lab/src/fleet/node_steps.rs
@@ -1,4 +1,4 @@
-//! What steps do to nodes: kills, terminations, pauses, and starts with old configurations.
+//! Steps that act on nodes: kills, terminations, pauses, slowdowns, and restarts with old lists of peers.
 
 use std::io;
 use std::net::UdpSocket;
@@ -15,26 +15,26 @@
 use crate::node::{PauseRecord, ping};
 use crate::scenario::NodeAction;
 
-/// A node is killed this long after its shutdown limit, in microseconds.
+/// Time after its shutdown limit at which a node is killed, in microseconds.
 const KILL_MARGIN_US: u64 = 50_000;
-/// The time limit for becoming ready, in microseconds.
+/// Time limit for a node to become ready, in microseconds.
 const READY_TIMEOUT_US: u64 = 10_000_000;
-/// The pause between looks at a node that starts or terminates.
+/// Interval between checks of a node that starts or terminates.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// A slowed process gets its share of each of these.
+/// Period of a slowdown: the process runs for its share of each period and is paused for the rest.
 const SLOW_SLICE: Duration = Duration::from_millis(100);
 
-/// How long a step holds on to nodes.
+/// Duration of a step that holds nodes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct StepTimes {
-    /// The duration of the step; zero where it has no end.
-    pub(super) given: Duration,
-    /// The same, or longer than any load where it has no end.
+    /// Duration as configured; zero if the step has no end.
+    pub(super) configured: Duration,
+    /// Duration as configured, or one longer than any load if the step has no end.
     pub(super) effective: Duration,
 }
 
 impl Fleet {
-    /// Does something to nodes, each a while after the one before.
+    /// Applies an action to nodes, each `stagger` after the previous one.
     pub(super) async fn play_nodes(
         self: &Arc<Self>,
         nodes: Vec<usize>,
@@ -44,9 +44,9 @@
         clients: &Arc<Clients>,
     ) {
         let mut actions = JoinSet::new();
-        for (turn, node) in nodes.into_iter().enumerate() {
+        for (position, node) in nodes.into_iter().enumerate() {
             let (fleet, clients) = (self.clone(), clients.clone());
-            let delay = stagger * turn as u32;
+            let delay = stagger * position as u32;
             actions.spawn(async move {
                 tokio::time::sleep(delay).await;
                 fleet.play_node(node, action, times, &clients).await;
@@ -65,7 +65,7 @@
             NodeAction::Terminate => {
                 clients.set_terminating(node, true);
                 self.terminate(node).await;
-                tokio::time::sleep(times.given).await;
+                tokio::time::sleep(times.configured).await;
                 self.release(node, &self.configs[node]).await;
                 clients.set_terminating(node, false);
             }
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Gives an incarnation a share of its time.
+    /// Limits a node's process to a share of the time by pausing and resuming it, until `duration` is over or
+    /// the incarnation ends.
     async fn slow(&self, node: usize, share: f64, duration: Duration) {
         let incarnation = {
             let nodes = lock(&self.nodes);
@@ -99,7 +100,7 @@
         lock(&self.nodes).record_slowed(node, false);
     }
 
-    /// Terminates a node and waits until it has ended; one that takes too long is killed.
+    /// Terminates a node and waits until it has ended. Kills it if it exceeds its shutdown limit.
     async fn terminate(&self, node: usize) {
         let kill_at = MonotonicClock::now() + SHUTDOWN_LIMIT_US + KILL_MARGIN_US;
         let signalled = lock(&self.nodes).terminate(node);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// A step lets a node go: it starts again with a configuration, unless another step holds it.
+    /// Ends a step's hold on a node, which starts again with `config` unless another step holds it.
     async fn release(&self, node: usize, config: &str) {
         let started = lock(&self.nodes).release(node, config);
         let name = &self.targets[node].0;
@@ -129,14 +130,14 @@
             Ok(Some(incarnation)) => {
                 let ready = self.wait_until_ready(node, incarnation).await;
                 if !ready && lock(&self.nodes).is(node, incarnation, State::Starting) {
-                    self.note(&format!("{name} was not ready within 10 s"));
+                    self.record_fault_event(&format!("{name} was not ready within 10 s"));
                 }
             }
-            Err(error) => self.note(&format!("{name} could not be started: {error}")),
+            Err(error) => self.record_fault_event(&format!("{name} could not be started: {error}")),
         }
     }
 
-    /// Waits until an incarnation is ready, for ten seconds at the most; `false` where it has ended before.
+    /// Waits for at most 10 s until an incarnation is ready. Returns `false` if it ended or the time is up.
     pub(super) async fn wait_until_ready(&self, node: usize, incarnation: Incarnation) -> bool {
         let (listen, end) = (self.targets[node].1, MonotonicClock::now() + READY_TIMEOUT_US);
         while MonotonicClock::now() < end {
@@ -151,9 +152,9 @@
         false
     }
 
-    /// Restarts a node with an old list of peers, and has it reload the present one at the end.
+    /// Restarts a node with an outdated list of peers, and makes it reload the current one after `duration`.
     ///
-    /// The old list lacks the last `missing` nodes, and has the `moved` ones at addresses where nobody is.
+    /// The outdated list lacks the last `missing` nodes, and has unused addresses for the `moved` ones.
     pub(super) async fn play_old_peers(
         &self,
         node: usize,
@@ -163,10 +164,12 @@
     ) -> io::Result<()> {
         let config = &self.configs[node];
         let mut old_config: serde_json::Value = serde_json::from_str(config)?;
-        // Bound until the end, so that nobody else is at these addresses.
+        // These sockets stay bound until the end, so that nothing else takes their addresses.
         let unused = moved.iter().map(|_| UdpSocket::bind((self.targets[node].1.ip(), 0)));
         let unused = unused.collect::<io::Result<Vec<_>>>()?;
-        let peers = old_config["peers"].as_array_mut().ok_or_else(|| io::Error::other("it has no peers"))?;
+        let peers = old_config["peers"]
+            .as_array_mut()
+            .ok_or_else(|| io::Error::other("the configuration of the node has no `peers` list"))?;
         for (peer, socket) in moved.iter().zip(&unused) {
             peers[*peer] = socket.local_addr()?.to_string().into();
         }
@@ -185,12 +188,12 @@
         Ok(())
     }
 
-    /// Notes nodes that have ended though no step told them to.
+    /// Records nodes that have ended by themselves.
     pub fn check_nodes(&self) {
         lock(&self.nodes).check_all();
     }
 
-    /// Terminates all nodes at once, and kills those that take too long.
+    /// Terminates all nodes at the same time, and kills those that exceed their shutdown limit.
     pub async fn end(self: &Arc<Self>) {
         for node in 0..self.targets.len() {
             lock(&self.nodes).resume_paused(node);
--- a/crates/stonevane-lab/src/fleet/rules.rs
+++ b/crates/stonevane-lab/src/fleet/rules.rs
@@ -1,14 +1,14 @@
-//! The rules that the auditor holds a scenario's fleet to.
+//! Audit rules for the fleet of a scenario.
 
 use stonevane_audit::{ClassRule, DedupScope, Idempotency, MembershipRules, OriginRule, Rules};
 
 use super::config::DEDUP_WINDOW_US;
 use crate::scenario::Scenario;
 
-/// A node ends this long after SIGTERM at the latest: the longest deadline and 0.7 s, in microseconds.
+/// Longest time from SIGTERM to the end of a node, in microseconds: the longest deadline plus 0.7 s.
 pub(super) const SHUTDOWN_LIMIT_US: u64 = 3_700_000;
 
-/// The rules that a scenario's fleet is held to.
+/// Returns the audit rules for the fleet of a scenario.
 pub fn rules(scenario: &Scenario) -> Rules {
     let class = |name: &str, kind| ClassRule {
         name: name.into(),
--- a/crates/stonevane-lab/src/fleet/servers.rs
+++ b/crates/stonevane-lab/src/fleet/servers.rs
@@ -1,4 +1,4 @@
-//! Faults of servers, and servers that drain.
+//! Server faults, draining servers and their successors.
 
 use std::time::Duration;
 
@@ -7,11 +7,12 @@
 use super::Fleet;
 use crate::active_faults::ActiveFaults;
 
-/// What nodes send within their grace after a drain is announced is still served, for this long.
+/// Time after discovery announces a drain for which the server still serves, because nodes may send to it
+/// during their grace period.
 const DRAIN_GRACE: Duration = Duration::from_millis(700);
 
 impl Fleet {
-    /// Injects a fault of a server; discovery learns late of a process that is gone.
+    /// Injects a server fault. Returns its number. Discovery reports a dead process after its delay.
     pub(super) fn begin_fault(&self, server: &str, node: Option<&str>, fault: Fault) -> u64 {
         let mut faults = lock(&self.faults);
         let was_alive = !faults.is_dead(server);
@@ -24,7 +25,7 @@
         number
     }
 
-    /// Removes a fault of a server; a process that comes back is cold.
+    /// Removes a server fault. A process that restarts is cold.
     pub(super) fn end_fault(&self, server: &str, number: u64) {
         let mut faults = lock(&self.faults);
         let was_dead = faults.is_dead(server);
@@ -36,7 +37,7 @@
         self.apply_faults(server, &faults);
     }
 
-    /// Keeps a successor down until it takes its place.
+    /// Keeps a successor down until [`Fleet::start_successor`].
     pub(super) fn put_on_standby(&self, name: &str) {
         let mut faults = lock(&self.faults);
         let number = faults.begin(name, None, Fault::Dead);
@@ -44,14 +45,14 @@
         lock(&self.standby).insert(name.to_owned(), number);
     }
 
-    /// Starts a successor; `false` where it has started before.
+    /// Starts a successor. Returns `false` if it has already started.
     pub(super) fn start_successor(&self, name: &str) -> bool {
         let Some(number) = lock(&self.standby).remove(name) else { return false };
         self.end_fault(name, number);
         true
     }
 
-    /// Sets a server's listeners to the faults in force.
+    /// Applies the faults in force to a server's listeners, one for each node.
     fn apply_faults(&self, server: &str, faults: &ActiveFaults) {
         for (node, _) in &self.targets {
             self.set_server_fault(server, Some(node), faults.seen_by(server, node));
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Drains a cache server, which is gone at the end.
+    /// Drains a cache server, which is dead after `duration`.
     pub(super) async fn drain(&self, name: &str, duration: Duration) {
         self.discovery.change(name, "leaving", None, self.discovery_delay());
         let grace = (self.discovery_delay() + DRAIN_GRACE).min(duration);
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -1,4 +1,4 @@
-//! Starts a fleet: the emulators first, then the nodes.
+//! Starts the emulators and then the nodes of a fleet.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -15,7 +15,7 @@
 use stonevane_membership::Setup;
 use tokio::net::{TcpListener, UdpSocket};
 
-use super::config::{KEY_BYTE, KEY_LEN, membership_section, settings};
+use super::config::{KEY_BYTE, KEY_LEN_BYTES, membership_section, settings};
 use super::node_set::NodeSet;
 use super::store::StoreOfRecord;
 use super::{Fleet, Folder, lab_ip};
@@ -24,14 +24,14 @@
 use crate::scenario::{MembershipSpec, Scenario, cache_name, node_name};
 use crate::stub::{KnownCache, StubNode};
 
-/// Nodes that are started at once.
+/// Number of nodes that are started at the same time.
 const START_BATCH: usize = 32;
-/// Caches of one cell.
+/// Number of cache servers in a cell.
 const CELL_SIZE: usize = 4;
-/// The cell of the origin, which is in none.
+/// Cell number of the origin, which is in no cell.
 const NO_CELL: u16 = u16::MAX;
 
-/// What a fleet is started with.
+/// Parameters for starting a fleet.
 struct Launch<'a> {
     scenario: &'a Scenario,
     seed: u64,
@@ -39,47 +39,47 @@
     folder: &'a Path,
     clock: &'a MonotonicClock,
     recorder: &'a Recorder,
-    /// The names of the nodes.
+    /// Names of the nodes, by number.
     names: Vec<String>,
 }
 
-/// The servers around the nodes.
+/// Emulators with which the nodes communicate.
 struct Servers {
     caches: Vec<Arc<Cache>>,
     origin: Arc<Origin>,
     discovery: Arc<Discovery>,
 }
 
-/// Addresses for the nodes, bound until they start, so that no two of the lab's sockets get the same. The lab's IP
-/// address is its own: nobody else takes them then.
+/// Addresses of the nodes. They stay bound until the nodes start, so that no other socket of the lab takes
+/// one. After that nothing else can take them, because no other lab uses this lab's IP address.
 struct ReservedAddresses {
-    /// Where clients connect, by node.
+    /// Name of each node and the address to which clients connect.
     clients: Vec<(String, SocketAddr)>,
-    /// Where each member listens for others.
+    /// Name of each member and the address on which it receives datagrams.
     peers: Vec<(String, SocketAddr)>,
-    /// Where nodes serve their views.
+    /// Address on which each node serves its view of the members.
     views: Vec<SocketAddr>,
     listeners: Vec<TcpListener>,
     sockets: Vec<UdpSocket>,
 }
 
-/// The builds that nodes run as, with their operator files.
+/// Node kinds by membership version, each with its own operator file.
 struct NodeKinds {
     current: NodeKind,
-    /// Sends membership messages of version 1 only.
+    /// Kind that sends only membership messages of version 1.
     version_1: NodeKind,
     version_1_nodes: Vec<usize>,
 }
 
-fn no_address() -> io::Error {
-    io::Error::other("a stand-in has no door for a node")
+fn no_listener() -> io::Error {
+    io::Error::other("an emulator has no listener for one of the nodes")
 }
 
 impl Fleet {
     /// Starts the emulators and the nodes, and waits until all are ready.
     ///
     /// # Errors
-    /// Where a port, a file or a process can't be had, or a node does not become ready.
+    /// If a port, a file or a process is not available, or a node does not become ready.
     pub async fn start(
         scenario: &Scenario,
         kind: &NodeKind,
@@ -138,7 +138,7 @@
                     return Err(io::Error::other(lock(&self.nodes).not_ready(node)));
                 }
             }
-            tracing::info!(ready = batch.end, of = count, "nodes");
+            tracing::info!(ready = batch.end, of = count, "nodes ready");
         }
         Ok(())
     }
@@ -157,7 +157,8 @@
             entries.push(self.cache_entry(&cache, "active"));
             caches.push(cache);
         }
-        // The machines of successors are there, but no node knows of them, and nothing answers there.
+        // Successors have addresses from the start, but discovery lists them as left and nothing answers
+        // there.
         for successor in scenario.successors() {
             let cache = self.start_cache(successor.replaces, successor.name, &listens).await?;
             entries.push(self.cache_entry(&cache, "left"));
@@ -188,7 +189,7 @@
         Cache::start(spec, listens, self.clock, self.recorder.clone()).await
     }
 
-    /// Stores the most popular keys in a cache.
+    /// Stores the most popular keys in a cache, as many as the scenario's `warm_keys` says.
     fn preload(&self, cache: &Cache) {
         for rank in 0..(self.scenario.load.keys as f64 * self.scenario.warm_keys) as usize {
             cache.preload(&format!("{:016x}", key(rank)), 0);
@@ -201,7 +202,7 @@
         entry(&spec.name, spec.zone.clone(), &spec.kind, spec.cell, addresses, status)
     }
 
-    /// A server's address at each node.
+    /// Returns the address at which each node reaches a server, by node name.
     fn addresses(&self, address: impl Fn(&str) -> Option<SocketAddr>) -> BTreeMap<String, SocketAddr> {
         self.names.iter().filter_map(|node| Some((node.clone(), address(node)?))).collect()
     }
@@ -228,14 +229,14 @@
         Ok(ReservedAddresses { clients, peers, views, listeners, sockets })
     }
 
-    /// Starts the store of record, where there is one, and writes the operator files.
+    /// Starts the store of record, if the scenario has one, and writes the operator files.
     async fn start_store(
         &self,
         kind: &NodeKind,
     ) -> io::Result<(Option<Arc<stonevane_emulators::postgres::Postgres>>, NodeKinds)> {
-        // An operator file that the caller gives says itself whether nodes know of one another.
-        let given = matches!(kind, NodeKind::Process(Program { operator: Some(_), .. }));
-        let members = self.scenario.membership.as_ref().filter(|_| !given);
+        // An operator file given by the caller decides whether membership is enabled.
+        let has_operator_file = matches!(kind, NodeKind::Process(Program { operator: Some(_), .. }));
+        let members = self.scenario.membership.as_ref().filter(|_| !has_operator_file);
         let mut kind = kind.clone();
         let mut server = None;
         if let Some(spec) = &self.scenario.store {
@@ -246,7 +247,11 @@
                 NodeKind::Process(Program { operator: operator @ None, .. }) => {
                     *operator = Some(store.operator);
                 }
-                _ => return Err(io::Error::other("a scenario with a store brings its own operator file")),
+                _ => {
+                    return Err(io::Error::other(
+                        "a scenario with a [store] section writes the operator file itself: run it on daemon processes without an operator file",
+                    ));
+                }
             }
         }
         let version_1_nodes =
@@ -259,7 +264,7 @@
         Ok((server, kinds))
     }
 
-    /// Adds the lab's sections to the operator file of a build, behind what it has.
+    /// Appends the lab's sections to a copy of the operator file of a daemon.
     fn with_operator_sections(
         &self,
         mut kind: NodeKind,
@@ -279,7 +284,7 @@
         Ok(kind)
     }
 
-    /// The configuration of each node.
+    /// Returns the configuration of each node as JSON.
     fn node_configs(
         &self,
         servers: &Servers,
@@ -290,7 +295,7 @@
         let config = |(number, (name, listen)): (usize, &(String, SocketAddr))| {
             let known: Box<serde_json::value::RawValue> =
                 serde_json::from_str(&servers.discovery.known(name))?;
-            let discovery = servers.discovery.address(name).ok_or_else(no_address)?;
+            let discovery = servers.discovery.address(name).ok_or_else(no_listener)?;
             let config = serde_json::json!({
                 "name": name, "listen": listen.to_string(), "discovery": discovery.to_string(),
                 "seed": format!("{:016x}", self.seed.wrapping_mul(31).wrapping_add(number as u64)),
@@ -321,8 +326,8 @@
                 name: name.clone(),
                 listen: *listen,
                 caches: servers.caches.iter().filter_map(known_cache).collect(),
-                origin: servers.origin.address(name).ok_or_else(no_address)?,
-                discovery: servers.discovery.address(name).ok_or_else(no_address)?,
+                origin: servers.origin.address(name).ok_or_else(no_listener)?,
+                discovery: servers.discovery.address(name).ok_or_else(no_listener)?,
             };
             let kind = match self.faulty_member(number, addresses, peers) {
                 Some(member) => NodeKind::FaultyMember(member),
@@ -334,7 +339,7 @@
         addresses.clients.iter().enumerate().map(node).collect()
     }
 
-    /// The faulty member in a node's place, where there is one.
+    /// Returns the faulty member that runs in a node's place, if the scenario has one there.
     fn faulty_member(
         &self,
         number: usize,
@@ -349,7 +354,7 @@
             members: addresses.peers.len() as u16,
             period: period_us,
             probe_timeout: period_us / 2,
-            key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN]),
+            key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN_BYTES]),
             seed: self.seed,
             nonce: 1 + number as u32,
             ..Setup::default()
--- a/crates/stonevane-lab/src/fleet/steps.rs
+++ b/crates/stonevane-lab/src/fleet/steps.rs
@@ -14,20 +14,20 @@
 use super::node_steps::StepTimes;
 use crate::scenario::{Action, Step};
 
-/// The duration of a step without an end: longer than any load.
-const ENDLESS: Duration = Duration::from_secs(3_600);
-/// The time limit for each connection of a flood.
+/// Duration of a step without an end: longer than any load.
+const ENDLESS_STEP_DURATION: Duration = Duration::from_secs(3_600);
+/// Time limit for opening each connection of a flood.
 const FLOOD_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
-/// The pause after a connection of a flood that did not come up.
-const FLOOD_PAUSE: Duration = Duration::from_millis(5);
+/// Pause after a connection of a flood failed to open.
+const FLOOD_FAILURE_PAUSE: Duration = Duration::from_millis(5);
 
 impl Fleet {
     /// Plays a step from its beginning to its end.
     pub async fn play_step(self: &Arc<Self>, step: &Step, clients: &Arc<Clients>) {
-        self.note(&step.label);
+        self.record_fault_event(&step.label);
         let endless = step.duration.is_zero();
-        let effective = if endless { ENDLESS } else { step.duration };
-        let times = StepTimes { given: step.duration, effective };
+        let effective = if endless { ENDLESS_STEP_DURATION } else { step.duration };
+        let times = StepTimes { configured: step.duration, effective };
         match &step.action {
             Action::Nodes { nodes, action, stagger } => {
                 let nodes = nodes.numbers(self.targets.len());
@@ -36,7 +36,7 @@
             action => self.play_action(action, effective).await,
         }
         if !endless {
-            self.note(&format!("end of {}", step.label));
+            self.record_fault_event(&format!("end of {}", step.label));
         }
     }
 
@@ -69,7 +69,7 @@
             Action::OldPeers { node, missing, moved } => {
                 let moved = moved.numbers(self.targets.len());
                 if let Err(error) = self.play_old_peers(*node, *missing, &moved, duration).await {
-                    self.note(&format!("no old list of peers: {error}"));
+                    self.record_fault_event(&format!("no old list of peers: {error}"));
                 }
             }
             Action::Network { from, to, loss, duplicate, min_delay, max_delay } => {
@@ -88,7 +88,7 @@
                 tokio::time::sleep(duration).await;
                 drop(connections);
             }
-            // These are played by `play_step`.
+            // Handled by `play_step`.
             Action::Nodes { .. } => {}
             Action::OriginStop
             | Action::StoreFault(_)
@@ -141,7 +141,7 @@
             let connect = TcpStream::connect(self.targets[node].1);
             match tokio::time::timeout(FLOOD_CONNECT_TIMEOUT, connect).await {
                 Ok(Ok(stream)) => connections.push(stream),
-                _ => tokio::time::sleep(FLOOD_PAUSE).await,
+                _ => tokio::time::sleep(FLOOD_FAILURE_PAUSE).await,
             }
         }
         connections
--- a/crates/stonevane-lab/src/fleet/store.rs
+++ b/crates/stonevane-lab/src/fleet/store.rs
@@ -1,4 +1,4 @@
-//! The store of record of a fleet, and the operator file by which nodes use it.
+//! The store of record of a fleet, and the operator file that points nodes to it.
 
 use std::io;
 use std::net::IpAddr;
@@ -13,19 +13,19 @@
 
 use crate::scenario::{Scenario, StoreSpec};
 
-/// The length of the values that a store begins with, in bytes.
-const VALUE_LEN: usize = 24;
+/// Length of the preloaded values, in bytes.
+const VALUE_LEN_BYTES: usize = 24;
 
-/// A store of record that was started.
+/// A started store of record.
 pub(super) struct StoreOfRecord {
-    /// The server, where there is one.
+    /// PostgreSQL emulator; `None` for SQLite.
     pub(super) server: Option<Arc<Postgres>>,
-    /// The operator file.
+    /// Path of the operator file.
     pub(super) operator: PathBuf,
 }
 
 impl StoreOfRecord {
-    /// Starts a store with zones in it, and writes the operator file.
+    /// Starts a store, preloads it with zones and writes the operator file.
     pub(super) async fn start(
         spec: &StoreSpec,
         scenario: &Scenario,
@@ -57,13 +57,13 @@
 async fn preload(store: &impl Store, spec: &StoreSpec, scenario: &Scenario) -> io::Result<()> {
     for rank in 0..spec.preloaded_keys.min(scenario.load.keys) {
         let key = format!("{:016x}", key(rank));
-        let value = padded(&format!("{key}.first"), VALUE_LEN).into_bytes();
+        let value = padded(&format!("{key}.first"), VALUE_LEN_BYTES).into_bytes();
         store.edit(Edit { key, value, token: None, remember_ms: 0 }).await.map_err(io::Error::other)?;
     }
     Ok(())
 }
 
-/// The `[store]` section of an operator file.
+/// Returns the `[store]` section of an operator file.
 fn operator_section(location: &str, spec: &StoreSpec) -> String {
     let visibility = if spec.waits_for_placement { "placement" } else { "store" };
     format!(
--- a/crates/stonevane-lab/src/lib.rs
+++ b/crates/stonevane-lab/src/lib.rs
@@ -1,7 +1,8 @@
-//! The lab: real nodes between emulators on loopback, a load and faults by script, and the auditor's verdict.
+//! Runs real node processes between emulators on loopback, applies a scripted load and faults, and audits the
+//! history.
 //!
-//! A [`Scenario`] is read from a file; [`run`] plays it once with a seed. All figures come from the history that the
-//! emulators write, so that a history on file gives the same figures again.
+//! A [`Scenario`] is read from a file; [`run`] plays it once with a seed. All figures are computed from the
+//! history that the emulators write, so a saved history yields the same figures again.
 
 mod active_faults;
 pub mod chart;
@@ -22,22 +23,22 @@
 pub use stub::NodeFault;
 pub use summary::{Summary, summarise};
 
-/// A scenario that comes with the lab.
+/// A scenario bundled with the lab.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BuiltInScenario {
-    /// Its name.
+    /// The name, which is also the name of its file without `.toml`.
     pub name: &'static str,
-    /// Its text.
+    /// The TOML text of the scenario.
     pub text: &'static str,
 }
 
 impl BuiltInScenario {
-    /// The scenario of a name.
+    /// Returns the bundled scenario with this name.
     pub fn find(name: &str) -> Option<BuiltInScenario> {
         SCENARIOS.iter().find(|scenario| scenario.name == name).copied()
     }
 
-    /// The names of all scenarios.
+    /// Returns the names of all bundled scenarios.
     pub fn names() -> Vec<&'static str> {
         SCENARIOS.iter().map(|scenario| scenario.name).collect()
     }
@@ -52,7 +53,7 @@
     };
 }
 
-/// The scenarios that come with the lab.
+/// All bundled scenarios.
 pub const SCENARIOS: &[BuiltInScenario] = built_in_scenarios![
     "calm",
     "kill-cache",
--- a/crates/stonevane-lab/src/lifecycle.rs
+++ b/crates/stonevane-lab/src/lifecycle.rs
@@ -1,38 +1,39 @@
-//! The states of a fleet's nodes, and what overlapping steps make of them. No I/O, no clock.
+//! State machine of a fleet's nodes under overlapping steps. No I/O, no clock.
 //!
-//! Order of steps on one node: a kill acts at once, in whatever state the node is; a termination acts on a node that
-//! starts or is ready, and does nothing to one that is terminating or dead already. Each of them *holds* the node down
-//! from its beginning to its end, and a node that any step holds does not start: it starts again when the last hold
-//! ends. A node that died by itself stays dead until a step that holds it ends.
+//! Overlapping steps on one node: a kill acts at once in every state; a termination acts on a node that is
+//! starting or ready and has no effect on one that is already ending or dead. Both *hold* the node down from
+//! their beginning to their end. A held node does not start; it starts again when the last hold ends. A node
+//! that ended by itself stays dead until a step that holds it ends.
 //!
-//! Pauses: a process is paused while any step pauses it, and resumes when the last of these ends. A kill takes a
-//! paused process at once; a termination reaches it when it resumes, or not at all where it is killed for taking too
-//! long. An incarnation that starts while a pause is in force is not paused: what was paused has ended. A step that
-//! slows a process pauses and resumes it in turn, and leaves it paused while another step pauses it.
+//! Pauses: a process is paused while at least one step pauses it, and resumes when the last of these steps
+//! ends. A kill ends a paused process at once. A termination signal takes effect when the process resumes, or
+//! never if the process is killed first for exceeding its shutdown limit. An incarnation that starts while a
+//! pause step runs is not paused, because the paused incarnation has ended. A step that slows a process
+//! pauses and resumes it alternately, and leaves it paused while another step pauses it.
 
 /// The state of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum State {
-    /// There is no process.
+    /// The node has no process.
     #[default]
     Dead,
-    /// Its process was started, and is not ready yet.
+    /// The process has started and is not ready yet.
     Starting,
-    /// It serves.
+    /// The process serves requests.
     Ready,
-    /// It was told to terminate.
+    /// The process has been signalled to terminate.
     Ending,
 }
 
-/// The number of a node's process: the present one, or one that has ended.
+/// Number of a node's process, counted from 1 for each node; 0 before the first start.
 pub type Incarnation = u64;
 
-/// A process that a step pauses.
+/// A process that a step has paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Paused {
-    /// Its incarnation.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Whether no other step has paused it before.
+    /// Whether no other step was pausing it.
     pub was_running: bool,
 }
 
@@ -40,38 +41,38 @@
 struct NodeState {
     state: State,
     incarnation: Incarnation,
-    /// Steps that hold it down.
+    /// Number of steps that hold the node down.
     holds: usize,
-    /// Steps that pause this incarnation.
+    /// Number of steps that pause this incarnation.
     pauses: usize,
 }
 
-/// The states of all nodes, by their numbers.
+/// States of all nodes, indexed by node number.
 #[derive(Debug)]
 pub struct NodeStates(Vec<NodeState>);
 
 impl NodeStates {
-    /// The states of so many nodes, all dead and held by no step.
+    /// Creates the states of `nodes` nodes, all dead and not held.
     pub fn new(nodes: usize) -> NodeStates {
         NodeStates(vec![NodeState::default(); nodes])
     }
 
-    /// The number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// A node's state and its incarnation.
+    /// Returns a node's state and its current incarnation.
     pub fn get(&self, node: usize) -> (State, Incarnation) {
         self.0.get(node).map_or((State::Dead, 0), |node| (node.state, node.incarnation))
     }
 
-    /// Whether an incarnation is a node's present one, in this state.
+    /// Returns whether `incarnation` is the node's current one and the node is in `state`.
     pub fn is(&self, node: usize, incarnation: Incarnation, state: State) -> bool {
         self.get(node) == (state, incarnation)
     }
 
-    /// A node begins a new incarnation; `None` where it has one or is held down.
+    /// Begins a new incarnation of a node. Returns `None` if the node is not dead or is held down.
     pub fn start(&mut self, node: usize) -> Option<Incarnation> {
         let node = self.0.get_mut(node).filter(|node| node.state == State::Dead && node.holds == 0)?;
         node.state = State::Starting;
@@ -80,7 +81,7 @@
         Some(node.incarnation)
     }
 
-    /// An incarnation reports that it is ready; whether that still holds.
+    /// Marks an incarnation as ready. Returns `false` if it is no longer the current one or is not starting.
     pub fn mark_ready(&mut self, node: usize, incarnation: Incarnation) -> bool {
         let starting = self.is(node, incarnation, State::Starting);
         if starting {
@@ -89,7 +90,7 @@
         starting
     }
 
-    /// A step kills a node and holds it down; returns the incarnation to kill, where there is one.
+    /// Marks a node as killed and holds it down. Returns the incarnation to kill, if there is one.
     pub fn kill(&mut self, node: usize) -> Option<Incarnation> {
         let node = self.0.get_mut(node)?;
         node.holds += 1;
@@ -98,8 +99,8 @@
         alive.then_some(node.incarnation)
     }
 
-    /// A step terminates a node and holds it down; returns the incarnation to signal, where there is one that was not
-    /// signalled before.
+    /// Marks a node as ending and holds it down. Returns the incarnation to signal, if there is one that has
+    /// not been signalled.
     pub fn terminate(&mut self, node: usize) -> Option<Incarnation> {
         let node = self.0.get_mut(node)?;
         node.holds += 1;
@@ -110,7 +111,8 @@
         alive.then_some(node.incarnation)
     }
 
-    /// An incarnation has ended, by itself or as it was told to; whether it was the present one.
+    /// Marks an incarnation as ended, by itself or after a signal. Returns whether it was the current one and
+    /// alive.
     pub fn mark_ended(&mut self, node: usize, incarnation: Incarnation) -> bool {
         let (state, present) = self.get(node);
         let ended = present == incarnation && state != State::Dead;
@@ -120,14 +122,15 @@
         ended
     }
 
-    /// A step pauses a node, where it has a process.
+    /// Counts a step that pauses a node's process. Returns `None` if the node has no process.
     pub fn pause(&mut self, node: usize) -> Option<Paused> {
         let node = self.0.get_mut(node).filter(|node| node.state != State::Dead)?;
         node.pauses += 1;
         Some(Paused { incarnation: node.incarnation, was_running: node.pauses == 1 })
     }
 
-    /// A step that paused an incarnation lets it resume; whether no other step pauses it.
+    /// Ends one step's pause of an incarnation. Returns whether the process is to resume, because no other
+    /// step pauses it.
     pub fn resume(&mut self, node: usize, incarnation: Incarnation) -> bool {
         let present = |node: &&mut NodeState| node.incarnation == incarnation && node.state != State::Dead;
         let Some(node) = self.0.get_mut(node).filter(present) else { return false };
@@ -135,12 +138,13 @@
         node.pauses == 0
     }
 
-    /// Whether any step pauses a node's process.
+    /// Returns whether any step pauses the node's process.
     pub fn is_paused(&self, node: usize) -> bool {
         self.0.get(node).is_some_and(|node| node.state != State::Dead && node.pauses > 0)
     }
 
-    /// A step ends its hold on a node; whether the node is to start now.
+    /// Ends one step's hold on a node. Returns whether the node is to start, because it is dead and no longer
+    /// held.
     pub fn release(&mut self, node: usize) -> bool {
         let Some(node) = self.0.get_mut(node) else { return false };
         node.holds = node.holds.saturating_sub(1);
--- a/crates/stonevane-lab/src/node.rs
+++ b/crates/stonevane-lab/src/node.rs
@@ -1,4 +1,4 @@
-//! A node of a fleet: a real process, or a stub that breaks a rule.
+//! A node of a fleet: a daemon process, or a stub node in its place.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,17 +16,17 @@
 use crate::faulty_member::FaultyMember;
 use crate::stub::{NodeFault, StubNode};
 
-/// Lines of a log that an error shows.
-const LOG_LINES: usize = 5;
-/// The time limit for the answer to a PING.
+/// Number of lines from the end of a log that an error quotes.
+const LOG_TAIL_LINES: usize = 5;
+/// Time limit for the answer to a PING.
 const PING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A build of the daemon, and how it is started.
+/// A build of the daemon with its operator file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Program {
-    /// Its path.
+    /// Path of the executable.
     pub path: PathBuf,
-    /// Its operator file.
+    /// Operator file passed with `--operator`; `None` to start without one.
     pub operator: Option<PathBuf>,
 }
 
@@ -36,24 +36,24 @@
     }
 }
 
-/// What serves in a node's place.
+/// Implementation that runs in the place of a node.
 #[derive(Debug, Clone)]
 pub enum NodeKind {
-    /// A build of the daemon.
+    /// A daemon process.
     Process(Program),
-    /// A stub node, which is correct or breaks a rule.
+    /// A stub node, either correct or with a fault.
     Stub(NodeFault),
-    /// A correct stub node that is a faulty member of the fleet.
+    /// A stub node that serves correctly, with a faulty member of the fleet beside it.
     FaultyMember(FaultyMember),
 }
 
-/// A node and its present incarnation.
+/// A node and its current incarnation.
 pub struct Node {
     kind: NodeKind,
     stub: StubNode,
     folder: PathBuf,
     running: Option<Running>,
-    /// When it was last seen to run, in microseconds.
+    /// Time of the last check of the incarnation, in microseconds.
     last_seen: u64,
     recorder: Recorder,
 }
@@ -61,13 +61,13 @@
 /// A running incarnation.
 enum Running {
     Process(Child),
-    /// A stub, which ends once this is `true`.
+    /// A stub node, which ends once the channel holds `true`.
     Stub(watch::Sender<bool>),
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        // A lab that is interrupted ends every process that it started.
+        // An interrupted lab must not leave processes running.
         if let Running::Process(child) = self {
             let _ = child.kill();
             let _ = child.wait();
@@ -75,40 +75,41 @@
     }
 }
 
-/// How an incarnation has ended.
+/// End of an incarnation.
 pub struct Ended {
-    /// Between which moments.
+    /// Interval in which it ended.
     pub time: TimeInterval,
-    /// The status of a process.
+    /// Exit status; `None` for a stub node.
     pub status: Option<ExitStatus>,
 }
 
-/// A node that did not become ready.
+/// Error for a node that did not become ready in time.
 #[derive(Debug, thiserror::Error)]
 #[error("node {node} did not become ready within 10 s; its log ends: {log}")]
 pub struct NotReady {
     node: String,
-    /// The last lines of its log.
+    /// Last lines of the node's log.
     log: String,
 }
 
-/// Whether a pause is recorded: a slowed process is paused many times, and only its slowness is recorded.
+/// Whether a pause is recorded in the history. A slowed process is paused many times, and only the slowdown
+/// is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PauseRecord {
-    /// It is recorded.
+    /// The pause is recorded.
     Recorded,
-    /// It is one of many short pauses.
+    /// The pause is one of many short ones and is not recorded.
     Silent,
 }
 
 impl Node {
-    /// A node that has not started yet.
+    /// Creates a node that has not started yet. Its configuration and log are kept in `folder`.
     pub fn new(kind: NodeKind, stub: StubNode, folder: &Path, recorder: Recorder) -> Node {
         Node { kind, stub, folder: folder.into(), running: None, last_seen: 0, recorder }
     }
 
     fn record(&self, time: TimeInterval, state: &str) {
-        tracing::info!(node = self.stub.name, state, pid = self.pid(), "node");
+        tracing::info!(node = self.stub.name, state, pid = self.pid(), "node state changed");
         self.recorder.line(HistoryRecord {
             time,
             recorder: "lab".into(),
@@ -119,15 +120,15 @@
         });
     }
 
-    /// Records a state that began at a moment and has just been reached.
+    /// Records a state reached at some time between `earliest` (in microseconds) and now.
     fn record_since(&self, earliest: u64, state: &str) {
         self.record(TimeInterval { earliest, latest: MonotonicClock::now() }, state);
     }
 
-    /// Starts it, on the address that its previous incarnation may still hold.
+    /// Starts a new incarnation with a configuration. The previous one may still hold its address.
     ///
     /// # Errors
-    /// Where a file or the process can't be had.
+    /// If a file can't be written or the process can't be spawned.
     pub fn start(&mut self, config: &str) -> io::Result<()> {
         let begun = MonotonicClock::now();
         let running = match &self.kind {
@@ -157,7 +158,7 @@
         if let Some(operator) = &program.operator {
             command.arg("--operator").arg(operator);
         }
-        // Against processes that are left behind when the lab itself is killed.
+        // The process ends with the lab, so that none is left behind if the lab is killed.
         command.arg("--ends-with").arg(std::process::id().to_string());
         command
             .env("ROUTER_CONFIG", &config_path)
@@ -169,7 +170,7 @@
             .spawn()
     }
 
-    /// Writes its configuration; returns the path.
+    /// Writes the configuration file. Returns its path.
     fn write_config(&self, config: &str) -> io::Result<PathBuf> {
         let path = self.folder.join(format!("{}.json", self.stub.name));
         std::fs::write(&path, config)?;
@@ -180,20 +181,20 @@
         self.folder.join(format!("{}.log", self.stub.name))
     }
 
-    /// Records that it became ready between two moments.
+    /// Records that the node became ready within this interval.
     pub fn record_ready(&self, time: TimeInterval) {
         self.record(time, "ready");
     }
 
-    /// The error for a node that did not become ready.
+    /// Returns the error for a node that did not become ready, with the end of its log.
     pub fn not_ready(&self) -> NotReady {
         let text = std::fs::read_to_string(self.log_path()).unwrap_or_default();
         let lines: Vec<_> = text.lines().collect();
-        let log = lines[lines.len().saturating_sub(LOG_LINES)..].join("\n");
+        let log = lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n");
         NotReady { node: self.stub.name.clone(), log }
     }
 
-    /// The id of its process, where it runs as one.
+    /// Returns the id of the node's process; `None` for a stub node or if no process runs.
     pub fn pid(&self) -> Option<u32> {
         match &self.running {
             Some(Running::Process(child)) => Some(child.id()),
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Kills it.
+    /// Kills the process, waits for its end and records it.
     pub fn kill(&mut self) {
         let begun = MonotonicClock::now();
         if let Some(Running::Process(child)) = &mut self.running {
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Pauses its process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self, record: PauseRecord) {
         let begun = MonotonicClock::now();
         self.signal(Signal::STOP);
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Resumes its process.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self, record: PauseRecord) {
         let begun = MonotonicClock::now();
         self.signal(Signal::CONT);
@@ -237,20 +238,20 @@
         }
     }
 
-    /// Records that one of several steps that pause it has ended.
+    /// Records the end of one pause while another step still pauses the process.
     pub fn record_resumed(&self) {
         self.record(MonotonicClock::moment(), "resumed");
     }
 
-    /// Records that it is slowed, or no longer is.
+    /// Records the beginning or the end of a slowdown.
     pub fn record_slowed(&self, slowed: bool) {
         self.record(MonotonicClock::moment(), if slowed { "slowed" } else { "steady" });
     }
 
-    /// Writes its configuration anew and has it reload that.
+    /// Writes a new configuration and sends SIGHUP, on which the node reloads it.
     ///
     /// # Errors
-    /// Where the file can't be written.
+    /// If the file can't be written.
     pub fn reload(&self, config: &str) -> io::Result<()> {
         self.write_config(config)?;
         self.signal(Signal::HUP);
@@ -258,7 +259,7 @@
         Ok(())
     }
 
-    /// Tells it to terminate.
+    /// Signals the node to terminate; does nothing if it does not run.
     pub fn terminate(&self) {
         let begun = MonotonicClock::now();
         match &self.running {
@@ -269,7 +270,8 @@
         self.record_since(begun, "term");
     }
 
-    /// Whether it has ended since this was last asked. A stub ends at once.
+    /// Returns the end of the incarnation if it has ended since the last call. A stub node counts as ended as
+    /// soon as it is signalled.
     pub fn poll_end(&mut self) -> Option<Ended> {
         let now = MonotonicClock::now();
         let status = match &mut self.running {
@@ -281,7 +283,7 @@
         status.map(|status| Ended { time: TimeInterval { earliest, latest: now }, status })
     }
 
-    /// Records that it has ended; `crashed` where that was a failure.
+    /// Records that the incarnation has ended; `crashed` marks a failure.
     pub fn record_end(&mut self, time: TimeInterval, crashed: bool) {
         self.running = None;
         if crashed {
@@ -291,7 +293,10 @@
     }
 }
 
-/// Whether a node answers that it is ready.
+/// Sends a PING. Returns whether the node answers that it is ready.
+///
+/// # Errors
+/// If the node does not accept the connection or the PING can't be sent.
 pub async fn ping(address: SocketAddr) -> io::Result<bool> {
     const PONG: &[u8; 7] = b"+PONG\r\n";
     let mut stream = TcpStream::connect(address).await?;
--- a/crates/stonevane-lab/src/plot.rs
+++ b/crates/stonevane-lab/src/plot.rs
@@ -1,19 +1,19 @@
-//! Panels of curves and of spans, as SVG.
+//! Renders panels of curves, and rows of spans, as SVG.
 
 use plotters::coord::Shift;
 use plotters::prelude::*;
 
-/// A curve.
+/// A curve in a panel.
 pub struct Curve {
-    /// Its name.
+    /// Name in the legend.
     pub name: String,
-    /// Its colour.
+    /// Colour of the line.
     pub colour: RGBColor,
-    /// Its points; `NaN` breaks it.
+    /// Points as (x, y). A `y` that is not finite leaves a gap.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Colours that differ in print too.
+/// Line colours, distinguishable in print too.
 pub const COLOURS: [RGBColor; 6] = [
     RGBColor(26, 86, 168),
     RGBColor(199, 119, 0),
@@ -32,48 +32,48 @@
 const PANEL_HEIGHT: u32 = 170;
 const SPANS_MARGIN: u32 = 30;
 const ROW_HEIGHT: u32 = 15;
-/// The width of a panel's labels at its left, its margin included.
+/// Width of the vertical axis with its labels, the margin included.
 const AXIS_WIDTH: u32 = 60;
 const MARGIN: u32 = 6;
-/// The width of a character of a span's label, about.
+/// Estimated width of a character of a span's label.
 const CHARACTER_WIDTH: i32 = 6;
-/// Characters of a span's label, at most.
-const MAX_LABEL: usize = 60;
-/// Free space above the highest point, as a factor.
+/// Longest label of a span, in characters; longer ones are cut.
+const MAX_LABEL_CHARS: usize = 60;
+/// Ratio of the vertical range to the highest point, to leave space above it.
 const HEADROOM: f64 = 1.08;
-/// The least range of an axis.
+/// Smallest range of an axis, so that a chart without data has a valid one.
 const MIN_RANGE: f64 = 1e-6;
 
 /// A panel of curves.
 pub struct Panel {
-    /// What it shows.
+    /// Title above the panel.
     pub title: String,
-    /// The label of its horizontal axis.
+    /// Label of the horizontal axis.
     pub x_label: &'static str,
-    /// The label of its vertical axis.
+    /// Label of the vertical axis.
     pub y_label: &'static str,
-    /// Its curves.
+    /// Curves, drawn in this order.
     pub curves: Vec<Curve>,
-    /// A bound that is drawn across.
+    /// Value at which a dashed horizontal line is drawn.
     pub bound: Option<f64>,
 }
 
-/// Something that lasts, in seconds.
+/// A labelled span of time, drawn as a bar.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Span {
-    /// Its beginning.
+    /// Beginning, in seconds.
     pub from_s: f64,
-    /// Its end.
+    /// End, in seconds; may be infinite.
     pub until_s: f64,
-    /// Its name.
+    /// Text beside the bar.
     pub label: String,
 }
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-/// A picture of panels below one another, and of spans below them, each in a row of its own so that no labels overlap.
-/// Empty where nothing can be drawn.
+/// Renders panels below one another, and below them the spans, each in its own row so that labels don't
+/// overlap. Returns an empty string if drawing fails.
 pub fn picture(title: &str, panels: &[Panel], spans: &[Span], seconds: f64) -> String {
     let rows = if spans.is_empty() { 0 } else { SPANS_MARGIN + ROW_HEIGHT * spans.len() as u32 };
     let size = (WIDTH, TITLE_HEIGHT + PANEL_HEIGHT * panels.len() as u32 + rows);
@@ -122,10 +122,10 @@
     }
     for curve in &panel.curves {
         let colour = curve.colour;
-        // Gaps stay empty: each stretch between them is a line of its own.
-        let stretches = curve.points.split(|point| !point.1.is_finite());
-        for (number, stretch) in stretches.enumerate() {
-            let line = LineSeries::new(stretch.iter().copied(), colour.stroke_width(1));
+        // Draw each segment between gaps as a separate line.
+        let segments = curve.points.split(|point| !point.1.is_finite());
+        for (number, segment) in segments.enumerate() {
+            let line = LineSeries::new(segment.iter().copied(), colour.stroke_width(1));
             let drawn = chart.draw_series(line)?;
             if number == 0 {
                 let legend =
@@ -142,7 +142,7 @@
 
 fn draw_spans(area: &Area<'_>, spans: &[Span], seconds: f64) -> DrawResult {
     let (width, _) = area.dim_in_pixel();
-    // In line with the panels' own axis.
+    // Aligned with the horizontal axis of the panels.
     let axis_length = f64::from(width.saturating_sub(AXIS_WIDTH + MARGIN));
     let x =
         |at: f64| AXIS_WIDTH as i32 + (at.clamp(0.0, seconds) / seconds.max(MIN_RANGE) * axis_length) as i32;
@@ -152,11 +152,13 @@
         let (left, right) = (x(span.from_s), x(span.until_s).max(x(span.from_s) + 2));
         let corners = [(left, y), (right, y + ROW_HEIGHT as i32 - 4)];
         area.draw(&Rectangle::new(corners, BOUND_COLOUR.mix(0.45).filled()))?;
-        let label: String = format!("{}, {:.1} s", span.label, span.from_s).chars().take(MAX_LABEL).collect();
-        // Behind its bar, or before it where there is no space behind.
+        let label: String =
+            format!("{}, {:.1} s", span.label, span.from_s).chars().take(MAX_LABEL_CHARS).collect();
+        // To the right of the bar, or to its left if there is no space on the right.
         let label_width = CHARACTER_WIDTH * label.len() as i32;
-        let behind = right + 4;
-        let label_x = if behind + label_width > width as i32 { left - label_width } else { behind };
+        let right_of_bar = right + 4;
+        let label_x =
+            if right_of_bar + label_width > width as i32 { left - label_width } else { right_of_bar };
         area.draw_text(&label, &font, (label_x.max(2), y))?;
     }
     Ok(())
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of a scenario, from its first process to its verdict.
+//! Runs a scenario once: starts the fleet, plays load and steps, and evaluates the history.
 
 use std::fs::File;
 use std::io::{self, BufReader, Write};
@@ -18,44 +18,45 @@
 use crate::scenario::{Expectation, Scenario};
 use crate::summary::{Summary, summarise};
 
-/// Protocol periods at the end of a run in which views are still read.
+/// Protocol periods at the end of a run, after convergence, in which views are still read.
 const MEMBERSHIP_TAIL_PERIODS: u64 = 8;
-/// The start of the load lies this far ahead, in microseconds.
-const START_MARGIN_US: u64 = 20_000;
-/// How often it is looked whether nodes have ended.
-const WATCH_PERIOD: Duration = Duration::from_millis(20);
-/// Progress is shown at each of these turns of the watch.
-const PROGRESS_TURNS: u64 = 50;
-/// How long tasks may take to end.
-const RUNTIME_SHUTDOWN: Duration = Duration::from_secs(2);
-/// The buffer for reading a history, in bytes.
-const READ_BUFFER: usize = 1 << 20;
+/// Time between scheduling the load and its first request, in microseconds.
+const LOAD_START_DELAY_US: u64 = 20_000;
+/// Interval at which nodes are checked for having ended.
+const NODE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Node checks between two lines of progress.
+const CHECKS_PER_PROGRESS_LINE: u64 = 50;
+/// Time limit for tasks of the runtime to end.
+const RUNTIME_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size of the buffer for reading a history, in bytes.
+const READ_BUFFER_BYTES: usize = 1 << 20;
 
-/// How to run a scenario.
+/// Options of a scenario run.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Another seed than the scenario's.
+    /// Overrides the scenario's seed.
     pub seed: Option<u64>,
-    /// Another number of nodes.
+    /// Overrides the scenario's number of nodes.
     pub nodes: Option<usize>,
-    /// A multiple of the scenario's rate.
+    /// Factor applied to the scenario's request rate; 1 if `None`.
     pub load: Option<f64>,
-    /// Whether its short form is played.
+    /// Whether the short form of the scenario is played, see [`Scenario::shortened`].
     pub short: bool,
-    /// What serves in the nodes' places.
+    /// Implementation that runs in the place of the nodes.
     pub kind: NodeKind,
-    /// Whether nodes know nothing of one another, whatever the scenario says: the control.
+    /// Whether membership is disabled even if the scenario enables it, as in a control run.
     pub without_fleet: bool,
-    /// Whether nodes that start together don't limit their first attempts: the control.
+    /// Whether nodes that start together don't limit their first attempts, as in a control run.
     pub without_ramp: bool,
-    /// Where the history is written; else it is deleted once the verdict is there.
+    /// File to which the history is written. If `None`, the history is a temporary file, deleted after the
+    /// audit.
     pub history: Option<PathBuf>,
-    /// Whether progress goes to standard error.
+    /// Whether progress is printed to standard error.
     pub progress: bool,
 }
 
 impl Options {
-    /// A run of a scenario as it stands.
+    /// Returns options that run a scenario unchanged.
     pub fn of(kind: NodeKind) -> Options {
         Options {
             seed: None,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// The scenario that is played.
+    /// Returns the scenario with these options applied.
     fn apply(&self, scenario: &Scenario) -> Scenario {
         let mut scenario = if self.short { scenario.shortened() } else { scenario.clone() };
         if let Some(nodes) = self.nodes {
@@ -82,7 +83,8 @@
             scenario.membership = None;
         }
         if let Some(spec) = &scenario.membership {
-            // Views have their time to converge once all steps have ended, and are read for a while then.
+            // The load lasts until views have had time to converge after the last step, and are read for a
+            // few more periods.
             let end = scenario.steps.iter().map(|step| step.at + step.duration).max().unwrap_or_default();
             let bounds = spec.bounds_for(scenario.nodes + spec.absent_members);
             let periods = bounds.convergence + MEMBERSHIP_TAIL_PERIODS;
@@ -93,59 +95,59 @@
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug, Clone, Serialize)]
 pub struct Outcome {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// A digest of the load that was drawn: the same for the same seed.
+    /// Digest of the planned load; equal for equal seeds.
     pub load: String,
-    /// The figures.
+    /// Figures computed from the history.
     pub summary: Summary,
     /// The auditor's verdict.
     pub report: Report,
-    /// What was expected, each with the figure that was found and whether it holds.
-    pub expects: Vec<Checked>,
-    /// Whether the rules and all expectations hold.
+    /// Expectations of the scenario, each with the measured figure.
+    pub expects: Vec<CheckedExpectation>,
+    /// Whether the auditor's rules and all expectations hold.
     pub holds: bool,
 }
 
-/// An expectation and what was found.
+/// An expectation with the measured figure.
 #[derive(Debug, Clone, Serialize)]
-pub struct Checked {
-    /// Its line.
+pub struct CheckedExpectation {
+    /// The expectation as written, such as `served >= 0.9`.
     pub line: String,
-    /// The figure that was found; `None` where there was nothing to measure.
+    /// The measured figure; `None` if there was nothing to measure.
     pub found: Option<f64>,
-    /// Whether it holds.
+    /// Whether the figure was measured and meets the expectation.
     pub holds: bool,
 }
 
-impl Checked {
-    fn new(expectation: &Expectation, summary: &Summary, report: &Report) -> Checked {
+impl CheckedExpectation {
+    fn new(expectation: &Expectation, summary: &Summary, report: &Report) -> CheckedExpectation {
         let found = summary.figure(&expectation.figure, report);
         let holds = found.is_some_and(|found| expectation.holds(found));
-        Checked { line: expectation.to_string(), found, holds }
+        CheckedExpectation { line: expectation.to_string(), found, holds }
     }
 }
 
-/// Why a run has no outcome.
+/// Error that ends a run without an outcome.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A process, a port or a file can't be had.
-    #[error("{0}")]
+    /// A process, a port or a file is not available, or a node did not become ready.
+    #[error("the scenario run failed: {0}")]
     Io(#[from] io::Error),
-    /// The history can't be read.
-    #[error("the history {0}")]
+    /// The history is malformed or can't be read.
+    #[error("history file: {0}")]
     History(HistoryError),
-    /// It was interrupted.
+    /// The run was interrupted by SIGINT or SIGTERM.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// The first line of a history.
+/// Returns the first record of a history, which holds the audit rules.
 fn first_record(rules: Rules) -> HistoryRecord {
     HistoryRecord {
         time: MonotonicClock::moment(),
@@ -156,27 +158,27 @@
     }
 }
 
-/// Runs a scenario once, on processes of its own.
+/// Runs a scenario once, on a fleet started for this run.
 ///
 /// # Errors
-/// [`RunError`] where it can't be run to its end.
+/// [`RunError`] if the run does not complete.
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, RunError> {
     let scenario = options.apply(scenario);
     let seed = options.seed.unwrap_or(scenario.seed);
     let path = options.history.clone().unwrap_or_else(temporary_history);
-    tracing::info!(scenario = scenario.name, seed, nodes = scenario.nodes, history = %path.display(), "run");
+    tracing::info!(scenario = scenario.name, seed, nodes = scenario.nodes, history = %path.display(), "scenario run started");
     let planned = plan(&scenario.load, scenario.nodes, seed);
     let load = digest(format!("{planned:?}").as_bytes());
-    let judged = play_into(&path, &scenario, options, seed, planned).and_then(|store_queries| {
-        let (report, summary) = judge(&path)?;
+    let evaluated = play_and_record(&path, &scenario, options, seed, planned).and_then(|store_queries| {
+        let (report, summary) = evaluate(&path)?;
         Ok((report, Summary { store_queries, ..summary }))
     });
     if options.history.is_none() {
         let _ = std::fs::remove_file(&path);
     }
-    let (report, summary) = judged?;
+    let (report, summary) = evaluated?;
     tracing::info!(scenario = scenario.name, seed, broken = report.broken, events = report.events, "judged");
-    let check = |expectation| Checked::new(expectation, &summary, &report);
+    let check = |expectation| CheckedExpectation::new(expectation, &summary, &report);
     let expects: Vec<_> = scenario.expects.iter().map(check).collect();
     let holds = report.holds() && report.faulty == 0 && expects.iter().all(|checked| checked.holds);
     Ok(Outcome { scenario: scenario.name, seed, load, summary, report, expects, holds })
@@ -187,8 +189,9 @@
     std::env::temp_dir().join(format!("stonevane-history-{}-{name}.jsonl", std::process::id()))
 }
 
-/// Plays a scenario and writes its history; returns the queries of the store of record, where there is one.
-fn play_into(
+/// Plays a scenario and writes its history. Returns the number of reads of the store of record, if it is an
+/// emulator.
+fn play_and_record(
     path: &Path,
     scenario: &Scenario,
     options: &Options,
@@ -204,8 +207,8 @@
             () = interrupted() => Err(RunError::Interrupted),
         }
     });
-    // All processes are ended and all sockets closed before anything is read.
-    runtime.shutdown_timeout(RUNTIME_SHUTDOWN);
+    // End all processes and close all sockets before the history is read.
+    runtime.shutdown_timeout(RUNTIME_SHUTDOWN_TIMEOUT);
     drop(recorder);
     let written = writer.finish();
     let store_queries = played?;
@@ -213,13 +216,13 @@
     Ok(store_queries)
 }
 
-fn judge(path: &Path) -> Result<(Report, Summary), RunError> {
-    let open = || File::open(path).map(|file| BufReader::with_capacity(READ_BUFFER, file));
+fn evaluate(path: &Path) -> Result<(Report, Summary), RunError> {
+    let open = || File::open(path).map(|file| BufReader::with_capacity(READ_BUFFER_BYTES, file));
     let report = audit(open()?).map_err(RunError::History)?;
     Ok((report, summarise(open()?).map_err(RunError::History)?))
 }
 
-/// Waits for an interrupt or SIGTERM.
+/// Waits for SIGINT or SIGTERM.
 pub async fn interrupted() {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut interrupt), Ok(mut terminate)) =
@@ -241,15 +244,15 @@
     let heartbeat = tokio::spawn(clock.clone().run_heartbeat());
     let fleet = Fleet::start(scenario, &options.kind, seed, &clock, recorder).await?;
     let clients = Clients::new(&fleet.targets, scenario.load.clone(), seed, &clock, recorder.clone());
-    let start = MonotonicClock::now() + START_MARGIN_US;
-    fleet.note("load");
+    let start = MonotonicClock::now() + LOAD_START_DELAY_US;
+    fleet.record_fault_event("load");
     let mut steps = spawn_steps(scenario, &fleet, &clients, start);
     let views = tokio::spawn(fleet.clone().watch_views());
     let progress = options.progress.then_some(scenario.load.for_ms);
     let watch = tokio::spawn(watch_nodes(fleet.clone(), clients.clone(), start, progress));
     clients.play(planned, start).await;
-    fleet.note("load ended");
-    // Steps without an end are cut off.
+    fleet.record_fault_event("load ended");
+    // Don't wait for steps without an end: they are aborted below.
     let endless = scenario.steps.iter().any(|step| step.duration.is_zero());
     if !endless {
         while steps.join_next().await.is_some() {}
@@ -269,7 +272,7 @@
     Ok(store_queries)
 }
 
-/// Spawns each step at its time.
+/// Spawns a task for each step, which begins at the step's time after `start` (in microseconds).
 fn spawn_steps(scenario: &Scenario, fleet: &Arc<Fleet>, clients: &Arc<Clients>, start: u64) -> JoinSet<()> {
     let mut steps = JoinSet::new();
     for step in scenario.steps.clone() {
@@ -283,12 +286,13 @@
     steps
 }
 
-/// Records nodes that end by themselves, and shows progress through a load of so many milliseconds.
+/// Records nodes that end by themselves. If `progress` is the duration of the load in milliseconds, prints
+/// progress.
 async fn watch_nodes(fleet: Arc<Fleet>, clients: Arc<Clients>, start: u64, progress: Option<u64>) {
-    for turn in 1.. {
-        tokio::time::sleep(WATCH_PERIOD).await;
+    for check in 1.. {
+        tokio::time::sleep(NODE_CHECK_INTERVAL).await;
         fleet.check_nodes();
-        let Some(load_ms) = progress.filter(|_| turn % PROGRESS_TURNS == 0) else { continue };
+        let Some(load_ms) = progress.filter(|_| check % CHECKS_PER_PROGRESS_LINE == 0) else { continue };
         let now_s = (MonotonicClock::now().saturating_sub(start) / 1_000) as f64 / 1e3;
         let load_s = load_ms as f64 / 1e3;
         let _ = writeln!(io::stderr(), "  {now_s:.0} of {load_s:.0} s, {} asked", clients.asked());
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario: a fleet, a load, faults on a timeline, and what is expected of it.
+//! A scenario: a fleet, a load, faults on a timeline, and expectations of the run's figures.
 
 mod action;
 mod expectation;
@@ -19,85 +19,85 @@
 pub use self::expectation::{Comparison, Expectation, ExpectationError, FIGURES};
 pub use self::members::{FaultyMemberSpec, MembershipBounds, MembershipSpec};
 
-/// The name of discovery in scenarios.
+/// Name by which scenarios refer to discovery.
 pub const DISCOVERY: &str = "discovery";
-/// The zone where a scenario names none.
-const ONLY_ZONE: &str = "a";
+/// Zone of all servers and nodes if a scenario names none.
+const DEFAULT_ZONE: &str = "a";
 
-/// A scenario.
+/// A scenario, as read from its TOML text.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// What it shows.
+    /// Description of what the scenario shows.
     pub about: String,
-    /// Its seed, where none is given.
+    /// Seed of a run that sets none.
     pub seed: u64,
-    /// The number of nodes.
+    /// Number of nodes, 1 to 400.
     pub nodes: usize,
-    /// The number of cache servers.
+    /// Number of cache servers, 1 to 200.
     pub caches: usize,
-    /// The figures of each cache server; names are set for each.
+    /// Capacity and behaviour of the cache servers; name and zone are set for each server.
     pub cache: CacheSpec,
-    /// The origin's figures.
+    /// Capacity and behaviour of the origin.
     pub origin: OriginSpec,
-    /// The store of record in the origin's place, where there is one.
+    /// Store of record in the place of the origin; `None` if the origin is used.
     pub store: Option<StoreSpec>,
-    /// The share of the keys, the most popular first, that caches hold at the start.
+    /// Share of the keys, the most popular first, that caches hold at the start.
     pub warm_keys: f64,
-    /// Zones. Nodes and caches are assigned to them in turn; the origin is in the first.
+    /// Names of the zones. Nodes and caches are assigned to them in turn; the origin is in the first.
     pub zones: Vec<String>,
-    /// The shortest delay between two zones one way, in microseconds.
+    /// Shortest one-way delay between two zones, in microseconds.
     pub min_zone_delay_us: u64,
-    /// The longest delay between two zones one way, in microseconds.
+    /// Longest one-way delay between two zones, in microseconds.
     pub max_zone_delay_us: u64,
-    /// The delay after which discovery learns of a change.
+    /// Delay after which discovery reports a change.
     pub discovery_delay: Duration,
-    /// Discovery's figures.
+    /// Capacity and behaviour of discovery.
     pub discovery: DiscoverySpec,
     /// Whether nodes watch the endpoint list instead of polling it.
     pub pushed: bool,
-    /// Attempts of a request, at most; 0: no limit.
+    /// Largest number of attempts of a request; 0 for no limit.
     pub max_attempts: u32,
     /// Whether hedged requests may be sent.
     pub hedging: bool,
-    /// Sockets of each node.
+    /// Limit on the sockets of each node, 32 to 1,024.
     pub sockets: u64,
-    /// Memory of each node, in megabytes.
+    /// Memory limit of each node, in megabytes.
     pub memory_mb: u64,
-    /// The load.
+    /// Load of the clients.
     pub load: Load,
     /// Each tenant's share of the fleet's capacity, in the order of the load's tenants.
     pub tenant_shares: Vec<f64>,
     /// A tenant's quota, as a multiple of its share of the rate.
     pub quota: f64,
-    /// The part of its time that the short form takes.
+    /// Factor by which the short form scales all times, 0.05 to 1.
     pub short: f64,
-    /// What must hold of the short form besides the rules.
+    /// Expectations of the short form, besides the audit rules.
     pub short_expects: Vec<Expectation>,
-    /// Faults, in the order of their times.
+    /// Steps, in the order of their times.
     pub steps: Vec<Step>,
-    /// What must hold besides the rules.
+    /// Expectations besides the audit rules.
     pub expects: Vec<Expectation>,
-    /// Membership among the nodes, where there is any.
+    /// Membership among the nodes; `None` if it is disabled.
     pub membership: Option<MembershipSpec>,
-    /// Whether nodes that start together limit their first attempts; off in a control run.
+    /// Whether nodes that start together limit their first attempts; `false` in a control run.
     pub startup_limit: bool,
 }
 
-/// A store of record in the origin's place: a PostgreSQL emulator behind the nodes' own store.
+/// A store of record in the place of the origin: a PostgreSQL emulator, or a SQLite file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSpec {
-    /// A SQLite file in place of PostgreSQL. Nothing outside the nodes sees its commits, so that such a fleet is for
-    /// trying out and not for the auditor.
+    /// Whether a SQLite file is used instead of the PostgreSQL emulator. Nothing outside the nodes observes
+    /// its commits, so the history of such a fleet can't be audited.
     pub sqlite: bool,
-    /// The timeout of a call, in milliseconds.
+    /// Timeout of a call, in milliseconds.
     pub call_timeout_ms: u64,
-    /// How long caches hold copies, in milliseconds.
+    /// Lifetime of copies in caches, in milliseconds.
     pub copy_lifetime_ms: u64,
     /// Whether a write's receipt waits until no cache holds an older copy.
     pub waits_for_placement: bool,
-    /// Keys that it holds at the start, the most popular first.
+    /// Number of keys that the store holds at the start, the most popular first.
     pub preloaded_keys: usize,
     /// Whether nodes fill caches and invalidate their copies.
     pub fills_caches: bool,
@@ -105,25 +105,26 @@
     pub shares_fetches: bool,
 }
 
-/// A cache server that starts in the course of a scenario.
+/// A cache server that starts during a scenario and replaces another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Successor {
-    /// The number of the server whose place it takes.
+    /// Number of the replaced server.
     pub replaces: usize,
-    /// Its name.
+    /// Name of the successor.
     pub name: String,
 }
 
 impl Scenario {
-    /// Reads a scenario.
+    /// Parses a scenario from TOML.
     ///
     /// # Errors
-    /// All that is wrong with it, in the order of the text.
+    /// All errors in the text, in its order.
     pub fn parse(text: &str) -> Result<Scenario, Vec<ConfigError>> {
         read::scenario(text)
     }
 
-    /// Its short form: all times of the load and of the steps scaled down, the expectations replaced.
+    /// Returns the short form: all times of the load and of the steps scaled by `short`, and the expectations
+    /// replaced by `short_expects`.
     pub fn shortened(&self) -> Scenario {
         let scale = |time: Duration| time.mul_f64(self.short);
         let scale_ms = |ms: u64| (ms as f64 * self.short) as u64;
@@ -141,19 +142,19 @@
         short
     }
 
-    /// The zone of a node or a cache server.
+    /// Returns the zone of a node or a cache server.
     pub fn zone(&self, number: usize) -> String {
         let index = number.checked_rem(self.zones.len());
-        index.map_or_else(|| ONLY_ZONE.into(), |index| self.zones[index].clone())
+        index.map_or_else(|| DEFAULT_ZONE.into(), |index| self.zones[index].clone())
     }
 
-    /// All zones; one where the scenario names none.
+    /// Returns the names of all zones; one if the scenario names none.
     pub fn all_zones(&self) -> Vec<String> {
         (0..self.zones.len().max(1)).map(|number| self.zone(number)).collect()
     }
 
-    /// The round trips from a zone to the nodes of others, in microseconds: delays are spread evenly over the pairs of
-    /// zones.
+    /// Returns the round-trip time from a zone to each node in another zone, in microseconds. Delays are
+    /// spread evenly over the pairs of zones.
     pub fn round_trips(&self, zone: &str, nodes: &[String]) -> BTreeMap<String, u64> {
         let zones = self.all_zones();
         let index = |zone: &str| zones.iter().position(|known| known == zone).unwrap_or(0);
@@ -163,7 +164,7 @@
         elsewhere.map(|(name, to)| (name.clone(), 2 * self.zone_delay_us(from, to, zones.len()))).collect()
     }
 
-    /// The delay between two different zones one way, in microseconds.
+    /// Returns the one-way delay between two different zones, in microseconds.
     fn zone_delay_us(&self, one: usize, other: usize, zones: usize) -> u64 {
         let pairs = zones * zones.saturating_sub(1) / 2;
         let (low, high) = (one.min(other), one.max(other));
@@ -172,7 +173,7 @@
         self.min_zone_delay_us + range * pair as u64 / (pairs.max(2) as u64 - 1)
     }
 
-    /// Cache servers that start in the course of it.
+    /// Returns the cache servers that start during the scenario.
     pub fn successors(&self) -> Vec<Successor> {
         let successor = |step: &Step| match &step.action {
             Action::Replace { server, successor } => {
@@ -188,17 +189,17 @@
     }
 }
 
-/// The name of the cache server that takes another's place.
+/// Returns the name of the cache server that replaces `server`.
 pub fn successor_name(server: &str) -> String {
     format!("{server}-next")
 }
 
-/// The name of a node.
+/// Returns the name of a node.
 pub fn node_name(number: usize) -> String {
     format!("n{number}")
 }
 
-/// The name of a cache server.
+/// Returns the name of a cache server.
 pub fn cache_name(number: usize) -> String {
     format!("cache-{number}")
 }
--- a/crates/stonevane-lab/src/scenario/action.rs
+++ b/crates/stonevane-lab/src/scenario/action.rs
@@ -1,4 +1,4 @@
-//! The steps of a scenario and what they do.
+//! Steps of a scenario and their actions.
 
 use std::time::Duration;
 
@@ -8,12 +8,14 @@
 
 use super::node_name;
 
-/// Nodes by name, or by a word for some of them: `nodes`, `first-half`, `second-half`, `every-3` and the like.
+/// Selects nodes by name or by a word: `nodes` (all), `first-half`, `second-half`, or `every-N` such as
+/// `every-3` (every Nth node, starting with the first).
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct NodeSelector(pub Vec<String>);
 
 impl NodeSelector {
-    /// The numbers of the selected nodes among so many; names of servers select none.
+    /// Returns the numbers of the selected nodes in a fleet of `nodes` nodes, ascending. Names of servers
+    /// select none.
     pub fn numbers(&self, nodes: usize) -> Vec<usize> {
         let mut numbers: Vec<usize> = self.0.iter().flat_map(|word| select(word, nodes)).collect();
         numbers.sort_unstable();
@@ -21,12 +23,12 @@
         numbers
     }
 
-    /// The names of the selected nodes among so many.
+    /// Returns the names of the selected nodes in a fleet of `nodes` nodes.
     pub fn names(&self, nodes: usize) -> Vec<String> {
         self.numbers(nodes).into_iter().map(node_name).collect()
     }
 
-    /// Whether a word selects some nodes.
+    /// Returns whether a word is a selector other than a node's name.
     pub(super) fn is_word(word: &str) -> bool {
         let every =
             |word: &str| word.strip_prefix("every-").is_some_and(|n| n.parse::<usize>().is_ok_and(|n| n > 0));
@@ -46,118 +48,118 @@
     }
 }
 
-/// What is done to nodes.
+/// Action on a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NodeAction {
-    /// They are killed, and restart with the list of their start.
+    /// Kills the node, which restarts with its initial server list.
     Kill,
-    /// They get SIGTERM, and restart once they have ended.
+    /// Sends SIGTERM. The node restarts once it has ended.
     Terminate,
-    /// Their processes are paused.
+    /// Pauses the process.
     Pause,
-    /// They get this share of their time, in slices of a tenth of a second.
+    /// Limits the process to this share of the time, in periods of 100 ms.
     Slow(f64),
 }
 
-/// Something that is done at a time.
+/// An action at a time of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// When, from the start of the load.
+    /// Time from the start of the load.
     pub at: Duration,
-    /// For how long; zero: to the end.
+    /// Duration; zero if the step lasts to the end of the load.
     pub duration: Duration,
-    /// What.
+    /// Action of the step.
     pub action: Action,
-    /// The words of the scenario, for the history and the chart.
+    /// Label in the history and the chart: the scenario's words for the action and its targets.
     pub label: String,
 }
 
-/// What a step does.
+/// Action of a step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// A server has a fault.
     ServerFault {
-        /// Its name.
+        /// Name of the server.
         server: String,
-        /// The fault.
+        /// Fault to inject.
         fault: Fault,
-        /// The node that sees it; `None` for all nodes.
+        /// Node that observes the fault; `None` for all nodes.
         node: Option<String>,
     },
-    /// A cache server drains, and is gone at the step's end.
+    /// A cache server drains, and is dead at the end of the step.
     Drain(String),
-    /// A cache server drains and is gone at the step's end, while a cold one takes its place.
+    /// A cache server drains and is dead at the end of the step, while a cold one replaces it.
     Replace {
-        /// The name of the old one.
+        /// Name of the server that drains.
         server: String,
-        /// The name of the new one.
+        /// Name of the server that replaces it.
         successor: String,
     },
     /// The origin stops all work.
     OriginStop,
     /// The store of record has a fault.
     StoreFault(PgFault),
-    /// Something is done to nodes.
+    /// An action on nodes.
     Nodes {
-        /// To which.
+        /// Nodes that are affected.
         nodes: NodeSelector,
-        /// What.
+        /// Action on each node.
         action: NodeAction,
-        /// Each begins this long after the one before.
+        /// Delay of each node's action after the previous node's.
         stagger: Duration,
     },
-    /// What some send does not reach others: datagrams between nodes; between nodes and servers or discovery the whole
-    /// connection, or what is answered.
+    /// Traffic from some endpoints doesn't reach others. Between nodes, datagrams are dropped. Between a node
+    /// and a server or discovery, either requests get no answer at all, or answers break off.
     Cut {
-        /// From whom.
+        /// Names of the senders: nodes, servers or discovery.
         from: Vec<String>,
-        /// To whom.
+        /// Names of the receivers: nodes, servers or discovery.
         to: Vec<String>,
     },
     /// Nodes receive forged datagrams.
     Forge {
-        /// Which nodes.
+        /// Nodes that receive them.
         nodes: NodeSelector,
-        /// Datagrams per second for each.
+        /// Datagrams per second to each node.
         per_s: u64,
     },
-    /// A node starts with an old list of peers, and gets the present one at the step's end.
+    /// A node restarts with an outdated list of peers, and reloads the current one at the end of the step.
     OldPeers {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// The number of nodes, the last ones, that the list lacks.
+        /// Number of nodes, counted from the last, that the list lacks.
         missing: usize,
-        /// Nodes that it has at an address where nobody is.
+        /// Nodes for which the list has an unused address.
         moved: NodeSelector,
     },
     /// Discovery has a fault.
     DiscoveryFault(DiscoveryFault),
-    /// Discovery learns of changes after this delay.
+    /// Discovery reports changes after this delay.
     DiscoveryDelay(Duration),
-    /// The clock of discovery's reports steps, by milliseconds.
+    /// The clock of discovery's reports steps by this many milliseconds; negative steps go back.
     DiscoveryClock(i64),
     /// Datagrams between nodes are lost, duplicated and delayed.
     Network {
-        /// From whom; nobody named: from all.
+        /// Senders; empty for all nodes.
         from: NodeSelector,
-        /// To whom; nobody named: to all.
+        /// Receivers; empty for all nodes.
         to: NodeSelector,
-        /// The share that is lost.
+        /// Share of datagrams that is lost.
         loss: f64,
-        /// The share that is duplicated.
+        /// Share of datagrams that is duplicated.
         duplicate: f64,
-        /// The shortest delay.
+        /// Shortest delay of a datagram.
         min_delay: Duration,
-        /// The longest delay.
+        /// Longest delay of a datagram.
         max_delay: Duration,
     },
     /// Nodes and servers of different groups can't reach each other.
     Partition(Vec<Vec<String>>),
     /// Idle connections are opened to a node.
     Flood {
-        /// The node.
+        /// Number of the node.
         node: usize,
-        /// How many.
+        /// Number of connections.
         count: usize,
     },
 }
--- a/crates/stonevane-lab/src/scenario/expectation.rs
+++ b/crates/stonevane-lab/src/scenario/expectation.rs
@@ -1,8 +1,8 @@
-//! Expectations: a figure, a comparison and a bound.
+//! Expectations of a run: a figure, a comparison and a bound.
 
 use stonevane_config::suggest;
 
-/// The figures that can be expected.
+/// Names of the figures that an expectation may use.
 pub const FIGURES: [&str; 26] = [
     "asked",
     "served",
@@ -32,30 +32,31 @@
     "recovery_ms",
 ];
 
-/// What is expected of a figure.
+/// Expected range of a figure.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Expectation {
-    /// The figure.
+    /// Name of the figure, one of [`FIGURES`].
     pub figure: String,
-    /// How it is compared.
+    /// Comparison of the figure with the bound.
     pub comparison: Comparison,
-    /// Its bound.
+    /// Bound of the figure; finite.
     pub bound: f64,
 }
 
-/// How a figure is compared with its bound.
+/// Comparison of a figure with a bound.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
-    /// It is this or more.
+    /// The figure is the bound or more, written `>=`.
     AtLeast,
-    /// It is this or less.
+    /// The figure is the bound or less, written `<=`.
     AtMost,
-    /// It is this.
+    /// The figure is the bound, written `=`.
     Equal,
 }
 
 impl Comparison {
-    /// In the order in which they are looked for: `=` is part of the others.
+    /// All comparisons in the order in which a line is searched for them: `=` last, as it is part of the
+    /// other signs.
     const ALL: [Comparison; 3] = [Comparison::AtLeast, Comparison::AtMost, Comparison::Equal];
 
     fn sign(self) -> &'static str {
@@ -67,19 +68,19 @@
     }
 }
 
-/// Why a line is no expectation.
+/// Error in the text of an expectation.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ExpectationError {
-    /// It has no comparison.
-    #[error("`{0}` is not like `served >= 0.9`")]
+    /// The text has no comparison.
+    #[error("`{0}` has no comparison (`>=`, `<=` or `=`); write an expectation like `served >= 0.9`")]
     Form(String),
-    /// Its bound is no number.
-    #[error("`{0}` is no number")]
+    /// The bound is not a finite number.
+    #[error("the bound `{0}` is not a finite number; write an expectation like `served >= 0.9`")]
     Bound(String),
     /// There is no such figure.
     #[error("there is no figure `{figure}`{}", suggest(figure, &FIGURES))]
     UnknownFigure {
-        /// The unknown name.
+        /// The name as written.
         figure: String,
     },
 }
@@ -91,7 +92,7 @@
 }
 
 impl Expectation {
-    /// Whether a figure is as expected.
+    /// Returns whether a figure meets the expectation.
     pub fn holds(&self, figure: f64) -> bool {
         match self.comparison {
             Comparison::AtLeast => figure >= self.bound,
@@ -100,10 +101,10 @@
         }
     }
 
-    /// Reads a line like `served >= 0.9`.
+    /// Parses an expectation like `served >= 0.9`.
     ///
     /// # Errors
-    /// [`ExpectationError`] where it is none.
+    /// [`ExpectationError`] if the text is not a valid expectation.
     pub fn parse(text: &str) -> Result<Expectation, ExpectationError> {
         let split = |comparison: Comparison| Some((comparison, text.split_once(comparison.sign())?));
         let found = Comparison::ALL.into_iter().find_map(split);
--- a/crates/stonevane-lab/src/scenario/members.rs
+++ b/crates/stonevane-lab/src/scenario/members.rs
@@ -1,4 +1,4 @@
-//! Membership among the nodes of a scenario.
+//! Membership settings of a scenario and the bounds that the audit applies.
 
 use std::time::Duration;
 
@@ -6,52 +6,53 @@
 
 use super::NodeSelector;
 
-/// Nodes for each further period that convergence may take.
+/// Number of members for which the convergence bound grows by one protocol period.
 const NODES_PER_CONVERGENCE_PERIOD: u64 = 12;
 
-/// Membership among the nodes.
+/// Membership settings of a scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MembershipSpec {
-    /// The protocol period.
+    /// Protocol period.
     pub period: Duration,
-    /// Whether nodes share a key.
+    /// Whether nodes authenticate datagrams with a shared key.
     pub authenticated: bool,
-    /// Whether nodes heed their own health.
-    pub heeds_health: bool,
+    /// Whether nodes adapt to their own local health.
+    pub uses_local_health: bool,
     /// Nodes that send messages of version 1, as before an upgrade.
     pub version_1_nodes: NodeSelector,
-    /// The bounds that it is held to, before the number of nodes is added.
+    /// Bounds without the part that grows with the number of members, see [`MembershipSpec::bounds_for`].
     pub bounds: MembershipBounds,
-    /// Members, the last ones, that never start: no node may hold them alive.
+    /// Number of members, counted from the last, that never start. No node may consider them alive.
     pub absent_members: usize,
-    /// A faulty member in a node's place.
+    /// Faulty member that runs in the place of a node.
     pub faulty_member: Option<FaultyMemberSpec>,
 }
 
-/// A faulty member in a node's place.
+/// A faulty member that runs in the place of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultyMemberSpec {
-    /// The node's number.
+    /// Number of the node.
     pub node: usize,
-    /// Its fault.
+    /// Fault of the membership machine.
     pub mutant: Mutant,
 }
 
 /// Bounds on membership, in protocol periods.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MembershipBounds {
-    /// Until a death is detected.
+    /// Longest time until a death is detected.
     pub detection: u64,
-    /// For which a live member may be held dead.
+    /// Longest time for which a live member may be considered dead.
     pub accuracy: u64,
-    /// Until a false suspicion is refuted.
+    /// Longest time until a false suspicion is refuted.
     pub refutation: u64,
-    /// Until all views agree.
+    /// Longest time until all views agree.
     pub convergence: u64,
 }
 
 impl MembershipSpec {
-    /// The bounds for a number of members: news spreads in a number of periods that grows with its logarithm.
+    /// Returns the bounds for a number of members. Gossip needs a number of periods that grows with the
+    /// logarithm of the number of members.
     pub fn bounds_for(&self, members: usize) -> MembershipBounds {
         let spread = (members.max(2) as f64).log2().ceil() as u64;
         let base = self.bounds;
--- a/crates/stonevane-lab/src/scenario/read.rs
+++ b/crates/stonevane-lab/src/scenario/read.rs
@@ -1,4 +1,4 @@
-//! Reads the file of a scenario.
+//! Parses the TOML text of a scenario.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
     Expectation, FaultyMemberSpec, MembershipBounds, MembershipSpec, NodeSelector, Scenario, StoreSpec,
 };
 
-/// The longest load, and the latest and longest step, in milliseconds.
-pub(super) const MAX_FOR_MS: u64 = 600_000;
+/// Longest duration of the load and of a step, and latest start of a step, in milliseconds.
+pub(super) const MAX_DURATION_MS: u64 = 600_000;
 const MAX_NODES: u64 = 400;
 const MAX_CACHES: u64 = 200;
-/// The longest time of a server's figures, in milliseconds.
+/// Longest time in the settings of a server, in milliseconds.
 const MAX_SERVER_MS: u64 = 600_000;
-/// The length of what a class writes, in bytes.
-const VALUE_LEN: usize = 24;
+/// Length of a written value, in bytes.
+const VALUE_LEN_BYTES: usize = 24;
 
 pub(super) fn scenario(text: &str) -> Result<Scenario, Vec<ConfigError>> {
     let document = Document::parse(text);
@@ -52,7 +52,7 @@
     if errors.is_empty() { Ok(scenario) } else { Err(errors) }
 }
 
-/// Reads a section, where it is there.
+/// Reads a section if the file has it.
 fn read_section(root: &Table<'_, '_>, name: &str, read: impl FnOnce(&Table<'_, '_>)) {
     if let Some(table) = root.table(name) {
         read(&table);
@@ -60,7 +60,7 @@
     }
 }
 
-/// A scenario that sets nothing but its name.
+/// Returns a scenario with the root's own keys and the defaults of all sections.
 fn defaults(root: &Table<'_, '_>) -> Scenario {
     Scenario {
         name: root.required("name"),
@@ -117,7 +117,7 @@
     read_section(table, "origin", |table| read_origin(&mut scenario.origin, table));
 }
 
-/// A time in milliseconds, as microseconds.
+/// Reads a time in milliseconds and returns it in microseconds.
 fn time_us(table: &Table<'_, '_>, key: &str, default_us: u64) -> u64 {
     1_000 * table.integer(key, default_us / 1_000, 0..=MAX_SERVER_MS)
 }
@@ -167,7 +167,7 @@
     MembershipSpec {
         period: Duration::from_millis(table.integer("period_ms", 400, 50..=10_000)),
         authenticated: table.flag("keyed", false),
-        heeds_health: table.flag("heeds_health", true),
+        uses_local_health: table.flag("heeds_health", true),
         version_1_nodes: read_version_1_nodes(table),
         bounds: MembershipBounds {
             detection: periods("detect", 16),
@@ -187,7 +187,7 @@
     let words = table.texts_or_text("speak_first");
     for (word, place) in &words {
         if !NodeSelector::is_word(word) {
-            table.error(place.clone(), format!("`{word}` is not like `nodes` or `every-3`"));
+            table.error(place.clone(), format!("`{word}` does not select nodes: `speak_first` takes `nodes`, `first-half`, `second-half` or `every-N`"));
         }
     }
     NodeSelector(words.into_iter().map(|(word, _)| word).collect())
@@ -211,7 +211,7 @@
     Load {
         classes: read_classes(table),
         per_s: number("per_s", base.per_s, 0.0..=50_000.0),
-        for_ms: integer("for_ms", base.for_ms, 100..=MAX_FOR_MS),
+        for_ms: integer("for_ms", base.for_ms, 100..=MAX_DURATION_MS),
         crowds: Vec::new(),
         keys: integer("keys", base.keys as u64, 1..=1_000_000) as usize,
         zipf: number("zipf", base.zipf, 0.0..=3.0),
@@ -224,7 +224,8 @@
     }
 }
 
-/// Reads, idempotent writes, and writes that are not idempotent: the platform has none of these.
+/// Reads the shares and deadlines of the three classes: reads, idempotent writes, and writes that are not
+/// idempotent. The last have a share of 0 by default, because the platform has no such writes.
 fn read_classes(table: Option<&Table<'_, '_>>) -> Vec<LoadClass> {
     let share = |key, default| table.map_or(default, |table| table.number(key, default, 0.0..=1.0));
     let (edits, moves) = (share("edits", 0.05), share("moves", 0.0));
@@ -238,7 +239,7 @@
         write,
         idempotent,
         retries_failures: !write || idempotent,
-        value_len: VALUE_LEN,
+        value_len: VALUE_LEN_BYTES,
     };
     vec![
         class("zone-lookup", (1.0 - edits - moves).max(0.0), read_deadline_ms, false, false),
@@ -247,7 +248,7 @@
     ]
 }
 
-/// Reads tenants with their shares, and the multiple of it that each sends.
+/// Reads tenants with their shares of the capacity, and the multiple of its share that each sends.
 fn read_tenants(scenario: &mut Scenario, tables: Vec<Table<'_, '_>>) {
     scenario.tenant_shares = scenario.load.tenants.iter().map(|tenant| tenant.share).collect();
     if tables.is_empty() {
@@ -266,7 +267,7 @@
 }
 
 fn read_crowd(table: Table<'_, '_>) -> Crowd {
-    let ms = |key| table.integer(key, 1_000, 0..=MAX_FOR_MS);
+    let ms = |key| table.integer(key, 1_000, 0..=MAX_DURATION_MS);
     let crowd =
         Crowd { at_ms: ms("at_ms"), for_ms: ms("for_ms"), times: table.number("times", 1.5, 1.0..=20.0) };
     table.finish();
--- a/crates/stonevane-lab/src/scenario/read_step.rs
+++ b/crates/stonevane-lab/src/scenario/read_step.rs
@@ -1,4 +1,4 @@
-//! Reads a step of a scenario, a `[[fault]]` table.
+//! Reads a step of a scenario from a `[[fault]]` table.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 use stonevane_emulators::discovery::DiscoveryFault;
 use stonevane_emulators::postgres::PgFault;
 
-use super::read::MAX_FOR_MS;
+use super::read::MAX_DURATION_MS;
 use super::{
     Action, DISCOVERY, NodeAction, NodeSelector, Scenario, Step, cache_name, node_name, successor_name,
 };
 
-/// The words of `do` beside the faults of a server.
+/// Values of `do` besides the names of server faults.
 const ACTIONS: [&str; 19] = [
     "drain",
     "replace",
@@ -34,9 +34,9 @@
     "partition",
     "flood",
 ];
-/// Begins the words for faults of the store of record.
+/// Prefix of the values of `do` for faults of the store of record.
 const STORE_PREFIX: &str = "store-";
-/// The longest delay of one message or call, in milliseconds.
+/// Longest delay of one message or call, in milliseconds.
 const MAX_DELAY_MS: u64 = 60_000;
 
 /// Reads one step; errors are reported to the table.
@@ -44,7 +44,7 @@
     table: &'s Table<'r, 't>,
     nodes: Vec<String>,
     caches: Vec<String>,
-    /// The caches and the origin.
+    /// Names of the caches and the origin.
     servers: Vec<String>,
     has_store: bool,
 }
@@ -59,20 +59,20 @@
 
     pub(super) fn read(&self) -> Option<Step> {
         let table = self.table;
-        let at = Duration::from_millis(table.integer("at_ms", 0, 0..=MAX_FOR_MS));
-        let duration = Duration::from_millis(table.integer("for_ms", 0, 0..=MAX_FOR_MS));
+        let at = Duration::from_millis(table.integer("at_ms", 0, 0..=MAX_DURATION_MS));
+        let duration = Duration::from_millis(table.integer("for_ms", 0, 0..=MAX_DURATION_MS));
         let word = table.required("do");
         let target = self.target_label(&word);
         let node = table.text("node");
         if node.is_some() {
-            self.known("node", &self.nodes)?;
+            self.index_of("node", &self.nodes)?;
         }
         let action = self.action(&word, node.as_ref())?;
         let label = [Some(word), target, node].into_iter().flatten().collect::<Vec<_>>().join(" ");
         Some(Step { at, duration, action, label })
     }
 
-    /// What the step's label says of its targets.
+    /// Returns the part of the step's label that names its targets.
     fn target_label(&self, word: &str) -> Option<String> {
         if !matches!(word, "cut" | "peers") {
             return self.table.text("to");
@@ -99,9 +99,10 @@
                 let (from, to) = (self.names("from"), self.names("to"));
                 Action::Cut { from: from?, to: to? }
             }
-            "forge" => {
-                Action::Forge { nodes: self.some_nodes()?, per_s: table.integer("per_s", 1_000, 1..=50_000) }
-            }
+            "forge" => Action::Forge {
+                nodes: self.target_nodes()?,
+                per_s: table.integer("per_s", 1_000, 1..=50_000),
+            },
             "old-peers" => Action::OldPeers {
                 node: self.required("to", &self.nodes)?,
                 missing: table.integer("misses", 0, 0..=self.nodes.len() as u64 / 2) as usize,
@@ -140,7 +141,7 @@
             "node-slow" => NodeAction::Slow(self.table.number("share", 0.1, 0.01..=0.9)),
             _ => return self.unknown_action(word),
         };
-        Some(Action::Nodes { nodes: self.some_nodes()?, action, stagger })
+        Some(Action::Nodes { nodes: self.target_nodes()?, action, stagger })
     }
 
     fn network(&self) -> Option<Action> {
@@ -203,8 +204,9 @@
         self.table.unknown_word("do", word, known);
     }
 
-    /// The index of a key's name among some names, where both are there.
-    fn known(&self, key: &str, names: &[String]) -> Option<usize> {
+    /// Returns the index in `names` of the name under a key. Reports an unknown name; `None` if it is unknown
+    /// or the key is absent.
+    fn index_of(&self, key: &str, names: &[String]) -> Option<usize> {
         let name = self.table.text(key)?;
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
         let found = names.iter().position(|known| *known == name);
@@ -215,20 +217,20 @@
         found
     }
 
-    /// The same for a key that must be there.
+    /// Does the same as [`Self::index_of`] for a required key, whose absence is reported.
     fn required(&self, key: &str, names: &[String]) -> Option<usize> {
         if !self.table.has(key) {
             self.table.missing(key);
         }
-        self.known(key, names)
+        self.index_of(key, names)
     }
 
     fn cache(&self) -> Option<String> {
         Some(self.caches[self.required("to", &self.caches)?].clone())
     }
 
-    /// The nodes that `to` selects: one by name, or some by a word.
-    fn some_nodes(&self) -> Option<NodeSelector> {
+    /// Returns the nodes that `to` selects: one by name, or several by a word.
+    fn target_nodes(&self) -> Option<NodeSelector> {
         let word = match self.table.text("to") {
             Some(word) if NodeSelector::is_word(&word) => word,
             _ => self.nodes[self.required("to", &self.nodes)?].clone(),
@@ -236,13 +238,14 @@
         Some(NodeSelector(vec![word]))
     }
 
-    /// The nodes of a key that may be left out.
+    /// Returns the nodes that an optional key selects.
     fn selector(&self, key: &str) -> Option<NodeSelector> {
         let names = if self.table.has(key) { self.names(key)? } else { Vec::new() };
         Some(NodeSelector(names))
     }
 
-    /// Names in a list or alone: of nodes, of servers, or words for some nodes.
+    /// Reads a name or a list of names from a required key: nodes, servers, discovery, or words that select
+    /// nodes.
     fn names(&self, key: &str) -> Option<Vec<String>> {
         if !self.table.has(key) {
             self.table.missing(key);
--- a/crates/stonevane-lab/src/stub.rs
+++ b/crates/stonevane-lab/src/stub.rs
@@ -1,5 +1,5 @@
-//! Stub nodes: a correct one, and one for each way of breaking a rule. They exist so that the auditor can be seen to
-//! catch, over real sockets, what it must, and nothing else.
+//! Stub nodes: a correct one, and one for each [`NodeFault`]. Tests use them to show that the auditor detects
+//! each rule violation over real sockets, and reports nothing else.
 
 mod fault;
 mod memory;
@@ -18,63 +18,64 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use self::memory::Memory;
-use self::upstream::{CacheAnswer, ask_cache, ask_origin, follow_endpoints};
+use self::memory::StubState;
+use self::upstream::{CacheAnswer, follow_endpoints, send_to_cache, send_to_origin};
 
 pub use self::fault::NodeFault;
 
-/// What is left of a request's deadline for the answer's way back, in milliseconds.
+/// Part of a request's deadline reserved for sending the answer, in milliseconds.
 const ANSWER_MARGIN_MS: u64 = 20;
-/// How far past the deadline [`NodeFault::AnswersLate`] answers, in milliseconds.
-const LATE_MS: u64 = 120;
-/// The pause before a listener tries again to bind its address.
+/// Time after the deadline at which [`NodeFault::AnswersLate`] answers, in milliseconds.
+const LATENESS_MS: u64 = 120;
+/// Pause before a listener tries again to bind its address.
 const REBIND_PAUSE: Duration = Duration::from_millis(2);
-/// Additional reads of [`NodeFault::Floods`]: more than a cold server can do.
-const FLOOD: usize = 80;
-/// Additional reads of [`NodeFault::FloodsTogether`]: too much from two nodes only.
-const SHARED_FLOOD: usize = 20;
-/// Additional reads of [`NodeFault::AsksTooOften`].
+/// Extra reads that [`NodeFault::Floods`] sends: more than the capacity of a cold server.
+const FLOOD_READS: usize = 80;
+/// Extra reads that [`NodeFault::FloodsTogether`] sends: those of one node are within the capacity of a cold
+/// server, those of two nodes exceed it.
+const SHARED_FLOOD_READS: usize = 20;
+/// Extra attempts that [`NodeFault::ExceedsAttemptLimit`] makes.
 const EXCESS_ATTEMPTS: usize = 4;
 
-/// A cache as one node sees it.
+/// A cache server with its address for one node.
 #[derive(Debug, Clone)]
 pub struct KnownCache {
-    /// Its name.
+    /// Name of the cache server.
     pub name: String,
-    /// Its address.
+    /// Address at which this node reaches it.
     pub address: SocketAddr,
 }
 
-/// A stub node and what it knows.
+/// Configuration of a stub node.
 #[derive(Debug, Clone)]
 pub struct StubNode {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub listen: SocketAddr,
-    /// The caches.
+    /// Cache servers, in the order in which keys are assigned to them.
     pub caches: Vec<KnownCache>,
-    /// The origin.
+    /// Address of the origin.
     pub origin: SocketAddr,
-    /// Where it watches the endpoint list.
+    /// Address of discovery, where the node watches the endpoint list.
     pub discovery: SocketAddr,
 }
 
 impl StubNode {
-    /// Serves until it is terminated.
+    /// Serves clients until `terminate` holds `true`.
     pub async fn run(self, fault: NodeFault, mut terminate: watch::Receiver<bool>) {
         let listener = loop {
-            // The previous incarnation may hold the address for a moment yet.
+            // The previous incarnation may still hold the address for a moment.
             match TcpListener::bind(self.listen).await {
                 Ok(listener) => break listener,
                 Err(_) if *terminate.borrow() || terminate.has_changed().is_err() => return,
                 Err(_) => tokio::time::sleep(REBIND_PAUSE).await,
             }
         };
-        let memory: Arc<Mutex<Memory>> = Arc::default();
+        let state: Arc<Mutex<StubState>> = Arc::default();
         let terminated = terminate.clone();
-        let watch = tokio::spawn(follow_endpoints(self.discovery, memory.clone()));
-        let server = Arc::new(Server { node: self, fault, memory });
+        let watch = tokio::spawn(follow_endpoints(self.discovery, state.clone()));
+        let server = Arc::new(Server { node: self, fault, state });
         loop {
             tokio::select! {
                 _ = terminate.wait_for(|terminate| *terminate) => break,
@@ -92,7 +93,7 @@
 struct Server {
     node: StubNode,
     fault: NodeFault,
-    memory: Arc<Mutex<Memory>>,
+    state: Arc<Mutex<StubState>>,
 }
 
 impl Server {
@@ -128,7 +129,7 @@
         let fetched = tokio::time::timeout(timeout, self.fetch(request, words)).await;
         let value = fetched.ok().flatten().map(|value| self.answered_value(request, value));
         if self.fault == NodeFault::AnswersLate {
-            tokio::time::sleep(Duration::from_millis(request.deadline_ms + LATE_MS)).await;
+            tokio::time::sleep(Duration::from_millis(request.deadline_ms + LATENESS_MS)).await;
         }
         let mut answer = BytesMut::new();
         match value {
@@ -141,14 +142,14 @@
         answer
     }
 
-    /// The value that the client gets for the one that was fetched.
+    /// Returns the value sent to the client, which depends on the fault and the fetched value.
     fn answered_value(&self, request: &Request, fetched: Bytes) -> Bytes {
-        let mut memory = lock(&self.memory);
-        let previous = memory.last_value.replace(fetched.clone());
+        let mut state = lock(&self.state);
+        let previous = state.last_value.replace(fetched.clone());
         match self.fault {
             NodeFault::OtherValue => previous.unwrap_or(fetched),
             NodeFault::StaleValue if !request.write => {
-                memory.values.entry(request.key.clone()).or_insert(fetched).clone()
+                state.values.entry(request.key.clone()).or_insert(fetched).clone()
             }
             _ => fetched,
         }
@@ -170,9 +171,9 @@
             NodeFault::OtherBody => value = Bytes::from_static(b"another"),
             _ => {}
         }
-        let receipt = ask_origin(self.node.origin, request, &facts, &value).await;
+        let receipt = send_to_origin(self.node.origin, request, &facts, &value).await;
         if self.fault == NodeFault::ResendsUnsafe && request.token.is_empty() {
-            return ask_origin(self.node.origin, request, &facts, &value).await;
+            return send_to_origin(self.node.origin, request, &facts, &value).await;
         }
         receipt
     }
@@ -182,49 +183,52 @@
         let mut words = words.to_vec();
         match self.fault {
             NodeFault::MixesKeys => {
-                let previous = lock(&self.memory).last_key.replace(words[1].clone());
+                let previous = lock(&self.state).last_key.replace(words[1].clone());
                 words[1] = previous.unwrap_or_else(|| words[1].clone());
             }
-            NodeFault::Invents => {
-                let mut invented = words.clone();
-                invented[2] = Bytes::from(format!("{}-again", request.id));
-                ask_cache(server, &invented).await;
+            NodeFault::SendsUnrequested => {
+                let mut unrequested = words.clone();
+                unrequested[2] = Bytes::from(format!("{}-again", request.id));
+                send_to_cache(server, &unrequested).await;
             }
-            NodeFault::AsksTooOften => {
+            NodeFault::ExceedsAttemptLimit => {
                 for _ in 0..EXCESS_ATTEMPTS {
-                    ask_cache(server, &words).await;
+                    send_to_cache(server, &words).await;
                 }
             }
-            NodeFault::Floods => self.flood(&words, FLOOD).await,
-            NodeFault::FloodsTogether => self.flood(&words, SHARED_FLOOD).await,
+            NodeFault::Floods => self.flood(&words, FLOOD_READS).await,
+            NodeFault::FloodsTogether => self.flood(&words, SHARED_FLOOD_READS).await,
             _ => {}
         }
-        match ask_cache(server, &words).await {
+        match send_to_cache(server, &words).await {
             CacheAnswer::Value(value) => Some(value),
-            // The origin has it, also where the cache was busy.
-            CacheAnswer::NoValue => ask_origin(self.node.origin, request, facts, b"").await,
+            // The origin has the value; the cache missed or was busy.
+            CacheAnswer::NoValue => send_to_origin(self.node.origin, request, facts, b"").await,
             CacheAnswer::Unreachable => None,
         }
     }
 
-    /// The cache that is asked for a key: its own, or the next that is not away.
+    /// Returns the cache to which a read of a key is sent: the key's own, or the next one in order that is
+    /// available.
     fn cache_for(&self, key: &str) -> Option<SocketAddr> {
         let caches = &self.node.caches;
         let own = (u64::from_str_radix(key, 16).unwrap_or(0) >> 7) as usize % caches.len();
-        let away = lock(&self.memory).away.clone();
-        let usable =
-            |cache: &&KnownCache| self.fault == NodeFault::IgnoresDrains || !away.contains(&cache.name);
+        let unavailable = lock(&self.state).unavailable.clone();
+        let usable = |cache: &&KnownCache| {
+            self.fault == NodeFault::IgnoresDrains || !unavailable.contains(&cache.name)
+        };
         let mut order = (0..caches.len()).map(|offset| &caches[(own + offset) % caches.len()]);
         order.find(usable).map(|cache| cache.address)
     }
 
-    /// Sends a read many times to the first cache, which has just started where this is a fault.
+    /// Sends a read `count` times to the first cache at once. This breaks the slow-start rule if the cache is
+    /// cold.
     async fn flood(&self, words: &[Bytes], count: usize) {
         let server = self.node.caches[0].address;
         let mut reads = JoinSet::new();
         for _ in 0..count {
             let words = words.to_vec();
-            reads.spawn(async move { ask_cache(server, &words).await });
+            reads.spawn(async move { send_to_cache(server, &words).await });
         }
         while reads.join_next().await.is_some() {}
     }
--- a/crates/stonevane-lab/src/stub/fault.rs
+++ b/crates/stonevane-lab/src/stub/fault.rs
@@ -1,38 +1,38 @@
-//! Ways in which a stub node breaks a rule.
+//! Faults of stub nodes, each of which breaks one audit rule.
 
-/// A way of breaking a rule.
+/// A fault of a stub node. The variants name the broken rule first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeFault {
-    /// None.
+    /// No fault: a correct node.
     None,
     /// Final answers: answers twice.
     AnswersTwice,
     /// Final answers: answers late.
     AnswersLate,
-    /// Final answers: gives the value of another request.
+    /// Final answers: answers with the value of another request.
     OtherValue,
-    /// Final answers: caches values, and gives one that a write has made stale.
+    /// Final answers: caches values, and answers with one that a write has made stale.
     StaleValue,
     /// Final answers: drops requests in flight at SIGTERM.
     LosesAtTerm,
-    /// Duplicate effects: sends a write that is not idempotent again.
+    /// Duplicate effects: resends a write that is not idempotent.
     ResendsUnsafe,
-    /// Draining: goes on sending to a server that drains.
+    /// Draining: still sends to a server that drains.
     IgnoresDrains,
-    /// Slow start: floods a cold server alone.
+    /// Slow start: exceeds the capacity of a cold server alone.
     Floods,
-    /// Slow start: sends a cold server what is too much only together with another node.
+    /// Slow start: exceeds the capacity of a cold server only together with another node.
     FloodsTogether,
-    /// Attempt integrity: sends a read with the key of the one before.
+    /// Attempt integrity: sends a read with the key of the previous one.
     MixesKeys,
-    /// Attempt integrity: sends what no client requested.
-    Invents,
-    /// Attempt integrity: sends a write as another class.
+    /// Attempt integrity: sends a read that no client requested.
+    SendsUnrequested,
+    /// Attempt integrity: sends a write under another class.
     OtherClass,
-    /// Attempt integrity: writes another value than the client's.
+    /// Attempt integrity: writes a different value from the client's.
     OtherBody,
     /// Limits: makes too many attempts.
-    AsksTooOften,
+    ExceedsAttemptLimit,
 }
 
 impl NodeFault {
@@ -49,13 +49,13 @@
         NodeFault::Floods,
         NodeFault::FloodsTogether,
         NodeFault::MixesKeys,
-        NodeFault::Invents,
+        NodeFault::SendsUnrequested,
         NodeFault::OtherClass,
         NodeFault::OtherBody,
-        NodeFault::AsksTooOften,
+        NodeFault::ExceedsAttemptLimit,
     ];
 
-    /// The name on the command line.
+    /// Returns the name on the command line.
     pub fn name(self) -> &'static str {
         match self {
             NodeFault::None => "honest",
@@ -69,14 +69,14 @@
             NodeFault::Floods => "floods",
             NodeFault::FloodsTogether => "floods-together",
             NodeFault::MixesKeys => "mixes-keys",
-            NodeFault::Invents => "invents",
+            NodeFault::SendsUnrequested => "invents",
             NodeFault::OtherClass => "other-class",
             NodeFault::OtherBody => "other-body",
-            NodeFault::AsksTooOften => "asks-too-often",
+            NodeFault::ExceedsAttemptLimit => "asks-too-often",
         }
     }
 
-    /// The fault of a name on the command line.
+    /// Returns the fault with this name on the command line.
     pub fn from_name(name: &str) -> Option<NodeFault> {
         NodeFault::ALL.into_iter().find(|fault| fault.name() == name)
     }
--- a/crates/stonevane-lab/src/stub/memory.rs
+++ b/crates/stonevane-lab/src/stub/memory.rs
@@ -1,18 +1,18 @@
-//! What a stub node remembers between requests.
+//! State of a stub node.
 
 use std::collections::HashMap;
 
 use bytes::Bytes;
 
-/// What a stub node remembers between requests.
+/// State of a stub node that is shared by its connections.
 #[derive(Default)]
-pub(super) struct Memory {
-    /// Servers that drain or have left.
-    pub(super) away: Vec<String>,
-    /// The last value that was fetched.
+pub(super) struct StubState {
+    /// Names of servers that drain or have left.
+    pub(super) unavailable: Vec<String>,
+    /// Last value that was fetched.
     pub(super) last_value: Option<Bytes>,
-    /// The first value that was fetched of each key.
+    /// First value that was read, by key.
     pub(super) values: HashMap<String, Bytes>,
-    /// The last key that was read.
+    /// Key of the last read.
     pub(super) last_key: Option<Bytes>,
 }
--- a/crates/stonevane-lab/src/stub/upstream.rs
+++ b/crates/stonevane-lab/src/stub/upstream.rs
@@ -1,4 +1,4 @@
-//! A stub node's calls to caches, the origin and discovery.
+//! Calls of a stub node to caches, the origin and discovery.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -10,18 +10,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use super::memory::Memory;
+use super::memory::StubState;
 
-/// A cache's answer to a read.
+/// Outcome of a read sent to a cache.
 pub(super) enum CacheAnswer {
     Value(Bytes),
-    /// A miss, or an error.
+    /// A miss or an error reply.
     NoValue,
+    /// The connection failed, or the reply was malformed or incomplete.
     Unreachable,
 }
 
 /// Sends a read to a cache.
-pub(super) async fn ask_cache(server: SocketAddr, words: &[Bytes]) -> CacheAnswer {
+pub(super) async fn send_to_cache(server: SocketAddr, words: &[Bytes]) -> CacheAnswer {
     read_from_cache(server, words).await.unwrap_or(CacheAnswer::Unreachable)
 }
 
@@ -46,8 +47,8 @@
     }
 }
 
-/// Sends a read or a write to the origin; returns the body of its answer.
-pub(super) async fn ask_origin(
+/// Sends a read or a write to the origin. Returns the body of an answer with status 200.
+pub(super) async fn send_to_origin(
     origin: SocketAddr,
     request: &Request,
     facts: &str,
@@ -78,10 +79,10 @@
     }
 }
 
-/// Watches the endpoint list, and notes which servers are away.
+/// Watches the endpoint list and records which servers are unavailable.
 pub(super) async fn follow_endpoints(
     discovery: SocketAddr,
-    memory: Arc<Mutex<Memory>>,
+    state: Arc<Mutex<StubState>>,
 ) -> std::io::Result<()> {
     loop {
         let mut stream = TcpStream::connect(discovery).await?;
@@ -91,19 +92,19 @@
             while let Some(end) = text.iter().position(|byte| *byte == b'\n') {
                 let line = text.split_to(end + 1);
                 if let Ok(list) = serde_json::from_slice::<serde_json::Value>(&line) {
-                    note_statuses(&list, &mut lock(&memory));
+                    record_statuses(&list, &mut lock(&state));
                 }
             }
         }
     }
 }
 
-fn note_statuses(list: &serde_json::Value, memory: &mut Memory) {
+fn record_statuses(list: &serde_json::Value, state: &mut StubState) {
     for entry in list["endpoints"].as_array().into_iter().flatten() {
         let name = entry["name"].as_str().unwrap_or("").to_owned();
-        memory.away.retain(|other| *other != name);
+        state.unavailable.retain(|other| *other != name);
         if entry["status"] != "active" {
-            memory.away.push(name);
+            state.unavailable.push(name);
         }
     }
 }
--- a/crates/stonevane-lab/src/summary.rs
+++ b/crates/stonevane-lab/src/summary.rs
@@ -1,4 +1,4 @@
-//! Figures of a run, from its history.
+//! Figures of a run, computed from its history.
 
 mod figure;
 mod reader;
@@ -12,33 +12,32 @@
 
 use self::reader::Reader;
 
-/// The width of an interval, in microseconds.
+/// Length of an interval of a run, in microseconds.
 pub const INTERVAL_US: u64 = 250_000;
-/// The longest time that a histogram holds, in microseconds.
+/// Longest time that a histogram records, in microseconds; longer ones count as this.
 const MAX_TIME_US: u64 = 120_000_000;
-/// Significant digits of a histogram.
-const DIGITS: u8 = 3;
+/// Precision of a histogram, in significant decimal digits.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What became of one class's requests; times in milliseconds.
+/// Outcomes and response times of one class's requests. Times are those of served requests, in milliseconds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ClassFigures {
-    /// Requests.
+    /// Requests sent.
     pub asked: u64,
-    /// Answered with a value.
+    /// Requests answered with a value.
     pub served: u64,
-    /// Rejected.
+    /// Requests rejected.
     pub refused: u64,
-    /// Failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// The median time of served requests.
+    /// Median time.
     pub p50_ms: f64,
-    /// The 99th percentile.
+    /// 99th percentile of the time.
     pub p99_ms: f64,
-    /// The 99.9th percentile.
+    /// 99.9th percentile of the time.
     pub p999_ms: f64,
-    /// The percentiles 0, 2, 4 ... 100.
+    /// Percentiles 0, 2, 4 ... 100 of the time.
     pub marks_ms: Vec<f64>,
-    /// Times in microseconds.
     #[serde(skip)]
     times: Times,
 }
@@ -49,9 +48,10 @@
 
 impl Default for Times {
     fn default() -> Self {
-        // The bounds are constants that the library takes; the other histogram grows by itself.
-        Times(Histogram::new_with_bounds(1, MAX_TIME_US, DIGITS).unwrap_or_else(|_| {
-            let mut growing = Histogram::new(DIGITS).unwrap_or_else(|_| unreachable!("valid digits"));
+        // The library accepts these constant bounds; the fallback resizes itself.
+        Times(Histogram::new_with_bounds(1, MAX_TIME_US, SIGNIFICANT_DIGITS).unwrap_or_else(|_| {
+            let mut growing =
+                Histogram::new(SIGNIFICANT_DIGITS).unwrap_or_else(|_| unreachable!("valid digits"));
             growing.auto(true);
             growing
         }))
@@ -63,7 +63,7 @@
         self.0.saturating_record(us);
     }
 
-    /// A quantile in milliseconds; 0 of none.
+    /// Returns a quantile in milliseconds; 0 if no time was recorded.
     fn quantile_ms(&self, quantile: f64) -> f64 {
         match self.0.len() {
             0 => 0.0,
@@ -72,41 +72,44 @@
     }
 }
 
-/// What a server was sent, against its limit.
+/// Load on a server, relative to its limits.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ServerFigures {
-    /// Attempts.
+    /// Attempts received.
     pub attempts: u64,
     /// Attempts rejected as busy.
     pub busy: u64,
-    /// Misses.
+    /// Attempts that missed.
     pub misses: u64,
-    /// The most work in a second, as a share of its capacity.
+    /// Most work in one second, as a share of a second's capacity. For the origin, the window of its overload
+    /// rule.
     pub peak: f64,
-    /// While it warmed up: the most work in a window of the rule, as a share of what the rule allows.
+    /// Most work in one window of the slow-start rule while the server warmed up, as a share of what the rule
+    /// allows.
     pub cold_peak: f64,
-    /// Times that it became overloaded or stopped.
+    /// Number of times that the server became overloaded or stopped.
     pub falls: u64,
 }
 
-/// What happened in an interval of a run.
+/// Request outcomes and server load in one interval of a run. A request counts in the interval in which it
+/// was sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Interval {
-    /// Requests sent in it.
+    /// Requests sent in the interval.
     pub asked: u64,
-    /// Of these, how many were served.
+    /// Requests that were served.
     pub served: u64,
-    /// Of these, how many were rejected.
+    /// Requests that were rejected.
     pub refused: u64,
-    /// Of these, how many failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Work sent to the origin, as a share of its capacity.
+    /// Work sent to the origin, as a share of its capacity in the interval.
     pub origin: f64,
-    /// Work sent to the coldest server, as a share of what the rule allows.
+    /// Highest load on a server that warms up, as a share of what the slow-start rule allows.
     pub coldest: f64,
 }
 
-/// Calls to discovery. Serialized as a list of three.
+/// Counts of calls to discovery. Serialized as a list of three numbers in the order of the fields.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 3]", into = "[u64; 3]")]
 pub struct DiscoveryCalls {
@@ -114,7 +117,7 @@
     pub calls: u64,
     /// Calls that were rejected.
     pub rejected: u64,
-    /// Of these, how many followed a rejected call of the same node.
+    /// Rejected calls that followed a rejected call of the same node.
     pub rejected_again: u64,
 }
 
@@ -133,27 +136,28 @@
 /// All figures of a run.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Summary {
-    /// By class.
+    /// Figures by class name.
     pub classes: BTreeMap<String, ClassFigures>,
-    /// By server.
+    /// Figures by server name.
     pub servers: BTreeMap<String, ServerFigures>,
-    /// The intervals of the run.
+    /// Intervals of the run, each [`INTERVAL_US`] long, from the start of the load.
     pub steps: Vec<Interval>,
-    /// Faults, in seconds from the start of the load.
+    /// Faults as recorded: seconds from the start of the load, and label.
     pub faults: Vec<(f64, String)>,
-    /// From the end of the last fault until service had recovered, in milliseconds; `None` where it never did.
+    /// Time from the last recorded fault event until service had recovered, in milliseconds; `None` if it did
+    /// not.
     pub recovery_ms: Option<f64>,
     /// Attempts at all servers.
     pub attempts: u64,
     /// Calls to discovery.
     #[serde(default)]
     pub list_calls: DiscoveryCalls,
-    /// Reads of the store of record, where it is an emulator.
+    /// Reads of the store of record; `None` if it is not an emulator.
     #[serde(default)]
     pub store_queries: Option<u64>,
 }
 
-/// Figures of a history.
+/// Computes the figures of a history.
 ///
 /// # Errors
 /// [`HistoryError`] as for [`stonevane_audit::audit`].
--- a/crates/stonevane-lab/src/summary/figure.rs
+++ b/crates/stonevane-lab/src/summary/figure.rs
@@ -1,25 +1,27 @@
-//! Figures by the names that expectations use.
+//! Looks figures up by the names that expectations use.
 
 use stonevane_audit::Report;
 
 use super::{ClassFigures, INTERVAL_US, Interval, ServerFigures, Summary};
 
-/// The first moments are measured apart, as caches, nodes and connections are new then, in microseconds.
-const FIRST_US: u64 = 4_000_000;
-/// The window of `served_worst_10s`, in intervals.
-const WORST_WINDOW: usize = 40;
-/// The name of the origin in a history.
+/// Length of the startup phase, in microseconds. `served_first` and `served_after` measure it separately
+/// because caches, nodes and connections are new then.
+const STARTUP_US: u64 = 4_000_000;
+/// Length of the window of `served_worst_10s`, in intervals.
+const WORST_WINDOW_INTERVALS: usize = 40;
+/// Name of the origin in a history.
 const ORIGIN: &str = "origin";
 
 impl Summary {
-    /// A figure by the name that expectations use; `None` where there was nothing to measure.
+    /// Returns a figure by the name that expectations use; `None` if the name is unknown or nothing was
+    /// measured.
     pub fn figure(&self, name: &str, report: &Report) -> Option<f64> {
-        let first = ((FIRST_US / INTERVAL_US) as usize).min(self.steps.len());
+        let startup = ((STARTUP_US / INTERVAL_US) as usize).min(self.steps.len());
         Some(match name {
             "asked" => self.sum(|class| class.asked),
             "served" => self.per_request(self.sum(|class| class.served))?,
-            "served_first" => served_share(&self.steps[..first])?,
-            "served_after" => served_share(&self.steps[first..])?,
+            "served_first" => served_share(&self.steps[..startup])?,
+            "served_after" => served_share(&self.steps[startup..])?,
             "served_worst_10s" => self.worst_served_share()?,
             "refused" => self.per_request(self.sum(|class| class.refused))?,
             "failed" => self.per_request(self.sum(|class| class.failed))?,
@@ -53,7 +55,7 @@
         self.classes.values().map(count).sum::<u64>() as f64
     }
 
-    /// A count for each request.
+    /// Divides a count by the number of requests; `None` without requests.
     fn per_request(&self, count: f64) -> Option<f64> {
         let asked = self.sum(|class| class.asked);
         (asked > 0.0).then_some(count / asked)
@@ -69,7 +71,7 @@
     }
 
     fn worst_served_share(&self) -> Option<f64> {
-        let window = WORST_WINDOW.min(self.steps.len().max(1));
+        let window = WORST_WINDOW_INTERVALS.min(self.steps.len().max(1));
         self.steps.windows(window).filter_map(served_share).min_by(f64::total_cmp)
     }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// The share of the requests of some intervals that was served; `None` without requests.
+/// Returns the share of the intervals' requests that was served; `None` without requests.
 fn served_share(intervals: &[Interval]) -> Option<f64> {
     let asked: u64 = intervals.iter().map(|interval| interval.asked).sum();
     let served: u64 = intervals.iter().map(|interval| interval.served).sum();
--- a/crates/stonevane-lab/src/summary/reader.rs
+++ b/crates/stonevane-lab/src/summary/reader.rs
@@ -1,4 +1,4 @@
-//! Reads a history and adds its records up.
+//! Accumulates the records of a history into a [`Summary`].
 
 use std::collections::HashMap;
 
@@ -7,38 +7,38 @@
 
 use super::{INTERVAL_US, Interval, Summary};
 
-/// The percentiles of a class are this far apart.
-const MARK_PERCENT: u32 = 2;
-/// Service has recovered when this share of the requests is served again.
-const RECOVERED: f64 = 0.95;
-/// Intervals of a run, at most.
-const MAX_INTERVALS: u64 = 100_000;
-/// Faults that are listed, at most.
+/// Distance between the reported percentiles of a class, in percent.
+const PERCENTILE_STEP: u32 = 2;
+/// Service counts as recovered in the first interval in which this share of the requests is served.
+const RECOVERED_SHARE: f64 = 0.95;
+/// Largest index of an interval; later events count in this one.
+const MAX_INTERVAL_INDEX: u64 = 100_000;
+/// Largest number of faults that are listed.
 const MAX_FAULTS: usize = 1_000;
-/// The window of a server's peak, in microseconds.
+/// Length of the window of a cache's peak load, in microseconds.
 const PEAK_WINDOW_US: u64 = 1_000_000;
 
-/// A request that has no answer yet.
+/// A request that has not been answered yet.
 struct OpenRequest {
     class: String,
     sent_at: u64,
-    /// The interval in which it was sent.
+    /// Index of the interval in which it was sent.
     interval: usize,
 }
 
-/// A server and the work that it was sent.
+/// A server's capacity and recent load.
 struct ServerLoad {
     started_at: u64,
     cold_share: f64,
     warm_us: u64,
     capacity_us_per_s: f64,
     last_second: Window,
-    /// The window of the rule against overload.
+    /// Work in the window of the overload rule.
     rule_window: Window,
 }
 
 impl ServerLoad {
-    /// A server that is warm.
+    /// Returns a server that is warm from the start.
     fn warm(capacity_us_per_s: f64) -> ServerLoad {
         ServerLoad {
             started_at: 0,
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Adds an attempt to the last second; returns the second's work as a share of the capacity.
+    /// Adds an attempt to the last second. Returns that second's work as a share of a second's capacity.
     fn add_to_second(&mut self, at: u64, work_us: u64) -> f64 {
         self.last_second.add(at, work_us, PEAK_WINDOW_US) as f64 / self.capacity_us_per_s
     }
 
-    /// Adds an attempt at a server that warms up to the window of the rule; returns the window's work as a share of
-    /// what the rule allows.
+    /// Adds an attempt to the window of the slow-start rule. Returns the window's work as a share of what the
+    /// rule allows; `None` if the server is warm.
     fn add_to_cold_window(&mut self, at: u64, work_us: u64, rules: &Rules) -> Option<f64> {
         if self.warm_us == 0 || at >= self.started_at + self.warm_us {
             return None;
@@ -65,12 +65,12 @@
         let sum = self.rule_window.add(at, work_us, window_us) as f64;
         let from = at.saturating_sub(window_us).max(self.started_at);
         let (capacity, share) = (self.capacity_us_per_s, self.cold_share);
-        let able = work_capacity(capacity, share, self.started_at, self.warm_us, from, window_us);
-        Some(sum / (able * rules.overload_multiple))
+        let possible_us = work_capacity(capacity, share, self.started_at, self.warm_us, from, window_us);
+        Some(sum / (possible_us * rules.overload_multiple))
     }
 }
 
-/// Reads a history.
+/// State of reading a history.
 #[derive(Default)]
 pub(super) struct Reader {
     summary: Summary,
@@ -78,7 +78,7 @@
     load_started_at: Option<u64>,
     open_requests: HashMap<String, OpenRequest>,
     loads: HashMap<String, ServerLoad>,
-    /// By node: whether discovery rejected its last call.
+    /// Whether discovery rejected the last call, by node.
     last_call_rejected: HashMap<String, bool>,
 }
 
@@ -104,10 +104,10 @@
         }
     }
 
-    /// The index of the interval of a moment.
+    /// Returns the index of the interval that contains a time, and extends the list of intervals to it.
     fn interval(&mut self, at: u64) -> usize {
         let start = self.load_started_at.unwrap_or(at);
-        let index = (at.saturating_sub(start) / INTERVAL_US).min(MAX_INTERVALS) as usize;
+        let index = (at.saturating_sub(start) / INTERVAL_US).min(MAX_INTERVAL_INDEX) as usize;
         if self.summary.steps.len() <= index {
             self.summary.steps.resize(index + 1, Interval::default());
         }
@@ -171,7 +171,7 @@
         }
     }
 
-    /// A call to discovery.
+    /// Counts a call to discovery.
     fn call(&mut self, record: &HistoryRecord) {
         let rejected = record.state == "turned-away";
         let before = self.last_call_rejected.insert(record.node.clone(), rejected).unwrap_or(false);
@@ -203,8 +203,8 @@
             class.p50_ms = class.times.quantile_ms(0.5);
             class.p99_ms = class.times.quantile_ms(0.99);
             class.p999_ms = class.times.quantile_ms(0.999);
-            let marks = 100 / MARK_PERCENT;
-            let quantiles = (0..=marks).map(|mark| f64::from(mark) / f64::from(marks));
+            let steps = 100 / PERCENTILE_STEP;
+            let quantiles = (0..=steps).map(|step| f64::from(step) / f64::from(steps));
             class.marks_ms = quantiles.map(|quantile| class.times.quantile_ms(quantile)).collect();
         }
         self.summary.recovery_ms = recovery_ms(&self.summary);
@@ -212,13 +212,13 @@
     }
 }
 
-/// From the last fault until service had recovered.
+/// Returns the time from the last recorded fault event until service had recovered, in milliseconds.
 fn recovery_ms(summary: &Summary) -> Option<f64> {
     let faults = summary.faults.iter().filter(|(_, label)| !label.starts_with("load"));
     let last_fault_s = faults.map(|(at_s, _)| *at_s).fold(0.0, f64::max);
     let first = (last_fault_s * 1e6) as u64 / INTERVAL_US;
     let recovered = |interval: &Interval| {
-        interval.asked > 0 && interval.served as f64 >= RECOVERED * interval.asked as f64
+        interval.asked > 0 && interval.served as f64 >= RECOVERED_SHARE * interval.asked as f64
     };
     let mut intervals = summary.steps.iter().enumerate().skip(first as usize);
     let (index, _) = intervals.find(|(_, interval)| recovered(interval))?;
