--- a/crates/stonevane-scale/src/budget.rs
+++ b/crates/stonevane-scale/src/budget.rs
@@ -1,97 +1,97 @@
-//! What a node may cost for the control of its fleet, and whether it costs more.
+//! Budget for the cost per node of fleet control (membership and discovery), and the check of figures against it.
 
 use std::fmt;
 
 use crate::figures::Figures;
 use crate::limits::MIB;
 
-/// The most that a node may cost.
+/// Upper bounds on the cost of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Microseconds of processor time a second.
+    /// Microseconds of processor time per second.
     pub cpu_us_s: f64,
-    /// Resident memory, bytes.
+    /// Resident memory, in bytes.
     pub memory_bytes: u64,
-    /// Bytes a second, UDP and TCP together.
+    /// Bytes per second, UDP and TCP together.
     pub bytes_s: f64,
-    /// Seconds until a death is known to all.
+    /// Seconds from the kill of a node until all others of its domain have declared it dead.
     pub death_known_s: f64,
 }
 
 impl Default for Budget {
-    /// The budget for control: 1.7 % of a core, 64 MiB, 3 KiB a second, a death known in 8 s.
+    /// 1.7 % of a core, 64 MiB, 3 KiB per second, and a death known to all within 8 s.
     fn default() -> Self {
         Budget { cpu_us_s: 17_000.0, memory_bytes: 64 * MIB, bytes_s: 3_072.0, death_known_s: 8.0 }
     }
 }
 
-/// What a budget bounds.
+/// A quantity that a budget bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Item {
-    /// The fleet did converge at all, in the time that was given.
+pub enum BudgetItem {
+    /// Convergence within the time limit of its phase.
     Converged,
-    /// All nodes came to rest, in the time that was given.
+    /// Rest of all nodes within the time limit of its phase.
     Rested,
-    /// Processor time.
+    /// Processor time, in microseconds per node and second.
     Cpu,
-    /// Resident memory.
+    /// Resident memory, in bytes per node.
     Memory,
-    /// Bytes of UDP and TCP.
+    /// Bytes of UDP and TCP per node and second.
     Bytes,
-    /// The time until a death is known.
+    /// Seconds until a death is known to all.
     DeathKnown,
 }
 
-/// One thing that is over the budget.
+/// A quantity that exceeds its budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Excess {
-    /// What.
-    pub item: Item,
-    /// The figure; `None`: it was not reached in the time that was given.
+    /// The quantity.
+    pub item: BudgetItem,
+    /// Measured value; `None` if the phase timed out.
     pub figure: Option<f64>,
-    /// What it may be; `None`: anything that is reached.
-    pub most: Option<f64>,
+    /// Bound of the budget; `None` if the state only had to be reached.
+    pub bound: Option<f64>,
 }
 
 impl fmt::Display for Excess {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (what, unit) = match self.item {
-            Item::Converged => ("the fleet has not converged", ""),
-            Item::Rested => ("the fleet has not come to rest", ""),
-            Item::Cpu => ("processor time", " us a node and second"),
-            Item::Memory => ("memory", " bytes a node"),
-            Item::Bytes => ("UDP and TCP", " bytes a node and second"),
-            Item::DeathKnown => ("a death was known to all", " s after it"),
+            BudgetItem::Converged => ("the fleet has not converged", ""),
+            BudgetItem::Rested => ("the fleet has not come to rest", ""),
+            BudgetItem::Cpu => ("processor time", " us a node and second"),
+            BudgetItem::Memory => ("memory", " bytes a node"),
+            BudgetItem::Bytes => ("UDP and TCP", " bytes a node and second"),
+            BudgetItem::DeathKnown => ("a death was known to all", " s after it"),
         };
-        match (self.figure, self.most) {
-            (Some(figure), Some(most)) => write!(f, "{what}: {figure:.1}{unit}, budget {most:.1}"),
-            (None, Some(most)) => write!(f, "{what}: not in the time given, budget {most:.1}{unit}"),
+        match (self.figure, self.bound) {
+            (Some(figure), Some(bound)) => write!(f, "{what}: {figure:.1}{unit}, budget {bound:.1}"),
+            (None, Some(bound)) => write!(f, "{what}: not in the time given, budget {bound:.1}{unit}"),
             _ => write!(f, "{what} in the time given"),
         }
     }
 }
 
-/// All that is over the budget. What was not reached in the time that was given is over; what follows it in the run
-/// was not measured, and is not named.
+/// Returns all quantities that exceed the budget. A phase that timed out exceeds it; the later phases were not measured
+/// and are not listed.
 pub fn excesses(budget: &Budget, figures: &Figures) -> Vec<Excess> {
-    let unreached = |item| vec![Excess { item, figure: None, most: None }];
+    let unreached = |item| vec![Excess { item, figure: None, bound: None }];
     if figures.converged_s.is_none() {
-        return unreached(Item::Converged);
+        return unreached(BudgetItem::Converged);
     }
     if figures.rested_s.is_none() {
-        return unreached(Item::Rested);
+        return unreached(BudgetItem::Rested);
     }
     let bytes = figures.udp_bytes_s.zip(figures.tcp_bytes_s).map(|(udp, tcp)| udp + tcp);
     let memory = figures.memory_bytes.map(|bytes| bytes as f64);
     let bounds = [
-        (Item::Cpu, figures.cpu_us_s, budget.cpu_us_s),
-        (Item::Memory, memory, budget.memory_bytes as f64),
-        (Item::Bytes, bytes, budget.bytes_s),
-        (Item::DeathKnown, figures.death_known_s, budget.death_known_s),
+        (BudgetItem::Cpu, figures.cpu_us_s, budget.cpu_us_s),
+        (BudgetItem::Memory, memory, budget.memory_bytes as f64),
+        (BudgetItem::Bytes, bytes, budget.bytes_s),
+        (BudgetItem::DeathKnown, figures.death_known_s, budget.death_known_s),
     ];
-    let over = |(item, figure, most): (Item, Option<f64>, f64)| {
-        let within = figure.is_some_and(|figure| figure <= most);
-        (!within).then_some(Excess { item, figure, most: Some(most) })
+    let excess = |(item, figure, bound): (BudgetItem, Option<f64>, f64)| {
+        let within = figure.is_some_and(|figure| figure <= bound);
+        (!within).then_some(Excess { item, figure, bound: Some(bound) })
     };
-    bounds.into_iter().filter_map(over).collect()
+    bounds.into_iter().filter_map(excess).collect()
 }
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The run of one fleet: starts the workers and discovery, waits for one event after the other, and ends them.
+//! The run of one fleet: starts the workers and the discovery emulator, measures each phase, and ends the processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,64 +19,64 @@
 use crate::plan::Plan;
 use crate::processes::{Event, Processes};
 
-/// How often memory and signals are checked.
+/// Interval at which memory and signals are last_check.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Events of workers that may wait; their readers wait beyond that.
+/// Capacity of the event queue; the threads that read the workers' reports block while it is full.
 const EVENT_QUEUE_LENGTH: usize = 1_024;
-/// How long workers may take to open their sockets, and to answer with a sample.
+/// Limit on the time that workers take to open their sockets, to answer with a sample and to kill a node.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What a run needs of its surroundings.
+/// Resources and limits of a run.
 #[derive(Debug, Clone)]
 pub struct Environment {
-    /// The program of a worker, and its arguments: it is to call [`crate::worker::run`].
+    /// Program of a worker, and its arguments: it must call [`crate::worker::run`].
     pub worker: (PathBuf, Vec<String>),
-    /// Memory that all processes of the run may take together, in bytes.
+    /// Limit on the resident memory of all processes of the run together, in bytes.
     pub memory_limit: u64,
-    /// Descriptors that a process may have.
+    /// Limit on the file descriptors of a process.
     pub descriptors: u64,
-    /// The estimate of what a fleet needs, for the check before it starts.
+    /// Memory costs for the estimate that is last_check before the fleet starts.
     pub costs: MemoryCosts,
-    /// Ends the run before its time.
+    /// Set by SIGINT and SIGTERM; interrupts the run.
     pub interrupt: Interrupt,
 }
 
-/// Why a run gave no figures.
+/// An error that ends a run without figures.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// Such a fleet cannot be laid out.
+    /// The fleet cannot be laid out.
     #[error("{0}")]
     Layout(LayoutError),
-    /// It exceeds what this machine has; nothing was started.
+    /// The fleet would exceed the limits of this machine; nothing was started.
     #[error("{0}")]
-    NoRoom(LimitError),
-    /// It took more than it may; it was ended.
+    LimitExceeded(LimitError),
+    /// The run exceeded its memory limit and was ended.
     #[error("{0}")]
     TookTooMuch(LimitError),
-    /// A worker has ended.
+    /// A worker has failed or its process has ended.
     #[error("the worker with process number {process} has ended ({how})")]
     WorkerEnded {
-        /// Its process.
+        /// Process id of the worker.
         process: u32,
-        /// How it ended.
+        /// Error reported by the worker, or exit status of its process.
         how: String,
     },
-    /// A worker has sent what it was not asked for.
+    /// A worker has sent a malformed or an unexpected report.
     #[error("the worker with process number {process} can't be understood: {what}")]
     WorkerMalformed {
-        /// Its process.
+        /// Process id of the worker.
         process: u32,
-        /// What is wrong with it.
+        /// What is wrong with the report.
         what: String,
     },
-    /// Workers have not done in time what they do at once.
+    /// Workers have not answered within the time limit.
     #[error("the workers are too slow: {what}")]
-    WorkerSilent {
-        /// What was waited for.
+    WorkerTimeout {
+        /// The answer that is missing.
         what: &'static str,
     },
-    /// SIGINT or SIGTERM.
+    /// The process received SIGINT or SIGTERM.
     #[error("interrupted")]
     Interrupted,
     /// A process, pipe, socket or thread failed.
@@ -85,30 +85,31 @@
 }
 
 impl RunError {
-    /// Whether it is the input that can't be used: nothing was started.
+    /// Whether the input is invalid; nothing was started then.
     pub fn is_input(&self) -> bool {
-        matches!(self, RunError::Layout(_) | RunError::NoRoom(_))
+        matches!(self, RunError::Layout(_) | RunError::LimitExceeded(_))
     }
 }
 
 /// Checks that a fleet can be run here, without starting anything.
 ///
 /// # Errors
-/// It cannot.
+/// The fleet cannot be laid out or would exceed the limits.
 pub fn check(plan: &Plan, environment: &Environment) -> Result<Layout, RunError> {
     let layout = plan.layout().map_err(RunError::Layout)?;
     limits::check(&layout, &environment.costs, environment.memory_limit, environment.descriptors)
-        .map_err(RunError::NoRoom)?;
+        .map_err(RunError::LimitExceeded)?;
     Ok(layout)
 }
 
-/// Runs the fleet of a plan to its end, and reports each step; no process is left when this returns.
+/// Runs the fleet of a plan, and passes one line of text per step to `report`. No worker process is left when this
+/// returns.
 ///
-/// The figures have no value for what was not reached in the time that the plan gives to each phase; the budget's
-/// verdict is not in them yet.
+/// A figure of a phase that did not finish within [`Plan::phase`] is `None`. The caller compares the figures with the
+/// budget and sets [`Figures::within_budget`].
 ///
 /// # Errors
-/// The run gave no figures.
+/// The run ended without figures; see [`RunError`].
 pub fn run(
     plan: &Plan,
     environment: &Environment,
@@ -125,8 +126,9 @@
         report(format!("worker process {process}: nodes {} to {}", nodes.start, nodes.end - 1));
     }
     let progress = vec![Progress::default(); layout.workers() as usize];
-    let (checked, peak) = (Instant::now(), 0);
-    let mut fleet = Fleet { plan, layout, environment, processes, events, progress, checked, peak };
+    let (last_check, peak_memory_bytes) = (Instant::now(), 0);
+    let mut fleet =
+        Fleet { plan, layout, environment, processes, events, progress, last_check, peak_memory_bytes };
     let mut figures = Figures {
         nodes: layout.nodes(),
         regions: layout.regions(),
@@ -136,11 +138,14 @@
         ..Figures::default()
     };
     fleet.measure(&discovery, &mut figures, report)?;
-    report(format!("all processes had {} MiB of memory at the most", fleet.peak / limits::MIB));
+    report(format!(
+        "peak_memory_bytes memory of all processes: {} MiB",
+        fleet.peak_memory_bytes / limits::MIB
+    ));
     Ok(figures)
 }
 
-/// A fleet that runs.
+/// A running fleet.
 struct Fleet<'a> {
     plan: &'a Plan,
     layout: Layout,
@@ -148,25 +153,25 @@
     processes: Processes,
     events: Receiver<Event>,
     progress: Vec<Progress>,
-    /// When signals and memory were last checked.
-    checked: Instant,
-    /// The most resident memory that all processes had together at any check, in bytes.
-    peak: u64,
+    /// Time of the last check of signals and memory.
+    last_check: Instant,
+    /// Maximum over all checks of the resident memory of all processes together, in bytes.
+    peak_memory_bytes: u64,
 }
 
 fn seconds(from: Micros, to: Micros) -> f64 {
     to.saturating_sub(from) as f64 / MICROS_PER_SECOND
 }
 
-fn reached(what: &str, after: Option<f64>) -> String {
-    match after {
-        Some(after) => format!("{what} after {after:.2} s"),
-        None => format!("{what}: not in the time given"),
+fn step_line(event: &str, after_s: Option<f64>) -> String {
+    match after_s {
+        Some(after_s) => format!("{event} after {after_s:.2} s"),
+        None => format!("{event}: not within the time limit of the phase"),
     }
 }
 
 impl Fleet<'_> {
-    /// The phases of the run; the figures keep what was reached.
+    /// Runs the phases and writes their results into `figures`.
     fn measure(
         &mut self,
         discovery: &DiscoveryService,
@@ -174,34 +179,34 @@
         report: &mut dyn FnMut(String),
     ) -> Result<(), RunError> {
         let peers = self.bind()?;
-        let begun = MonotonicClock::now();
+        let started_at = MonotonicClock::now();
         self.processes.send_all(&Command::Start { peers, discovery: discovery.address() })?;
 
-        figures.converged_s = self.until_all(|progress| progress.complete)?.map(|at| seconds(begun, at));
-        report(reached("all know of all", figures.converged_s));
+        figures.converged_s = self.until_all(|progress| progress.complete)?.map(|at| seconds(started_at, at));
+        report(step_line("all know of all", figures.converged_s));
         if figures.converged_s.is_some() {
-            figures.rested_s = self.until_all(|progress| progress.rested)?.map(|at| seconds(begun, at));
-            report(reached("all are at rest", figures.rested_s));
+            figures.rested_s = self.until_all(|progress| progress.rested)?.map(|at| seconds(started_at, at));
+            report(step_line("all are at rest", figures.rested_s));
         }
         if figures.rested_s.is_some() {
             self.sample_window(figures)?;
             let number = self.plan.victim();
-            report(format!("node {number} is killed"));
+            report(format!("killing node {number}"));
             figures.death_known_s = self.kill(number)?;
-            report(reached("all hold it dead", figures.death_known_s));
+            report(step_line("its death is known to all", figures.death_known_s));
         }
-        let ended = self.sample()?;
-        figures.false_deaths = ended.iter().map(|sample| sample.false_deaths).sum();
-        figures.stalls = ended.iter().map(|sample| sample.stalls).sum();
+        let samples = self.sample()?;
+        figures.false_deaths = samples.iter().map(|sample| sample.false_deaths).sum();
+        figures.stalls = samples.iter().map(|sample| sample.stalls).sum();
         Ok(())
     }
 
-    /// Has all workers open their sockets; the addresses of all nodes.
+    /// Has all workers open their sockets, and returns the addresses of all nodes, ordered by number.
     fn bind(&mut self) -> Result<Vec<SocketAddr>, RunError> {
         for worker in 0..self.layout.workers() {
             self.processes.send(worker as usize, &Command::Bind { plan: self.plan.clone(), worker })?;
         }
-        let bound = self.answers("their sockets are not open yet", |report| match report {
+        let bound = self.answers("not all have opened their sockets", |report| match report {
             Report::Bound { addresses } => Ok(addresses),
             other => Err(other),
         })?;
@@ -210,61 +215,63 @@
 
     fn sample(&mut self) -> Result<Vec<Sample>, RunError> {
         self.processes.send_all(&Command::Sample)?;
-        self.answers("a sample is not there yet", |report| match report {
+        self.answers("not all have sent a sample", |report| match report {
             Report::Sample(sample) => Ok(sample),
             other => Err(other),
         })
     }
 
-    /// The rates and the memory of a window of time at rest.
+    /// Measures the rates over [`Plan::window`], with the fleet at rest, and the memory at its end.
     fn sample_window(&mut self, figures: &mut Figures) -> Result<(), RunError> {
-        let begun = self.sample()?;
+        let start = self.sample()?;
         let deadline = Instant::now() + self.plan.window;
         while let Some(event) = self.next_event(deadline)? {
             self.handle(event)?;
         }
-        let ended = self.sample()?;
-        let rates = rates(&begun, &ended, self.plan.nodes);
+        let end = self.sample()?;
+        let rates = rates(&start, &end, self.plan.nodes);
         figures.udp_bytes_s = Some(rates.udp_bytes);
         figures.tcp_bytes_s = Some(rates.tcp_bytes);
         figures.datagrams_s = Some(rates.datagrams);
-        figures.cpu_us_s = Some(rates.cpu);
-        figures.memory_bytes = Some(self.processes.resident() / u64::from(self.plan.nodes));
+        figures.cpu_us_s = Some(rates.cpu_us);
+        figures.memory_bytes = Some(self.processes.resident_bytes() / u64::from(self.plan.nodes));
         Ok(())
     }
 
-    /// Kills a node; the seconds until all others of its domain hold it dead, if they do in time.
+    /// Kills a node, and returns the seconds until all others of its domain have declared it dead; `None` if the phase
+    /// times out.
     fn kill(&mut self, number: u32) -> Result<Option<f64>, RunError> {
         self.processes.send_all(&Command::Kill { number })?;
         let owner = self.layout.worker_of(number) as usize;
         let deadline = Instant::now() + ANSWER_TIMEOUT;
-        let killed = loop {
+        let killed_at = loop {
             match self.next_event(deadline)? {
                 Some(Event::Report(worker, Report::Killed { at })) if worker == owner => break at,
                 Some(event) => self.handle(event)?,
-                None => return Err(RunError::WorkerSilent { what: "a node is not killed yet" }),
+                None => return Err(RunError::WorkerTimeout { what: "the node has not been killed" }),
             }
         };
-        let witnesses = (0..self.layout.workers()).map(|worker| self.layout.witnesses(worker, number));
-        let known = self.until(Convergence::new(witnesses.collect()), |progress| progress.informed)?;
-        Ok(known.map(|at| seconds(killed, at)))
+        let survivors = (0..self.layout.workers()).map(|worker| self.layout.survivors(worker, number));
+        let known_at = self.until(Convergence::new(survivors.collect()), |progress| progress.informed)?;
+        Ok(known_at.map(|at| seconds(killed_at, at)))
     }
 
-    /// Waits until all nodes have come so far; when the last one did, if they do in the time of a phase.
-    fn until_all(&mut self, of: fn(&Progress) -> Reached) -> Result<Option<Micros>, RunError> {
+    /// Waits until all nodes have reached a state, and returns the time at which the last one did; `None` if the phase
+    /// times out.
+    fn until_all(&mut self, select: fn(&Progress) -> Reached) -> Result<Option<Micros>, RunError> {
         let nodes = (0..self.layout.workers()).map(|worker| self.layout.worker_nodes(worker).len() as u32);
-        self.until(Convergence::new(nodes.collect()), of)
+        self.until(Convergence::new(nodes.collect()), select)
     }
 
     fn until(
         &mut self,
         mut convergence: Convergence,
-        of: fn(&Progress) -> Reached,
+        select: fn(&Progress) -> Reached,
     ) -> Result<Option<Micros>, RunError> {
         let deadline = Instant::now() + self.plan.phase;
         loop {
             for (worker, progress) in self.progress.iter().enumerate() {
-                convergence.observe(worker, of(progress));
+                convergence.observe(worker, select(progress));
             }
             if let Some(at) = convergence.at() {
                 return Ok(Some(at));
@@ -274,58 +281,60 @@
         }
     }
 
-    /// Waits for one answer of each worker, in their order.
+    /// Waits for one answer from each worker, and returns the answers in the order of the workers. `missing` names the
+    /// answer in the error of a timeout; `select` returns any report but the answer as an error.
     fn answers<T>(
         &mut self,
-        what: &'static str,
-        of: impl Fn(Report) -> Result<T, Report>,
+        missing: &'static str,
+        select: impl Fn(Report) -> Result<T, Report>,
     ) -> Result<Vec<T>, RunError> {
         let deadline = Instant::now() + ANSWER_TIMEOUT;
         let mut answers: Vec<Option<T>> = self.progress.iter().map(|_| None).collect();
         while answers.iter().any(Option::is_none) {
             match self.next_event(deadline)? {
-                Some(Event::Report(worker, report)) => match of(report) {
+                Some(Event::Report(worker, report)) => match select(report) {
                     Ok(answer) => answers[worker] = Some(answer),
                     Err(other) => self.handle(Event::Report(worker, other))?,
                 },
                 Some(event) => self.handle(event)?,
-                None => return Err(RunError::WorkerSilent { what }),
+                None => return Err(RunError::WorkerTimeout { what: missing }),
             }
         }
         Ok(answers.into_iter().flatten().collect())
     }
 
-    /// The next event before a time; checks signals and memory meanwhile, however many events there are.
+    /// Returns the next event; `None` once the deadline has passed. Checks signals and memory at [`CHECK_INTERVAL`],
+    /// also while events arrive without a pause.
     fn next_event(&mut self, deadline: Instant) -> Result<Option<Event>, RunError> {
         loop {
-            if self.checked.elapsed() >= CHECK_INTERVAL {
+            if self.last_check.elapsed() >= CHECK_INTERVAL {
                 self.check_limits()?;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Ok(None);
             }
-            match self.events.recv_timeout(left.min(CHECK_INTERVAL)) {
+            match self.events.recv_timeout(remaining.min(CHECK_INTERVAL)) {
                 Ok(event) => return Ok(Some(event)),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => {
-                    return Err(RunError::WorkerSilent { what: "all have ended" });
+                    return Err(RunError::WorkerTimeout { what: "all have closed their output" });
                 }
             }
         }
     }
 
     fn check_limits(&mut self) -> Result<(), RunError> {
-        self.checked = Instant::now();
-        if self.environment.interrupt.came() {
+        self.last_check = Instant::now();
+        if self.environment.interrupt.is_set() {
             return Err(RunError::Interrupted);
         }
-        let used = self.processes.resident() + host::resident(std::process::id());
-        self.peak = self.peak.max(used);
+        let used = self.processes.resident_bytes() + host::resident_bytes(std::process::id());
+        self.peak_memory_bytes = self.peak_memory_bytes.max(used);
         limits::check_used(used, self.environment.memory_limit).map_err(RunError::TookTooMuch)
     }
 
-    /// Handles an event that nobody waits for.
+    /// Handles an event that is not the awaited answer: stores progress and turns any other event into an error.
     fn handle(&mut self, event: Event) -> Result<(), RunError> {
         match event {
             Event::Report(worker, Report::Progress(progress)) => {
@@ -344,7 +353,7 @@
             }
             Event::Ended(worker) => {
                 let process = self.processes.id(worker);
-                let how = self.processes.ended(worker).map_or("unknown".into(), |status| status.to_string());
+                let how = self.processes.wait(worker).map_or("unknown".into(), |status| status.to_string());
                 Err(RunError::WorkerEnded { process, how })
             }
         }
--- a/crates/stonevane-scale/src/discovery_service.rs
+++ b/crates/stonevane-scale/src/discovery_service.rs
@@ -1,4 +1,4 @@
-//! Discovery for the stub nodes: the lab's emulator on a thread of its own, with a list that does not change.
+//! Discovery for the stub nodes: the lab's discovery emulator on its own thread, with a list that does not change.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,35 +12,35 @@
 
 use crate::plan::Plan;
 
-/// The name of the one address, which all nodes share.
+/// Name of the single address of the emulator, which all nodes use.
 const ADDRESS_NAME: &str = "nodes";
 
-/// Discovery that runs until it is dropped.
+/// A discovery emulator that runs until it is dropped.
 pub struct DiscoveryService {
     address: SocketAddr,
-    end: Option<oneshot::Sender<()>>,
+    stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl DiscoveryService {
-    /// Starts it, with the list of a plan.
+    /// Starts the emulator with the plan's cache servers as its list.
     ///
     /// # Errors
-    /// There is no port or no thread for it.
+    /// The emulator cannot listen, or its thread cannot be started.
     pub fn start(plan: &Plan) -> io::Result<DiscoveryService> {
         let entries = (0..plan.caches).map(|cache| entry(plan, cache)).collect();
-        let (end, ended) = oneshot::channel();
-        let (started, starts) = mpsc::channel();
+        let (stop, stopped) = oneshot::channel();
+        let (started, start) = mpsc::channel();
         let thread = std::thread::Builder::new().name("discovery".into()).spawn(move || {
-            if let Err(e) = serve(entries, ended, &started) {
+            if let Err(e) = serve(entries, stopped, &started) {
                 let _ = started.send(Err(e));
             }
         })?;
-        let address = starts.recv().map_err(io::Error::other)??;
-        Ok(DiscoveryService { address, end: Some(end), thread: Some(thread) })
+        let address = start.recv().map_err(io::Error::other)??;
+        Ok(DiscoveryService { address, stop: Some(stop), thread: Some(thread) })
     }
 
-    /// Where it listens.
+    /// Address on which the emulator listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -48,7 +48,7 @@
 
 impl Drop for DiscoveryService {
     fn drop(&mut self) {
-        drop(self.end.take());
+        drop(self.stop.take());
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
@@ -67,10 +67,10 @@
     }
 }
 
-/// Reports where it listens, and serves until `ended`.
+/// Sends the address of the emulator to `started`, and serves until the sender of `stopped` is dropped.
 fn serve(
     entries: Vec<Entry>,
-    ended: oneshot::Receiver<()>,
+    stopped: oneshot::Receiver<()>,
     started: &mpsc::Sender<io::Result<SocketAddr>>,
 ) -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -78,10 +78,11 @@
         let addresses = [(ADDRESS_NAME.to_owned(), SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))];
         let discovery =
             Discovery::start(&addresses, Recorder::none(), entries, DiscoverySpec::default()).await?;
-        let address =
-            discovery.address(ADDRESS_NAME).ok_or_else(|| io::Error::other("discovery has no door"))?;
+        let address = discovery
+            .address(ADDRESS_NAME)
+            .ok_or_else(|| io::Error::other("the discovery emulator has no address"))?;
         let _ = started.send(Ok(address));
-        let _ = ended.await;
+        let _ = stopped.await;
         Ok(())
     })
 }
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -1,4 +1,4 @@
-//! From samples of the workers to what a node costs in a second.
+//! Cost per node and second, from samples of the workers, and the figures of a run.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,87 +7,89 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Sums over the nodes of a worker since its start.
+/// Counters of a worker, summed over its nodes since its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Sample {
-    /// When it was taken.
+    /// Time of the sample.
     pub at: Micros,
-    /// Processor time of the process, kernel and user, microseconds.
+    /// Processor time of the process, user and system.
     pub cpu: Micros,
     /// Datagrams sent.
     pub datagrams: u64,
-    /// Bytes of those, without headers of IP and UDP.
+    /// Bytes of the datagrams sent, without IP and UDP headers.
     pub udp_bytes: u64,
-    /// Bytes of calls to discovery, in both directions, without headers of IP and TCP.
+    /// Bytes exchanged with discovery, in both directions, without IP and TCP headers.
     pub tcp_bytes: u64,
-    /// Wake-ups of the membership machine that were late by more than half of its period.
+    /// Wake-ups of the membership state machine that were late by more than half of its period.
     pub stalls: u64,
-    /// Times that a node took a living one for dead.
+    /// Number of times a node declared a live node dead.
     pub false_deaths: u64,
 }
 
-/// What one node costs, on the average over the fleet and a window of time.
+/// Cost of one node, averaged over the fleet and a time window.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Rates {
-    /// Datagrams a second, each counted at its sender.
+    /// Datagrams per second, counted at the sender.
     pub datagrams: f64,
-    /// Bytes of those a second.
+    /// Bytes of those datagrams per second.
     pub udp_bytes: f64,
-    /// Bytes a second of calls to discovery.
+    /// Bytes per second exchanged with discovery.
     pub tcp_bytes: f64,
-    /// Microseconds of processor time a second.
-    pub cpu: f64,
+    /// Microseconds of processor time per second.
+    pub cpu_us: f64,
 }
 
-/// What a node costs between two samples of each worker, taken in the same order of workers.
-pub fn rates(begun: &[Sample], ended: &[Sample], nodes: u32) -> Rates {
+/// Computes the cost per node between two samples of each worker. `start` and `end` list the workers in the same order;
+/// `nodes` is the size of the fleet.
+pub fn rates(start: &[Sample], end: &[Sample], nodes: u32) -> Rates {
     let mut rates = Rates::default();
-    for (begun, ended) in begun.iter().zip(ended) {
-        let seconds = ended.at.saturating_sub(begun.at).max(1) as f64 / MICROS_PER_SECOND;
-        let each =
-            |begun: u64, ended: u64| ended.saturating_sub(begun) as f64 / seconds / f64::from(nodes.max(1));
-        rates.datagrams += each(begun.datagrams, ended.datagrams);
-        rates.udp_bytes += each(begun.udp_bytes, ended.udp_bytes);
-        rates.tcp_bytes += each(begun.tcp_bytes, ended.tcp_bytes);
-        rates.cpu += each(begun.cpu, ended.cpu);
+    for (start, end) in start.iter().zip(end) {
+        let seconds = end.at.saturating_sub(start.at).max(1) as f64 / MICROS_PER_SECOND;
+        let per_node_second =
+            |start: u64, end: u64| end.saturating_sub(start) as f64 / seconds / f64::from(nodes.max(1));
+        rates.datagrams += per_node_second(start.datagrams, end.datagrams);
+        rates.udp_bytes += per_node_second(start.udp_bytes, end.udp_bytes);
+        rates.tcp_bytes += per_node_second(start.tcp_bytes, end.tcp_bytes);
+        rates.cpu_us += per_node_second(start.cpu, end.cpu);
     }
     rates
 }
 
-/// The figures of one size: a line of the output.
+/// Figures of the run of one fleet: one line of the output. A figure is `None` if its phase timed out or was not reached.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Figures {
-    /// Stub nodes.
+    /// Number of stub nodes.
     pub nodes: u32,
-    /// Regions.
+    /// Number of regions.
     pub regions: u32,
-    /// Members that a node knows of, at most: all nodes, or those of its region.
+    /// Members of the largest membership domain: all nodes, or those of a region.
     pub domain: u32,
-    /// Worker processes.
+    /// Number of worker processes.
     pub workers: u32,
-    /// The seed.
+    /// Seed of every random choice.
     pub seed: u64,
-    /// Seconds from the start of the nodes until all knew of all and had the endpoint list.
+    /// Seconds from the start of the nodes until all had the endpoint list and saw all others of their domain as live.
     pub converged_s: Option<f64>,
-    /// Seconds until all were at rest, without updates and in full health: the window of the rates begins then.
+    /// Seconds from the start of the nodes until all were at rest, with no updates to disseminate and fully healthy. The
+    /// rates are measured from then on.
     pub rested_s: Option<f64>,
-    /// Bytes of datagrams a node and second.
+    /// Bytes of datagrams per node and second.
     pub udp_bytes_s: Option<f64>,
-    /// Bytes of calls to discovery a node and second.
+    /// Bytes exchanged with discovery per node and second.
     pub tcp_bytes_s: Option<f64>,
-    /// Datagrams a node and second.
+    /// Datagrams per node and second.
     pub datagrams_s: Option<f64>,
-    /// Microseconds of processor time a node and second.
+    /// Microseconds of processor time per node and second.
     pub cpu_us_s: Option<f64>,
-    /// Resident memory of the workers a node, bytes.
+    /// Resident memory of the workers per node, in bytes.
     pub memory_bytes: Option<u64>,
-    /// Seconds from a node's death until it was dead to all others of its domain.
+    /// Seconds from the kill of a node until all others of its domain had declared it dead.
     pub death_known_s: Option<f64>,
-    /// Times that a node took a living one for dead, in the whole run.
+    /// Number of times a node declared a live node dead, in the whole run.
     pub false_deaths: u64,
-    /// Wake-ups that came late by more than half of the period, in the whole run: the machine was too busy.
+    /// Wake-ups that were late by more than half of the period, in the whole run: a sign that the machine was overloaded.
     pub stalls: u64,
-    /// Whether all is within the budget.
+    /// Whether all figures are within the budget.
     pub within_budget: bool,
 }
 
--- a/crates/stonevane-scale/src/host.rs
+++ b/crates/stonevane-scale/src/host.rs
@@ -1,4 +1,4 @@
-//! This machine: its memory, descriptors and processors, the memory of processes, and signals.
+//! Resources of this machine (memory, file descriptors, processors), resident memory of processes, and signals.
 
 use std::io;
 use std::sync::Arc;
@@ -11,44 +11,44 @@
 
 const BYTES_PER_KIB: u64 = 1_024;
 
-/// Reads what this machine has.
+/// Reads the resources of this machine.
 ///
 /// # Errors
-/// It cannot be read.
+/// `/proc/meminfo` cannot be read or has no total.
 pub fn read() -> io::Result<Host> {
     let text = std::fs::read_to_string("/proc/meminfo")?;
-    let memory =
+    let memory_bytes =
         kibibytes(&text, "MemTotal:").ok_or_else(|| io::Error::other("no MemTotal in /proc/meminfo"))?;
     let descriptors = getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX);
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
-    Ok(Host { memory, descriptors, processors })
+    Ok(Host { memory_bytes, descriptors, processors })
 }
 
-/// The bytes of a line of a file of `/proc` that counts in kibibytes.
+/// Returns, in bytes, the value of the line `name` of a `/proc` file that counts in kibibytes.
 fn kibibytes(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     let count: u64 = line.trim().strip_suffix("kB")?.trim().parse().ok()?;
     Some(count * BYTES_PER_KIB)
 }
 
-/// Resident memory of a process, bytes; 0 where there is no such process any more.
-pub fn resident(process: u32) -> u64 {
+/// Resident memory of a process, in bytes; 0 if the process has exited.
+pub fn resident_bytes(process: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/status")).unwrap_or_default();
     kibibytes(&text, "VmRSS:").unwrap_or(0)
 }
 
-/// Whether the run is to end before its time: SIGINT or SIGTERM has come.
+/// A flag that SIGINT or SIGTERM sets, to interrupt a run.
 #[derive(Debug, Clone, Default)]
 pub struct Interrupt(Arc<AtomicBool>);
 
 impl Interrupt {
-    /// Listens to both signals from now on, to the end of the process.
+    /// Handles both signals from now on, until the process exits.
     ///
     /// # Errors
     /// The signals cannot be handled.
     pub fn listen() -> io::Result<Interrupt> {
         let interrupt = Interrupt::default();
-        let received = interrupt.clone();
+        let flag = interrupt.clone();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (mut int, mut term) = {
             let _entered = runtime.enter();
@@ -57,16 +57,16 @@
         std::thread::Builder::new().name("signals".into()).spawn(move || {
             runtime.block_on(async {
                 tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
-                received.0.store(true, Ordering::Relaxed);
-                // Later ones change nothing: the run is on its way to its end.
+                flag.0.store(true, Ordering::Relaxed);
+                // Keeps the handlers installed: further signals are ignored while the run is being ended.
                 std::future::pending::<()>().await;
             });
         })?;
         Ok(interrupt)
     }
 
-    /// Whether one has come.
-    pub fn came(&self) -> bool {
+    /// Whether a signal has been received.
+    pub fn is_set(&self) -> bool {
         self.0.load(Ordering::Relaxed)
     }
 }
--- a/crates/stonevane-scale/src/layout.rs
+++ b/crates/stonevane-scale/src/layout.rs
@@ -1,51 +1,51 @@
-//! Which node numbers a worker, a region and a membership domain have: contiguous blocks of nearly equal length.
+//! Node numbers of each worker, region and membership domain: contiguous blocks whose lengths differ by at most one.
 
 use std::ops::Range;
 
-/// Members of one membership domain: a datagram names them by 16 bits.
+/// Limit on the members of one membership domain: a datagram identifies a member by 16 bits.
 pub const MAX_MEMBERS: u32 = u16::MAX as u32;
-/// Worker processes.
+/// Limit on the worker processes of a fleet.
 pub const MAX_WORKERS: u32 = 200;
-/// Nodes for each worker where the number of workers is not given.
+/// Nodes per worker if the number of workers is not given.
 const NODES_PER_WORKER: u32 = 64;
 
-/// Why a fleet cannot be laid out.
+/// An error in the size or the division of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LayoutError {
-    /// There is no node.
+    /// The fleet has no node.
     #[error("--nodes is 0; at least 2 are needed")]
     NoNodes,
-    /// There is no region.
+    /// The fleet has no region.
     #[error("--regions is 0; at least 1 is needed")]
     NoRegions,
     /// Some regions would have no node.
     #[error("{regions} regions and {nodes} nodes: some regions would have no node")]
     EmptyRegions {
-        /// Regions asked for.
+        /// Requested regions.
         regions: u32,
-        /// Nodes to fill them.
+        /// Requested nodes.
         nodes: u32,
     },
-    /// There is no worker, or there are too many.
-    #[error("--workers is {workers}; 1 to {most} are possible here")]
-    Workers {
-        /// Workers asked for.
+    /// The number of workers is out of range.
+    #[error("--workers is {workers}; accepted are 1 to {max}")]
+    WorkerCount {
+        /// Requested workers.
         workers: u32,
-        /// The most that there may be: no more than nodes.
-        most: u32,
+        /// Maximum: the number of nodes, at most [`MAX_WORKERS`].
+        max: u32,
     },
-    /// A membership domain has more members than a datagram can name.
+    /// A membership domain has more members than a datagram can identify.
     #[error("{members} nodes in one membership domain; at most {MAX_MEMBERS} can be named")]
-    Members {
-        /// Members of the largest domain.
+    TooManyMembers {
+        /// Number of members of the largest domain.
         members: u32,
     },
-    /// Nobody is left to notice the death of a node in a domain of its own.
-    #[error("a membership domain has a single node: nobody could notice a death; 2 are needed")]
-    Alone,
+    /// A membership domain has a single node, so that no other node could detect its death.
+    #[error("a membership domain has a single node; at least 2 are needed to detect a death")]
+    SingleMember,
 }
 
-/// Where each node of a fleet belongs. Nodes have the numbers from 0.
+/// Assignment of the nodes of a fleet to workers, regions and membership domains. Nodes are numbered from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Layout {
     nodes: u32,
@@ -54,28 +54,29 @@
     domain_per_region: bool,
 }
 
-/// The numbers in one of several blocks.
+/// Returns the numbers in the block `index` of `blocks`.
 fn block(nodes: u32, blocks: u32, index: u32) -> Range<u32> {
     let start = |index: u32| (u64::from(index) * u64::from(nodes) / u64::from(blocks)) as u32;
     start(index)..start(index + 1)
 }
 
-/// The block that has a number: the inverse of [`block`].
+/// Returns the index of the block that contains a number: the inverse of [`block`].
 fn block_of(nodes: u32, blocks: u32, number: u32) -> u32 {
     (((u64::from(number) + 1) * u64::from(blocks) - 1) / u64::from(nodes)) as u32
 }
 
-/// How many workers a fleet has where nobody says: some dozens of nodes each, no more than processors.
+/// Default number of workers of a fleet: one per `NODES_PER_WORKER` nodes, at most one per processor.
 pub fn default_workers(nodes: u32, processors: usize) -> u32 {
     let processors = u32::try_from(processors).unwrap_or(MAX_WORKERS).clamp(1, MAX_WORKERS);
     nodes.div_ceil(NODES_PER_WORKER).clamp(1, processors)
 }
 
 impl Layout {
-    /// Lays a fleet out. `domain_per_region`: the nodes of a region know of one another only; else all know of all.
+    /// Lays out a fleet. With `domain_per_region` each region is a membership domain of its own; otherwise all nodes are
+    /// members of one domain.
     ///
     /// # Errors
-    /// It cannot be laid out.
+    /// A number is out of range, or a region or domain would have too few or too many nodes.
     pub fn new(
         nodes: u32,
         regions: u32,
@@ -91,79 +92,79 @@
         if regions > nodes {
             return Err(LayoutError::EmptyRegions { regions, nodes });
         }
-        let most = nodes.min(MAX_WORKERS);
-        if !(1..=most).contains(&workers) {
-            return Err(LayoutError::Workers { workers, most });
+        let max = nodes.min(MAX_WORKERS);
+        if !(1..=max).contains(&workers) {
+            return Err(LayoutError::WorkerCount { workers, max });
         }
         let layout = Layout { nodes, regions, workers, domain_per_region };
         let members = layout.largest_domain();
         if members > MAX_MEMBERS {
-            return Err(LayoutError::Members { members });
+            return Err(LayoutError::TooManyMembers { members });
         }
-        let smallest = if domain_per_region { nodes / regions } else { nodes };
-        if smallest < 2 {
-            return Err(LayoutError::Alone);
+        let smallest_domain = if domain_per_region { nodes / regions } else { nodes };
+        if smallest_domain < 2 {
+            return Err(LayoutError::SingleMember);
         }
         Ok(layout)
     }
 
-    /// How many nodes there are.
+    /// Number of nodes.
     pub fn nodes(&self) -> u32 {
         self.nodes
     }
 
-    /// How many regions there are.
+    /// Number of regions.
     pub fn regions(&self) -> u32 {
         self.regions
     }
 
-    /// How many workers there are.
+    /// Number of workers.
     pub fn workers(&self) -> u32 {
         self.workers
     }
 
-    /// Whether each region is a membership domain of its own.
+    /// Whether each region is its own membership domain.
     pub fn domain_per_region(&self) -> bool {
         self.domain_per_region
     }
 
-    /// The nodes of a worker.
+    /// Numbers of the nodes that a worker runs.
     pub fn worker_nodes(&self, worker: u32) -> Range<u32> {
         block(self.nodes, self.workers, worker)
     }
 
-    /// The worker of a node.
+    /// Index of the worker that runs a node.
     pub fn worker_of(&self, number: u32) -> u32 {
         block_of(self.nodes, self.workers, number)
     }
 
-    /// The nodes of a region.
+    /// Numbers of the nodes of a region.
     pub fn region_nodes(&self, region: u32) -> Range<u32> {
         block(self.nodes, self.regions, region)
     }
 
-    /// The region of a node.
+    /// Index of the region of a node.
     pub fn region_of(&self, number: u32) -> u32 {
         block_of(self.nodes, self.regions, number)
     }
 
-    /// The nodes that a node knows of by membership, itself among them.
+    /// Numbers of the members of the domain of a node, including the node.
     pub fn domain_of(&self, number: u32) -> Range<u32> {
         if self.domain_per_region { self.region_nodes(self.region_of(number)) } else { 0..self.nodes }
     }
 
-    /// Members of the largest domain.
+    /// Number of members of the largest domain.
     pub fn largest_domain(&self) -> u32 {
         if self.domain_per_region { self.nodes.div_ceil(self.regions) } else { self.nodes }
     }
 
-    /// Nodes of the worker that has the most.
+    /// Number of nodes of the largest worker.
     pub fn largest_worker(&self) -> u32 {
         self.nodes.div_ceil(self.workers)
     }
 
-    /// How many nodes of a worker are to learn of the death of a node: those of its domain, without itself.
-    pub fn witnesses(&self, worker: u32, victim: u32) -> u32 {
+    /// Number of nodes of a worker that must detect the death of `victim`: those in its domain, without `victim`.
+    pub fn survivors(&self, worker: u32, victim: u32) -> u32 {
         let (nodes, domain) = (self.worker_nodes(worker), self.domain_of(victim));
         let shared = nodes.start.max(domain.start)..nodes.end.min(domain.end);
         let count = shared.end.saturating_sub(shared.start);
--- a/crates/stonevane-scale/src/lib.rs
+++ b/crates/stonevane-scale/src/lib.rs
@@ -1,28 +1,27 @@
-//! Fleets of load-generating stub nodes, which show what a node costs as its fleet grows. The command line calls them
-//! *hollow* nodes.
+//! Fleets of stub nodes, which measure the cost per node as the fleet grows. The command line calls them *hollow* nodes.
 //!
 //! A stub node is the daemon without clients and cache servers: the real core (`stonevane-core`) with the daemon's
-//! own calls to discovery over TCP, and the real membership machine (`stonevane-membership`) with its datagrams over UDP,
-//! all on loopback. Many of them run in one worker process; a coordinator starts the workers, waits until the fleet
-//! has converged, samples its cost, kills one node and waits until all others have declared it dead.
+//! discovery client over TCP, and the real membership state machine (`stonevane-membership`) with its datagrams over
+//! UDP, all on loopback. Each worker process runs many stub nodes. A coordinator starts the workers, waits until the
+//! fleet has converged, samples its cost, kills one node and waits until all others have declared it dead.
 //!
-//! | module | job | I/O |
+//! | module | responsibility | I/O |
 //! | --- | --- | --- |
-//! | [`plan`] | what is run, and every number drawn from its seed | none |
-//! | [`layout`] | which numbers a worker, a region and a membership domain have | none |
-//! | [`limits`] | whether memory and descriptors suffice | none |
-//! | [`convergence`] | from the workers' reports: whether all nodes have reached a state, and when | none |
-//! | [`figures`] | from samples to what a node costs in a second | none |
-//! | [`budget`] | whether that is within the budget | none |
+//! | [`plan`] | parameters of a run, and every number drawn from its seed | none |
+//! | [`layout`] | node numbers of each worker, region and membership domain | none |
+//! | [`limits`] | checks of memory and file descriptors | none |
+//! | [`convergence`] | whether and when all nodes have reached a state, from the workers' reports | none |
+//! | [`figures`] | cost per node and second, from samples | none |
+//! | [`budget`] | comparison of the cost with the budget | none |
 //! | [`stub_node`] | one node as a state machine | none |
 //! | [`message`] | the messages between the coordinator and a worker | none |
-//! | [`host`] | memory, descriptors and processors of this machine; signals | files of `/proc`, signals |
+//! | [`host`] | memory, file descriptors and processors of this machine; signals | files of `/proc`, signals |
 //! | `stub_driver` | one node on its sockets | sockets |
-//! | `clock` | the clock of a worker | clock |
-//! | [`worker`] | the event loop of many nodes in one process | sockets, pipes |
-//! | `discovery_service` | discovery for all nodes | sockets, a thread |
-//! | `processes` | the workers' processes and their pipes | processes, pipes |
-//! | [`coordinator`] | the run of one fleet | by the two above |
+//! | `clock` | clock of a worker | clock |
+//! | [`worker`] | event loop of many nodes in one process | sockets, pipes |
+//! | `discovery_service` | discovery emulator for all nodes | sockets, a thread |
+//! | `processes` | worker processes and their pipes | processes, pipes |
+//! | [`coordinator`] | the run of one fleet | through `discovery_service` and `processes` |
 
 pub mod budget;
 mod clock;
@@ -40,5 +39,5 @@
 pub mod stub_node;
 pub mod worker;
 
-/// Microseconds of the monotonic clock that all processes of a machine share.
+/// Time or duration in microseconds; times are read from the monotonic clock that all processes of a machine share.
 pub type Micros = u64;
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -1,39 +1,39 @@
-//! Whether memory and descriptors of a machine suffice for a fleet, before it starts and while it runs.
+//! Limits on memory and file descriptors, checked before a fleet starts and, for memory, while it runs.
 
 use crate::layout::Layout;
 
-/// One mebibyte.
+/// One mebibyte, in bytes.
 pub const MIB: u64 = 1 << 20;
-/// A run may have at most the machine's memory divided by this.
+/// Limit on the memory of a run: the memory of the machine divided by this.
 const MEMORY_DIVISOR: u64 = 2;
-/// Descriptors of a process beside those of its nodes: standard streams, the event loop, a listener.
-const OTHER_DESCRIPTORS: u64 = 64;
-/// Descriptors of a node in its worker: its UDP socket, and its connection to discovery.
-const WORKER_DESCRIPTORS: u64 = 2;
-/// Descriptors of a node in the coordinator, which serves discovery: the other end of its connection.
-const COORDINATOR_DESCRIPTORS: u64 = 1;
-/// Pipes of a worker in the coordinator.
-const PIPES: u64 = 2;
+/// File descriptors of a process besides those of its nodes: standard streams, the event loop, a listener.
+const PROCESS_DESCRIPTORS: u64 = 64;
+/// File descriptors per node in its worker: its UDP socket and its connection to discovery.
+const WORKER_DESCRIPTORS_PER_NODE: u64 = 2;
+/// File descriptors per node in the coordinator, which runs the discovery emulator: the accepted connection.
+const COORDINATOR_DESCRIPTORS_PER_NODE: u64 = 1;
+/// File descriptors per worker in the coordinator: the pipes to its input and from its output.
+const PIPES_PER_WORKER: u64 = 2;
 
-/// What this machine has.
+/// Resources of this machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Host {
-    /// Memory, bytes.
-    pub memory: u64,
-    /// Descriptors that a process may have.
+    /// Memory, in bytes.
+    pub memory_bytes: u64,
+    /// Limit on the file descriptors of a process.
     pub descriptors: u64,
-    /// Processors.
+    /// Number of processors that this process may use.
     pub processors: usize,
 }
 
-/// What the parts of a run need in memory, bytes.
+/// Estimated memory needs of the parts of a run, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryCosts {
-    /// A process with no node.
+    /// A process without nodes.
     pub process: u64,
-    /// A node that knows nobody, with its end of discovery.
+    /// A node without its member table, including its connection to discovery.
     pub node: u64,
-    /// What a node holds of each member of its domain.
+    /// An entry of the member table of a node: one per member of its domain.
     pub member: u64,
 }
 
@@ -44,88 +44,89 @@
 }
 
 impl MemoryCosts {
-    /// What a fleet needs, all processes together.
-    pub fn of(&self, layout: &Layout) -> u64 {
+    /// Estimated memory of a fleet, all processes together, in bytes.
+    pub fn estimate(&self, layout: &Layout) -> u64 {
         let processes = u64::from(layout.workers()) + 1;
-        let node = self.node + self.member * u64::from(layout.largest_domain());
-        processes * self.process + u64::from(layout.nodes()) * node
+        let per_node = self.node + self.member * u64::from(layout.largest_domain());
+        processes * self.process + u64::from(layout.nodes()) * per_node
     }
 }
 
-/// Which limit a run exceeds.
+/// A limit that a run exceeds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LimitError {
-    /// More memory is requested for than a run may have.
-    #[error("--memory-mb is {}; half of this machine's memory is {}", mib(*requested), most / MIB)]
+    /// The requested memory limit exceeds the maximum.
+    #[error("--memory-mb is {}; at most half of this machine's memory is accepted: {}", mib(*requested), max / MIB)]
     AboveHalf {
-        /// Asked for, bytes.
+        /// Requested limit, in bytes.
         requested: u64,
-        /// What it may have, bytes.
-        most: u64,
+        /// Maximum, in bytes.
+        max: u64,
     },
-    /// It would need more memory than it may have.
+    /// The fleet is estimated to need more memory than the limit.
     #[error("{nodes} hollow nodes need about {} MiB of memory; the limit is {} MiB", mib(*needed), limit / MIB)]
     MemoryNeeded {
         /// Stub nodes.
         nodes: u32,
-        /// Estimated need, bytes.
+        /// Estimated need, in bytes.
         needed: u64,
-        /// What it may have, bytes.
+        /// Memory limit of the run, in bytes.
         limit: u64,
     },
-    /// A process would need more descriptors than it may have.
+    /// A process would need more file descriptors than the limit.
     #[error("{nodes} hollow nodes: {process} needs {needed} descriptors; the limit is {limit}")]
     DescriptorsNeeded {
         /// Stub nodes.
         nodes: u32,
-        /// Which process.
+        /// Role of the process.
         process: &'static str,
-        /// Descriptors that it needs.
+        /// File descriptors that the process needs.
         needed: u64,
-        /// Descriptors that it may have.
+        /// Limit on the file descriptors of a process.
         limit: u64,
     },
-    /// Its processes have taken more memory than they may.
+    /// The processes of the run use more memory than the limit.
     #[error("the run has taken {} MiB of memory; the limit is {} MiB: it was ended", mib(*used), limit / MIB)]
     MemoryUsed {
-        /// Resident memory of all its processes, bytes.
+        /// Resident memory of all processes of the run, in bytes.
         used: u64,
-        /// What they may have, bytes.
+        /// Memory limit of the run, in bytes.
         limit: u64,
     },
 }
 
-/// Bytes as mebibytes, rounded up.
+/// Converts bytes to mebibytes, rounded up.
 fn mib(bytes: u64) -> u64 {
     bytes.div_ceil(MIB)
 }
 
-/// The memory that a run may have: half of the machine's, or less where less is requested for.
+/// Memory limit of a run, in bytes: the requested one, by default half of the machine's memory.
 ///
 /// # Errors
-/// More is requested for.
+/// [`LimitError::AboveHalf`] if more than half of the machine's memory is requested.
 pub fn memory_limit(host: &Host, requested: Option<u64>) -> Result<u64, LimitError> {
-    let most = host.memory / MEMORY_DIVISOR;
+    let max = host.memory_bytes / MEMORY_DIVISOR;
     match requested {
-        Some(requested) if requested > most => Err(LimitError::AboveHalf { requested, most }),
+        Some(requested) if requested > max => Err(LimitError::AboveHalf { requested, max }),
         Some(requested) => Ok(requested),
-        None => Ok(most),
+        None => Ok(max),
     }
 }
 
-/// Checks before the start that the machine suffices for a fleet.
+/// Checks, before a fleet starts, that it stays within a memory limit in bytes and a limit on the file descriptors of
+/// each process.
 ///
 /// # Errors
-/// The limit that would be exceeded.
+/// The first limit that the fleet would exceed.
 pub fn check(layout: &Layout, costs: &MemoryCosts, limit: u64, descriptors: u64) -> Result<(), LimitError> {
     let nodes = layout.nodes();
-    let needed = costs.of(layout);
+    let needed = costs.estimate(layout);
     if needed > limit {
         return Err(LimitError::MemoryNeeded { nodes, needed, limit });
     }
-    let worker = OTHER_DESCRIPTORS + WORKER_DESCRIPTORS * u64::from(layout.largest_worker());
-    let pipes = PIPES * u64::from(layout.workers());
-    let coordinator = OTHER_DESCRIPTORS + pipes + COORDINATOR_DESCRIPTORS * u64::from(nodes);
+    let worker = PROCESS_DESCRIPTORS + WORKER_DESCRIPTORS_PER_NODE * u64::from(layout.largest_worker());
+    let pipes = PIPES_PER_WORKER * u64::from(layout.workers());
+    let coordinator = PROCESS_DESCRIPTORS + pipes + COORDINATOR_DESCRIPTORS_PER_NODE * u64::from(nodes);
     for (process, needed) in [("a worker", worker), ("the coordinator", coordinator)] {
         if needed > descriptors {
             return Err(LimitError::DescriptorsNeeded { nodes, process, needed, limit: descriptors });
@@ -134,10 +135,10 @@
     Ok(())
 }
 
-/// Checks while it runs what its processes have taken.
+/// Checks the memory that a run uses, in bytes, against its limit.
 ///
 /// # Errors
-/// They have taken more than the limit.
+/// [`LimitError::MemoryUsed`] if it uses more than the limit.
 pub fn check_used(used: u64, limit: u64) -> Result<(), LimitError> {
     if used > limit { Err(LimitError::MemoryUsed { used, limit }) } else { Ok(()) }
 }
--- a/crates/stonevane-scale/src/message.rs
+++ b/crates/stonevane-scale/src/message.rs
@@ -1,5 +1,5 @@
-//! The messages between the coordinator and a worker: one JSON object a line, on the worker's standard input and
-//! output. The end of its input ends a worker.
+//! Messages between the coordinator and a worker: one JSON object per line, on the worker's standard input and output.
+//! A worker exits at the end of its input.
 
 use std::net::SocketAddr;
 
@@ -10,65 +10,66 @@
 use crate::figures::Sample;
 use crate::plan::Plan;
 
-/// From the coordinator to a worker.
+/// A command from the coordinator to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Command {
     /// Opens the sockets of the worker's nodes; answered with [`Report::Bound`].
     Bind {
-        /// The whole run.
+        /// Parameters of the run.
         plan: Plan,
-        /// Which worker this is.
+        /// Index of this worker, from 0.
         worker: u32,
     },
     /// Starts the nodes.
     Start {
-        /// The address of every node of the fleet, in the order of their numbers.
+        /// UDP address of every node of the fleet, ordered by node number.
         peers: Vec<SocketAddr>,
-        /// Where discovery is.
+        /// TCP address of the discovery emulator.
         discovery: SocketAddr,
     },
     /// Takes a sample; answered with [`Report::Sample`].
     Sample,
-    /// Kills a node: its worker ends it and answers with [`Report::Killed`]; all others watch for its death.
+    /// Kills a node: its worker ends it and answers with [`Report::Killed`]. The other nodes of all workers report
+    /// when they have declared it dead.
     Kill {
-        /// Its number.
+        /// Number of the node in the fleet.
         number: u32,
     },
 }
 
-/// From a worker to the coordinator.
+/// A report from a worker to the coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Report {
-    /// The sockets of its nodes are open.
+    /// The UDP sockets of the worker's nodes are open.
     Bound {
-        /// Their addresses, in the order of the nodes' numbers.
+        /// Addresses of the sockets, ordered by node number.
         addresses: Vec<SocketAddr>,
     },
-    /// The progress of its nodes, each time that has changed.
+    /// The progress of the worker's nodes has changed.
     Progress(Progress),
-    /// The sample that was asked for.
+    /// The answer to [`Command::Sample`].
     Sample(Sample),
-    /// The node is dead: its sockets are closed.
+    /// The node has been killed: its sockets are closed.
     Killed {
-        /// Since when.
+        /// Time at which its sockets were closed.
         at: Micros,
     },
-    /// The worker cannot go on.
+    /// The worker has failed and exits.
     Failed {
-        /// Why.
+        /// Text of the error.
         why: String,
     },
 }
 
-/// The progress of the nodes of a worker.
+/// Progress of the nodes of a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// Nodes to which all others are live, and that have the endpoint list.
+    /// Nodes that have the endpoint list and see all other nodes of their domain as live.
     pub complete: Reached,
-    /// Nodes at rest: with no updates to disseminate, and in full health.
+    /// Nodes at rest: no updates to disseminate, and a local health score of 0 (fully healthy).
     pub rested: Reached,
-    /// Nodes to which the node that was killed is dead.
+    /// Nodes that have declared the killed node dead.
     pub informed: Reached,
 }
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -1,4 +1,4 @@
-//! What is run: a fleet of one size. Every random choice comes from its seed.
+//! Plan of a run: the parameters of a fleet of one size, and the random choices drawn from its seed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::Micros;
 use crate::layout::{Layout, LayoutError};
 
-/// What a random number is for: each purpose has a stream of its own.
+/// Purpose of a random number: each one has its own stream.
 #[derive(Debug, Clone, Copy)]
 enum Purpose {
     Machine = 1,
@@ -21,28 +21,28 @@
     Victim = 4,
 }
 
-/// Membership, as the operator file's `[fleet]` sets it.
+/// Membership settings, as in the `[fleet]` table of the operator file.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// The protocol period.
+    /// Protocol period.
     pub period: Micros,
-    /// The probe timeout.
+    /// Probe timeout.
     pub answer: Micros,
-    /// Members that are asked for indirect probes.
+    /// Number of members that send indirect probes after a direct probe has timed out.
     pub indirect: usize,
-    /// The suspicion multiplier.
+    /// Suspicion multiplier.
     pub suspicion: f64,
-    /// Whether local health lengthens timeouts.
+    /// Whether timeouts are lengthened while the local health score is above 0.
     pub heeds_health: bool,
-    /// The highest version of datagrams that is sent.
+    /// Highest datagram version that is sent.
     pub speaks: u8,
 }
 
 impl Membership {
-    /// The settings that an operator file has which names the period only.
+    /// Settings of an operator file that sets only the period; the others have their defaults.
     ///
     /// # Errors
-    /// The operator file does not accept the period.
+    /// The period is out of the range that an operator file accepts.
     pub fn with_period(period: Duration) -> Result<Membership, PlanError> {
         let text = format!("version = 1\n[fleet]\nperiod_ms = {}\n", period.as_millis());
         let operator = Operator::parse(&text).map_err(PlanError::Operator)?;
@@ -58,62 +58,62 @@
     }
 }
 
-/// The random numbers of a membership machine.
+/// Random numbers of a membership state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineSeed {
-    /// Tells this instance of the node apart from all others.
+    /// Identifies this instance of the node: no other instance is expected to draw the same number.
     pub nonce: u32,
-    /// The seed of the machine's random choices.
+    /// Seed of the state machine's random choices.
     pub seed: u64,
 }
 
-/// Why a plan cannot be used.
+/// An error in a plan.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
     /// The fleet cannot be laid out.
     #[error("{0}")]
     Layout(#[from] LayoutError),
-    /// The operator file does not accept the membership settings.
+    /// A membership setting is out of the range that an operator file accepts.
     #[error("{}", join(.0))]
     Operator(Vec<ConfigError>),
     /// The operator file has no membership settings.
-    #[error("the operator file has no [fleet]")]
+    #[error("the operator file has no [fleet] table")]
     NoMembership,
-    /// The platform's settings cannot be used.
+    /// The platform's settings are invalid.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
 
-fn join(faults: &[ConfigError]) -> String {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+fn join(errors: &[ConfigError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("; ")
 }
 
-/// The run of a fleet of one size.
+/// Parameters of the run of a fleet of one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Stub nodes.
+    /// Number of stub nodes.
     pub nodes: u32,
-    /// Regions: contiguous blocks of numbers.
+    /// Number of regions, each a contiguous block of node numbers.
     pub regions: u32,
-    /// Whether each region is a membership domain of its own.
+    /// Whether each region is its own membership domain.
     pub domain_per_region: bool,
-    /// Worker processes.
+    /// Number of worker processes.
     pub workers: u32,
-    /// The seed of every random choice.
+    /// Seed of every random choice.
     pub seed: u64,
-    /// Cache servers in discovery's list.
+    /// Number of cache servers in discovery's list, at most 65,536.
     pub caches: u32,
-    /// Membership.
+    /// Membership settings of all nodes.
     pub membership: Membership,
-    /// How long rates are measured.
+    /// Length of the window in which rates are measured.
     pub window: Duration,
-    /// How long each phase may take: to converge, to settle, to learn of a death.
+    /// Time limit of each phase: convergence, rest, detection of a death.
     pub phase: Duration,
 }
 
 impl Plan {
-    /// Where each node belongs.
+    /// Assignment of the nodes to workers, regions and membership domains.
     ///
     /// # Errors
     /// The fleet cannot be laid out.
@@ -126,32 +126,34 @@
         Rand64::new(stream | u128::from(self.seed))
     }
 
-    /// The random numbers of a node's membership machine.
+    /// Random numbers of a node's membership state machine.
     pub fn machine_seed(&self, number: u32) -> MachineSeed {
         let mut random = self.random(Purpose::Machine, number);
         let nonce = random.rand_u64() as u32;
         MachineSeed { nonce, seed: random.rand_u64() }
     }
 
-    /// The seed of a node's core.
+    /// Seed of a node's core.
     pub fn core_seed(&self, number: u32) -> u64 {
         self.random(Purpose::Core, number).rand_u64()
     }
 
-    /// How long after the others' beginning a node starts: within one period, so that they don't run in step.
+    /// Delay of a node's start after the start of the fleet: less than one period, so that the nodes' periods are not in
+    /// phase.
     pub fn start_delay(&self, number: u32) -> Micros {
         self.random(Purpose::Start, number).rand_range(0..self.membership.period.max(1))
     }
 
-    /// The node that is killed.
+    /// Number of the node that is killed.
     pub fn victim(&self) -> u32 {
         self.random(Purpose::Victim, 0).rand_range(0..u64::from(self.nodes.max(1))) as u32
     }
 
-    /// The settings of a node, as the platform would write them: discovery is asked by all nodes, one cache kind.
+    /// Settings of a node, as the platform would write them: all nodes call discovery, and there is one kind of cache
+    /// server.
     ///
     /// # Errors
-    /// The settings cannot be used.
+    /// The settings are invalid.
     pub fn deployment(&self, number: u32) -> Result<Deployment, PlanError> {
         let settings = serde_json::json!({
             "balancers": self.nodes, "me": number, "zones": ["z"], "machineTypes": ["cache", "origin"],
@@ -166,7 +168,7 @@
         Ok(settings::read(settings.to_string().as_bytes())?)
     }
 
-    /// The address of a cache server of the list. Without clients, no request goes there.
+    /// Address of a cache server in discovery's list. Nothing listens there: without clients no request is sent.
     pub fn cache_address(&self, cache: u32) -> SocketAddr {
         let [high, low] = (cache as u16).to_be_bytes();
         SocketAddr::from(([127, 1, high, low], 6_379))
--- a/crates/stonevane-scale/src/processes.rs
+++ b/crates/stonevane-scale/src/processes.rs
@@ -1,4 +1,5 @@
-//! The worker processes of a run: started, sent commands over pipes, and ended by their process ids whatever happens.
+//! The worker processes of a run: starts them, sends them commands over pipes, reads their reports, and kills them on
+//! every path out of the run.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::process::CommandExt;
@@ -10,36 +11,37 @@
 use crate::host;
 use crate::message::{Command as WorkerCommand, Report};
 
-/// An event of a worker.
+/// An event of a worker, with the index of the worker.
 #[derive(Debug)]
 pub enum Event {
-    /// It has sent a report.
+    /// The worker has sent a report.
     Report(usize, Report),
-    /// It has sent what is no report.
+    /// The worker has sent a line that is not a report; the text is the parse error.
     Malformed(usize, String),
-    /// Its output has ended: so has the process, or it will.
+    /// The output of the worker has ended: its process has exited, or [`Processes::wait`] kills it.
     Ended(usize),
 }
 
-/// The stack of a thread that serves a pipe, in bytes.
+/// Stack size of a thread that serves a pipe.
 const STACK_BYTES: usize = 256 << 10;
 
 struct Worker {
     child: Child,
-    /// To the thread that writes: a worker that does not read holds nobody else up.
+    /// Queue of the thread that writes to the worker's input, so that a worker that does not read blocks only its own
+    /// thread.
     commands: Sender<Vec<u8>>,
 }
 
-/// The worker processes; none is left when this is dropped.
+/// The worker processes; dropping this kills those that still run and waits for them.
 pub struct Processes {
     workers: Vec<Worker>,
 }
 
 impl Processes {
-    /// Starts so many workers: `program` with `arguments`.
+    /// Starts `count` workers: `program` with `arguments`.
     ///
     /// # Errors
-    /// One cannot be started; those that were are ended.
+    /// A process or thread cannot be started; the workers that have been started are killed.
     pub fn start(
         count: u32,
         program: &Path,
@@ -53,42 +55,43 @@
                 .stdin(Stdio::piped())
                 .stdout(Stdio::piped())
                 .stderr(Stdio::null())
-                // An interrupt at a terminal is for the coordinator, which ends its workers itself.
+                // A terminal sends SIGINT to the whole process group: only the coordinator, which ends its workers
+                // itself, is to receive it.
                 .process_group(0)
                 .spawn()?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
             let (commands, lines) = channel();
-            // First of all: from here on it is ended with the others.
+            // Before any step that can fail: from here on dropping `processes` kills this worker too.
             processes.workers.push(Worker { child, commands });
-            let missing = || io::Error::other("a worker has no pipe");
-            let (input, output) = (input.ok_or_else(missing)?, output.ok_or_else(missing)?);
+            let no_pipe = || io::Error::other("a worker has no standard input or output pipe");
+            let (input, output) = (input.ok_or_else(no_pipe)?, output.ok_or_else(no_pipe)?);
             let events = events.clone();
-            let thread = |job: &str| Builder::new().name(format!("{job}-{index}")).stack_size(STACK_BYTES);
+            let thread = |name: &str| Builder::new().name(format!("{name}-{index}")).stack_size(STACK_BYTES);
             thread("commands").spawn(move || write_commands(input, &lines))?;
             thread("reports").spawn(move || read_reports(index, BufReader::new(output), &events))?;
         }
         Ok(processes)
     }
 
-    /// The process ids.
+    /// Process ids of all workers.
     pub fn ids(&self) -> impl Iterator<Item = u32> {
         self.workers.iter().map(|worker| worker.child.id())
     }
 
-    /// The process id of a worker.
+    /// Process id of a worker; 0 if the index is out of range.
     pub fn id(&self, worker: usize) -> u32 {
         self.workers.get(worker).map_or(0, |worker| worker.child.id())
     }
 
-    /// Resident memory of all workers, bytes.
-    pub fn resident(&self) -> u64 {
-        self.ids().map(host::resident).sum()
+    /// Resident memory of all workers, in bytes.
+    pub fn resident_bytes(&self) -> u64 {
+        self.ids().map(host::resident_bytes).sum()
     }
 
-    /// Sends a command to a worker; one that has ended is reported by its [`Event::Ended`].
+    /// Queues a command for a worker. A worker that has ended is reported by [`Event::Ended`], not here.
     ///
     /// # Errors
-    /// The command cannot be written as JSON.
+    /// The command cannot be serialized as JSON.
     pub fn send(&self, worker: usize, command: &WorkerCommand) -> io::Result<()> {
         let mut line = serde_json::to_vec(command)?;
         line.push(b'\n');
@@ -98,18 +101,18 @@
         Ok(())
     }
 
-    /// Sends a command to all workers.
+    /// Queues a command for all workers.
     ///
     /// # Errors
-    /// The command cannot be written as JSON.
+    /// The command cannot be serialized as JSON.
     pub fn send_all(&self, command: &WorkerCommand) -> io::Result<()> {
         (0..self.workers.len()).try_for_each(|worker| self.send(worker, command))
     }
 
-    /// Waits for a worker whose output has ended; how its process did.
-    pub fn ended(&mut self, worker: usize) -> Option<ExitStatus> {
+    /// Kills a worker whose output has ended, waits for its process and returns the exit status.
+    pub fn wait(&mut self, worker: usize) -> Option<ExitStatus> {
         let worker = self.workers.get_mut(worker)?;
-        // It may have closed its output and live on.
+        // The process may have closed its output and still run.
         let _ = worker.child.kill();
         worker.child.wait().ok()
     }
--- a/crates/stonevane-scale/src/stub_driver.rs
+++ b/crates/stonevane-scale/src/stub_driver.rs
@@ -1,5 +1,4 @@
-//! A stub node on its sockets: drives a [`StubNode`] as the daemon drives its own machines, by the daemon's own reader of
-//! datagrams and its own calls to discovery.
+//! Runs a [`StubNode`] on its sockets, with the datagram reader and the discovery client of the daemon.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,24 +17,24 @@
 use crate::message::Progress;
 use crate::stub_node::{Input, NodeProgress, Outputs, Setup, StubNode};
 
-/// Sums over the nodes of a worker.
+/// Counters summed over the nodes of a worker.
 #[derive(Debug, Default)]
 pub struct Totals {
     /// Datagrams sent.
     pub datagrams: AtomicU64,
-    /// Bytes of those.
+    /// Bytes of the datagrams sent, without IP and UDP headers.
     pub udp_bytes: AtomicU64,
 }
 
-/// What all nodes of a worker share.
+/// State that all nodes of a worker share.
 pub struct Shared {
-    /// The clock.
+    /// Clock of the worker.
     pub clock: Clock,
-    /// All nodes of the fleet.
+    /// Addresses of all nodes of the fleet.
     peers: PeerTable,
-    /// Datagrams of all nodes of the worker.
+    /// Datagrams sent by all nodes of the worker.
     pub totals: Totals,
-    /// Their calls to discovery.
+    /// Bytes that all nodes of the worker exchange with discovery.
     pub traffic: Arc<Traffic>,
     progress: Mutex<Progress>,
 }
@@ -45,7 +44,7 @@
 }
 
 impl Shared {
-    /// For the nodes of a worker, which start now.
+    /// Creates the shared state and starts the clock.
     pub fn new(peers: PeerTable) -> Shared {
         Shared {
             clock: Clock::start(),
@@ -56,12 +55,12 @@
         }
     }
 
-    /// The progress of the nodes.
+    /// Progress of the nodes of the worker.
     pub fn progress(&self) -> Progress {
         *lock(&self.progress)
     }
 
-    /// Counts the change of one node's progress, forward or back.
+    /// Updates the counts for a change of one node's progress, which may also be lost again.
     fn count_change(&self, before: NodeProgress, after: NodeProgress) {
         let now = self.clock.now();
         let mut progress = lock(&self.progress);
@@ -77,21 +76,21 @@
     }
 }
 
-/// What should not happen to a node.
+/// Counts of anomalies of one node: events that do not occur while the machine keeps up.
 #[derive(Debug, Clone, Copy)]
 pub struct Anomalies {
-    /// Times that it took a living node for dead.
+    /// Number of times the node declared a live node dead.
     pub false_deaths: u64,
-    /// Times that its membership machine was woken late by more than half of its period.
+    /// Wake-ups of its membership state machine that were late by more than half of its period.
     pub stalls: u64,
 }
 
-/// Drives one stub node.
+/// Runs one stub node.
 pub struct StubDriver {
     state: Mutex<State>,
     socket: UdpSocket,
     shared: Arc<Shared>,
-    /// The node has handled an input of discovery, and may be due earlier.
+    /// Signalled when the node has handled an input of discovery, which may have moved its next timeout forward.
     rescheduled: Notify,
 }
 
@@ -103,27 +102,28 @@
 }
 
 impl StubDriver {
-    /// A driver of a node that starts at a time.
-    pub fn new(starts: Micros, setup: Setup, socket: UdpSocket, shared: Arc<Shared>) -> Arc<StubDriver> {
-        let node = StubNode::new(starts, setup);
+    /// Creates the driver of a node that starts at `start_at`.
+    pub fn new(start_at: Micros, setup: Setup, socket: UdpSocket, shared: Arc<Shared>) -> Arc<StubDriver> {
+        let node = StubNode::new(start_at, setup);
         Arc::new_cyclic(|driver: &Weak<StubDriver>| {
             let driver = driver.clone();
-            let sink = move |input: CoreInput<'static>| {
+            let on_input = move |input: CoreInput<'static>| {
                 if let Some(driver) = driver.upgrade() {
                     driver.handle(Input::Discovery(input));
                     driver.rescheduled.notify_one();
                 }
             };
-            let discovery = Discovery::new(Arc::default(), Arc::new(sink)).counted(shared.traffic.clone());
+            let discovery =
+                Discovery::new(Arc::default(), Arc::new(on_input)).counted(shared.traffic.clone());
             let (outputs, progress) = (Outputs::default(), NodeProgress::default());
             let state = Mutex::new(State { node, outputs, discovery, progress });
             StubDriver { state, socket, shared, rescheduled: Notify::new() }
         })
     }
 
-    /// Takes part from its start until its task is ended.
-    pub async fn run(self: Arc<Self>, starts: Micros) {
-        sleep_until(self.shared.clock.instant(starts)).await;
+    /// Runs the node from its start time until the task is aborted.
+    pub async fn run(self: Arc<Self>, start_at: Micros) {
+        sleep_until(self.shared.clock.instant(start_at)).await;
         self.handle(Input::Wake);
         let mut reader = DatagramReader::new(&self.socket);
         loop {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Brings an input to the node and performs its outputs.
+    /// Passes an input to the node and performs its outputs.
     fn handle(&self, input: Input<'_>) {
         let mut state = lock(&self.state);
         let state = &mut *state;
@@ -166,7 +166,7 @@
         }
     }
 
-    /// What should not have happened to it so far.
+    /// Anomalies of the node since its start.
     pub fn anomalies(&self) -> Anomalies {
         let state = lock(&self.state);
         Anomalies { false_deaths: state.node.false_deaths(), stalls: state.node.stalls() }
@@ -180,15 +180,15 @@
         }
     }
 
-    /// Watches for the death of a node.
+    /// Has the node watch for the death of `victim`.
     pub fn watch_for(&self, victim: u32) {
         let mut state = lock(&self.state);
         state.node.watch_for(victim);
         self.update_progress(&mut state);
     }
 
-    /// Ends its calls to discovery, and removes it from what is counted.
-    pub fn leave(&self) {
+    /// Cancels its calls to discovery and removes the node from the progress counts.
+    pub fn stop(&self) {
         let mut state = lock(&self.state);
         state.discovery.cancel_all();
         let before = std::mem::take(&mut state.progress);
--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -1,9 +1,9 @@
-//! A load-generating stub node as a state machine without I/O: the daemon's core and its membership machine, with neither
-//! clients nor cache servers. The command line and its figures call it a hollow node.
+//! A stub node as a state machine without I/O: the daemon's core and its membership state machine, without clients and
+//! cache servers. The command line calls it a hollow node.
 //!
-//! The core ([`stonevane_core::Core`]) keeps the list of cache servers and says when discovery is called; the
-//! membership machine ([`stonevane_membership::Machine`]) knows the other nodes of the domain, by numbers that begin with 0
-//! in each domain. Elsewhere a node has its number in the whole fleet.
+//! The core ([`stonevane_core::Core`]) keeps the list of cache servers and requests calls to discovery. The membership
+//! state machine ([`stonevane_membership::Machine`]) tracks the members of the domain, numbered from 0 in each domain.
+//! Everywhere else a node is identified by its number in the whole fleet.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,62 +17,63 @@
 use crate::Micros;
 use crate::plan::{MachineSeed, Membership};
 
-/// Sockets that a core may hold; without clients and servers it holds none of them.
-const SOCKETS: usize = 1_024;
-/// Memory that a core may take for requests, in megabytes; without clients it takes none.
+/// Limit on the sockets of a core; without clients and cache servers it opens none.
+const MAX_SOCKETS: usize = 1_024;
+/// Limit on the memory of a core for requests; without clients it uses none.
 const MEMORY_MB: usize = 64;
 
-/// The parameters of a node, set at its start.
+/// Start parameters of a node.
 #[derive(Debug, Clone)]
 pub struct Setup {
-    /// Its number in the fleet.
+    /// Number of the node in the fleet.
     pub number: u32,
-    /// The numbers of its membership domain, its own among them.
+    /// Numbers of the members of its domain, including its own.
     pub domain: Range<u32>,
-    /// Membership.
+    /// Membership settings.
     pub membership: Membership,
-    /// The random numbers of the membership machine.
+    /// Random numbers of the membership state machine.
     pub machine_seed: MachineSeed,
-    /// The seed of the core.
+    /// Seed of the core.
     pub core_seed: u64,
-    /// The platform's settings.
+    /// Settings of the platform.
     pub deployment: Deployment,
-    /// Where discovery is.
+    /// TCP address of discovery.
     pub discovery: SocketAddr,
 }
 
-/// An input of a node.
+/// An input to a node.
 #[derive(Debug)]
 pub enum Input<'b> {
-    /// A datagram arrived from the address of a node.
+    /// A datagram from the address of a node: the number of the sender, and the bytes.
     Datagram(u32, &'b [u8]),
-    /// A call to discovery has a result.
+    /// The result of a call to discovery.
     Discovery(CoreInput<'static>),
-    /// Time has passed.
+    /// The time returned by [`StubNode::next`] has come.
     Wake,
 }
 
-/// What the driver has to do.
+/// Actions that the driver must perform.
 #[derive(Debug, Default)]
 pub struct Outputs {
-    /// Datagrams to send, each with the number of its receiver.
+    /// Datagrams to send, each with the number of the receiver.
     pub datagrams: VecDeque<(u32, Vec<u8>)>,
     /// Calls to make to discovery.
     pub calls: VecDeque<DiscoveryCall>,
 }
 
-/// The progress of a node.
+/// Progress of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct NodeProgress {
-    /// All others of its domain are live to it, and it has the endpoint list.
+    /// The node has the endpoint list and sees all other members of its domain as live.
     pub complete: bool,
-    /// It has no updates to disseminate and is in full health: it sends what it sends at rest.
+    /// The node has no updates to disseminate and a local health score of 0 (fully healthy): its traffic is that of a
+    /// fleet at rest.
     pub rested: bool,
-    /// The node that was killed is dead to it.
+    /// The node has declared the killed node dead.
     pub informed: bool,
 }
 
-/// A load-generating stub node.
+/// A stub node.
 pub struct StubNode {
     number: u32,
     domain: Range<u32>,
@@ -81,18 +82,18 @@
     core: Core,
     machine_outputs: stonevane_membership::Outputs,
     core_outputs: stonevane_core::Outputs,
-    /// Other members that are live.
+    /// Number of other members that this node sees as live.
     live_others: u32,
-    /// Nodes that share the fleet's limits, as the core last knew them.
+    /// Number of nodes that share the fleet's limits, as last passed to the core.
     node_count: usize,
-    /// The node that was killed.
+    /// Number of the killed node.
     victim: Option<u32>,
     false_deaths: u64,
     stalls: u64,
 }
 
 impl StubNode {
-    /// A node that knows nobody. Its first outputs come with the first input.
+    /// Creates a node that knows no other member. It produces no output before its first input.
     pub fn new(now: Micros, setup: Setup) -> StubNode {
         let Setup { number, domain, membership, machine_seed, .. } = setup;
         let machine = stonevane_membership::Setup {
@@ -111,7 +112,7 @@
         let core = stonevane_core::CoreConfig {
             deployment: setup.deployment,
             seed: setup.core_seed,
-            max_sockets: SOCKETS,
+            max_sockets: MAX_SOCKETS,
             memory_mb: MEMORY_MB,
             cached_list: EndpointList::default(),
             discovery: setup.discovery,
@@ -140,17 +141,17 @@
         }
     }
 
-    /// Its number in the fleet.
+    /// Number of the node in the fleet.
     pub fn number(&self) -> u32 {
         self.number
     }
 
-    /// When it has to be woken next.
+    /// Time at which the node needs the next [`Input::Wake`].
     pub fn next(&self) -> Micros {
         self.core.next_timeout().map_or(self.machine.next(), |next| next.min(self.machine.next()))
     }
 
-    /// Handles an input at a time, which never goes back, and adds what is to be done to the outputs.
+    /// Handles an input and appends the resulting actions to `outputs`. `now` must not decrease between calls.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Outputs) {
         match input {
             Input::Datagram(from, bytes) => {
@@ -171,12 +172,12 @@
         }
     }
 
-    /// A node of the fleet is killed now.
+    /// Marks a node as killed: its death is progress and not a false death.
     pub fn watch_for(&mut self, victim: u32) {
         self.victim = Some(victim);
     }
 
-    /// Its progress.
+    /// Progress of the node.
     pub fn progress(&self) -> NodeProgress {
         let others = self.domain.end - self.domain.start - 1;
         NodeProgress {
@@ -186,33 +187,33 @@
         }
     }
 
-    /// The state of a node of its domain, as it sees it.
+    /// State in which this node sees another one; `None` if it does not know the node or the node is not in its domain.
     pub fn state_of(&self, number: u32) -> Option<State> {
         let inside = self.domain.contains(&number);
         self.machine.state(inside.then(|| (number - self.domain.start) as MemberId)?)
     }
 
-    /// Times that it took a living node for dead.
+    /// Number of times this node declared a live node dead.
     pub fn false_deaths(&self) -> u64 {
         self.false_deaths
     }
 
-    /// Times that the membership machine was woken later than half of its period.
+    /// Wake-ups of the membership state machine that were late by more than half of its period.
     pub fn stalls(&self) -> u64 {
         self.stalls
     }
 
     fn handle_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
-        // The machine counts such a delay as a stall of its own.
+        // The membership state machine treats such a delay as a stall of its own process.
         if now.saturating_sub(self.machine.next()) > self.period / 2 {
             self.stalls += 1;
         }
         self.machine.handle(now, input, &mut self.machine_outputs);
-        let first = self.domain.start;
+        let first_member = self.domain.start;
         let sends = self.machine_outputs.sends.drain(..);
-        outputs.datagrams.extend(sends.map(|(to, bytes)| (first + u32::from(to), bytes)));
+        outputs.datagrams.extend(sends.map(|(to, bytes)| (first_member + u32::from(to), bytes)));
         for event in std::mem::take(&mut self.machine_outputs.events) {
-            self.take_event(event);
+            self.observe(event);
         }
         let node_count = self.machine.known();
         if node_count != std::mem::replace(&mut self.node_count, node_count) {
@@ -220,7 +221,7 @@
         }
     }
 
-    fn take_event(&mut self, event: MemberEvent) {
+    fn observe(&mut self, event: MemberEvent) {
         let member = self.domain.start + u32::from(event.record.member);
         if member == self.number {
             return;
@@ -238,7 +239,8 @@
         while let Some(output) = self.core_outputs.pop_front() {
             match output {
                 CoreOutput::Discovery(call) => outputs.calls.push_back(call),
-                // The servers of the list do not exist, and without clients no request goes to any.
+                // The cache servers of the list do not exist: the connection counts as closed at once. Without clients no
+                // request would use it.
                 CoreOutput::Open(id, _) => {
                     self.core.handle(now, CoreInput::Closed(id), &mut self.core_outputs);
                 }
--- a/crates/stonevane-scale/src/worker.rs
+++ b/crates/stonevane-scale/src/worker.rs
@@ -1,5 +1,5 @@
-//! A worker: the event loop of many stub nodes in one process, each with its own UDP socket and its own connection to
-//! discovery, so that a node is known by its address as the daemon is. It follows the coordinator's commands.
+//! A worker: the event loop of many stub nodes in one process, controlled by commands of the coordinator. Each node has
+//! its own UDP socket and its own connection to discovery, so that peers identify it by its address, as they do a daemon.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
@@ -25,36 +25,36 @@
 use crate::stub_driver::{Shared, StubDriver};
 use crate::stub_node::Setup;
 
-/// How often progress is reported, where there is any.
+/// Interval at which progress is reported if it has changed.
 const REPORT_INTERVAL: Duration = Duration::from_millis(50);
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const NANOS_PER_MICRO: Micros = 1_000;
 
-/// Why a worker cannot go on.
+/// An error that ends a worker.
 #[derive(Debug, thiserror::Error)]
 pub enum WorkerError {
     /// A socket, a pipe or a task failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A command cannot be read, or comes out of turn.
-    #[error("an order that can't be followed: {0}")]
+    /// A command is malformed or out of order.
+    #[error("invalid command: {0}")]
     Command(String),
-    /// The settings of its nodes cannot be used.
-    #[error("a plan that can't be used: {0}")]
+    /// The plan, or a setting that it gives to the nodes, is invalid.
+    #[error("invalid plan: {0}")]
     Plan(#[from] PlanError),
-    /// The process that started it has ended.
+    /// The process that started this worker has ended.
     #[error("the process that started this worker has ended")]
-    Orphan,
+    Orphaned,
 }
 
-/// Runs a worker on standard input and output until its input ends. Where `parent` is given, the machine kills this
-/// process when that one ends.
+/// Runs a worker on standard input and output until its input ends. With `parent`, a process id, the kernel kills this
+/// process when the parent ends.
 ///
 /// # Errors
-/// It cannot go on; the coordinator has been notified.
+/// The worker has failed. Unless it could not start, it has sent [`Report::Failed`] to the coordinator.
 pub fn run(parent: Option<u32>) -> Result<(), WorkerError> {
     if let Some(parent) = parent {
-        die_with(parent)?;
+        set_parent_death_signal(parent)?;
     }
     let (sender, commands) = mpsc::unbounded_channel();
     std::thread::Builder::new().name("commands".into()).spawn(move || {
@@ -73,10 +73,11 @@
     done
 }
 
-fn die_with(parent: u32) -> Result<(), WorkerError> {
+/// Has the kernel kill this process when `parent` ends; fails if `parent` has ended already.
+fn set_parent_death_signal(parent: u32) -> Result<(), WorkerError> {
     set_parent_process_death_signal(Some(Signal::KILL)).map_err(io::Error::from)?;
-    let lives = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
-    if lives { Ok(()) } else { Err(WorkerError::Orphan) }
+    let parent_alive = getppid().is_some_and(|pid| pid.as_raw_nonzero().get().unsigned_abs() == parent);
+    if parent_alive { Ok(()) } else { Err(WorkerError::Orphaned) }
 }
 
 fn send(report: &Report) -> io::Result<()> {
@@ -87,7 +88,7 @@
     out.flush()
 }
 
-/// Follows commands, and reports progress, until there are no more commands.
+/// Executes commands and reports progress until the commands end.
 async fn serve(mut commands: mpsc::UnboundedReceiver<String>) -> Result<(), WorkerError> {
     let mut worker = Worker::default();
     let mut ticks = interval(REPORT_INTERVAL);
@@ -98,31 +99,31 @@
                 let Some(line) = line else { return Ok(()) };
                 let command =
                     serde_json::from_str(&line).map_err(|e| WorkerError::Command(e.to_string()))?;
-                worker.follow(command).await?;
+                worker.execute(command).await?;
             }
             _ = ticks.tick() => worker.report_progress()?,
         }
     }
 }
 
-/// A node that runs.
-struct Running {
+/// A running node.
+struct RunningNode {
     driver: Arc<StubDriver>,
     task: JoinHandle<()>,
 }
 
-/// The state of a worker.
+/// State of a worker.
 #[derive(Default)]
 struct Worker {
     bound: Option<Bound>,
     shared: Option<Arc<Shared>>,
-    /// The nodes that run, by their numbers.
-    nodes: HashMap<u32, Running>,
-    /// The progress as it was last reported.
+    /// Running nodes, by node number.
+    nodes: HashMap<u32, RunningNode>,
+    /// Progress that was reported last.
     reported: Progress,
 }
 
-/// Sockets that wait for their nodes.
+/// Sockets of nodes that have not been started, in the order of `numbers`.
 struct Bound {
     plan: Plan,
     layout: Layout,
@@ -131,7 +132,7 @@
 }
 
 impl Worker {
-    async fn follow(&mut self, command: Command) -> Result<(), WorkerError> {
+    async fn execute(&mut self, command: Command) -> Result<(), WorkerError> {
         match command {
             Command::Bind { plan, worker } => self.bind(plan, worker).await,
             Command::Start { peers, discovery } => self.start(peers, discovery),
@@ -153,10 +154,13 @@
     }
 
     fn start(&mut self, peers: Vec<SocketAddr>, discovery: SocketAddr) -> Result<(), WorkerError> {
-        let bound = self.bound.take().ok_or_else(|| WorkerError::Command("a start before a bind".into()))?;
+        let bound = self
+            .bound
+            .take()
+            .ok_or_else(|| WorkerError::Command("`start` without a preceding `bind`".into()))?;
         let Bound { plan, layout, numbers, sockets } = bound;
         let shared = Arc::new(Shared::new(PeerTable::new(peers)));
-        let begun = shared.clock.now();
+        let started_at = shared.clock.now();
         for (number, socket) in numbers.zip(sockets) {
             let setup = Setup {
                 number,
@@ -167,17 +171,19 @@
                 deployment: plan.deployment(number)?,
                 discovery,
             };
-            let starts = begun + plan.start_delay(number);
-            let driver = StubDriver::new(starts, setup, socket, shared.clone());
-            let task = tokio::spawn(driver.clone().run(starts));
-            self.nodes.insert(number, Running { driver, task });
+            let start_at = started_at + plan.start_delay(number);
+            let driver = StubDriver::new(start_at, setup, socket, shared.clone());
+            let task = tokio::spawn(driver.clone().run(start_at));
+            self.nodes.insert(number, RunningNode { driver, task });
         }
         self.shared = Some(shared);
         Ok(())
     }
 
     fn shared(&self) -> Result<&Arc<Shared>, WorkerError> {
-        self.shared.as_ref().ok_or_else(|| WorkerError::Command("no nodes have been started".into()))
+        self.shared
+            .as_ref()
+            .ok_or_else(|| WorkerError::Command("no nodes have been started; `start` must come first".into()))
     }
 
     fn sample(&self) -> Result<Sample, WorkerError> {
@@ -200,18 +206,18 @@
         Ok(sample)
     }
 
-    /// Ends a node where it is one of this worker's, and has all others watch for its death.
+    /// Ends the node if this worker runs it, and has the other nodes of the worker watch for its death.
     async fn kill(&mut self, number: u32) -> Result<(), WorkerError> {
         let shared = self.shared()?.clone();
         let killed = self.nodes.remove(&number);
         for running in self.nodes.values() {
             running.driver.watch_for(number);
         }
-        let Some(Running { driver, task }) = killed else { return Ok(()) };
-        driver.leave();
+        let Some(RunningNode { driver, task }) = killed else { return Ok(()) };
+        driver.stop();
         task.abort();
         let _ = task.await;
-        // The last reference to its socket.
+        // Drops the last reference to the socket, which closes it.
         drop(driver);
         Ok(send(&Report::Killed { at: shared.clock.now() })?)
     }
--- a/crates/stonevane-scale/tests/convergence.rs
+++ b/crates/stonevane-scale/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! From reports to the moment at which all have come so far.
+//! Time of convergence, computed from the workers' reports.
 #![allow(missing_docs)]
 
 use stonevane_scale::convergence::{Convergence, Reached};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn it_is_the_time_of_the_last_worker_once_all_are_there_in_whatever_order_they_tell() {
+fn convergence_has_the_time_of_the_last_worker_in_any_order_of_the_reports() {
     let mut convergence = Convergence::new(vec![4, 3]);
     assert_eq!(convergence.at(), None);
     convergence.observe(1, reached(3, 900));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_worker_that_falls_back_takes_it_away() {
+fn a_worker_that_leaves_the_state_undoes_the_convergence() {
     let mut convergence = Convergence::new(vec![2, 2]);
     convergence.observe(0, reached(2, 10));
     convergence.observe(1, reached(2, 20));
@@ -31,11 +31,11 @@
 }
 
 #[test]
-fn workers_with_nobody_to_wait_for_have_no_say_in_the_time() {
+fn workers_without_expected_nodes_do_not_affect_the_time() {
     let mut convergence = Convergence::new(vec![0, 2]);
     convergence.observe(0, reached(0, 999));
     convergence.observe(1, reached(2, 20));
     assert_eq!(convergence.at(), Some(20));
     convergence.observe(7, reached(1, 1));
-    assert_eq!(convergence.at(), Some(20), "a worker that is not there changes nothing");
+    assert_eq!(convergence.at(), Some(20), "an unknown worker is ignored");
 }
--- a/crates/stonevane-scale/tests/layout.rs
+++ b/crates/stonevane-scale/tests/layout.rs
@@ -1,4 +1,4 @@
-//! Which numbers workers, regions and membership domains have.
+//! Node numbers of workers, regions and membership domains, and the layouts that are rejected.
 #![allow(missing_docs)]
 
 use stonevane_scale::layout::{Layout, LayoutError, MAX_MEMBERS, default_workers};
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn regions_change_who_knows_whom_only_where_each_is_a_domain() {
+fn regions_divide_the_membership_only_if_each_is_a_domain() {
     let flat = Layout::new(12, 3, 2, false).unwrap();
     assert_eq!((flat.domain_of(5), flat.largest_domain()), (0..12, 12));
     let split = Layout::new(13, 3, 2, true).unwrap();
@@ -31,38 +31,38 @@
 }
 
 #[test]
-fn witnesses_are_the_others_of_the_victims_domain() {
+fn survivors_are_the_other_nodes_of_the_victims_domain() {
     let flat = Layout::new(10, 1, 2, false).unwrap();
-    assert_eq!([flat.witnesses(0, 3), flat.witnesses(1, 3)], [4, 5]);
+    assert_eq!([flat.survivors(0, 3), flat.survivors(1, 3)], [4, 5]);
     let split = Layout::new(12, 3, 2, true).unwrap();
-    assert_eq!([split.witnesses(0, 5), split.witnesses(1, 5)], [1, 2]);
-    assert_eq!([split.witnesses(0, 0), split.witnesses(1, 0)], [3, 0]);
+    assert_eq!([split.survivors(0, 5), split.survivors(1, 5)], [1, 2]);
+    assert_eq!([split.survivors(0, 0), split.survivors(1, 0)], [3, 0]);
 }
 
 #[test]
-fn what_can_not_be_laid_out_is_refused_in_one_line() {
+fn an_impossible_layout_is_rejected_with_a_one_line_error() {
     let cases = [
         (Layout::new(0, 1, 1, false), LayoutError::NoNodes),
         (Layout::new(4, 0, 1, false), LayoutError::NoRegions),
         (Layout::new(4, 5, 1, false), LayoutError::EmptyRegions { regions: 5, nodes: 4 }),
-        (Layout::new(4, 1, 0, false), LayoutError::Workers { workers: 0, most: 4 }),
-        (Layout::new(4, 1, 5, false), LayoutError::Workers { workers: 5, most: 4 }),
-        (Layout::new(900, 1, 201, false), LayoutError::Workers { workers: 201, most: 200 }),
-        (Layout::new(65_536, 1, 8, false), LayoutError::Members { members: 65_536 }),
-        (Layout::new(1, 1, 1, false), LayoutError::Alone),
-        (Layout::new(5, 3, 1, true), LayoutError::Alone),
+        (Layout::new(4, 1, 0, false), LayoutError::WorkerCount { workers: 0, max: 4 }),
+        (Layout::new(4, 1, 5, false), LayoutError::WorkerCount { workers: 5, max: 4 }),
+        (Layout::new(900, 1, 201, false), LayoutError::WorkerCount { workers: 201, max: 200 }),
+        (Layout::new(65_536, 1, 8, false), LayoutError::TooManyMembers { members: 65_536 }),
+        (Layout::new(1, 1, 1, false), LayoutError::SingleMember),
+        (Layout::new(5, 3, 1, true), LayoutError::SingleMember),
     ];
-    for (made, expected) in cases {
-        assert_eq!(made, Err(expected));
+    for (result, expected) in cases {
+        assert_eq!(result, Err(expected));
         assert_eq!(expected.to_string().lines().count(), 1);
     }
     assert!(Layout::new(MAX_MEMBERS, 1, 1, false).is_ok());
     assert!(Layout::new(MAX_MEMBERS * 2, 2, 1, true).is_ok());
-    assert!(Layout::new(5, 3, 1, false).is_ok(), "one domain has two nodes at the least");
+    assert!(Layout::new(5, 3, 1, false).is_ok(), "the only domain has at least two nodes");
 }
 
 #[test]
-fn workers_are_one_for_some_dozens_of_nodes_and_no_more_than_processors() {
+fn default_workers_are_one_per_64_nodes_and_at_most_one_per_processor() {
     assert_eq!([1, 64, 65, 300, 100_000].map(|nodes| default_workers(nodes, 8)), [1, 1, 2, 5, 8]);
     assert_eq!(default_workers(100_000, 0), 1);
     assert_eq!(default_workers(100_000, 10_000), 200);
--- a/crates/stonevane-scale/tests/stub_node.rs
+++ b/crates/stonevane-scale/tests/stub_node.rs
@@ -11,7 +11,7 @@
 use stonevane_scale::plan::{Membership, Plan};
 use stonevane_scale::stub_node::{Input, Outputs, Setup, StubNode};
 
-/// The latency of a datagram or a response of discovery.
+/// Latency of a datagram or of a response from discovery.
 const LATENCY: Micros = 200;
 const SECOND: Micros = 1_000_000;
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// A message in flight: when it arrives, its receiver, and its sender or call.
+/// A message in flight: its time of arrival, its receiver, and its sender or the call that it answers.
 enum Message {
     Datagram(Micros, u32, u32, Vec<u8>),
     List(Micros, u32, DiscoveryCall),
@@ -70,30 +70,30 @@
         let Some(node) = &mut self.nodes[number as usize] else { return };
         let mut outputs = Outputs::default();
         node.handle(self.now, input, &mut outputs);
-        let comes = self.now + LATENCY;
+        let arrival = self.now + LATENCY;
         for (to, bytes) in outputs.datagrams {
-            self.messages.push_back(Message::Datagram(comes, to, number, bytes));
+            self.messages.push_back(Message::Datagram(arrival, to, number, bytes));
         }
         for call in outputs.calls {
-            self.messages.push_back(Message::List(comes, number, call));
+            self.messages.push_back(Message::List(arrival, number, call));
         }
     }
 
-    /// Brings what comes next, or wakes who is to be woken next.
+    /// Delivers the next message or wakes the node with the next timeout, whichever is earlier.
     fn step(&mut self) {
-        let waking = self.nodes.iter().flatten().map(|node| (node.next(), node.number())).min().unwrap();
-        let comes = self.messages.front().map(|message| match message {
+        let next_wake = self.nodes.iter().flatten().map(|node| (node.next(), node.number())).min().unwrap();
+        let next_arrival = self.messages.front().map(|message| match message {
             Message::Datagram(at, ..) | Message::List(at, ..) => *at,
         });
-        if let Some(at) = comes.filter(|at| *at <= waking.0) {
+        if let Some(at) = next_arrival.filter(|at| *at <= next_wake.0) {
             self.now = self.now.max(at);
             match self.messages.pop_front().unwrap() {
                 Message::Datagram(_, to, from, bytes) => self.handle(to, Input::Datagram(from, &bytes)),
                 Message::List(_, to, call) => self.answer(to, call),
             }
         } else {
-            self.now = self.now.max(waking.0);
-            self.handle(waking.1, Input::Wake);
+            self.now = self.now.max(next_wake.0);
+            self.handle(next_wake.1, Input::Wake);
         }
     }
 
@@ -106,39 +106,39 @@
         self.handle(to, Input::Discovery(CoreInput::List(call.epoch, list)));
     }
 
-    /// Goes on until all nodes are so; how long that takes.
-    fn until(&mut self, what: &str, all: impl Fn(&StubNode) -> bool) -> Micros {
-        let begun = self.now;
+    /// Steps until all nodes satisfy a condition, and returns the simulated time that took.
+    fn until(&mut self, condition: &str, all: impl Fn(&StubNode) -> bool) -> Micros {
+        let start = self.now;
         while !self.nodes.iter().flatten().all(&all) {
             self.step();
-            assert!(self.now < begun + 120 * SECOND, "{what}");
+            assert!(self.now < start + 120 * SECOND, "{condition}");
         }
-        self.now - begun
+        self.now - start
     }
 }
 
 #[test]
-fn nodes_learn_of_all_others_and_of_the_list_come_to_rest_and_learn_of_a_death() {
+fn nodes_discover_all_others_and_the_list_come_to_rest_and_detect_a_death() {
     let mut cluster = Cluster::new(&plan(8, 1));
-    cluster.until("all know of all", |node| node.progress().complete);
-    assert_eq!(cluster.lists, 8, "each has asked once");
-    cluster.until("all are at rest", |node| node.progress().rested);
+    cluster.until("all nodes have converged", |node| node.progress().complete);
+    assert_eq!(cluster.lists, 8, "each node has called discovery once");
+    cluster.until("all nodes are at rest", |node| node.progress().rested);
     assert!(cluster.nodes.iter().flatten().all(|node| !node.progress().informed));
     cluster.nodes[3] = None;
     cluster.nodes.iter_mut().flatten().for_each(|node| node.watch_for(3));
-    let took = cluster.until("all hold it dead", |node| node.progress().informed);
-    assert!((2 * SECOND..30 * SECOND).contains(&took), "no sooner than the time to object: {took}");
+    let took = cluster.until("the death is known to all", |node| node.progress().informed);
+    assert!((2 * SECOND..30 * SECOND).contains(&took), "the suspicion timeout must pass first: {took}");
     for node in cluster.nodes.iter().flatten() {
         assert_eq!((node.state_of(3), node.state_of(4)), (Some(State::Dead), Some(State::Alive)));
         assert_eq!((node.false_deaths(), node.stalls()), (0, 0));
-        assert!(!node.progress().complete, "one of the others does not live");
+        assert!(!node.progress().complete, "one of the others is dead");
     }
 }
 
 #[test]
-fn nodes_of_another_domain_are_neither_known_nor_heard() {
+fn nodes_of_another_domain_are_unknown_and_their_datagrams_ignored() {
     let mut cluster = Cluster::new(&plan(9, 3));
-    cluster.until("all know of their region", |node| node.progress().complete);
+    cluster.until("all have converged within their region", |node| node.progress().complete);
     assert!(cluster.nodes[0].as_ref().unwrap().state_of(3).is_none());
     assert!(cluster.nodes[0].as_ref().unwrap().state_of(2).is_some());
     let before = cluster.messages.len();
@@ -146,14 +146,14 @@
     assert_eq!(cluster.messages.len(), before);
     cluster.nodes[4] = None;
     cluster.nodes.iter_mut().flatten().for_each(|node| node.watch_for(4));
-    let others = |node: &StubNode| node.progress().informed == [3, 5].contains(&node.number());
-    cluster.until("its region holds it dead", others);
+    let only_its_region = |node: &StubNode| node.progress().informed == [3, 5].contains(&node.number());
+    cluster.until("the death is known to its region only", only_its_region);
 }
 
 #[test]
-fn a_late_wake_up_is_counted_and_what_spoils_a_datagram_changes_nothing() {
+fn a_late_wake_up_is_counted_and_a_malformed_datagram_is_ignored() {
     let mut cluster = Cluster::new(&plan(4, 1));
-    cluster.until("all know of all", |node| node.progress().complete);
+    cluster.until("all nodes have converged", |node| node.progress().complete);
     cluster.handle(1, Input::Datagram(2, b"nonsense"));
     assert!(cluster.nodes[1].as_ref().unwrap().progress().complete);
     cluster.now += 3 * SECOND;
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn every_choice_is_the_seeds() {
+fn random_choices_depend_only_on_the_seed() {
     let one = plan(8, 1);
     let other = Plan { seed: 8, ..one.clone() };
     let draws = |plan: &Plan| -> Vec<_> {
@@ -171,17 +171,17 @@
     };
     assert_eq!(draws(&one), draws(&one.clone()));
     assert_ne!(draws(&one), draws(&other));
-    let mut lives: Vec<u32> = (0..8).map(|number| one.machine_seed(number).nonce).collect();
-    lives.sort_unstable();
-    lives.dedup();
-    assert_eq!(lives.len(), 8, "no two nodes draw the same life");
+    let mut nonces: Vec<u32> = (0..8).map(|number| one.machine_seed(number).nonce).collect();
+    nonces.sort_unstable();
+    nonces.dedup();
+    assert_eq!(nonces.len(), 8, "no two nodes draw the same nonce");
     let victims: Vec<u32> = (0..64).map(|seed| Plan { seed, ..one.clone() }.victim()).collect();
     assert!(victims.iter().all(|victim| *victim < 8) && victims.iter().any(|victim| *victim != victims[0]));
     assert!((0..8).all(|number| one.start_delay(number) < one.membership.period));
 }
 
 #[test]
-fn commands_and_reports_are_read_as_they_were_written() {
+fn commands_and_reports_survive_a_round_trip_as_one_line() {
     use stonevane_scale::convergence::Reached;
     use stonevane_scale::message::{Command, Progress, Report};
     let reached = Reached { nodes: 3, changed: u64::MAX };
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_period_that_an_operator_file_does_not_take_is_refused() {
+fn a_period_that_an_operator_file_rejects_is_an_error() {
     assert!(
         Membership::with_period(Duration::from_millis(49)).unwrap_err().to_string().contains("period_ms")
     );
