--- a/crates/stonevane-experiment/src/lib.rs
+++ b/crates/stonevane-experiment/src/lib.rs
@@ -1,8 +1,9 @@
-//! Experiments: a matrix of scenarios, seeds, fleets, loads and operator files is played against one or two builds of the
-//! daemon, run after run, and can be resumed after an interruption. Results are JSON lines in a folder, from which a
-//! report is made.
+//! Experiments: a matrix of scenarios, seeds, fleet sizes, loads and operator files is run against one or two
+//! builds of the daemon. The lab runs are sequential, and an interrupted experiment can be resumed. Results
+//! are JSON lines in a folder, from which a report is generated.
 //!
-//! [`matrix`], [`stats`] and [`results`] do no I/O of their own; [`runner`] plays, [`report`] words and draws.
+//! [`matrix`], [`stats`] and [`results`] do no I/O of their own; [`runner`] executes the runs, [`report`]
+//! formats the results as text and HTML.
 
 pub mod matrix;
 pub mod report;
--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -1,4 +1,5 @@
-//! The experiment file: which runs there are. Pure: it reads no file but through the caller.
+//! The experiment file, and the matrix of runs that it describes. Does no I/O: the caller passes the texts of
+//! files.
 
 mod read;
 
@@ -10,90 +11,90 @@
 use stonevane_lab::Scenario;
 use stonevane_lab::scenario::Expectation;
 
-/// Runs of one experiment, at most.
+/// Limit on the number of runs of an experiment.
 pub const MAX_RUNS: usize = 100_000;
-/// The name of the variant without an operator file.
+/// Name of the variant that stands for a run without an operator file.
 pub const NO_OPERATOR: &str = "default";
 
-/// An experiment.
+/// An experiment, as read from its file.
 #[derive(Debug, Clone)]
 pub struct Experiment {
-    /// Its name.
+    /// Name of the experiment.
     pub name: String,
-    /// Its scenarios.
+    /// Scenarios, in the order of the file.
     pub scenarios: Vec<NamedScenario>,
-    /// A digest of all their texts: results of others are not mixed with these.
+    /// Digest of the texts of all scenarios. A folder accepts no results of scenarios with another digest.
     pub digest: String,
-    /// The seeds that each is played with.
+    /// Seeds with which each setting is run.
     pub seeds: Vec<u64>,
-    /// Fleet sizes; `None` as the scenario has it.
+    /// Numbers of nodes; `None` for the number in the scenario.
     pub nodes: Vec<Option<usize>>,
-    /// Multiples of the scenario's rate.
+    /// Loads, as multiples of the scenario's request rate.
     pub loads: Vec<f64>,
-    /// Whether the short forms are played.
+    /// Whether the short forms of the scenarios are run.
     pub short: bool,
-    /// Operator files.
+    /// Operator files; the single variant [`NO_OPERATOR`] if the experiment names none.
     pub operators: Vec<OperatorVariant>,
-    /// Raises the load until an expectation breaks, in place of `loads`.
+    /// Search for the load at which expectations begin to fail, in place of `loads`.
     pub search: Option<Search>,
 }
 
 /// A scenario of an experiment.
 #[derive(Debug, Clone)]
 pub struct NamedScenario {
-    /// Its name or file, as the experiment gives it.
+    /// Name of a built-in scenario or path of a file, as given in the experiment file.
     pub name: String,
-    /// The scenario.
+    /// The parsed scenario.
     pub scenario: Scenario,
-    /// The text of one that is a file.
+    /// Text of the scenario file; `None` for a built-in scenario.
     pub file_text: Option<String>,
 }
 
 /// An operator file of an experiment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorVariant {
-    /// Its name.
+    /// Name of the variant.
     pub name: String,
-    /// Its text; empty for none.
+    /// Text of the operator file; empty for a run without one.
     pub text: String,
 }
 
-/// A search for the load that a fleet bears.
+/// A search for the greatest load at which a fleet meets its expectations.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Search {
-    /// What must hold, besides the rules; empty: what the scenario expects.
+    /// Expectations that must hold besides the rules; if empty, those of the scenario.
     pub expects: Vec<Expectation>,
-    /// The least load, as a multiple of the scenario's rate.
+    /// Lower bound of the load, as a multiple of the scenario's request rate.
     pub least: f64,
-    /// The most.
+    /// Upper bound of the load, in the same unit.
     pub most: f64,
-    /// How close the answer is to be.
+    /// Precision of the result, in the same unit.
     pub within: f64,
 }
 
-/// What is the same for all runs of one setting.
+/// Parameters of a run except the seed and the build.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Setting {
-    /// The scenario, as the experiment names it.
+    /// Name of the scenario, as in the experiment file.
     pub scenario: String,
-    /// The number of nodes; `None` as the scenario has it.
+    /// Number of nodes; `None` for the number in the scenario.
     pub nodes: Option<usize>,
-    /// Thousandths of the scenario's rate.
+    /// Load in thousandths of the scenario's request rate.
     pub load_per_mille: u64,
-    /// The operator file's name.
+    /// Name of the operator file; [`NO_OPERATOR`] for none.
     pub operator: String,
 }
 
-/// The load of a setting that leaves the scenario's rate as it is.
-pub(crate) const FULL_LOAD: u64 = 1_000;
+/// Load of a setting that runs at the scenario's request rate.
+pub(crate) const UNIT_LOAD_PER_MILLE: u64 = 1_000;
 
 impl Setting {
-    /// The load as a multiple of the scenario's rate.
+    /// Load as a multiple of the scenario's request rate.
     pub fn load(&self) -> f64 {
-        self.load_per_mille as f64 / FULL_LOAD as f64
+        self.load_per_mille as f64 / UNIT_LOAD_PER_MILLE as f64
     }
 
-    /// The same setting with another load.
+    /// Returns the setting with another load, a multiple of the scenario's request rate.
     pub fn with_load(&self, load: f64) -> Setting {
         Setting { load_per_mille: per_mille(load), ..self.clone() }
     }
@@ -105,32 +106,32 @@
         if let Some(nodes) = self.nodes {
             write!(f, ", {nodes} nodes")?;
         }
-        if self.load_per_mille != FULL_LOAD {
+        if self.load_per_mille != UNIT_LOAD_PER_MILLE {
             write!(f, ", load {:.3}", self.load())?;
         }
         if self.operator == NO_OPERATOR { Ok(()) } else { write!(f, ", {}", self.operator) }
     }
 }
 
-/// A setting and a seed: what the builds are paired by.
+/// A setting and a seed. The runs of two builds are paired by cell.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Cell {
-    /// The setting.
+    /// Setting of the runs.
     pub setting: Setting,
-    /// The seed.
+    /// Seed of the runs.
     pub seed: u64,
 }
 
-/// A load in thousandths.
+/// Converts a load to thousandths, rounded to the nearest.
 pub fn per_mille(load: f64) -> u64 {
-    (load * FULL_LOAD as f64).round() as u64
+    (load * UNIT_LOAD_PER_MILLE as f64).round() as u64
 }
 
 impl Experiment {
-    /// Reads an experiment; `find` gives the text of a scenario's file.
+    /// Parses an experiment file; `find` returns the text of a scenario file by its name.
     ///
     /// # Errors
-    /// All that is wrong with it, in the order of the text.
+    /// All errors in the file, in the order of the text.
     pub fn parse(
         text: &str,
         find: &dyn Fn(&str) -> io::Result<String>,
@@ -138,7 +139,7 @@
         read::experiment(text, find)
     }
 
-    /// All settings, in the order of the file; those of a search at the scenario's rate.
+    /// All settings, in the order of the file. Those of a search have the scenario's request rate.
     pub fn settings(&self) -> Vec<Setting> {
         let loads: &[f64] = if self.search.is_some() { &[1.0] } else { &self.loads };
         let mut settings = Vec::new();
@@ -157,7 +158,7 @@
         settings
     }
 
-    /// All cells: seed by seed, so that an interrupted experiment has some of each setting.
+    /// All cells, ordered by seed first, so that an interrupted experiment has results for every setting.
     pub fn cells(&self) -> Vec<Cell> {
         let settings = self.settings();
         let mut cells = Vec::new();
@@ -167,14 +168,14 @@
         cells
     }
 
-    /// A scenario by the name that the experiment gives it.
+    /// Returns a scenario by its name in the experiment file.
     pub fn scenario(&self, name: &str) -> Option<&Scenario> {
         self.scenarios.iter().find(|scenario| scenario.name == name).map(|scenario| &scenario.scenario)
     }
 
-    /// Whether a scenario is a file.
+    /// Whether a scenario was read from a file, rather than built in.
     pub fn is_file(&self, scenario: &str) -> bool {
-        self.scenarios.iter().any(|known| known.name == scenario && known.file_text.is_some())
+        self.scenarios.iter().any(|named| named.name == scenario && named.file_text.is_some())
     }
 
     /// Whether a variant has an operator file.
--- a/crates/stonevane-experiment/src/matrix/read.rs
+++ b/crates/stonevane-experiment/src/matrix/read.rs
@@ -1,4 +1,4 @@
-//! Reads the experiment file.
+//! Parser of the experiment file.
 
 use std::io;
 
@@ -10,10 +10,10 @@
 
 use super::{Experiment, MAX_RUNS, NO_OPERATOR, NamedScenario, OperatorVariant, Search};
 
-/// Gives the text of a scenario's file.
+/// Returns the text of a scenario file by its name.
 type Find<'a> = &'a dyn Fn(&str) -> io::Result<String>;
 
-/// Why a scenario can't be played.
+/// An error in a scenario of an experiment.
 #[derive(Debug, thiserror::Error)]
 enum ScenarioError {
     #[error("there is no scenario `{name}` ({cause}){}", suggest(name, &BuiltInScenario::names()))]
@@ -21,7 +21,7 @@
     #[error("`{name}` can't be used: {first}")]
     Unusable {
         name: String,
-        /// The first error in its file.
+        /// First error in the scenario file.
         first: String,
     },
 }
@@ -34,8 +34,8 @@
     let seed_count = root.integer("seeds", 5, 1..=10_000);
     let first_seed = root.integer("first_seed", 1, 0..=u64::MAX >> 2);
     let nodes = root.numbers("nodes", 1.0..=64.0).into_iter().map(|nodes| Some(nodes as usize)).collect();
-    let nodes = not_empty(&root, "nodes", nodes, None);
-    let loads = not_empty(&root, "loads", root.numbers("loads", 0.01..=100.0), 1.0);
+    let nodes = non_empty(&root, "nodes", nodes, None);
+    let loads = non_empty(&root, "loads", root.numbers("loads", 0.01..=100.0), 1.0);
     let short = root.flag("short", false);
     let mut operators: Vec<_> = root.tables("operator").into_iter().map(read_operator).collect();
     if operators.is_empty() {
@@ -43,36 +43,39 @@
     }
     let search = root.table("search").map(read_search);
     if search.is_some() && root.has("loads") {
-        root.error(root.place_of("loads"), "a search finds the loads itself");
+        root.error(
+            root.place_of("loads"),
+            "`loads` can't be combined with [search], which determines the loads",
+        );
     }
     let seeds = (first_seed..first_seed + seed_count).collect();
     let experiment = Experiment { name, scenarios, digest, seeds, nodes, loads, short, operators, search };
     let runs = experiment.settings().len().saturating_mul(experiment.seeds.len());
     if runs > MAX_RUNS {
-        root.error(root.place(), format!("{runs} runs; {MAX_RUNS} at the most"));
+        root.error(root.place(), format!("the experiment has {runs} runs; at most {MAX_RUNS} are accepted"));
     }
     root.finish();
     let errors = document.errors();
     if errors.is_empty() { Ok(experiment) } else { Err(errors) }
 }
 
-/// A list, or its default where the key is left out; an empty list is an error.
-fn not_empty<T>(root: &Table<'_, '_>, key: &str, mut list: Vec<T>, default: T) -> Vec<T> {
+/// Returns the list, or `[default]` if the key is missing; an empty list is reported as an error.
+fn non_empty<T>(root: &Table<'_, '_>, key: &str, mut list: Vec<T>, default: T) -> Vec<T> {
     if list.is_empty() {
         if root.has(key) {
-            root.error(root.place_of(key), format!("an empty matrix: `{key}` has none"));
+            root.error(root.place_of(key), format!("an empty matrix: `{key}` has no values"));
         }
         list.push(default);
     }
     list
 }
 
-/// The scenarios, and a digest of their texts.
+/// Reads the scenarios, and returns them with a digest of their texts.
 fn read_scenarios(root: &Table<'_, '_>, find: Find<'_>) -> (Vec<NamedScenario>, String) {
     let (mut scenarios, mut texts) = (Vec::new(), String::new());
     let names = root.texts("scenarios");
     if names.is_empty() {
-        root.error(root.place_of("scenarios"), "an empty matrix: `scenarios` names none");
+        root.error(root.place_of("scenarios"), "an empty matrix: `scenarios` has no values");
     }
     for (name, place) in names {
         match read_scenario(&name, find) {
@@ -87,7 +90,7 @@
     (scenarios, digest(texts.as_bytes()))
 }
 
-/// A scenario and its text.
+/// Reads a scenario, and returns it with its text.
 fn read_scenario(name: &str, find: Find<'_>) -> Result<(Scenario, String), ScenarioError> {
     let text = match BuiltInScenario::find(name) {
         Some(built_in) => built_in.text.to_owned(),
@@ -128,7 +131,7 @@
     let most = table.number("most", 4.0, 0.01..=100.0);
     let within = table.number("within", 0.1, 0.001..=10.0);
     if least >= most {
-        table.error(table.place_of("least"), "`least` is to be less than `most`");
+        table.error(table.place_of("least"), "`least` must be less than `most`");
     }
     table.finish();
     Search { expects, least, most, within }
--- a/crates/stonevane-experiment/src/report.rs
+++ b/crates/stonevane-experiment/src/report.rs
@@ -1,4 +1,4 @@
-//! What an experiment showed: a table, and one page of HTML with its pictures inside.
+//! Report of an experiment: a text table, and an HTML page with embedded charts.
 
 mod command;
 mod html;
@@ -12,12 +12,12 @@
 
 use crate::matrix::{Experiment, Setting};
 use crate::results::{Build, RunResult};
-use crate::runner::{Folder, bears};
-use crate::stats::{Capacity, Estimate, bisect, estimate, paired};
+use crate::runner::{Folder, meets};
+use crate::stats::{Capacity, Estimate, bisect, estimate, paired_difference};
 
 pub use self::html::html;
 
-/// The figures that a report shows, in its order.
+/// Names of the figures in a report, in the order of its rows.
 pub const FIGURES: [&str; 15] = [
     "served",
     "served_first",
@@ -35,23 +35,23 @@
     "origin_falls",
     "cold_peak",
 ];
-/// Worst runs that are listed for each setting.
-const MAX_WORST: usize = 3;
-/// The bootstrap's seed: the same results give the same report.
-const SEED: u64 = 95;
-/// Medians of this and more are printed without decimals.
-const NO_DECIMALS: f64 = 100.0;
+/// Number of worst runs listed per setting.
+const MAX_WORST_RUNS: usize = 3;
+/// Seed of the bootstrap; it is constant so that the same results give the same report.
+const BOOTSTRAP_SEED: u64 = 95;
+/// Absolute value of a median from which it is printed without decimals.
+const MIN_WITHOUT_DECIMALS: f64 = 100.0;
 
-/// A median with its interval.
+/// A median with its 95 % bootstrap interval.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Median {
-    /// The median.
+    /// Median over the runs.
     pub median: f64,
-    /// The interval's lower end.
+    /// Lower bound of the interval.
     pub low: f64,
-    /// Its upper end.
+    /// Upper bound of the interval.
     pub high: f64,
-    /// Runs that have the figure.
+    /// Number of runs, or of pairs of runs, that have the figure.
     pub runs: usize,
 }
 
@@ -63,7 +63,7 @@
 
 impl fmt::Display for Median {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let digits = if self.median.abs() >= NO_DECIMALS { 0 } else { 3 };
+        let digits = if self.median.abs() >= MIN_WITHOUT_DECIMALS { 0 } else { 3 };
         write!(f, "{:.digits$} [{:.digits$}, {:.digits$}]", self.median, self.low, self.high)
     }
 }
@@ -71,27 +71,27 @@
 /// One figure of one setting.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Row {
-    /// Its name.
+    /// Name of the figure.
     pub figure: String,
-    /// Of each build, A first; `None` where no run has it.
+    /// Median of each build, A first; `None` if no run has the figure.
     pub builds: Vec<Option<Median>>,
-    /// B less A, seed by seed.
+    /// Median of the differences B - A, paired by seed; `None` with a single build.
     pub difference: Option<Median>,
-    /// Whether that is more than noise.
+    /// Whether the difference is distinguishable from noise.
     pub distinguishable: bool,
 }
 
-/// Runs of a build. Serialized as a list in this order.
+/// Numbers of runs of a build. Serialized as a list in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "[usize; 4]")]
 pub struct RunCounts {
-    /// Played.
+    /// Runs with a result.
     pub played: usize,
-    /// With all rules and expectations kept.
+    /// Runs in which all rules and expectations hold.
     pub holds: usize,
-    /// With rules broken.
+    /// Runs with rule violations or emulator faults.
     pub broken: usize,
-    /// Not run.
+    /// Runs that failed with an error.
     pub not_run: usize,
 }
 
@@ -117,13 +117,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(into = "(u64, Build, String, String)")]
 pub struct WorstRun {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Its build.
+    /// Build of the run.
     pub build: Build,
-    /// What it showed.
+    /// Error, violated rules or part of the requests served.
     pub what: String,
-    /// The command that plays it again.
+    /// Command that repeats the run.
     pub command: String,
 }
 
@@ -133,22 +133,22 @@
     }
 }
 
-/// What one setting showed.
+/// Results of one setting.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Section {
     /// The setting.
     pub setting: Setting,
-    /// Runs of each build.
+    /// Numbers of runs of each build, A first.
     pub runs: Vec<RunCounts>,
-    /// The ways in which rules were broken.
+    /// Codes of the rule violations, sorted and without duplicates.
     pub codes: Vec<String>,
-    /// Its figures.
+    /// Figures that at least one run has.
     pub rows: Vec<Row>,
-    /// Its worst runs, the worst first.
+    /// Worst runs, the worst first.
     pub worst: Vec<WorstRun>,
 }
 
-/// What a search found. Serialized as a list in this order.
+/// Result of a search. Serialized as a list in this order.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(into = "(Setting, Build, String)")]
 pub struct SearchResult {
@@ -156,7 +156,8 @@
     pub setting: Setting,
     /// The build.
     pub build: Build,
-    /// The load that holds, as a multiple of the scenario's.
+    /// Bounds of the greatest load at which the expectations hold, as text, in multiples of the scenario's
+    /// request rate.
     pub capacity: String,
 }
 
@@ -166,13 +167,13 @@
     }
 }
 
-/// How far an experiment is played. Serialized as a list in this order.
+/// Progress of an experiment. Serialized as a list in this order.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "(usize, usize)")]
 pub struct Played {
-    /// Runs that have a result.
+    /// Number of runs with a result.
     pub runs: usize,
-    /// All runs; 0 for a search.
+    /// Number of all runs; 0 for a search, which does not know it in advance.
     pub total: usize,
 }
 
@@ -182,22 +183,22 @@
     }
 }
 
-/// A report.
+/// Report of an experiment.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// The experiment's name.
+    /// Name of the experiment.
     pub name: String,
-    /// Digests of the builds.
+    /// Digests of the builds, A first.
     pub builds: Vec<String>,
-    /// Its settings.
+    /// Results of each setting, in the order of their first run.
     pub sections: Vec<Section>,
-    /// What a search found.
+    /// Results of the search; empty for an experiment without one.
     pub capacities: Vec<SearchResult>,
-    /// How far it is played.
+    /// Progress of the experiment.
     pub played: Played,
 }
 
-/// Makes a report of a folder.
+/// Builds the report from the results in a folder.
 pub fn report(experiment: &Experiment, folder: &Folder) -> Report {
     let mut settings: Vec<&Setting> = Vec::new();
     for run in &folder.runs {
@@ -228,17 +229,17 @@
         runs: by_build.iter().map(|runs| RunCounts::of(runs)).collect(),
         codes,
         rows: rows.filter(|row| row.builds.iter().any(Option::is_some)).collect(),
-        worst: worst(experiment, folder, all),
+        worst: worst_runs(experiment, folder, all),
     }
 }
 
-/// The worst runs: first those that could not be run, then those that break rules, then expectations; of these the ones
-/// that served least.
-fn worst(experiment: &Experiment, folder: &Folder, mut runs: Vec<&RunResult>) -> Vec<WorstRun> {
+/// Returns the worst runs, ordered by kind (failed with an error, violated a rule, missed an expectation, all
+/// others) and then by the part of the requests served, lowest first.
+fn worst_runs(experiment: &Experiment, folder: &Folder, mut runs: Vec<&RunResult>) -> Vec<WorstRun> {
     let served = |run: &RunResult| run.figure("served").unwrap_or(-1.0);
     let rank = |run: &RunResult| (run.error.is_none(), run.violations() == 0, run.holds);
-    runs.sort_by(|one, other| rank(one).cmp(&rank(other)).then(served(one).total_cmp(&served(other))));
-    let worst = runs.into_iter().take(MAX_WORST).map(|run| WorstRun {
+    runs.sort_by(|a, b| rank(a).cmp(&rank(b)).then(served(a).total_cmp(&served(b))));
+    let worst = runs.into_iter().take(MAX_WORST_RUNS).map(|run| WorstRun {
         seed: run.cell.seed,
         build: run.build,
         what: match &run.error {
@@ -247,16 +248,17 @@
             None if run.holds => format!("served {:.3}", served(run)),
             None => format!("served {:.3}, an expectation is broken", served(run)),
         },
-        command: command::replay(experiment, folder, &run.cell, run.build),
+        command: command::repeat(experiment, folder, &run.cell, run.build),
     });
     worst.collect()
 }
 
 fn row(name: &str, by_build: &[Vec<&RunResult>]) -> Row {
     let figures = |runs: &Vec<&RunResult>| runs.iter().filter_map(|run| run.figure(name)).collect::<Vec<_>>();
-    let builds = by_build.iter().map(|runs| estimate(&figures(runs), SEED).map(Median::from)).collect();
+    let builds =
+        by_build.iter().map(|runs| estimate(&figures(runs), BOOTSTRAP_SEED).map(Median::from)).collect();
     let difference = match by_build {
-        [a, b] => paired(&pairs(name, a, b), SEED),
+        [a, b] => paired_difference(&pairs(name, a, b), BOOTSTRAP_SEED),
         _ => None,
     };
     Row {
@@ -267,7 +269,7 @@
     }
 }
 
-/// A figure of two builds, paired by seed.
+/// Returns the values of a figure in two builds, paired by seed.
 fn pairs(name: &str, a: &[&RunResult], b: &[&RunResult]) -> Vec<(f64, f64)> {
     let figure = |run: &&RunResult| Some((run.cell.seed, run.figure(name)?));
     let by_seed: BTreeMap<u64, f64> = a.iter().filter_map(figure).collect();
@@ -275,7 +277,7 @@
     b.iter().filter_map(figure).filter_map(pair).collect()
 }
 
-/// Repeats a search on the results, without playing anything.
+/// Repeats the search on the stored results, without executing a run.
 fn capacities(experiment: &Experiment, folder: &Folder, builds: &[Build]) -> Vec<SearchResult> {
     let Some(search) = &experiment.search else { return Vec::new() };
     let mut results = Vec::new();
@@ -283,12 +285,12 @@
         for build in builds {
             let holds = |load: f64| {
                 let runs = folder.runs_of(&setting.with_load(load), *build);
-                let holding = runs.iter().filter(|run| bears(search, run)).count();
+                let holding = runs.iter().filter(|run| meets(search, run)).count();
                 let complete = runs.len() >= experiment.seeds.len();
                 complete.then_some(2 * holding > runs.len()).ok_or(())
             };
-            let found: Result<Capacity, ()> = bisect(search.least, search.most, search.within, holds);
-            let capacity = found.map_or("not searched to its end".into(), |found| found.to_string());
+            let capacity: Result<Capacity, ()> = bisect(search.least, search.most, search.within, holds);
+            let capacity = capacity.map_or("search incomplete".into(), |capacity| capacity.to_string());
             results.push(SearchResult { setting: setting.clone(), build: *build, capacity });
         }
     }
--- a/crates/stonevane-experiment/src/report/command.rs
+++ b/crates/stonevane-experiment/src/report/command.rs
@@ -1,13 +1,13 @@
-//! The command that plays a run again.
+//! Command line that repeats a run of an experiment.
 
 use std::fmt::Write as _;
 
-use crate::matrix::{Cell, Experiment, FULL_LOAD, NO_OPERATOR};
+use crate::matrix::{Cell, Experiment, NO_OPERATOR, UNIT_LOAD_PER_MILLE};
 use crate::results::Build;
 use crate::runner::{Folder, operator_path, scenario_path};
 
-/// The command that plays a run again.
-pub(super) fn replay(experiment: &Experiment, folder: &Folder, cell: &Cell, build: Build) -> String {
+/// Returns the command line that repeats a run.
+pub(super) fn repeat(experiment: &Experiment, folder: &Folder, cell: &Cell, build: Build) -> String {
     let setting = &cell.setting;
     let scenario = match experiment.is_file(&setting.scenario) {
         true => scenario_path(&folder.path, &setting.scenario).display().to_string(),
@@ -17,7 +17,7 @@
     if let Some(nodes) = setting.nodes {
         let _ = write!(command, " --nodes {nodes}");
     }
-    if setting.load_per_mille != FULL_LOAD {
+    if setting.load_per_mille != UNIT_LOAD_PER_MILLE {
         let _ = write!(command, " --load {}", setting.load());
     }
     if experiment.short {
--- a/crates/stonevane-experiment/src/report/pictures.rs
+++ b/crates/stonevane-experiment/src/report/pictures.rs
@@ -1,4 +1,4 @@
-//! The pictures of a setting: figures over time, and times by rank.
+//! Charts of a setting: figures over time, and request times by percentile.
 
 use stonevane_lab::chart::{curve, fault_spans, panel_over_time};
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
@@ -15,8 +15,8 @@
     runs: Vec<&'a RunResult>,
 }
 
-/// The pictures of a setting.
-pub(super) fn pictures(section: &Section, folder: &Folder) -> String {
+/// Renders the charts of a setting.
+pub(super) fn charts(section: &Section, folder: &Folder) -> String {
     let builds: Vec<BuildRuns<'_>> = Build::ALL
         .into_iter()
         .zip(&section.runs)
@@ -28,9 +28,9 @@
 fn over_time(builds: &[BuildRuns<'_>]) -> String {
     let intervals = builds.iter().flat_map(|build| &build.runs).map(|run| run.steps.len()).max();
     let seconds = intervals.unwrap_or(1) as f64 * INTERVAL_US as f64 / 1e6;
-    let curves = |figure: &dyn Fn(&Interval) -> f64| {
+    let curves = |value: &dyn Fn(&Interval) -> f64| {
         let builds = builds.iter().enumerate();
-        builds.map(|(colour, build)| median_curve(build, colour, figure)).collect::<Vec<_>>()
+        builds.map(|(colour, build)| median_curve(build, colour, value)).collect::<Vec<_>>()
     };
     let served = |interval: &Interval| match interval.asked {
         0 => f64::NAN,
@@ -39,7 +39,7 @@
     let origin = curves(&|interval| interval.origin);
     let coldest = curves(&|interval| interval.coldest);
     let panels = [
-        panel_over_time("served, median over seeds", "part of what was asked", curves(&served), Some(1.0)),
+        panel_over_time("served, median over seeds", "part of the requests", curves(&served), Some(1.0)),
         panel_over_time("origin, median over seeds", "sent / capacity", origin, Some(1.0)),
         panel_over_time("coldest server, median over seeds", "sent / limit", coldest, Some(1.0)),
     ];
@@ -48,13 +48,13 @@
     picture("over time", &panels, &spans, seconds)
 }
 
-/// The median of a figure of each interval over all runs; where no run has it, nothing.
-fn median_curve(build: &BuildRuns<'_>, colour: usize, figure: &dyn Fn(&Interval) -> f64) -> Curve {
+/// Median over all runs of a value of each interval; NaN, a gap in the curve, for an interval that no run
+/// has.
+fn median_curve(build: &BuildRuns<'_>, colour: usize, value: &dyn Fn(&Interval) -> f64) -> Curve {
     let longest = build.runs.iter().map(|run| run.steps.len()).max().unwrap_or(0);
     let at = |index: usize| {
-        let figures: Vec<f64> =
-            build.runs.iter().filter_map(|run| run.steps.get(index).map(figure)).collect();
-        median(&figures).unwrap_or(f64::NAN)
+        let values: Vec<f64> = build.runs.iter().filter_map(|run| run.steps.get(index).map(value)).collect();
+        median(&values).unwrap_or(f64::NAN)
     };
     let empty = vec![Interval::default(); longest];
     let mut curve = curve(&build.build.to_string(), colour, &empty, &|_| 0.0);
@@ -79,7 +79,7 @@
         }
     }
     let panel = Panel {
-        title: "time of served requests by rank, median over seeds".to_owned(),
+        title: "time of served requests by percentile, median over seeds".to_owned(),
         x_label: "part of the requests, %",
         y_label: "ms",
         curves,
@@ -88,14 +88,15 @@
     picture("latency", &[panel], &[], 1.0)
 }
 
-/// The median of each percentile of a class's times over all runs.
+/// Median over all runs of each percentile of the request times of a class, as points of percent and
+/// milliseconds.
 fn percentile_points(runs: &[&RunResult], class: &str) -> Vec<(f64, f64)> {
-    let marks = runs.iter().filter_map(|run| run.marks_ms.get(class)).map(Vec::len).max().unwrap_or(0);
-    let point = |mark: usize| {
+    let count = runs.iter().filter_map(|run| run.marks_ms.get(class)).map(Vec::len).max().unwrap_or(0);
+    let point = |index: usize| {
         let times: Vec<f64> =
-            runs.iter().filter_map(|run| run.marks_ms.get(class)?.get(mark).copied()).collect();
-        let percent = 100.0 * mark as f64 / marks.saturating_sub(1).max(1) as f64;
+            runs.iter().filter_map(|run| run.marks_ms.get(class)?.get(index).copied()).collect();
+        let percent = 100.0 * index as f64 / count.saturating_sub(1).max(1) as f64;
         (percent, median(&times).unwrap_or(f64::NAN))
     };
-    (0..marks).map(point).collect()
+    (0..count).map(point).collect()
 }
--- a/crates/stonevane-experiment/src/report/text.rs
+++ b/crates/stonevane-experiment/src/report/text.rs
@@ -1,4 +1,4 @@
-//! A report as text.
+//! Text form of a report.
 
 use std::fmt;
 
--- a/crates/stonevane-experiment/src/results.rs
+++ b/crates/stonevane-experiment/src/results.rs
@@ -1,5 +1,5 @@
-//! Results of runs as JSON lines: one a run, appended when it has ended. A last line that was cut off, as by a kill
-//! during its write, is ignored.
+//! Results of runs as JSON lines: one line per run, appended when the run has ended. A truncated last line,
+//! as left by a kill during its write, is ignored.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,14 +14,14 @@
 /// A build of the daemon in an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Build {
-    /// The first.
+    /// The first build.
     A,
-    /// The one that it is compared with.
+    /// The build that A is compared with.
     B,
 }
 
 impl Build {
-    /// Both, in their order.
+    /// Both builds, A first.
     pub const ALL: [Build; 2] = [Build::A, Build::B];
 }
 
@@ -37,36 +37,36 @@
 /// The result of one run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// Which run.
+    /// Setting and seed of the run.
     pub cell: Cell,
-    /// With which build.
+    /// Build that was run.
     pub build: Build,
-    /// Its figures, by the names that expectations use.
+    /// Figures of the run, by the names that expectations use.
     pub figures: BTreeMap<String, f64>,
-    /// Whether the rules and all expectations hold.
+    /// Whether all rules and expectations hold.
     pub holds: bool,
-    /// Violations of rules.
+    /// Number of rule violations.
     pub broken: usize,
-    /// Faults of emulators.
+    /// Number of emulator faults.
     pub faulty: usize,
-    /// The ways in which rules were broken, each once.
+    /// Codes of the rule violations, sorted and without duplicates.
     pub codes: Vec<String>,
-    /// The intervals of the run.
+    /// Intervals of the run, in order of time.
     pub steps: Vec<Interval>,
-    /// Percentiles of each class's times, in milliseconds.
+    /// Percentiles of the request times of each class, in milliseconds.
     pub marks_ms: BTreeMap<String, Vec<f64>>,
-    /// Faults, in seconds from the start.
+    /// Injected faults: seconds from the start, and description.
     pub faults: Vec<(f64, String)>,
-    /// Why it could not be run; all figures are missing then.
+    /// Error that prevented the run; there are no figures then.
     pub error: Option<String>,
-    /// How long it took, in seconds.
+    /// Duration of the run, in seconds.
     pub took_s: f64,
 }
 
 impl RunResult {
-    /// The result of a run.
+    /// Creates the result of a run that took `took_s` seconds.
     pub fn new(cell: Cell, build: Build, run: Result<Outcome, RunError>, took_s: f64) -> RunResult {
-        let empty = RunResult {
+        let base = RunResult {
             cell,
             build,
             figures: BTreeMap::new(),
@@ -81,8 +81,8 @@
             took_s,
         };
         match run {
-            Ok(outcome) => empty.with_outcome(outcome),
-            Err(error) => RunResult { error: Some(error.to_string()), ..empty },
+            Ok(outcome) => base.with_outcome(outcome),
+            Err(error) => RunResult { error: Some(error.to_string()), ..base },
         }
     }
 
@@ -105,17 +105,17 @@
         }
     }
 
-    /// A figure, where the run has it.
+    /// Returns a figure by its name; `None` if the run does not have it.
     pub fn figure(&self, name: &str) -> Option<f64> {
         self.figures.get(name).copied()
     }
 
-    /// Violations of rules and faults of emulators.
+    /// Number of rule violations and emulator faults.
     pub fn violations(&self) -> usize {
         self.broken + self.faulty
     }
 
-    /// The line as it stands in a file, its end included.
+    /// Serializes the result as a line of the file, including the line end.
     pub fn line(&self) -> String {
         let mut text = serde_json::to_string(self).unwrap_or_default();
         text.push('\n');
@@ -123,29 +123,29 @@
     }
 }
 
-/// What a file of results holds.
+/// Contents of a results file.
 #[derive(Debug, PartialEq)]
 pub struct ResultsFile {
-    /// The results.
+    /// Results, in the order of the file.
     pub runs: Vec<RunResult>,
-    /// The length of the complete lines, in bytes.
+    /// Length of the complete lines, in bytes.
     pub complete_bytes: usize,
 }
 
-/// A line that is no result, other than a last one that was cut off.
+/// A line that is not a result; a truncated last line is no error.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {cause}")]
 pub struct ResultsError {
-    /// From 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// Why it can't be read.
+    /// Error of the JSON parser.
     pub cause: serde_json::Error,
 }
 
-/// Reads the lines of a file.
+/// Parses the text of a results file.
 ///
 /// # Errors
-/// [`ResultsError`] for the first line that is no result.
+/// [`ResultsError`] for the first complete line that is not a result.
 pub fn read(text: &str) -> Result<ResultsFile, ResultsError> {
     let mut file = ResultsFile { runs: Vec::new(), complete_bytes: 0 };
     for (line, text) in (1..).zip(text.split_inclusive('\n')) {
--- a/crates/stonevane-experiment/src/runner.rs
+++ b/crates/stonevane-experiment/src/runner.rs
@@ -1,5 +1,6 @@
-//! Plays an experiment, run after run, into a folder: `experiment.toml` and `builds.json` say what it is,
-//! `results.jsonl` holds the results. The same command resumes where an earlier one stopped.
+//! Executes the runs of an experiment one after the other and stores their results in a folder:
+//! `experiment.toml` and `builds.json` identify the experiment, `results.jsonl` holds the results. The same
+//! command resumes an interrupted experiment.
 
 mod builds;
 mod error;
@@ -15,10 +16,11 @@
 pub use self::error::ExperimentError;
 pub use self::folder::{Folder, operator_path, scenario_path, text};
 
-/// Plays an experiment into a folder, and returns all that is in the folder then.
+/// Executes the runs of an experiment that have no result in the folder yet, and returns the contents of the
+/// folder. `report` receives one line per finished run or search.
 ///
 /// # Errors
-/// [`ExperimentError`]; results of before stay.
+/// [`ExperimentError`]; the results so far stay in the folder.
 pub fn play(
     experiment: &Experiment,
     text: &str,
@@ -30,13 +32,13 @@
     player::Player::new(experiment, folder, results, report).play()
 }
 
-/// Whether a run bears what a search asks.
-pub fn bears(search: &Search, run: &RunResult) -> bool {
+/// Whether a run meets the expectations of a search and violates no rule.
+pub fn meets(search: &Search, run: &RunResult) -> bool {
     if search.expects.is_empty() {
         return run.holds;
     }
-    let met = |expectation: &stonevane_lab::scenario::Expectation| {
+    let holds = |expectation: &stonevane_lab::scenario::Expectation| {
         run.figure(&expectation.figure).is_some_and(|figure| expectation.holds(figure))
     };
-    run.error.is_none() && run.violations() == 0 && search.expects.iter().all(met)
+    run.error.is_none() && run.violations() == 0 && search.expects.iter().all(holds)
 }
--- a/crates/stonevane-experiment/src/runner/builds.rs
+++ b/crates/stonevane-experiment/src/runner/builds.rs
@@ -1,4 +1,4 @@
-//! The builds of an experiment.
+//! Builds of the daemon that an experiment compares.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -8,20 +8,20 @@
 
 use crate::results::Build;
 
-/// A build that can't be read.
+/// An error in reading the program of a build.
 #[derive(Debug, thiserror::Error)]
-#[error("the build {}: {error}", .path.display())]
+#[error("can't read the build {}: {error}", .path.display())]
 pub struct BuildError {
     path: PathBuf,
     error: io::Error,
 }
 
-/// A build, as the folder remembers it.
+/// A build, as stored in `builds.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BuildFile {
-    /// Where it was.
+    /// Path of its program.
     pub path: PathBuf,
-    /// A digest of its program.
+    /// Digest of its program.
     pub digest: String,
 }
 
@@ -37,28 +37,28 @@
 /// The builds of an experiment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Builds {
-    /// The first.
+    /// The first build.
     pub a: BuildFile,
-    /// The one that it is compared with.
+    /// The build that `a` is compared with.
     pub b: Option<BuildFile>,
 }
 
 impl Builds {
-    /// Reads the programs.
+    /// Reads the programs of the builds.
     ///
     /// # Errors
-    /// [`BuildError`] for one that can't be read.
+    /// [`BuildError`] if a program can't be read.
     pub fn of(a: &Path, b: Option<&Path>) -> Result<Builds, BuildError> {
         Ok(Builds { a: BuildFile::read(a)?, b: b.map(BuildFile::read).transpose()? })
     }
 
-    /// Those that there are.
+    /// All builds of the experiment, A first.
     pub fn all(&self) -> Vec<(Build, &BuildFile)> {
         let first = [(Build::A, &self.a)];
         first.into_iter().chain(self.b.iter().map(|build| (Build::B, build))).collect()
     }
 
-    /// The file of a build.
+    /// Returns the file of a build.
     pub fn get(&self, build: Build) -> Option<&BuildFile> {
         match build {
             Build::A => Some(&self.a),
--- a/crates/stonevane-experiment/src/runner/error.rs
+++ b/crates/stonevane-experiment/src/runner/error.rs
@@ -1,33 +1,33 @@
-//! Why an experiment was not played to its end.
+//! Errors of running an experiment.
 
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why an experiment was not played to its end.
+/// An error that ends an experiment before its last run.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// The folder holds something else.
+    /// The folder belongs to another experiment, is in use or holds a malformed file.
     #[error("{0}")]
     Unusable(String),
     /// A file can't be read or written.
     #[error("{}: {error}", .path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error.
+        /// Error of the operating system.
         error: io::Error,
     },
-    /// It was interrupted.
-    #[error("interrupted after {done} of {total} runs; the same command goes on")]
+    /// The experiment was interrupted.
+    #[error("interrupted after {done} of {total} runs; run the same command again to resume")]
     Interrupted {
-        /// Runs that have a result.
+        /// Number of runs with a result.
         done: usize,
-        /// All runs.
+        /// Number of all runs.
         total: usize,
     },
 }
 
-/// Names the file of an I/O error.
-pub(super) fn at<T>(path: &Path, result: io::Result<T>) -> Result<T, ExperimentError> {
+/// Adds the path of the file to an I/O error.
+pub(super) fn with_path<T>(path: &Path, result: io::Result<T>) -> Result<T, ExperimentError> {
     result.map_err(|error| ExperimentError::Io { path: path.into(), error })
 }
--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -1,4 +1,4 @@
-//! Plays the runs of an experiment that have no result yet.
+//! Executes the runs of an experiment that have no result yet.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -8,27 +8,27 @@
 
 use stonevane_lab::{NodeKind, Options, Program, RunError, Scenario, run};
 
-use super::error::at;
-use super::folder::{RESULTS, operator_path};
-use super::{ExperimentError, Folder, bears};
+use super::error::with_path;
+use super::folder::{RESULTS_FILE, operator_path};
+use super::{ExperimentError, Folder, meets};
 use crate::matrix::{Cell, Experiment, Search, Setting};
 use crate::results::{Build, RunResult};
 use crate::stats::{Capacity, bisect};
 
-/// An experiment that is being played.
+/// Executes the runs of an experiment.
 pub(super) struct Player<'a> {
     experiment: &'a Experiment,
     folder: Folder,
     results: File,
-    /// Indices of results.
-    known: HashMap<(Cell, Build), usize>,
+    /// Indices into `folder.runs`, by cell and build.
+    result_indices: HashMap<(Cell, Build), usize>,
     report: &'a mut dyn FnMut(&str),
-    begun: Instant,
-    /// Runs that were played since.
-    played: usize,
-    /// What they took beyond the length of their load.
+    started_at: Instant,
+    /// Number of runs executed since `started_at`.
+    executed: usize,
+    /// Total time that these runs took beyond the length of their load.
     overhead: Duration,
-    /// The number of all runs; 0 for a search.
+    /// Number of all runs of the experiment; 0 for a search, which does not know it in advance.
     total: usize,
 }
 
@@ -40,20 +40,21 @@
         report: &'a mut dyn FnMut(&str),
     ) -> Player<'a> {
         let runs = folder.runs.iter().enumerate();
-        let known = runs.map(|(index, run)| ((run.cell.clone(), run.build), index)).collect();
+        let result_indices = runs.map(|(index, run)| ((run.cell.clone(), run.build), index)).collect();
         Player {
             experiment,
             folder,
             results,
-            known,
+            result_indices,
             report,
-            begun: Instant::now(),
-            played: 0,
+            started_at: Instant::now(),
+            executed: 0,
             overhead: Duration::ZERO,
             total: 0,
         }
     }
 
+    /// Executes all missing runs, or the search, and returns the folder with the results.
     pub(super) fn play(mut self) -> Result<Folder, ExperimentError> {
         let builds: Vec<(Build, PathBuf)> =
             self.folder.builds.all().into_iter().map(|(build, file)| (build, file.path.clone())).collect();
@@ -64,7 +65,7 @@
             None => {
                 for cell in &cells {
                     for (build, program) in &builds {
-                        self.play_run(cell, *build, program)?;
+                        self.execute_run(cell, *build, program)?;
                     }
                 }
             }
@@ -82,7 +83,8 @@
         Ok(())
     }
 
-    /// Finds the load that most seeds of a setting bear.
+    /// Finds the greatest load at which more than half of the seeds of a setting meet the expectations of the
+    /// search.
     fn search(
         &mut self,
         search: &Search,
@@ -96,36 +98,39 @@
             let mut holding = 0;
             for seed in &seeds {
                 let cell = Cell { setting: setting.clone(), seed: *seed };
-                let index = self.play_run(&cell, build, program)?;
-                holding += usize::from(bears(search, &self.folder.runs[index]));
+                let index = self.execute_run(&cell, build, program)?;
+                holding += usize::from(meets(search, &self.folder.runs[index]));
             }
             Ok(2 * holding > seeds.len())
         })
     }
 
-    /// Plays one run, unless it has a result; returns the result's index.
-    fn play_run(&mut self, cell: &Cell, build: Build, program: &Path) -> Result<usize, ExperimentError> {
-        if let Some(index) = self.known.get(&(cell.clone(), build)) {
+    /// Executes one run, unless it has a result, and returns the index of its result in `folder.runs`.
+    fn execute_run(&mut self, cell: &Cell, build: Build, program: &Path) -> Result<usize, ExperimentError> {
+        if let Some(index) = self.result_indices.get(&(cell.clone(), build)) {
             return Ok(*index);
         }
         let Some(scenario) = self.experiment.scenario(&cell.setting.scenario).cloned() else {
-            return Err(ExperimentError::Unusable(format!("no scenario `{}`", cell.setting.scenario)));
+            return Err(ExperimentError::Unusable(format!(
+                "the experiment has no scenario `{}`",
+                cell.setting.scenario
+            )));
         };
         let options = self.options(cell, program);
-        let begun = Instant::now();
+        let run_started_at = Instant::now();
         let outcome = run(&scenario, &options);
-        let took = begun.elapsed();
+        let took = run_started_at.elapsed();
         if matches!(outcome, Err(RunError::Interrupted)) {
             let done = self.folder.runs.len();
             return Err(ExperimentError::Interrupted { done, total: self.total.max(done) });
         }
         let result = RunResult::new(cell.clone(), build, outcome, took.as_secs_f64());
         let written = self.results.write_all(result.line().as_bytes()).and_then(|()| self.results.flush());
-        at(&self.folder.path.join(RESULTS), written)?;
-        self.played += 1;
+        with_path(&self.folder.path.join(RESULTS_FILE), written)?;
+        self.executed += 1;
         self.overhead += took.saturating_sub(load_length(&scenario, self.experiment.short));
         let index = self.folder.runs.len();
-        self.known.insert((cell.clone(), build), index);
+        self.result_indices.insert((cell.clone(), build), index);
         self.report_run(&result);
         self.folder.runs.push(result);
         Ok(index)
@@ -150,32 +155,35 @@
             (Some(error), ..) => format!("could not be run: {}", error.lines().next().unwrap_or_default()),
             (None, 0, true) => "holds".to_owned(),
             (None, 0, false) => "an expectation is broken".to_owned(),
-            (None, violations, _) => format!("{violations} breaches: {}", run.codes.join(", ")),
+            (None, violations, _) => format!("{violations} violations: {}", run.codes.join(", ")),
         };
         let served = run.figure("served").map_or(String::new(), |served| format!("served {served:.3}, "));
-        let (cell, build, left) = (&run.cell, run.build, self.time_left());
+        let (cell, build, time_left) = (&run.cell, run.build, self.time_left());
         (self.report)(&format!(
-            "{done} of {}: {}, seed {}, {build}: {served}{verdict}{left}",
+            "{done} of {}: {}, seed {}, {build}: {served}{verdict}{time_left}",
             self.total.max(done),
             cell.setting,
             cell.seed,
         ));
     }
 
-    /// The time that the runs which are left will take, judged by those that were played.
+    /// Estimates the time that the remaining runs take, from the length of their load and the average
+    /// overhead of the runs executed so far. A search has no known number of runs, so that the elapsed time
+    /// is given instead.
     fn time_left(&self) -> String {
         if self.experiment.search.is_some() {
-            return format!(" ({:.0} s so far)", self.begun.elapsed().as_secs_f64());
+            return format!(" ({:.0} s so far)", self.started_at.elapsed().as_secs_f64());
         }
-        let overhead = self.overhead / self.played.max(1) as u32;
+        let overhead = self.overhead / self.executed.max(1) as u32;
         let mut left = Duration::ZERO;
         for cell in self.experiment.cells() {
             let scenario = self.experiment.scenario(&cell.setting.scenario);
             let length =
                 scenario.map_or(Duration::ZERO, |scenario| load_length(scenario, self.experiment.short));
-            let open = self.folder.builds.all().into_iter();
-            let open = open.filter(|(build, _)| !self.known.contains_key(&(cell.clone(), *build)));
-            left += (length + overhead) * open.count() as u32;
+            let missing = self.folder.builds.all().into_iter();
+            let missing =
+                missing.filter(|(build, _)| !self.result_indices.contains_key(&(cell.clone(), *build)));
+            left += (length + overhead) * missing.count() as u32;
         }
         match left.as_secs() {
             0 => String::new(),
@@ -184,7 +192,7 @@
     }
 }
 
-/// How long a scenario's load lasts.
+/// Length of the load of a scenario.
 fn load_length(scenario: &Scenario, short: bool) -> Duration {
     Duration::from_millis(scenario.load.for_ms).mul_f64(if short { scenario.short } else { 1.0 })
 }
--- a/crates/stonevane-scale/src/budget.rs
+++ b/crates/stonevane-scale/src/budget.rs
@@ -1,4 +1,5 @@
-//! Budget for the cost per node of fleet control (membership and discovery), and the check of figures against it.
+//! Budget for the cost per node of fleet control (membership and discovery), and the check of figures against
+//! it.
 
 use std::fmt;
 
@@ -71,8 +72,8 @@
     }
 }
 
-/// Returns all quantities that exceed the budget. A phase that timed out exceeds it; the later phases were not measured
-/// and are not listed.
+/// Returns all quantities that exceed the budget. A phase that timed out exceeds it; the later phases were
+/// not measured and are not listed.
 pub fn excesses(budget: &Budget, figures: &Figures) -> Vec<Excess> {
     let unreached = |item| vec![Excess { item, figure: None, bound: None }];
     if figures.converged_s.is_none() {
--- a/crates/stonevane-scale/src/clock.rs
+++ b/crates/stonevane-scale/src/clock.rs
@@ -6,7 +6,8 @@
 
 use crate::Micros;
 
-/// Limit on a sleep, one day: a state machine without a timeout returns a time that an `Instant` cannot represent.
+/// Limit on a sleep, one day: a state machine without a timeout returns a time that an `Instant` cannot
+/// represent.
 const MAX_SLEEP: Micros = 86_400_000_000;
 
 /// A clock that returns the machine's monotonic time, which all processes share.
--- a/crates/stonevane-scale/src/convergence.rs
+++ b/crates/stonevane-scale/src/convergence.rs
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Time at which the last node reached the state; `None` while an expected node has not reached it or has left it
-    /// again. Workers with no expected node don't count.
+    /// Time at which the last node reached the state; `None` while an expected node has not reached it or has
+    /// left it again. Workers with no expected node don't count.
     pub fn at(&self) -> Option<Micros> {
         let all =
             self.expected.iter().zip(&self.reached).all(|(expected, reached)| reached.nodes == *expected);
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -1,4 +1,5 @@
-//! The run of one fleet: starts the workers and the discovery emulator, measures each phase, and ends the processes.
+//! The run of one fleet: starts the workers and the discovery emulator, measures each phase, and ends the
+//! processes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -19,7 +20,7 @@
 use crate::plan::Plan;
 use crate::processes::{Event, Processes};
 
-/// Interval at which memory and signals are last_check.
+/// Interval at which memory and signals are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Capacity of the event queue; the threads that read the workers' reports block while it is full.
 const EVENT_QUEUE_LENGTH: usize = 1_024;
@@ -36,7 +37,7 @@
     pub memory_limit: u64,
     /// Limit on the file descriptors of a process.
     pub descriptors: u64,
-    /// Memory costs for the estimate that is last_check before the fleet starts.
+    /// Memory costs for the estimate that is checked before the fleet starts.
     pub costs: MemoryCosts,
     /// Set by SIGINT and SIGTERM; interrupts the run.
     pub interrupt: Interrupt,
@@ -73,7 +74,7 @@
     /// Workers have not answered within the time limit.
     #[error("the workers are too slow: {what}")]
     WorkerTimeout {
-        /// The answer that is missing.
+        /// State of the workers at the timeout.
         what: &'static str,
     },
     /// The process received SIGINT or SIGTERM.
@@ -102,11 +103,11 @@
     Ok(layout)
 }
 
-/// Runs the fleet of a plan, and passes one line of text per step to `report`. No worker process is left when this
-/// returns.
+/// Runs the fleet of a plan, and passes one line of text per step to `report`. No worker process is left when
+/// this returns.
 ///
-/// A figure of a phase that did not finish within [`Plan::phase`] is `None`. The caller compares the figures with the
-/// budget and sets [`Figures::within_budget`].
+/// A figure of a phase that did not finish within [`Plan::phase`] is `None`. The caller compares the figures
+/// with the budget and sets [`Figures::within_budget`].
 ///
 /// # Errors
 /// The run ended without figures; see [`RunError`].
@@ -138,10 +139,7 @@
         ..Figures::default()
     };
     fleet.measure(&discovery, &mut figures, report)?;
-    report(format!(
-        "peak_memory_bytes memory of all processes: {} MiB",
-        fleet.peak_memory_bytes / limits::MIB
-    ));
+    report(format!("peak memory of all processes: {} MiB", fleet.peak_memory_bytes / limits::MIB));
     Ok(figures)
 }
 
@@ -238,8 +236,8 @@
         Ok(())
     }
 
-    /// Kills a node, and returns the seconds until all others of its domain have declared it dead; `None` if the phase
-    /// times out.
+    /// Kills a node, and returns the seconds until all others of its domain have declared it dead; `None` if
+    /// the phase times out.
     fn kill(&mut self, number: u32) -> Result<Option<f64>, RunError> {
         self.processes.send_all(&Command::Kill { number })?;
         let owner = self.layout.worker_of(number) as usize;
@@ -256,8 +254,8 @@
         Ok(known_at.map(|at| seconds(killed_at, at)))
     }
 
-    /// Waits until all nodes have reached a state, and returns the time at which the last one did; `None` if the phase
-    /// times out.
+    /// Waits until all nodes have reached a state, and returns the time at which the last one did; `None` if
+    /// the phase times out.
     fn until_all(&mut self, select: fn(&Progress) -> Reached) -> Result<Option<Micros>, RunError> {
         let nodes = (0..self.layout.workers()).map(|worker| self.layout.worker_nodes(worker).len() as u32);
         self.until(Convergence::new(nodes.collect()), select)
@@ -281,8 +279,8 @@
         }
     }
 
-    /// Waits for one answer from each worker, and returns the answers in the order of the workers. `missing` names the
-    /// answer in the error of a timeout; `select` returns any report but the answer as an error.
+    /// Waits for one answer from each worker, and returns the answers in the order of the workers. `missing`
+    /// is the text of the timeout error; `select` returns a report that is not the answer as an error.
     fn answers<T>(
         &mut self,
         missing: &'static str,
@@ -303,8 +301,8 @@
         Ok(answers.into_iter().flatten().collect())
     }
 
-    /// Returns the next event; `None` once the deadline has passed. Checks signals and memory at [`CHECK_INTERVAL`],
-    /// also while events arrive without a pause.
+    /// Returns the next event; `None` once the deadline has passed. Checks signals and memory at
+    /// [`CHECK_INTERVAL`], also while events arrive without a pause.
     fn next_event(&mut self, deadline: Instant) -> Result<Option<Event>, RunError> {
         loop {
             if self.last_check.elapsed() >= CHECK_INTERVAL {
@@ -334,7 +332,8 @@
         limits::check_used(used, self.environment.memory_limit).map_err(RunError::TookTooMuch)
     }
 
-    /// Handles an event that is not the awaited answer: stores progress and turns any other event into an error.
+    /// Handles an event that is not the awaited answer: stores progress and turns any other event into an
+    /// error.
     fn handle(&mut self, event: Event) -> Result<(), RunError> {
         match event {
             Event::Report(worker, Report::Progress(progress)) => {
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -39,8 +39,8 @@
     pub cpu_us: f64,
 }
 
-/// Computes the cost per node between two samples of each worker. `start` and `end` list the workers in the same order;
-/// `nodes` is the size of the fleet.
+/// Computes the cost per node between two samples of each worker. `start` and `end` list the workers in the
+/// same order; `nodes` is the size of the fleet.
 pub fn rates(start: &[Sample], end: &[Sample], nodes: u32) -> Rates {
     let mut rates = Rates::default();
     for (start, end) in start.iter().zip(end) {
@@ -55,7 +55,8 @@
     rates
 }
 
-/// Figures of the run of one fleet: one line of the output. A figure is `None` if its phase timed out or was not reached.
+/// Figures of the run of one fleet: one line of the output. A figure is `None` if its phase timed out or was
+/// not reached.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
 pub struct Figures {
     /// Number of stub nodes.
@@ -68,10 +69,11 @@
     pub workers: u32,
     /// Seed of every random choice.
     pub seed: u64,
-    /// Seconds from the start of the nodes until all had the endpoint list and saw all others of their domain as live.
+    /// Seconds from the start of the nodes until all had the endpoint list and saw all others of their domain
+    /// as live.
     pub converged_s: Option<f64>,
-    /// Seconds from the start of the nodes until all were at rest, with no updates to disseminate and fully healthy. The
-    /// rates are measured from then on.
+    /// Seconds from the start of the nodes until all were at rest, with no updates to disseminate and fully
+    /// healthy. The rates are measured from then on.
     pub rested_s: Option<f64>,
     /// Bytes of datagrams per node and second.
     pub udp_bytes_s: Option<f64>,
@@ -87,7 +89,8 @@
     pub death_known_s: Option<f64>,
     /// Number of times a node declared a live node dead, in the whole run.
     pub false_deaths: u64,
-    /// Wake-ups that were late by more than half of the period, in the whole run: a sign that the machine was overloaded.
+    /// Wake-ups that were late by more than half of the period, in the whole run: a sign that the machine was
+    /// overloaded.
     pub stalls: u64,
     /// Whether all figures are within the budget.
     pub within_budget: bool,
--- a/crates/stonevane-scale/src/host.rs
+++ b/crates/stonevane-scale/src/host.rs
@@ -1,4 +1,5 @@
-//! Resources of this machine (memory, file descriptors, processors), resident memory of processes, and signals.
+//! Resources of this machine (memory, file descriptors, processors), resident memory of processes, and
+//! signals.
 
 use std::io;
 use std::sync::Arc;
--- a/crates/stonevane-scale/src/layout.rs
+++ b/crates/stonevane-scale/src/layout.rs
@@ -1,4 +1,5 @@
-//! Node numbers of each worker, region and membership domain: contiguous blocks whose lengths differ by at most one.
+//! Node numbers of each worker, region and membership domain: contiguous blocks whose lengths differ by at
+//! most one.
 
 use std::ops::Range;
 
@@ -72,8 +73,8 @@
 }
 
 impl Layout {
-    /// Lays out a fleet. With `domain_per_region` each region is a membership domain of its own; otherwise all nodes are
-    /// members of one domain.
+    /// Lays out a fleet. With `domain_per_region` each region is a membership domain of its own; otherwise
+    /// all nodes are members of one domain.
     ///
     /// # Errors
     /// A number is out of range, or a region or domain would have too few or too many nodes.
@@ -163,7 +164,8 @@
         self.nodes.div_ceil(self.workers)
     }
 
-    /// Number of nodes of a worker that must detect the death of `victim`: those in its domain, without `victim`.
+    /// Number of nodes of a worker that must detect the death of `victim`: those in its domain, without
+    /// `victim`.
     pub fn survivors(&self, worker: u32, victim: u32) -> u32 {
         let (nodes, domain) = (self.worker_nodes(worker), self.domain_of(victim));
         let shared = nodes.start.max(domain.start)..nodes.end.min(domain.end);
--- a/crates/stonevane-scale/src/lib.rs
+++ b/crates/stonevane-scale/src/lib.rs
@@ -1,9 +1,11 @@
-//! Fleets of stub nodes, which measure the cost per node as the fleet grows. The command line calls them *hollow* nodes.
+//! Fleets of stub nodes, which measure the cost per node as the fleet grows. The command line calls them
+//! *hollow* nodes.
 //!
-//! A stub node is the daemon without clients and cache servers: the real core (`stonevane-core`) with the daemon's
-//! discovery client over TCP, and the real membership state machine (`stonevane-membership`) with its datagrams over
-//! UDP, all on loopback. Each worker process runs many stub nodes. A coordinator starts the workers, waits until the
-//! fleet has converged, samples its cost, kills one node and waits until all others have declared it dead.
+//! A stub node is the daemon without clients and cache servers: the real core (`stonevane-core`) with the
+//! daemon's discovery client over TCP, and the real membership state machine (`stonevane-membership`) with
+//! its datagrams over UDP, all on loopback. Each worker process runs many stub nodes. A coordinator starts
+//! the workers, waits until the fleet has converged, samples its cost, kills one node and waits until all
+//! others have declared it dead.
 //!
 //! | module | responsibility | I/O |
 //! | --- | --- | --- |
@@ -39,5 +41,6 @@
 pub mod stub_node;
 pub mod worker;
 
-/// Time or duration in microseconds; times are read from the monotonic clock that all processes of a machine share.
+/// Time or duration in microseconds; times are read from the monotonic clock that all processes of a machine
+/// share.
 pub type Micros = u64;
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum LimitError {
     /// The requested memory limit exceeds the maximum.
-    #[error("--memory-mb is {}; at most half of this machine's memory is accepted: {}", mib(*requested), max / MIB)]
+    #[error("--memory-mb is {}; at most {} is accepted, half of this machine's memory", mib(*requested), max / MIB)]
     AboveHalf {
         /// Requested limit, in bytes.
         requested: u64,
@@ -113,8 +113,8 @@
     }
 }
 
-/// Checks, before a fleet starts, that it stays within a memory limit in bytes and a limit on the file descriptors of
-/// each process.
+/// Checks, before a fleet starts, that it stays within a memory limit in bytes and a limit on the file
+/// descriptors of each process.
 ///
 /// # Errors
 /// The first limit that the fleet would exceed.
--- a/crates/stonevane-scale/src/message.rs
+++ b/crates/stonevane-scale/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between the coordinator and a worker: one JSON object per line, on the worker's standard input and output.
-//! A worker exits at the end of its input.
+//! Messages between the coordinator and a worker: one JSON object per line, on the worker's standard input
+//! and output. A worker exits at the end of its input.
 
 use std::net::SocketAddr;
 
@@ -30,8 +30,8 @@
     },
     /// Takes a sample; answered with [`Report::Sample`].
     Sample,
-    /// Kills a node: its worker ends it and answers with [`Report::Killed`]. The other nodes of all workers report
-    /// when they have declared it dead.
+    /// Kills a node: its worker ends it and answers with [`Report::Killed`]. The other nodes of all workers
+    /// report when they have declared it dead.
     Kill {
         /// Number of the node in the fleet.
         number: u32,
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -138,8 +138,8 @@
         self.random(Purpose::Core, number).rand_u64()
     }
 
-    /// Delay of a node's start after the start of the fleet: less than one period, so that the nodes' periods are not in
-    /// phase.
+    /// Delay of a node's start after the start of the fleet: less than one period, so that the nodes' periods
+    /// are not in phase.
     pub fn start_delay(&self, number: u32) -> Micros {
         self.random(Purpose::Start, number).rand_range(0..self.membership.period.max(1))
     }
@@ -149,8 +149,8 @@
         self.random(Purpose::Victim, 0).rand_range(0..u64::from(self.nodes.max(1))) as u32
     }
 
-    /// Settings of a node, as the platform would write them: all nodes call discovery, and there is one kind of cache
-    /// server.
+    /// Settings of a node, as the platform would write them: all nodes call discovery, and there is one kind
+    /// of cache server.
     ///
     /// # Errors
     /// The settings are invalid.
@@ -168,7 +168,8 @@
         Ok(settings::read(settings.to_string().as_bytes())?)
     }
 
-    /// Address of a cache server in discovery's list. Nothing listens there: without clients no request is sent.
+    /// Address of a cache server in discovery's list. Nothing listens there: without clients no request is
+    /// sent.
     pub fn cache_address(&self, cache: u32) -> SocketAddr {
         let [high, low] = (cache as u16).to_be_bytes();
         SocketAddr::from(([127, 1, high, low], 6_379))
--- a/crates/stonevane-scale/src/processes.rs
+++ b/crates/stonevane-scale/src/processes.rs
@@ -1,5 +1,5 @@
-//! The worker processes of a run: starts them, sends them commands over pipes, reads their reports, and kills them on
-//! every path out of the run.
+//! The worker processes of a run: starts them, sends them commands over pipes, reads their reports, and kills
+//! them on every path out of the run.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::os::unix::process::CommandExt;
@@ -27,8 +27,8 @@
 
 struct Worker {
     child: Child,
-    /// Queue of the thread that writes to the worker's input, so that a worker that does not read blocks only its own
-    /// thread.
+    /// Queue of the thread that writes to the worker's input, so that a worker that does not read blocks only
+    /// its own thread.
     commands: Sender<Vec<u8>>,
 }
 
@@ -55,8 +55,8 @@
                 .stdin(Stdio::piped())
                 .stdout(Stdio::piped())
                 .stderr(Stdio::null())
-                // A terminal sends SIGINT to the whole process group: only the coordinator, which ends its workers
-                // itself, is to receive it.
+                // A terminal sends SIGINT to the whole process group: only the coordinator, which ends its
+                // workers itself, is to receive it.
                 .process_group(0)
                 .spawn()?;
             let (input, output) = (child.stdin.take(), child.stdout.take());
--- a/crates/stonevane-scale/src/stub_driver.rs
+++ b/crates/stonevane-scale/src/stub_driver.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Counts of anomalies of one node: events that do not occur while the machine keeps up.
+/// Counts of events that do not occur in a node while its machine keeps up with the load.
 #[derive(Debug, Clone, Copy)]
 pub struct Anomalies {
     /// Number of times the node declared a live node dead.
@@ -90,7 +90,8 @@
     state: Mutex<State>,
     socket: UdpSocket,
     shared: Arc<Shared>,
-    /// Signalled when the node has handled an input of discovery, which may have moved its next timeout forward.
+    /// Signalled when the node has handled an input of discovery, which may have moved its next timeout
+    /// forward.
     rescheduled: Notify,
 }
 
--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -1,9 +1,9 @@
-//! A stub node as a state machine without I/O: the daemon's core and its membership state machine, without clients and
-//! cache servers. The command line calls it a hollow node.
+//! A stub node as a state machine without I/O: the daemon's core and its membership state machine, without
+//! clients and cache servers. The command line calls it a hollow node.
 //!
-//! The core ([`stonevane_core::Core`]) keeps the list of cache servers and requests calls to discovery. The membership
-//! state machine ([`stonevane_membership::Machine`]) tracks the members of the domain, numbered from 0 in each domain.
-//! Everywhere else a node is identified by its number in the whole fleet.
+//! The core ([`stonevane_core::Core`]) keeps the list of cache servers and requests calls to discovery. The
+//! membership state machine ([`stonevane_membership::Machine`]) tracks the members of the domain, numbered
+//! from 0 in each domain. Everywhere else a node is identified by its number in the whole fleet.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -66,8 +66,8 @@
 pub struct NodeProgress {
     /// The node has the endpoint list and sees all other members of its domain as live.
     pub complete: bool,
-    /// The node has no updates to disseminate and a local health score of 0 (fully healthy): its traffic is that of a
-    /// fleet at rest.
+    /// The node has no updates to disseminate and a local health score of 0 (fully healthy): its traffic is
+    /// that of a fleet at rest.
     pub rested: bool,
     /// The node has declared the killed node dead.
     pub informed: bool,
@@ -151,7 +151,8 @@
         self.core.next_timeout().map_or(self.machine.next(), |next| next.min(self.machine.next()))
     }
 
-    /// Handles an input and appends the resulting actions to `outputs`. `now` must not decrease between calls.
+    /// Handles an input and appends the resulting actions to `outputs`. `now` must not decrease between
+    /// calls.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Outputs) {
         match input {
             Input::Datagram(from, bytes) => {
@@ -187,7 +188,8 @@
         }
     }
 
-    /// State in which this node sees another one; `None` if it does not know the node or the node is not in its domain.
+    /// State in which this node sees another one; `None` if it does not know the node or the node is not in
+    /// its domain.
     pub fn state_of(&self, number: u32) -> Option<State> {
         let inside = self.domain.contains(&number);
         self.machine.state(inside.then(|| (number - self.domain.start) as MemberId)?)
@@ -239,8 +241,8 @@
         while let Some(output) = self.core_outputs.pop_front() {
             match output {
                 CoreOutput::Discovery(call) => outputs.calls.push_back(call),
-                // The cache servers of the list do not exist: the connection counts as closed at once. Without clients no
-                // request would use it.
+                // The cache servers of the list do not exist: the connection counts as closed at once.
+                // Without clients no request would use it.
                 CoreOutput::Open(id, _) => {
                     self.core.handle(now, CoreInput::Closed(id), &mut self.core_outputs);
                 }
--- a/crates/stonevane-scale/src/worker.rs
+++ b/crates/stonevane-scale/src/worker.rs
@@ -1,5 +1,6 @@
-//! A worker: the event loop of many stub nodes in one process, controlled by commands of the coordinator. Each node has
-//! its own UDP socket and its own connection to discovery, so that peers identify it by its address, as they do a daemon.
+//! A worker: the event loop of many stub nodes in one process, controlled by commands of the coordinator.
+//! Each node has its own UDP socket and its own connection to discovery, so that peers identify it by its
+//! address, as they do a daemon.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, Write};
@@ -47,8 +48,8 @@
     Orphaned,
 }
 
-/// Runs a worker on standard input and output until its input ends. With `parent`, a process id, the kernel kills this
-/// process when the parent ends.
+/// Runs a worker on standard input and output until its input ends. With `parent`, a process id, the kernel
+/// kills this process when the parent ends.
 ///
 /// # Errors
 /// The worker has failed. Unless it could not start, it has sent [`Report::Failed`] to the coordinator.
