--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -28,7 +28,8 @@
     executed: usize,
     /// Total time that these runs took beyond the length of their load.
     overhead: Duration,
-    /// Number of all runs of the experiment; 0 for a search, which does not know it in advance.
+    /// Number of all runs of the experiment; for a search, the number of runs at a single load, since the number of
+    /// loads is not known in advance.
     total: usize,
 }
 
