--- a/crates/stonevane/src/arguments.rs
+++ b/crates/stonevane/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Values of arguments.
+//! Parsers of argument values, for clap.
 
 use std::net::SocketAddr;
 use std::num::ParseIntError;
@@ -7,47 +7,47 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::filter::ParseError;
 
-/// Why an argument's value can't be used.
+/// An argument value that can't be used. Clap prints the value and the flag before this text.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
-    /// A seed is no number.
-    #[error("{0}")]
+    /// A seed is not a whole number.
+    #[error("expected a seed or a range of seeds `A..B`: {0}")]
     Seed(#[from] ParseIntError),
     /// The first seed is greater than the last.
-    #[error("the first seed is behind the last")]
+    #[error("the first seed must not be greater than the last")]
     SeedOrder,
-    /// A share is none.
-    #[error("a part from 0 to 1")]
+    /// A share is not a number from 0 to 1.
+    #[error("must be a number from 0 to 1")]
     Share,
-    /// A number is not above 0.
-    #[error("a number above 0")]
+    /// A number is not finite, or not above 0.
+    #[error("must be a finite number above 0")]
     Positive,
-    /// A name is none of those known.
-    #[error("one of {known}")]
+    /// A name is unknown.
+    #[error("must be one of {known}")]
     UnknownName {
-        /// All names.
+        /// All accepted names, separated by commas.
         known: String,
     },
-    /// A deliberate fault does not exist.
+    /// A mutant is unknown.
     #[error("no such mutant; `{command}` lists them")]
     UnknownMutant {
-        /// The command that lists those that do.
+        /// The command that lists the known mutants.
         command: &'static str,
     },
     /// A server has no `=`.
-    #[error("not like NAME=ADDRESS")]
+    #[error("must have the form NAME=ADDRESS, for example s-1=127.0.0.1:7001")]
     NamedAddress,
-    /// An address is none.
-    #[error("`{0}` is no address")]
+    /// An address is not an IP address with a port.
+    #[error("`{0}` is not an address of the form IP:PORT")]
     Address(String),
 }
 
-/// Reads log levels.
+/// Parses log levels: a level, or levels by package.
 pub fn log_levels(text: &str) -> Result<EnvFilter, ParseError> {
     text.parse()
 }
 
-/// Reads `A..B`, the last one included, or one seed.
+/// Parses `A..B` (inclusive; `A..=B` is the same) or one seed.
 pub fn seeds(text: &str) -> Result<RangeInclusive<u64>, ArgumentError> {
     let seed = |text: &str| text.trim_start_matches('=').parse::<u64>();
     let (first, last) = match text.split_once("..") {
@@ -57,19 +57,19 @@
     if first <= last { Ok(first..=last) } else { Err(ArgumentError::SeedOrder) }
 }
 
-/// Reads a share from 0 to 1.
+/// Parses a share from 0 to 1.
 pub fn share(text: &str) -> Result<f64, ArgumentError> {
     let share = text.parse().ok().filter(|share| (0.0..=1.0).contains(share));
     share.ok_or(ArgumentError::Share)
 }
 
-/// Reads a finite number above 0.
+/// Parses a finite number above 0.
 pub fn positive(text: &str) -> Result<f64, ArgumentError> {
     let number = text.parse().ok().filter(|number: &f64| *number > 0.0 && number.is_finite());
     number.ok_or(ArgumentError::Positive)
 }
 
-/// Reads a server, `NAME=ADDRESS`.
+/// Parses a server, `NAME=ADDRESS`.
 pub fn named_address(text: &str) -> Result<(String, SocketAddr), ArgumentError> {
     let (name, address) = text.split_once('=').ok_or(ArgumentError::NamedAddress)?;
     let address = address.parse().map_err(|_| ArgumentError::Address(address.to_owned()))?;
--- a/crates/stonevane/src/bench/history.rs
+++ b/crates/stonevane/src/bench/history.rs
@@ -1,4 +1,5 @@
-//! `stonevane bench record` and `stonevane bench audit`.
+//! `stonevane bench record` and `stonevane bench audit`: throughput of the history writer and of the auditor
+//! on a generated history.
 
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -9,23 +10,23 @@
 
 use super::BenchResult;
 
-/// Events of a request.
+/// Events recorded for each request.
 const EVENTS_PER_REQUEST: u64 = 4;
-/// The time between two requests, in microseconds.
+/// Time between two requests.
 const REQUEST_INTERVAL_US: u64 = 500;
-/// The time between two events of a request, in microseconds.
+/// Time between two events of a request.
 const EVENT_INTERVAL_US: u64 = 50;
-/// The uncertainty of an event's time, in microseconds.
+/// Width of the interval in which an event happened.
 const UNCERTAINTY_US: u64 = 40;
-/// Keys that are read.
+/// Number of distinct keys that are read.
 const KEYS: u64 = 5_000;
-/// The deadline of a request, in microseconds.
+/// Time from the start of a request to its deadline.
 const DEADLINE_US: u64 = 1_500_000;
-/// The buffer for reading a history, in bytes.
-const READ_BUFFER: usize = 1 << 20;
+/// Buffer for reading a history.
+const READ_BUFFER_BYTES: usize = 1 << 20;
 
-/// Makes up a correct history of about so many events: reads that hit, two thousand a second.
-fn make_up(events: u64, mut each: impl FnMut(HistoryRecord)) {
+/// Generates a correct history of about `events` events: cache hits at 2,000 requests per second.
+fn generate_history(events: u64, mut each: impl FnMut(HistoryRecord)) {
     each(HistoryRecord {
         event: Event::Begin,
         rules: Some(Box::new(Rules::default())),
@@ -38,7 +39,7 @@
     }
 }
 
-/// The records of a request, in their order.
+/// Returns the records of one request in the order of their times.
 fn request(number: u64) -> [HistoryRecord; EVENTS_PER_REQUEST as usize] {
     let start = 1_000 + number * REQUEST_INTERVAL_US;
     let value = format!("v-{number:x}");
@@ -58,10 +59,10 @@
         key: format!("{:016x}", number % KEYS),
         ..record
     };
-    let asked = with_request(record(0, Event::Request, "client"));
+    let request = with_request(record(0, Event::Request, "client"));
     let attempt = with_request(record(1, Event::Attempt, "s-1"));
     [
-        HistoryRecord { deadline: start + DEADLINE_US, ..asked },
+        HistoryRecord { deadline: start + DEADLINE_US, ..request },
         HistoryRecord { effect: Some(Effect::Ran), number, work_us: 4_000, ..attempt },
         HistoryRecord { number, value: value.clone(), ..record(2, Event::Reply, "s-1") },
         HistoryRecord {
@@ -73,12 +74,12 @@
     ]
 }
 
-/// Measures what recording events costs those who record, and the thread that writes.
+/// Measures how fast a caller records events and how fast the writer thread writes them.
 pub(super) fn record(events: u64) -> BenchResult {
     let path = std::env::temp_dir().join(format!("stonevane-record-{}.jsonl", std::process::id()));
     let (recorder, writer) = Recorder::to(File::create(&path)?);
     let mut records = Vec::new();
-    make_up(events, |record| records.push(record));
+    generate_history(events, |record| records.push(record));
     let begun = Instant::now();
     for record in records {
         recorder.line(record);
@@ -90,8 +91,8 @@
     let bytes = std::fs::metadata(&path).map_or(0, |metadata| metadata.len());
     let _ = std::fs::remove_file(&path);
     let written = written?;
-    say!(
-        "{written} events, {:.0} MB: {:.0} a second told (the lab's own thread), {:.0} a second written",
+    outln!(
+        "{written} events, {:.0} MB: {:.0} a second recorded (on the lab's own thread), {:.0} a second written",
         bytes as f64 / 1e6,
         written as f64 / recorded_s,
         written as f64 / written_s
@@ -99,12 +100,12 @@
     Ok(())
 }
 
-/// Measures the auditor.
+/// Measures how fast the auditor reads and checks a generated history.
 pub(super) fn audit_history(events: u64) -> BenchResult {
     let path = std::env::temp_dir().join(format!("stonevane-audit-{}.jsonl", std::process::id()));
     let mut out = BufWriter::new(File::create(&path)?);
     let mut written = Ok(());
-    make_up(events, |record| {
+    generate_history(events, |record| {
         if written.is_ok() {
             written = out.write_all(record.to_json_line().as_bytes());
         }
@@ -114,12 +115,12 @@
     drop(out);
     let bytes = std::fs::metadata(&path)?.len();
     let begun = Instant::now();
-    let report = audit(BufReader::with_capacity(READ_BUFFER, File::open(&path)?));
+    let report = audit(BufReader::with_capacity(READ_BUFFER_BYTES, File::open(&path)?));
     let took_s = begun.elapsed().max(Duration::from_micros(1)).as_secs_f64();
     let _ = std::fs::remove_file(&path);
     let report = report?;
-    say!(
-        "{} events, {:.0} MB: {took_s:.2} s, {:.0} events/s; at most {} requests held; {} breaches",
+    outln!(
+        "{} events, {:.0} MB: {took_s:.2} s, {:.0} events/s; at most {} requests tracked at once; {} violations",
         report.events,
         bytes as f64 / 1e6,
         report.events as f64 / took_s,
--- a/crates/stonevane/src/bench/nodes.rs
+++ b/crates/stonevane/src/bench/nodes.rs
@@ -1,4 +1,4 @@
-//! `stonevane bench lab`: the node and a bare relay in its place, in turn.
+//! `stonevane bench lab`: alternates between the node and a bare relay in its place under the same load.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -13,57 +13,59 @@
 
 use super::{BenchResult, median};
 
-/// Caches that answer at once, all keys preloaded, and a load that only reads.
+/// A cache server that responds without delay, all keys preloaded, and a read-only load.
 const SCENARIO: &str = "name = \"bench\"\n[fleet]\nnodes = 1\ncaches = 1\nwarm_keys = 1\n[fleet.cache]\n\
     work_ms = 0\ncores = 64\n[load]\nper_s = 20000\nfor_ms = 1000\nedits = 0\nretries = 0\n";
-/// The time in which connections come up, in microseconds.
+/// Load before the measurement starts, in which connections are opened.
 const WARM_UP_US: u64 = 300_000;
 const SEED: u64 = 1;
 
-/// What takes turns with the relay.
-pub(super) struct Contestant {
+/// A build of the daemon that is compared with the relay.
+pub(super) struct Candidate {
     name: &'static str,
     program: PathBuf,
 }
 
-impl Contestant {
-    /// The daemon's program, and another one.
-    pub(super) fn list(program: PathBuf, beside: Option<PathBuf>) -> Vec<Contestant> {
-        let node = Contestant { name: "node", program };
-        let beside = beside.map(|program| Contestant { name: "beside", program });
+impl Candidate {
+    /// Returns the daemon's program and, where one is given, another build of it.
+    pub(super) fn list(program: PathBuf, beside: Option<PathBuf>) -> Vec<Candidate> {
+        let node = Candidate { name: "node", program };
+        let beside = beside.map(|program| Candidate { name: "beside", program });
         std::iter::once(node).chain(beside).collect()
     }
 }
 
-/// How the comparison is run.
+/// Settings of the comparison.
 pub(super) struct Comparison {
     pub(super) rounds: u64,
+    /// Duration of each measurement, in seconds.
     pub(super) for_s: u64,
     pub(super) connections: usize,
+    /// Socket limit of the node.
     pub(super) sockets: u64,
 }
 
-/// The figures of one turn.
+/// Figures of one measurement.
 struct Figures {
     per_s: f64,
     p50_ms: f64,
     p99_ms: f64,
-    /// Processor time of a request, in microseconds.
+    /// CPU time of the measured process per request, in microseconds.
     cpu_us: f64,
-    /// The lab's own processor time of a request, in microseconds.
+    /// CPU time of the lab per request, in microseconds.
     lab_cpu_us: f64,
     /// Requests that were not served.
     other: u64,
 }
 
-/// Figures as multiples of the relay's of the same round.
+/// Figures divided by those of the relay in the same round, one entry per round.
 #[derive(Default)]
 struct Ratios {
     rates: Vec<f64>,
     cpu: Vec<f64>,
 }
 
-/// Processor time that a process and the lab have used, in microseconds.
+/// CPU time used so far by the measured process and by the lab, in microseconds.
 #[derive(Clone, Copy)]
 struct CpuTimes {
     measured: u64,
@@ -76,7 +78,7 @@
     }
 }
 
-/// Processor time that a process has used, in microseconds.
+/// Returns the CPU time that a process has used, in microseconds.
 fn cpu_us(pid: u32) -> Option<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/schedstat")).ok()?;
     let nanos: u64 = text.split_whitespace().next()?.parse().ok()?;
@@ -94,40 +96,40 @@
 }
 
 impl Comparison {
-    pub(super) fn run(&self, contestants: &[Contestant]) -> BenchResult {
+    pub(super) fn run(&self, candidates: &[Candidate]) -> BenchResult {
         let scenario = Scenario::parse(SCENARIO).map_err(|errors| format!("{errors:?}"))?;
         let scenario = Scenario { sockets: self.sockets, ..scenario };
         self.print_header();
-        let mut ratios: Vec<Ratios> = contestants.iter().map(|_| Ratios::default()).collect();
+        let mut ratios: Vec<Ratios> = candidates.iter().map(|_| Ratios::default()).collect();
         for _ in 0..self.rounds {
             let mut figures = Vec::new();
-            for contestant in contestants {
-                figures.push(self.turn(&scenario, contestant.name, Some(&contestant.program))?);
+            for candidate in candidates {
+                figures.push(self.measure(&scenario, candidate.name, Some(&candidate.program))?);
             }
-            let relay = self.turn(&scenario, "relay", None)?;
+            let relay = self.measure(&scenario, "relay", None)?;
             for (ratios, figures) in ratios.iter_mut().zip(figures) {
                 ratios.rates.push(figures.per_s / relay.per_s);
                 ratios.cpu.push(figures.cpu_us / relay.cpu_us);
             }
         }
-        for (contestant, ratios) in contestants.iter().zip(ratios) {
+        for (candidate, ratios) in candidates.iter().zip(ratios) {
             let (rate, cpu) = (median(ratios.rates), median(ratios.cpu));
-            say!(
+            outln!(
                 "{} / relay, median of pairs: requests a second {rate:.2}, CPU of a request {cpu:.2}",
-                contestant.name
+                candidate.name
             );
         }
         Ok(())
     }
 
     fn print_header(&self) {
-        say!(
+        outln!(
             "{} connections, {} s a turn, {} turns of each, history written",
             self.connections,
             self.for_s,
             self.rounds
         );
-        say!(
+        outln!(
             "{:<7} {:>12} {:>9} {:>9} {:>14} {:>14} {:>7}",
             "",
             "requests/s",
@@ -139,8 +141,8 @@
         );
     }
 
-    /// Measures a program, or the relay where there is none, and prints its figures.
-    fn turn(&self, scenario: &Scenario, name: &str, program: Option<&Path>) -> BenchResult<Figures> {
+    /// Measures a program, or the relay if `program` is `None`, and prints the figures.
+    fn measure(&self, scenario: &Scenario, name: &str, program: Option<&Path>) -> BenchResult<Figures> {
         let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
         let (recorder, writer) = Recorder::to(File::create(&path)?);
         recorder.line(HistoryRecord {
@@ -151,13 +153,13 @@
             ..HistoryRecord::default()
         });
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let (cpu_us, lab_cpu_us) = runtime.block_on(self.play(scenario, program, &recorder))?;
+        let (cpu_us, lab_cpu_us) = runtime.block_on(self.run_load(scenario, program, &recorder))?;
         drop((runtime, recorder));
         writer.finish()?;
         let summary = summarise(BufReader::new(File::open(&path)?));
         let _ = std::fs::remove_file(&path);
         let summary = summary?;
-        let class = summary.classes.get("zone-lookup").ok_or("nothing was asked")?;
+        let class = summary.classes.get("zone-lookup").ok_or("no request of class `zone-lookup` was sent")?;
         let figures = Figures {
             per_s: class.served as f64 / (self.for_s as f64 + WARM_UP_US as f64 / 1e6),
             p50_ms: class.p50_ms,
@@ -170,8 +172,9 @@
         Ok(figures)
     }
 
-    /// Plays the load; returns the processor time of a request, of the program and of the lab.
-    async fn play(
+    /// Runs the load; returns the CPU time per request of the measured process and of the lab, in
+    /// microseconds.
+    async fn run_load(
         &self,
         scenario: &Scenario,
         program: Option<&Path>,
@@ -179,7 +182,7 @@
     ) -> BenchResult<(f64, f64)> {
         let clock = MonotonicClock::default();
         let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
-        // Beside a relay the node stands idle.
+        // The fleet has a node even when the relay is measured; it is idle then.
         let node = match program {
             Some(program) => program.to_owned(),
             None => std::env::current_exe()?.with_file_name("stonevane-node"),
@@ -188,17 +191,17 @@
         let (targets, pid, _relay) = if program.is_some() {
             (fleet.targets.clone(), fleet.pids()[0], None)
         } else {
-            let server = fleet.caches[0].address("n0").ok_or("the cache has no door")?;
+            let server = fleet.caches[0].address("n0").ok_or("cache server has no address for node n0")?;
             let (relay, address) = start_relay(server)?;
             (vec![("relay".to_owned(), address)], relay.0.id(), Some(relay))
         };
         let clients = Clients::new(&targets, scenario.load.clone(), SEED, &clock, recorder.clone());
         let planned = plan(&scenario.load, 1, SEED);
         clients.hammer(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
-        let (asked, begun) = (clients.asked(), CpuTimes::read(pid));
+        let (requests_before, begun) = (clients.asked(), CpuTimes::read(pid));
         let end = MonotonicClock::now() + self.for_s * 1_000_000;
         clients.hammer(&planned, self.connections, end).await;
-        let requests = (clients.asked() - asked).max(1) as f64;
+        let requests = (clients.asked() - requests_before).max(1) as f64;
         let ended = CpuTimes::read(pid);
         fleet.end().await;
         let measured = (ended.measured - begun.measured) as f64 / requests;
@@ -208,7 +211,7 @@
 
 impl Figures {
     fn print(&self, name: &str) {
-        say!(
+        outln!(
             "{:<7} {:>12.0} {:>9.2} {:>9.2} {:>14.1} {:>14.1} {:>7}",
             name,
             self.per_s,
@@ -221,7 +224,7 @@
     }
 }
 
-/// Starts a relay as a process of its own, as the node is one.
+/// Starts the relay in a separate process, as the node is, so that its CPU time can be read.
 fn start_relay(server: SocketAddr) -> std::io::Result<(Process, SocketAddr)> {
     let mut child = Command::new(std::env::current_exe()?)
         .args(["stand-in", "relay", "--server", &server.to_string()])
@@ -234,5 +237,5 @@
         BufReader::new(output).read_line(&mut line)?;
     }
     let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
-    Ok((process, address.ok_or_else(|| std::io::Error::other("the relay did not start"))?))
+    Ok((process, address.ok_or_else(|| std::io::Error::other("the relay printed no address"))?))
 }
--- a/crates/stonevane/src/bench/stampede.rs
+++ b/crates/stonevane/src/bench/stampede.rs
@@ -1,4 +1,5 @@
-//! `stonevane bench stampede`.
+//! `stonevane bench stampede`: queries to the store of record per served read, with and without shared
+//! fetches.
 
 use std::path::Path;
 
@@ -6,26 +7,35 @@
 
 use super::{BenchResult, median};
 
-/// Cold caches that nobody fills, before a store that takes 100 ms a statement: each read is a miss, of three keys.
+/// Empty caches that are never filled, and a store that takes 100 ms per statement: every read of the three
+/// keys is a miss.
 const SCENARIO: &str = "name = \"stampede\"\nabout = \"\"\n[fleet]\nnodes = 4\ncaches = 8\nwarm_keys = 0.0\nsockets = 512\n\
     [store]\nstall_ms = 1000\nholds = 100\nfills = false\nedit_visibility = \"store\"\nshare_fetches = SHARES\n\
     [load]\nper_s = 300\nfor_ms = 4000\nedits = 0.0\nkeys = 3\nzipf = 0.9\nquota = 4.0\nretries = 0\n\
     [[fault]]\ndo = \"store-slow\"\nby_ms = 100\nat_ms = 0\nfor_ms = 4000\n";
 
-/// Plays a stampede with and without shared fetches, in turn.
+/// Runs the scenario with and without shared fetches, once each per round; the round's number is the seed.
 pub(super) fn run(rounds: u64, program: &Path) -> BenchResult {
-    say!("{:<16} {:>8} {:>8} {:>9} {:>9} {:>14}", "", "asked", "served", "p50 ms", "p99 ms", "store queries");
+    outln!(
+        "{:<16} {:>8} {:>8} {:>9} {:>9} {:>14}",
+        "",
+        "asked",
+        "served",
+        "p50 ms",
+        "p99 ms",
+        "store queries"
+    );
     let mut ratios = Vec::new();
     for seed in 1..=rounds {
         let shared = queries_per_read(seed, program, true)?;
         let separate = queries_per_read(seed, program, false)?;
         ratios.push(shared / separate);
     }
-    say!("queries for one read that is served, shared / each its own, median: {:.2}", median(ratios));
+    outln!("queries per served read, shared / each its own, median: {:.2}", median(ratios));
     Ok(())
 }
 
-/// Plays one stampede and prints its figures; returns the queries for one served read.
+/// Runs the scenario once and prints the figures; returns the store's queries per served read.
 fn queries_per_read(seed: u64, program: &Path, shares_fetches: bool) -> BenchResult<f64> {
     let text = SCENARIO.replace("SHARES", if shares_fetches { "true" } else { "false" });
     let scenario = Scenario::parse(&text).map_err(|errors| format!("{errors:?}"))?;
@@ -33,11 +43,11 @@
     let options = Options { seed: Some(seed), ..Options::of(kind) };
     let outcome = run_scenario(&scenario, &options)?;
     if outcome.report.broken > 0 {
-        return Err(format!("a rule was broken, seed {seed}: {:?}", outcome.report).into());
+        return Err(format!("a rule is broken at seed {seed}: {:?}", outcome.report).into());
     }
     let queries = outcome.summary.store_queries.unwrap_or(0);
     let figure = |name| figure(&outcome, name);
-    say!(
+    outln!(
         "{:<16} {:>8.0} {:>8.3} {:>9.1} {:>9.1} {:>14}",
         if shares_fetches { "shared" } else { "each its own" },
         figure("asked"),
--- a/crates/stonevane/src/bench/store.rs
+++ b/crates/stonevane/src/bench/store.rs
@@ -1,4 +1,5 @@
-//! `stonevane bench store`: the store of record beside what it is built on, side by side in one run.
+//! `stonevane bench store`: compares the store of record with bare clients of its two backends in the same
+//! run.
 
 mod postgresql;
 mod sqlite;
@@ -13,18 +14,18 @@
 
 use super::{BenchResult, median};
 
-/// Keys that are read and written.
+/// Number of distinct keys that are read and written.
 const KEYS: u64 = 1_000;
-/// The length of values, in bytes.
+/// Length of a value in bytes.
 const VALUE_LEN: usize = 64;
-/// Concurrent calls, where several are made at once.
-const CONCURRENT: u64 = 64;
-/// How long each measurement takes.
+/// Calls in flight in the measurements with concurrent calls.
+const CONCURRENT_CALLS: u64 = 64;
+/// Duration of each measurement.
 const DURATION: Duration = Duration::from_secs(1);
-/// How long tokens are remembered, in milliseconds.
+/// Retention of idempotency keys, in milliseconds.
 const REMEMBER_MS: u64 = 200;
 
-/// Measures both stores.
+/// Measures both backends.
 pub(super) fn run(rounds: u64) -> BenchResult {
     let folder = std::env::temp_dir().join(format!("stonevane-bench-store-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
@@ -33,7 +34,7 @@
     measured
 }
 
-/// Calls one after another on a task of a runtime, as a node makes them; returns calls per second.
+/// Makes calls one after another on a task of the runtime, as a node does; returns calls per second.
 async fn sequential_rate<T, E>(mut call: impl AsyncFnMut(u64) -> Result<T, E>) -> Result<f64, E> {
     let begun = Instant::now();
     let mut count = 0;
@@ -44,7 +45,7 @@
     Ok(count as f64 / begun.elapsed().as_secs_f64())
 }
 
-/// Repeats some work that returns the number of its calls; returns calls per second.
+/// Repeats `work`, which returns the number of calls it made; returns calls per second.
 fn rate<E>(mut work: impl FnMut(u64) -> Result<u64, E>) -> Result<f64, E> {
     let begun = Instant::now();
     let mut count = 0;
@@ -58,7 +59,7 @@
     format!("key-{}", number % KEYS)
 }
 
-/// An idempotency key for a write without the store.
+/// Returns a unique idempotency key for a write of the bare client.
 fn bare_token(number: u64) -> String {
     format!("{:x}-bare-{number}", MonotonicClock::now())
 }
@@ -68,7 +69,7 @@
     Edit { key: key(number), value: vec![b'w'; VALUE_LEN], token, remember_ms: REMEMBER_MS }
 }
 
-/// Calls per second of a store.
+/// Calls per second of a store, one at a time and concurrent.
 struct StoreRates {
     reads: f64,
     concurrent_reads: f64,
@@ -93,10 +94,10 @@
     Write,
 }
 
-/// Makes several calls at once; returns how many.
+/// Makes [`CONCURRENT_CALLS`] calls at once; returns their number.
 async fn concurrent_calls<S: Store + 'static>(store: &Arc<S>, first: u64, call: Call) -> BenchResult<u64> {
     let mut calls: JoinSet<Result<(), StoreError>> = JoinSet::new();
-    for number in first..first + CONCURRENT {
+    for number in first..first + CONCURRENT_CALLS {
         let store = store.clone();
         calls.spawn(async move {
             match call {
@@ -108,13 +109,13 @@
     while let Some(done) = calls.join_next().await {
         done??;
     }
-    Ok(CONCURRENT)
+    Ok(CONCURRENT_CALLS)
 }
 
-/// A row of a table: calls per second in each round.
+/// A row of the printed table: calls per second in each round.
 struct Row {
     name: &'static str,
-    /// The index of the row that it is compared with.
+    /// Index of the row that this row is compared with.
     baseline: usize,
     rates: Vec<f64>,
 }
@@ -125,11 +126,11 @@
     }
 }
 
-/// Prints each row's median, and its ratio to its baseline.
+/// Prints each row's median and its ratio to the baseline's median.
 fn print_table(title: &str, rounds: u64, rows: &[Row]) {
-    say!("{title:<36} calls a second, median of {rounds}   ratio to bare");
+    outln!("{title:<36} calls a second, median of {rounds}   ratio to bare");
     let medians: Vec<f64> = rows.iter().map(|row| median(row.rates.clone())).collect();
     for (row, own) in rows.iter().zip(&medians) {
-        say!("{:<36} {own:>12.0} {:>24.2}", row.name, own / medians[row.baseline]);
+        outln!("{:<36} {own:>12.0} {:>24.2}", row.name, own / medians[row.baseline]);
     }
 }
--- a/crates/stonevane/src/bench/store/postgresql.rs
+++ b/crates/stonevane/src/bench/store/postgresql.rs
@@ -1,4 +1,4 @@
-//! The store at a PostgreSQL server, the emulator, beside a bare client.
+//! Compares the store on the PostgreSQL emulator with a bare client of the same emulator.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
@@ -15,10 +15,10 @@
 const BARE_READ: usize = 0;
 const BARE_READ_WITH_COUNTER: usize = 1;
 const BARE_WRITE: usize = 4;
-/// The time limit for starting the emulator.
+/// Time limit for starting the emulator.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Starts the emulator on a thread of its own; returns its URL.
+/// Starts the emulator on a separate thread, which lives as long as the process; returns its URL.
 fn start_server() -> BenchResult<String> {
     let (started, url) = channel();
     std::thread::spawn(move || {
@@ -29,18 +29,18 @@
             std::future::pending::<()>().await;
         });
     });
-    url.recv_timeout(START_TIMEOUT).map_err(|_| "the stand-in did not start".into())
+    url.recv_timeout(START_TIMEOUT).map_err(|_| "the PostgreSQL emulator did not start".into())
 }
 
-/// A client with one connection, which makes the statements of the store in the same round trips.
+/// A client with one connection that sends the store's statements in the same round trips as the store.
 struct BareClient {
     client: Client,
     read: Statement,
-    /// What a store must ask to recognize a copy that lags.
+    /// The read that a store needs to recognize a stale replica: the row and the version counter.
     read_with_counter: Statement,
     next_version: Statement,
     put: Statement,
-    note: Statement,
+    insert_token: Statement,
 }
 
 impl BareClient {
@@ -61,7 +61,7 @@
             put: client
                 .prepare("UPDATE zones SET value = $2::bytea, version = $3::bigint WHERE key = $1::text")
                 .await?,
-            note: client
+            insert_token: client
                 .prepare(
                     "INSERT INTO edits (token, key, digest, version, expires) \
                      VALUES ($1::text, $2::text, 0, $3::bigint, 0)",
@@ -81,11 +81,11 @@
             tokio::join!(self.client.batch_execute("BEGIN"), self.client.query_one(&self.next_version, &[]));
         begun?;
         let version: i64 = version?.try_get(0)?;
-        let (put, noted) =
+        let (put, token_inserted) =
             tokio::join!(async { self.client.execute(&self.put, &[&key, &value, &version]).await }, async {
-                self.client.execute(&self.note, &[&token, &key, &version]).await
+                self.client.execute(&self.insert_token, &[&token, &key, &version]).await
             });
-        put.and(noted)?;
+        put.and(token_inserted)?;
         self.client.batch_execute("COMMIT").await
     }
 }
@@ -125,6 +125,6 @@
             row.rates.push(rate);
         }
     }
-    print_table("PostgreSQL (the stand-in)", rounds, &rows);
+    print_table("PostgreSQL (the emulator)", rounds, &rows);
     Ok(())
 }
--- a/crates/stonevane/src/bench/store/sqlite.rs
+++ b/crates/stonevane/src/bench/store/sqlite.rs
@@ -1,4 +1,4 @@
-//! The store in a SQLite file beside bare SQLite.
+//! Compares the store in a SQLite file with bare SQLite on the same file.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,9 +15,9 @@
 
 struct Stores {
     bare: rusqlite::Connection,
-    /// Reads run on threads of their own.
+    /// Runs reads on its reader threads.
     threaded: Arc<Sqlite>,
-    /// Reads run on the caller's thread.
+    /// Runs reads on the caller's thread.
     on_caller: Arc<Sqlite>,
 }
 
@@ -41,7 +41,7 @@
     Ok(1)
 }
 
-/// Writes the same rows as a write of the store, in one transaction.
+/// Writes the rows that an edit of the store writes, in one transaction.
 fn write(connection: &rusqlite::Connection, number: u64) -> rusqlite::Result<u64> {
     let token = bare_token(number);
     connection.execute_batch("BEGIN IMMEDIATE")?;
@@ -50,10 +50,10 @@
     let mut put = connection
         .prepare_cached("UPDATE zones SET value = ?2, version = ?3, edited_at = 0 WHERE key = ?1")?;
     put.execute(rusqlite::params![key(number), vec![b'x'; VALUE_LEN], version])?;
-    let mut note = connection.prepare_cached(
+    let mut insert_token = connection.prepare_cached(
         "INSERT INTO edits (token, key, digest, version, expires) VALUES (?1, ?2, 0, ?3, 0)",
     )?;
-    note.execute(rusqlite::params![token, key(number), version])?;
+    insert_token.execute(rusqlite::params![token, key(number), version])?;
     connection.execute_batch("COMMIT")?;
     Ok(1)
 }
--- a/crates/stonevane/src/check.rs
+++ b/crates/stonevane/src/check.rs
@@ -1,4 +1,4 @@
-//! `stonevane config`.
+//! `stonevane config`: checks operator files.
 
 use std::path::{Path, PathBuf};
 
@@ -7,13 +7,13 @@
 
 use crate::error::{CommandError, read_file};
 
-/// The commands on configuration.
+/// Subcommands of `stonevane config`.
 #[derive(Subcommand)]
 pub enum Config {
-    /// Checks an operator file, and lists all that is wrong with it.
+    /// Check an operator file and list every error in it with its line and column.
     #[command(after_help = "Example: stonevane config check deploy/operator.toml")]
     Check {
-        /// The file.
+        /// Operator file (TOML).
         file: PathBuf,
     },
 }
@@ -30,6 +30,6 @@
     let text = read_file(file)?;
     Operator::parse(&text)
         .map_err(|errors| CommandError::Config { file: file.display().to_string(), errors })?;
-    say!("{}: good", file.display());
+    outln!("{}: good", file.display());
     Ok(())
 }
--- a/crates/stonevane/src/demo.rs
+++ b/crates/stonevane/src/demo.rs
@@ -1,4 +1,4 @@
-//! `stonevane demo`: a whole fleet to speak to.
+//! `stonevane demo`: runs a complete fleet on this machine for manual requests.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 use crate::error::CommandError;
 use crate::node_program;
 
-/// Builds and serves a demo fleet until it is interrupted.
+/// Build and run a demo fleet until interrupted.
 #[derive(Args)]
 #[command(after_help = "Example: cargo run --release -p stonevane -- demo")]
 pub struct Demo {
-    /// Nodes.
+    /// Number of nodes.
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=16))]
     nodes: u64,
-    /// Ends by itself after so many seconds.
+    /// Stop after this many seconds [default: run until interrupted].
     #[arg(long)]
     for_s: Option<u64>,
-    /// The daemon's program; else the one beside this program.
+    /// Path of the daemon's program [default: stonevane-node in the folder of this program].
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
 }
 
 const SCENARIO: &str = "name = \"demo\"\n[fleet]\ncaches = 4\nwarm_keys = 0.5\n";
 const SEED: u64 = 1;
-/// The longest time that it serves: a year.
-const LONGEST: Duration = Duration::from_secs(365 * 86_400);
-/// The rank of a key that no cache holds at the start.
+/// Upper bound of the running time: one year.
+const MAX_DURATION: Duration = Duration::from_secs(365 * 86_400);
+/// Popularity rank of a key that no cache holds at the start.
 const COLD_RANK: usize = 150;
 
 impl Demo {
@@ -42,7 +42,7 @@
         runtime.map_err(CommandError::not_run)?.block_on(self.serve(&scenario, program))
     }
 
-    /// A store in a file, and caches that nodes fill and invalidate.
+    /// Returns the scenario: a SQLite store, and caches that nodes fill and invalidate.
     fn scenario(&self) -> Result<Scenario, CommandError> {
         let scenario =
             Scenario::parse(SCENARIO).map_err(|errors| CommandError::not_run(format!("{errors:?}")))?;
@@ -61,47 +61,48 @@
     async fn serve(&self, scenario: &Scenario, program: PathBuf) -> Result<(), CommandError> {
         let clock = MonotonicClock::default();
         let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
-        warn!(
+        errln!(
             "starting {} nodes, {} caches, a store in a file and discovery ...",
-            scenario.nodes, scenario.caches
+            scenario.nodes,
+            scenario.caches
         );
         let kind = NodeKind::Process(program.into());
         let fleet = Fleet::start(scenario, &kind, SEED, &clock, &Recorder::none()).await;
         let fleet = fleet.map_err(CommandError::not_run)?;
         print_addresses(&fleet);
         print_commands(&fleet);
-        let duration = self.for_s.map_or(LONGEST, Duration::from_secs).min(LONGEST);
+        let duration = self.for_s.map_or(MAX_DURATION, Duration::from_secs).min(MAX_DURATION);
         let _ = tokio::time::timeout(duration, interrupted()).await;
-        warn!("ending ...");
+        errln!("stopping ...");
         fleet.end().await;
         Ok(())
     }
 }
 
 fn print_addresses(fleet: &Fleet) {
-    say!("A fleet serves on this machine:");
+    outln!("The fleet is running on this machine:");
     for (name, address) in &fleet.targets {
-        say!("  node {name}    {address}");
+        outln!("  node {name}    {address}");
     }
     for cache in &fleet.caches {
         let address = cache.address("n0").map(|address| address.to_string()).unwrap_or_default();
-        say!("  {}   {address} (as n0 sees it)", cache.spec.name);
+        outln!("  {}   {address} (as n0 sees it)", cache.spec.name);
     }
-    say!("  store     {} (stonevane store check FILE)", fleet.folder().join("zones.db").display());
-    say!("  logs      {}", fleet.folder().display());
+    outln!("  store     {} (stonevane store check FILE)", fleet.folder().join("zones.db").display());
+    outln!("  logs      {}", fleet.folder().display());
 }
 
-/// Prints commands to try.
+/// Prints example commands.
 fn print_commands(fleet: &Fleet) {
     let Some((_, node)) = fleet.targets.first() else { return };
     let client = format!("redis-cli -h {} -p {}", node.ip(), node.port());
     let (warm, cold) = (key(0), key(COLD_RANK));
     let read = "c=zone-lookup,t=coastline,d=1500";
-    say!("\nSpeak to it with any RESP2 client. Each request needs an id of its own:");
-    say!("  {client} PING");
-    say!("  {client} OBJ.GET {warm:016x} id-1 {read}     (a hit)");
-    say!("  {client} OBJ.GET {cold:016x} id-2 {read}     (a miss, fetched and kept)");
-    say!("  {client} OBJ.SET {warm:016x} id-3 c=zone-edit,t=coastline,d=300,k=aa area-2");
-    say!("  {client} OBJ.GET {warm:016x} id-4 {read}     (area-2, on every node)");
-    say!("\nCtrl-C ends it.");
+    outln!("\nSend requests with any RESP2 client. Each request needs a unique id:");
+    outln!("  {client} PING");
+    outln!("  {client} OBJ.GET {warm:016x} id-1 {read}     (a hit)");
+    outln!("  {client} OBJ.GET {cold:016x} id-2 {read}     (a miss, fetched and stored)");
+    outln!("  {client} OBJ.SET {warm:016x} id-3 c=zone-edit,t=coastline,d=300,k=aa area-2");
+    outln!("  {client} OBJ.GET {warm:016x} id-4 {read}     (area-2, on every node)");
+    outln!("\nCtrl-C ends it.");
 }
--- a/crates/stonevane/src/error.rs
+++ b/crates/stonevane/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command does not end with exit code 0.
+//! Errors of commands and their exit codes.
 
 use std::fmt::Display;
 use std::path::Path;
@@ -6,60 +6,60 @@
 
 use stonevane_config::ConfigError;
 
-/// Exit code: a rule or an expectation is broken.
+/// Exit code if a rule or an expectation is broken.
 const BROKEN: u8 = 1;
-/// Exit code: the input can't be used.
+/// Exit code if the input is invalid.
 pub const UNUSABLE: u8 = 2;
-/// Exit code: it could not be run to its end.
+/// Exit code if the command could not be completed.
 pub const NOT_RUN: u8 = 3;
 
-/// Why a command does not end with exit code 0. The text is one line, printed behind the program's name.
+/// Failure of a command. Its text is one line, printed after the program's name.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// A rule or an expectation is broken, as was printed already.
+    /// A rule or an expectation is broken; the details were printed already.
     #[error("a rule or an expectation is broken")]
     Broken,
-    /// Something that was checked is broken.
+    /// A check failed, for the given reason.
     #[error("{0}")]
     Damaged(String),
-    /// The input can't be used.
+    /// The input is invalid.
     #[error("{0}")]
     Unusable(String),
-    /// The input can't be used; each error is a line.
+    /// A configuration or scenario file is invalid; each error is printed on its own line.
     #[error("{file} can't be used")]
     Config {
-        /// The file.
+        /// Name of the file.
         file: String,
-        /// What is wrong with it.
+        /// All errors in it, with their places.
         errors: Vec<ConfigError>,
     },
-    /// It could not be run to its end.
+    /// The command could not be completed.
     #[error("{0}")]
     NotRun(String),
 }
 
 impl CommandError {
-    /// The input can't be used.
+    /// Returns the error for invalid input.
     pub fn unusable(cause: impl Display) -> CommandError {
         CommandError::Unusable(cause.to_string())
     }
 
-    /// It could not be run to its end.
+    /// Returns the error for a command that could not be completed.
     pub fn not_run(cause: impl Display) -> CommandError {
         CommandError::NotRun(cause.to_string())
     }
 
-    /// A file that is input can't be used.
+    /// Returns the error for an input file that can't be used.
     pub fn unusable_file(file: &Path, cause: impl Display) -> CommandError {
         CommandError::Unusable(format!("{}: {cause}", file.display()))
     }
 
-    /// A file could not be read or written in the course of a run.
+    /// Returns the error for a file that could not be read or written during a run.
     pub fn file_not_run(file: &Path, cause: impl Display) -> CommandError {
         CommandError::NotRun(format!("{}: {cause}", file.display()))
     }
 
-    /// The same error about something by name.
+    /// Puts the name of the affected file or store before the cause.
     pub fn about(self, name: impl Display) -> CommandError {
         match self {
             CommandError::Damaged(cause) => CommandError::Damaged(format!("{name}: {cause}")),
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Prints it, and returns the exit code.
+    /// Prints the error on standard error and returns the exit code.
     pub fn report(&self) -> ExitCode {
         let code = match self {
             CommandError::Broken => return ExitCode::from(BROKEN),
             CommandError::Config { file, errors } => {
                 for error in errors {
-                    warn!("stonevane: {file}: {error}");
+                    errln!("stonevane: {file}: {error}");
                 }
                 return ExitCode::from(UNUSABLE);
             }
@@ -83,22 +83,22 @@
             CommandError::Unusable(_) => UNUSABLE,
             CommandError::NotRun(_) => NOT_RUN,
         };
-        warn!("stonevane: {self}");
+        errln!("stonevane: {self}");
         ExitCode::from(code)
     }
 }
 
-/// An error where something that was judged does not hold.
+/// Returns [`CommandError::Broken`] unless `holds`.
 pub fn require(holds: bool) -> Result<(), CommandError> {
     if holds { Ok(()) } else { Err(CommandError::Broken) }
 }
 
-/// Reads a file that is input.
+/// Reads an input file.
 pub fn read_file(file: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(file).map_err(|error| CommandError::unusable_file(file, error))
 }
 
-/// Writes a file that is output.
+/// Writes an output file.
 pub fn write_file(file: &Path, text: impl AsRef<[u8]>) -> Result<(), CommandError> {
     std::fs::write(file, text).map_err(|error| CommandError::file_not_run(file, error))
 }
--- a/crates/stonevane/src/fleet/measure.rs
+++ b/crates/stonevane/src/fleet/measure.rs
@@ -1,4 +1,5 @@
-//! `stonevane fleet measure`.
+//! `stonevane fleet measure`: detection time, false deaths and traffic of simulated fleets by loss and slow
+//! members.
 
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -13,40 +14,41 @@
 use crate::error::{CommandError, write_file};
 use crate::parallel;
 
-/// The columns of the table.
+/// Columns of the table.
 const HEADER: &str = "members,loss,slow,health,deaths,first_s,first_most_s,all_s,all_most_s,seen_by_all,\
                       false_deaths_an_hour_and_member,datagrams_a_s,bytes_a_s";
 
-/// What is measured.
+/// Arguments of `stonevane fleet measure`.
 #[derive(Args)]
 pub struct Measure {
-    /// Sizes of fleets.
+    /// Fleet sizes, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "16,64,300", value_parser = clap::value_parser!(u64).range(3..=2_000))]
     members: Vec<u64>,
-    /// Parts of all datagrams that are lost.
+    /// Shares of datagrams that are lost, each from 0 to 1, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "0,0.1,0.3,0.5", value_parser = share)]
     loss: Vec<f64>,
-    /// Parts of the members that run a tenth of their time.
+    /// Shares of members that are slow (running only a tenth of the time), each from 0 to 1, separated by
+    /// commas.
     #[arg(long, value_delimiter = ',', default_value = "0,0.1,0.3", value_parser = share)]
     slow: Vec<f64>,
-    /// How long each fleet is simulated.
+    /// Simulated time of each fleet, in seconds.
     #[arg(long, default_value_t = 200, value_parser = clap::value_parser!(u64).range(60..=36_000))]
     seconds: u64,
-    /// The first seed.
+    /// Seed of the first fleet; each further fleet takes the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Also members that do not heed their own health.
+    /// Measure each fleet also with members that ignore their own health.
     #[arg(long)]
     without_health: bool,
-    /// The table as CSV.
+    /// Write the table to a CSV file as well.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// Time to detection and false deaths against loss, a curve for each size and part of slow members.
+    /// Draw detection time and false deaths over loss, with a curve for each size and share of slow members.
     #[arg(long, value_name = "FILE.svg")]
     chart: Option<PathBuf>,
 }
 
-/// What is the same for all points of a curve.
+/// The parameters that all points of a curve share.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 struct Setting {
     members: u64,
@@ -54,21 +56,21 @@
     heeds_health: bool,
 }
 
-/// One simulated fleet.
+/// Parameters of one simulated fleet.
 #[derive(Debug, Clone, Copy)]
 struct Cell {
     setting: Setting,
     loss: f64,
 }
 
-/// The figures of one simulated fleet.
+/// Figures of one simulated fleet.
 struct Measured {
     cell: Cell,
-    /// The median time until a death is seen by all, in microseconds.
+    /// Median time until all members see a death, in microseconds.
     seen_by_all_us: Option<u64>,
-    /// False deaths in an hour of a member.
+    /// False deaths per member and hour.
     false_deaths: f64,
-    /// Its line of the table.
+    /// The fleet's line of the table.
     line: String,
 }
 
@@ -78,7 +80,7 @@
         let done = AtomicUsize::new(0);
         let measure = |number: u64| {
             let measured = self.measure(cells[number as usize], self.seed + number);
-            warn!("  {} of {} done", done.fetch_add(1, Ordering::Relaxed) + 1, cells.len());
+            errln!("  {} of {} done", done.fetch_add(1, Ordering::Relaxed) + 1, cells.len());
             measured
         };
         let measured: Vec<Measured> = match cells.len() {
@@ -90,7 +92,7 @@
         };
         let lines = std::iter::once(HEADER).chain(measured.iter().map(|measured| measured.line.as_str()));
         let table = lines.collect::<Vec<_>>().join("\n");
-        say!("{table}");
+        outln!("{table}");
         if let Some(file) = &self.csv {
             write_file(file, format!("{table}\n"))?;
         }
@@ -132,7 +134,7 @@
     }
 }
 
-/// A line of the table, in the order of [`HEADER`].
+/// Formats a line of the table, in the order of [`HEADER`].
 fn line(cell: Cell, verdict: &MemberVerdict, false_deaths: f64) -> String {
     let figures = &verdict.figures;
     let quantile = |times: &[u64], quantile| seconds(MembershipFigures::quantile(times, quantile));
@@ -165,14 +167,14 @@
     };
     let seen_by_all = |measured: &Measured| measured.seen_by_all_us.map_or(f64::NAN, |us| us as f64 / 1e6);
     let panels = [
-        panel("A death is seen by all after, s (median)", "s", &seen_by_all),
-        panel("False deaths an hour and member", "", &|measured| measured.false_deaths),
+        panel("Time until all see a death, s (median)", "s", &seen_by_all),
+        panel("False deaths per member and hour", "", &|measured| measured.false_deaths),
     ];
     let most_loss = measured.iter().map(|measured| measured.cell.loss * 100.0).fold(1.0, f64::max);
     picture("Membership, simulated", &panels, &[], most_loss)
 }
 
-/// A curve over the loss for each setting.
+/// Returns a curve over the loss for each setting.
 fn curves(measured: &[Measured], figure: &dyn Fn(&Measured) -> f64) -> Vec<Curve> {
     let mut settings: Vec<Setting> = measured.iter().map(|measured| measured.cell.setting).collect();
     settings.sort_by(|one, other| one.partial_cmp(other).unwrap_or(std::cmp::Ordering::Equal));
@@ -182,7 +184,7 @@
         let mut points: Vec<(f64, f64)> =
             own.map(|measured| (measured.cell.loss * 100.0, figure(measured))).collect();
         points.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let health = if setting.heeds_health { "" } else { ", health unheeded" };
+        let health = if setting.heeds_health { "" } else { ", own health ignored" };
         Curve {
             name: format!("{}, {:.0} % slow{health}", setting.members, setting.slow * 100.0),
             colour: COLOURS[index % COLOURS.len()],
--- a/crates/stonevane/src/fleet/simulate.rs
+++ b/crates/stonevane/src/fleet/simulate.rs
@@ -1,4 +1,4 @@
-//! `stonevane fleet simulate`.
+//! `stonevane fleet simulate`: checks the rules of membership in simulated fleets.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -14,33 +14,33 @@
 use crate::error::{CommandError, read_file, require};
 use crate::parallel;
 
-/// Failing seeds that are printed one by one.
+/// Maximum number of failing seeds that are printed.
 const MAX_PRINTED: usize = 10;
-/// Runs for a smaller plan, at most.
+/// Maximum number of runs in the search for a smaller plan.
 const MAX_SHRINK_RUNS: usize = 1_000;
 
-/// What is simulated.
+/// Arguments of `stonevane fleet simulate`.
 #[derive(Args)]
 pub struct Simulate {
-    /// `A..B`, the last one included, or one seed.
+    /// Seeds to simulate: an inclusive range `A..B`, or a single seed.
     #[arg(long, value_parser = seeds, default_value = "1..200")]
     seeds: RangeInclusive<u64>,
-    /// Members, in the place of what is drawn.
+    /// Number of members, instead of the number drawn from the seed.
     #[arg(long, value_parser = clap::value_parser!(u64).range(3..=2_000))]
     members: Option<u64>,
-    /// A plan, in the place of those of the seeds.
+    /// Simulate the plan in this JSON file instead of plans generated from seeds.
     #[arg(long, value_name = "FILE")]
     plan: Option<PathBuf>,
-    /// A deliberate fault.
+    /// Inject a mutant (a deliberate fault of the membership machine; see --mutants).
     #[arg(long, value_parser = mutant)]
     mutant: Option<Mutant>,
-    /// Members that do not heed their own health.
+    /// Let members ignore their own health.
     #[arg(long)]
     without_health: bool,
-    /// Cuts the first seed that fails down, and prints the plan.
+    /// Shrink the plan of the first failing seed and print the smallest plan with the same failure.
     #[arg(long)]
     shrink: bool,
-    /// Lists the deliberate faults, one a line, the name first.
+    /// List the mutants, one per line, the name first, and exit.
     #[arg(long)]
     mutants: bool,
 }
@@ -48,20 +48,20 @@
 impl Simulate {
     pub(super) fn run(self) -> Result<(), CommandError> {
         if self.mutants {
-            for (_, name, what) in Mutant::ALL {
-                say!("{name:<22} {what}");
+            for (_, name, description) in Mutant::ALL {
+                outln!("{name:<22} {description}");
             }
             return Ok(());
         }
         let seeds = if self.plan.is_some() { 0..=0 } else { self.seeds.clone() };
-        // A bad file is reported before anything is played.
+        // A bad plan file is reported before the first simulation starts.
         self.plan(*seeds.start())?;
         let options = MemberOptions { mutant: self.mutant };
         let begun = Instant::now();
-        let played = parallel::map(&seeds, |seed| Some(play(&self.plan(seed).ok()?, options)));
-        let played: Vec<(u64, MemberVerdict)> =
-            played.into_iter().filter_map(|(seed, verdict)| Some((seed, verdict?))).collect();
-        let failed: Vec<_> = played.iter().filter(|(_, verdict)| !verdict.holds()).collect();
+        let results = parallel::map(&seeds, |seed| Some(play(&self.plan(seed).ok()?, options)));
+        let results: Vec<(u64, MemberVerdict)> =
+            results.into_iter().filter_map(|(seed, verdict)| Some((seed, verdict?))).collect();
+        let failed: Vec<_> = results.iter().filter(|(_, verdict)| !verdict.holds()).collect();
         for (seed, verdict) in failed.iter().take(MAX_PRINTED) {
             print_failure(*seed, verdict);
         }
@@ -71,8 +71,8 @@
             self.print_smallest(*seed, options)?;
             return Err(CommandError::Broken);
         }
-        print_costs(&played, begun.elapsed().as_secs_f64());
-        say!("{} seeds, {} failures", played.len(), failed.len());
+        print_costs(&results, begun.elapsed().as_secs_f64());
+        outln!("{} seeds, {} failures", results.len(), failed.len());
         require(failed.is_empty())
     }
 
@@ -89,9 +89,9 @@
     fn print_smallest(&self, seed: u64, options: MemberOptions) -> Result<(), CommandError> {
         let plan = self.plan(seed)?;
         if let Some((small, code)) = shrink_members(&plan, options, MAX_SHRINK_RUNS) {
-            let (left, all) = (small.faults.len(), plan.faults.len());
-            warn!("{code}: {left} of {all} faults, {} members", small.members);
-            say!("{}", small.to_json());
+            let (remaining, total) = (small.faults.len(), plan.faults.len());
+            errln!("{code}: {remaining} of {total} faults, {} members", small.members);
+            outln!("{}", small.to_json());
         }
         Ok(())
     }
@@ -102,30 +102,30 @@
     let breach = &first.breach;
     let (observer, member) = (breach.observer, breach.member);
     let at_s = first.at_us as f64 / 1e6;
-    say!(
+    outln!(
         "seed {seed} fails: {} at {at_s:.1} s, n{member} in n{observer}'s view: {}",
         breach.code,
         breach.what
     );
 }
 
-/// Prints what membership costs, and how long it takes to detect a death.
-fn print_costs(played: &[(u64, MemberVerdict)], took_s: f64) {
+/// Prints the traffic of membership and the time to detect a death, over all simulated fleets.
+fn print_costs(results: &[(u64, MemberVerdict)], took_s: f64) {
     let sum = |figure: &dyn Fn(&MemberVerdict) -> f64| {
-        played.iter().map(|(_, verdict)| figure(verdict)).sum::<f64>()
+        results.iter().map(|(_, verdict)| figure(verdict)).sum::<f64>()
     };
     let member_s = sum(&|verdict| verdict.member_s).max(1e-9);
     let deaths: Vec<u64> =
-        played.iter().flat_map(|(_, verdict)| verdict.figures.last_us.iter().copied()).collect();
-    let last = |quantile: f64| seconds(MembershipFigures::quantile(&deaths, quantile));
-    warn!(
-        "{member_s:.0} member-seconds in {took_s:.1} s; {:.2} datagrams and {:.0} bytes a member and second; a death is \
-         seen by all after {} s (median), {} s (95 in a hundred), {} s (all); {} false deaths seen",
+        results.iter().flat_map(|(_, verdict)| verdict.figures.last_us.iter().copied()).collect();
+    let seen_by_all = |quantile: f64| seconds(MembershipFigures::quantile(&deaths, quantile));
+    errln!(
+        "{member_s:.0} member-seconds in {took_s:.1} s; {:.2} datagrams and {:.0} bytes per member and second; \
+         time until all see a death: {} s (median), {} s (95th percentile), {} s (maximum); {} false deaths seen",
         sum(&|verdict| verdict.datagrams as f64) / member_s,
         sum(&|verdict| verdict.bytes as f64) / member_s,
-        last(0.5),
-        last(0.95),
-        last(1.0),
+        seen_by_all(0.5),
+        seen_by_all(0.95),
+        seen_by_all(1.0),
         sum(&|verdict| verdict.figures.false_deaths as f64),
     );
 }
--- a/crates/stonevane/src/fleet/status/print.rs
+++ b/crates/stonevane/src/fleet/status/print.rs
@@ -1,23 +1,23 @@
-//! Prints what nodes report of the members.
+//! Formats nodes' reports of the members for people.
 
 use std::net::SocketAddr;
 
 use serde_json::Value;
 
-/// States, the one that most wants attention first.
+/// States in the order in which the table lists them, most severe first; others come last.
 const STATES: [&str; 4] = ["dead", "suspect", "left", "unknown"];
 
-/// A text of a report.
+/// Returns a string field; empty if it is missing.
 pub(super) fn text<'v>(value: &'v Value, key: &str) -> &'v str {
     value[key].as_str().unwrap_or("")
 }
 
-/// The members of a report.
+/// Returns the members of a report.
 pub(super) fn members(report: &Value) -> &[Value] {
     report["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// A span of milliseconds, for people.
+/// Formats a duration in milliseconds; `never` for null.
 fn ago(value: &Value) -> String {
     match value.as_u64() {
         None => "never".into(),
@@ -27,7 +27,7 @@
     }
 }
 
-/// Who reported a member's state.
+/// Returns the node that reported the member's state, or `nobody` if there is none.
 fn reporter(member: &Value, nobody: &str) -> String {
     member["by"].as_u64().map_or(nobody.into(), |by| format!("n{by}"))
 }
@@ -35,7 +35,7 @@
 /// Prints the table of one node's report.
 pub(super) fn print_table(node: SocketAddr, report: &Value) {
     print_head(node, report);
-    say!(
+    outln!(
         "{:<6} {:<8} {:>9} {:>5} {:>9} {:>9}  {:<24} {}",
         "member",
         "state",
@@ -53,7 +53,7 @@
     let mut sorted: Vec<&Value> = members(report).iter().collect();
     sorted.sort_by_key(|member| (severity(member), member["member"].as_u64()));
     for member in sorted {
-        say!(
+        outln!(
             "{:<6} {:<8} {:>9} {:>5} {:>9} {:>9}  {:<24} {}",
             format!("n{}", member["member"]),
             text(member, "state"),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Prints the node itself and its datagrams.
+/// Prints the node's own state and its datagram counters.
 fn print_head(node: SocketAddr, report: &Value) {
     let count = |state: &str| members(report).iter().filter(|member| text(member, "state") == state).count();
     let states: Vec<_> = ["alive", "suspect", "dead", "left", "unknown"]
@@ -76,15 +76,15 @@
         .filter(|(count, _)| *count > 0)
         .map(|(count, state)| format!("{count} {state}"))
         .collect();
-    say!("{node}: n{}, {}; own health {} (0 is well)", report["me"], states.join(", "), report["health"]);
+    outln!("{node}: n{}, {}; own health {} (0 is well)", report["me"], states.join(", "), report["health"]);
     if !report["alone_ms"].is_null() {
         let since = ago(&report["alone_ms"]);
-        say!("  it hears nobody since {since}: what it suspects may be its own cut");
+        outln!("  it hears nobody since {since}: what it suspects may be its own cut");
     }
     let datagrams = &report["datagrams"];
     let rejected = datagrams["refused"].as_object().into_iter().flatten();
     let rejected: Vec<_> = rejected.map(|(cause, count)| format!("{count} {cause}")).collect();
-    say!(
+    outln!(
         "  datagrams: {} sent ({} bytes), {} heard ({} bytes), refused: {}",
         datagrams["sent"],
         datagrams["sent_bytes"],
@@ -94,15 +94,15 @@
     );
 }
 
-/// Prints all that one node reports of a member, in sentences.
+/// Prints one node's view of a member in sentences.
 pub(super) fn print_member(report: &Value, member: &Value) {
     let (me, it) = (report["me"].as_u64().unwrap_or(0), member["member"].as_u64().unwrap_or(0));
     if me == it {
         print_own(it, report);
         return;
     }
-    say!(
-        "n{me} holds n{it} {} for {} by the word of {} ({} accusers), life {} of generation {}, incarnation {}",
+    outln!(
+        "n{me} has seen n{it} as {} for {}, reported by {} ({} accusers), instance {} of generation {}, incarnation {}",
         text(member, "state"),
         ago(&member["for_ms"]),
         reporter(member, "nobody"),
@@ -111,25 +111,27 @@
         member["generation"],
         member["incarnation"]
     );
-    say!(
-        "  heard from it {} ago, it answered a probe {} ago, left one unanswered {} ago; its own health {}",
+    outln!(
+        "  time since its last message: {}, since it answered a probe: {}, since it left a probe unanswered: {}; its own health {}",
         ago(&member["heard_ms"]),
         ago(&member["answered_ms"]),
         ago(&member["unanswered_ms"]),
         member["health"]
     );
     match text(member, "link") {
-        "does not hear this node" => say!("  n{me} hears n{it}, n{it} does not hear n{me}"),
-        "is not heard" => say!("  n{me} does not hear n{it}, though others do"),
+        "does not hear this node" => {
+            outln!("  n{me} receives from n{it}, but n{it} does not receive from n{me}");
+        }
+        "is not heard" => outln!("  n{me} does not receive from n{it}, but other members do"),
         _ => {}
     }
 }
 
-/// Prints what a node reports of itself.
+/// Prints a node's report of itself in sentences.
 fn print_own(number: u64, report: &Value) {
-    say!(
-        "n{number} says of itself: life {} of generation {}, incarnation {}, health {}; it objected {} times, \
-         stood still {} times, accused {} times",
+    outln!(
+        "n{number} reports of itself: instance {} of generation {}, incarnation {}, health {}; it refuted {} suspicions, \
+         was paused {} times, suspected others {} times",
         report["life"],
         report["generation"],
         report["incarnation"],
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -1,4 +1,4 @@
-//! `stonevane lab`.
+//! `stonevane lab`: runs scenarios and experiments, and audits histories.
 
 mod experiment;
 mod print;
@@ -14,30 +14,30 @@
 
 use crate::error::{CommandError, require};
 
-/// The lab's commands.
+/// Subcommands of `stonevane lab`.
 #[derive(Subcommand)]
 pub enum Lab {
-    /// Lists the scenarios that come along, one a line, the name first.
+    /// List the built-in scenarios, one per line, the name first.
     List,
-    /// Plays a scenario, and tells its figures and the verdict on the four rules.
+    /// Run a scenario and print its figures and the verdict on the four rules.
     Run(run::Run),
-    /// Plays a matrix of runs, of one build or of two side by side.
+    /// Run a matrix of scenarios, seeds, loads and operator files, with one build or comparing two.
     Experiment(experiment::Experiment),
-    /// Makes a page and a table of an experiment's results.
+    /// Print the report of an experiment and write it to report.html in its folder.
     #[command(after_help = "Example: stonevane lab report baseline")]
     Report {
-        /// The experiment's folder.
+        /// Folder with the experiment's results.
         folder: PathBuf,
-        /// The report as JSON on standard output.
+        /// Print the report as JSON.
         #[arg(long)]
         json: bool,
     },
-    /// Audits a history that was kept.
+    /// Audit a recorded history against the four rules.
     #[command(after_help = "Example: stonevane lab audit run.jsonl")]
     Audit {
-        /// The history, JSON lines.
+        /// History file (JSON lines).
         history: PathBuf,
-        /// The verdict as JSON on standard output.
+        /// Print the verdict as JSON.
         #[arg(long)]
         json: bool,
     },
@@ -61,7 +61,7 @@
 fn list() {
     for BuiltInScenario { name, text } in SCENARIOS {
         let about = Scenario::parse(text).map(|scenario| scenario.about).unwrap_or_default();
-        say!("{name:<14} {about}");
+        outln!("{name:<14} {about}");
     }
 }
 
@@ -70,9 +70,9 @@
     let report = file.and_then(|file| audit(BufReader::new(file)));
     let report = report.map_err(|error| CommandError::unusable_file(history, error))?;
     if json {
-        say!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
+        outln!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
     } else {
-        say!("{report}");
+        outln!("{report}");
     }
     require(report.holds())
 }
--- a/crates/stonevane/src/lab/experiment.rs
+++ b/crates/stonevane/src/lab/experiment.rs
@@ -1,4 +1,4 @@
-//! `stonevane lab experiment` and `stonevane lab report`.
+//! `stonevane lab experiment` and `stonevane lab report`: run a matrix of runs and report its results.
 
 use std::path::{Path, PathBuf};
 
@@ -9,24 +9,26 @@
 use crate::error::{CommandError, read_file, write_file};
 use crate::node_program;
 
-/// An experiment.
+/// Arguments of `stonevane lab experiment`.
 #[derive(Args)]
 #[command(after_help = "Examples:
   stonevane lab experiment baseline.toml
   stonevane lab experiment mend.toml --node-program old/stonevane-node --against target/release/stonevane-node
 
-The same command goes on where an interrupted one stopped. Exit codes: 0 all runs were played (what they showed is
-the report's), 2 the file, a build or the folder can't be used, 3 interrupted.")]
+To resume an interrupted experiment, run the same command again.
+
+Exit codes: 0 all runs are complete (see the report for their results), 2 the file, a build or the folder can't be
+used, 3 interrupted.")]
 pub struct Experiment {
-    /// The experiment's file.
+    /// Experiment file (TOML).
     file: PathBuf,
-    /// Where results go; else a folder named like the experiment.
+    /// Folder for the results [default: the experiment's name].
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// The daemon's program; else the one beside this program.
+    /// Path of the daemon's program [default: stonevane-node in the folder of this program].
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
-    /// Another build, to be compared with it.
+    /// Path of another build of the daemon to compare it with.
     #[arg(long, value_name = "FILE")]
     against: Option<PathBuf>,
 }
@@ -38,46 +40,50 @@
         let program = node_program::find(self.node_program.as_deref()).map_err(CommandError::unusable)?;
         let builds = runner::Builds::of(&program, self.against.as_deref()).map_err(CommandError::unusable)?;
         let folder = self.out.unwrap_or_else(|| PathBuf::from(&matrix.name));
-        let played = runner::play(&matrix, &text, &builds, &folder, &mut |line| warn!("  {line}"));
-        let played = played.map_err(|error| match error {
+        let results = runner::play(&matrix, &text, &builds, &folder, &mut |line| errln!("  {line}"));
+        let results = results.map_err(|error| match error {
             ExperimentError::Unusable(_) => CommandError::unusable(error),
             ExperimentError::Io { .. } | ExperimentError::Interrupted { .. } => CommandError::not_run(error),
         })?;
-        show(&matrix, &played, false)
+        print_report(&matrix, &results, false)
     }
 }
 
-/// Reads an experiment; scenarios that are files stand beside it, or in the working folder.
+/// Parses an experiment. Scenario files are looked up in the experiment's folder, then in the working folder.
 fn parse(file: &Path, text: &str) -> Result<matrix::Experiment, CommandError> {
-    let beside = file.parent().unwrap_or(Path::new("."));
+    let folder = file.parent().unwrap_or(Path::new("."));
     let find = |name: &str| {
-        // In the folder of an experiment, its own copy.
-        std::fs::read_to_string(runner::scenario_path(beside, name))
-            .or_else(|_| std::fs::read_to_string(beside.join(name)))
+        // A results folder holds a copy of each scenario.
+        std::fs::read_to_string(runner::scenario_path(folder, name))
+            .or_else(|_| std::fs::read_to_string(folder.join(name)))
             .or_else(|_| std::fs::read_to_string(name))
     };
     matrix::Experiment::parse(text, &find)
         .map_err(|errors| CommandError::Config { file: file.display().to_string(), errors })
 }
 
-/// Makes the report of a folder.
+/// Prints the report of a results folder.
 pub(super) fn report(folder: &Path, json: bool) -> Result<(), CommandError> {
     let text = runner::text(folder).map_err(CommandError::unusable)?;
-    let played = runner::Folder::read(folder).map_err(CommandError::unusable)?;
+    let results = runner::Folder::read(folder).map_err(CommandError::unusable)?;
     let matrix = parse(&folder.join("experiment.toml"), &text)?;
-    show(&matrix, &played, json)
+    print_report(&matrix, &results, json)
 }
 
-/// Prints a report, and writes its page into the folder.
-fn show(matrix: &matrix::Experiment, played: &runner::Folder, json: bool) -> Result<(), CommandError> {
-    let report = report::report(matrix, played);
+/// Prints the report and writes it as an HTML page into the results folder.
+fn print_report(
+    matrix: &matrix::Experiment,
+    results: &runner::Folder,
+    json: bool,
+) -> Result<(), CommandError> {
+    let report = report::report(matrix, results);
     if json {
-        say!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
+        outln!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
     } else {
-        say!("{report}");
+        outln!("{report}");
     }
-    let page = played.path.join("report.html");
-    write_file(&page, report::html(&report, played))?;
-    warn!("the page: {}", page.display());
+    let page = results.path.join("report.html");
+    write_file(&page, report::html(&report, results))?;
+    errln!("report page: {}", page.display());
     Ok(())
 }
--- a/crates/stonevane/src/lab/print.rs
+++ b/crates/stonevane/src/lab/print.rs
@@ -1,27 +1,27 @@
-//! Prints the outcome of a run.
+//! Formats the outcome of a run for people.
 
 use stonevane_audit::MembershipFigures;
 use stonevane_lab::{Outcome, Summary};
 
-/// Prints the outcome of a run.
+/// Prints the figures, the expectations and the verdict of a run.
 pub(super) fn print(outcome: &Outcome) {
-    say!("{}, seed {}, load {}", outcome.scenario, outcome.seed, outcome.load);
+    outln!("{}, seed {}, load {}", outcome.scenario, outcome.seed, outcome.load);
     print_classes(&outcome.summary);
     print_servers(&outcome.summary);
     if outcome.report.membership.views > 0 {
         print_membership(&outcome.report.membership);
     }
-    say!("");
+    outln!("");
     for expected in &outcome.expects {
-        let found = expected.found.map_or("nothing to measure".into(), |found| format!("{found:.4}"));
+        let found = expected.found.map_or("no measurement".into(), |found| format!("{found:.4}"));
         let verdict = if expected.holds { "holds " } else { "BROKEN" };
-        say!("{verdict} {:<28} found {found}", expected.line);
+        outln!("{verdict} {:<28} found {found}", expected.line);
     }
-    say!("{}", outcome.report);
+    outln!("{}", outcome.report);
 }
 
 fn print_classes(summary: &Summary) {
-    say!(
+    outln!(
         "\n{:<14} {:>7} {:>7} {:>7} {:>7} {:>9} {:>9} {:>9}",
         "class",
         "asked",
@@ -33,7 +33,7 @@
         "p99.9 ms"
     );
     for (name, class) in &summary.classes {
-        say!(
+        outln!(
             "{name:<14} {:>7} {:>7} {:>7} {:>7} {:>9.1} {:>9.1} {:>9.1}",
             class.asked,
             class.served,
@@ -47,7 +47,7 @@
 }
 
 fn print_servers(summary: &Summary) {
-    say!(
+    outln!(
         "\n{:<14} {:>8} {:>7} {:>7} {:>11} {:>11} {:>6}",
         "server",
         "attempts",
@@ -58,7 +58,7 @@
         "falls"
     );
     for (name, server) in &summary.servers {
-        say!(
+        outln!(
             "{name:<14} {:>8} {:>7} {:>7} {:>11.2} {:>11.2} {:>6}",
             server.attempts,
             server.busy,
@@ -75,9 +75,9 @@
         let us = MembershipFigures::quantile(times, quantile);
         us.map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e6))
     };
-    say!(
-        "\nmembership: {} views, {} deaths; seen by the first after {} s (median), {} s (most), by all after {} s, \
-         {} s ({} of them); {} false deaths",
+    outln!(
+        "\nmembership: {} views, {} deaths; time until the first member sees a death: {} s (median), {} s \
+         (maximum), until all see it: {} s, {} s ({} deaths); {} false deaths",
         members.views,
         members.deaths,
         quantile(&members.first_us, 0.5),
--- a/crates/stonevane/src/lab/run.rs
+++ b/crates/stonevane/src/lab/run.rs
@@ -1,4 +1,4 @@
-//! `stonevane lab run`.
+//! `stonevane lab run`: runs one scenario and checks its outcome.
 
 use std::path::{Path, PathBuf};
 
@@ -14,58 +14,61 @@
 use crate::error::{CommandError, read_file, require};
 use crate::node_program;
 
-/// The node whose place a faulty member takes.
+/// Number of the node that the faulty member replaces.
 const FAULTY_MEMBER: usize = 1;
 
-/// One run.
+/// Arguments of `stonevane lab run`.
 #[derive(Args)]
 #[command(after_help = "Examples:
   stonevane lab run calm
   stonevane lab run kill-cache --seed 7 --nodes 4 --history run.jsonl --chart run.svg
   stonevane lab run my-scenario.toml --json -
 
-Exit codes: 0 the rules and all expectations hold, 1 they don't, 2 a bad scenario, 3 it could not be run.")]
+Exit codes: 0 the rules and all expectations hold, 1 one is broken, 2 the scenario can't be used, 3 the run could not
+be completed.")]
 pub struct Run {
-    /// A scenario's name (see `lab list`), or a file.
+    /// Name of a built-in scenario (see `lab list`), or a scenario file (TOML).
     scenario: String,
-    /// Another seed than the scenario's.
+    /// Seed [default: the scenario's].
     #[arg(long)]
     seed: Option<u64>,
-    /// Another number of nodes.
+    /// Number of nodes [default: the scenario's].
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=400))]
     nodes: Option<u64>,
-    /// A multiple of the scenario's rate.
+    /// Factor on the scenario's request rate, for example 1.5.
     #[arg(long, value_name = "TIMES")]
     load: Option<f64>,
-    /// Plays its short form: the same in a part of the time, held to the rules and to looser figures.
+    /// Run the scenario's short form: the same events in a part of the time, checked against the rules and
+    /// looser expectations.
     #[arg(long)]
     short: bool,
-    /// An operator file for each node.
+    /// Operator file for all nodes.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Writes the figures and the verdict as JSON; `-` for standard output.
+    /// Write the figures and the verdict to a JSON file; `-` writes them to standard output.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Keeps the history.
+    /// Record the history to this file (JSON lines).
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
-    /// Draws goodput, refusals, the origin and the coldest server over time.
+    /// Draw goodput, refusals, origin load and the coldest server's load over time.
     #[arg(long, value_name = "FILE.svg")]
     chart: Option<PathBuf>,
-    /// The daemon's program; else the one beside this program.
+    /// Path of the daemon's program [default: stonevane-node in the folder of this program].
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
-    /// Little nodes that break a rule in the nodes' place, to see them caught.
+    /// Replace the nodes by faulty stub nodes that break a rule in this way, to test the auditor (`honest`
+    /// for correct ones).
     #[arg(long, value_name = "CRIME", value_parser = node_fault)]
     crooked: Option<NodeFault>,
-    /// Nodes know nothing of one another, whatever the scenario says: the control.
+    /// Control run: disable membership among the nodes, even if the scenario enables it.
     #[arg(long)]
     without_fleet: bool,
-    /// Nodes that start together don't hold back: the control.
+    /// Control run: disable the startup limit, with which nodes that start together hold back.
     #[arg(long)]
     without_ramp: bool,
-    /// A member in a node's place that breaks a rule of membership (`fleet simulate --mutants` lists them), to see it
-    /// caught.
+    /// Replace one node by a faulty member with this mutant of membership, to test the auditor
+    /// (`fleet simulate --mutants` lists the mutants).
     #[arg(long, value_name = "MUTANT", value_parser = crate::fleet::mutant)]
     crooked_member: Option<Mutant>,
 }
@@ -92,14 +95,15 @@
         require(outcome.holds)
     }
 
-    /// The scenario that is named, with a faulty member where one is asked for.
+    /// Returns the scenario, with a faulty member if the arguments name one.
     fn scenario(&self) -> Result<Scenario, CommandError> {
         let text = self.scenario_text()?;
         let mut scenario = Scenario::parse(&text)
             .map_err(|errors| CommandError::Config { file: self.scenario.clone(), errors })?;
         if let Some(mutant) = self.crooked_member {
             let Some(spec) = &mut scenario.membership else {
-                let cause = format!("`{}` has no [membership] for a crooked member", self.scenario);
+                let cause =
+                    format!("`{}` has no [membership] section, which --crooked-member needs", self.scenario);
                 return Err(CommandError::Unusable(cause));
             };
             spec.faulty_member = Some(FaultyMemberSpec { node: FAULTY_MEMBER, mutant });
@@ -140,11 +144,11 @@
         })
     }
 
-    /// Prints the outcome and writes the files that are asked for.
+    /// Prints the outcome and writes the requested files.
     fn output(&self, outcome: &Outcome) -> std::io::Result<()> {
         let json = || serde_json::to_string_pretty(outcome).unwrap_or_default();
         match self.json.as_deref() {
-            Some(file) if file == Path::new("-") => say!("{}", json()),
+            Some(file) if file == Path::new("-") => outln!("{}", json()),
             Some(file) => {
                 print(outcome);
                 std::fs::write(file, json())?;
--- a/crates/stonevane/src/main.rs
+++ b/crates/stonevane/src/main.rs
@@ -1,4 +1,4 @@
-//! `stonevane`: the command line beside the daemon.
+//! `stonevane`: the command line of the project. The daemon is a separate program, `stonevane-node`.
 
 #[macro_use]
 mod output;
@@ -25,30 +25,31 @@
 
 use crate::error::{CommandError, UNUSABLE};
 
-/// The command line beside the daemon: check configuration, run the lab, audit histories, run stand-ins.
+/// Check configuration, run the lab, audit histories and run emulators for the stonevane daemon.
 #[derive(Parser)]
 #[command(
     name = "stonevane",
     version,
     after_help = "Examples:
-  stonevane demo                                       a whole fleet to speak to, with the commands to try
-  stonevane config check deploy/operator.toml          what is wrong with an operator file
-  stonevane lab list                                   the scenarios that come along
-  stonevane lab run kill-cache --chart run.svg         a fleet with faults, and the verdict on the four rules
-  stonevane lab audit run.jsonl                        the verdict on a kept history
-  stonevane sim run --seeds 1..2000                    thousands of simulated fleets, each with its own faults
-  stonevane scale run --nodes 16,64,300                what a node costs in fleets of hollow nodes
-  stonevane store import zones.db zones.csv            zones into a store of record
-  stonevane stand-in cache --listen 127.0.0.1:7001     one stand-in by hand
+  stonevane demo                                       run a fleet and print example commands
+  stonevane config check deploy/operator.toml          check an operator file
+  stonevane lab list                                   list the built-in scenarios
+  stonevane lab run kill-cache --chart run.svg         run a fleet with faults and check the four rules
+  stonevane lab audit run.jsonl                        audit a recorded history
+  stonevane sim run --seeds 1..2000                    simulate 2000 fleets with random faults
+  stonevane scale run --nodes 16,64,300                measure the cost per node in fleets of stub nodes
+  stonevane store import zones.db zones.csv            import zones into a store of record
+  stonevane stand-in cache --listen 127.0.0.1:7001     run one emulator
 
-Exit codes: 0 all holds, 1 a rule or an expectation is broken, 2 the input can't be used, 3 it could not be run."
+Exit codes: 0 success, 1 a rule or an expectation is broken, 2 the input can't be used, 3 the command could not be
+completed."
 )]
 struct Cli {
-    /// Logs of the lab and its stand-ins on standard error: a level, or levels by package
-    /// (`info`, `warn,stonevane_emulators=debug`).
+    /// Write logs to standard error: a level, or levels by package, for example `info` or
+    /// `warn,stonevane_emulators=debug` [default: no logs].
     #[arg(long, global = true, value_name = "LEVELS", value_parser = arguments::log_levels)]
     log: Option<EnvFilter>,
-    /// Logs as JSON lines.
+    /// Write logs as JSON lines.
     #[arg(long, global = true, requires = "log")]
     log_json: bool,
     #[command(subcommand)]
@@ -57,30 +58,30 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Configuration, without a node.
+    /// Check configuration without starting a node.
     #[command(subcommand)]
     Config(check::Config),
-    /// The lab: real nodes between stand-ins, faults by script, the auditor's verdict.
+    /// Run real nodes among emulators with scripted faults, and audit the histories.
     #[command(subcommand)]
     Lab(lab::Lab),
-    /// Simulated fleets of the node's very core, with faults drawn from seeds: searches for broken rules.
+    /// Simulate fleets of the node's core with faults drawn from seeds, to search for broken rules.
     #[command(subcommand)]
     Sim(sim::Sim),
-    /// Membership among the nodes: simulated fleets, and what running nodes tell of it.
+    /// Simulate membership among the nodes, and show what running nodes report of it.
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// Fleets of many thousands of nodes: what each role costs at several sizes.
+    /// Measure the cost of fleets of many thousands of nodes, by role and size.
     #[command(subcommand)]
     Scale(scale::Scale),
-    /// Runs one stand-in by hand, until it is interrupted.
+    /// Run one emulator (or a load client) by hand until interrupted.
     #[command(subcommand)]
     StandIn(stand_in::StandIn),
-    /// The store of record: make, check, import, export, torture.
+    /// Create, check, import, export, monitor and crash-test a store of record.
     #[command(subcommand)]
     Store(store::Store),
-    /// Builds and serves a demo fleet: nodes, caches, origin and discovery, to be spoken to.
+    /// Build and run a demo fleet of nodes, caches, a store of record and discovery until interrupted.
     Demo(demo::Demo),
-    /// Measures the lab itself: the node and a bare relay in its place, side by side.
+    /// Measure the node, the store, the history writer and the auditor, and compare them with bare baselines.
     #[command(subcommand)]
     Bench(bench::Bench),
 }
@@ -101,7 +102,7 @@
     }
 }
 
-/// Sends logs to standard error, where they are asked for.
+/// Starts logging to standard error if levels are given.
 fn start_logs(levels: Option<EnvFilter>, json: bool) {
     let Some(levels) = levels else { return };
     let subscriber =
@@ -109,7 +110,7 @@
     if json { subscriber.json().init() } else { subscriber.init() }
 }
 
-/// What clap says is wrong with the arguments, in one line.
+/// Returns clap's error message in one line, without usage and hints.
 fn one_line(error: &clap::Error) -> String {
     let text = error.render().to_string();
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
@@ -119,13 +120,13 @@
     line.strip_prefix("error: ").unwrap_or(&line).to_owned()
 }
 
-/// Reads the command line; help is printed in full, an error in one line.
+/// Parses the command line; prints help in full, and an error in one line.
 fn parse_arguments() -> Result<Cli, ExitCode> {
     Cli::try_parse().map_err(|error| {
         if !error.use_stderr() || error.kind() == DisplayHelpOnMissingArgumentOrSubcommand {
             error.exit();
         }
-        warn!("stonevane: {}", one_line(&error));
+        errln!("stonevane: {}", one_line(&error));
         ExitCode::from(UNUSABLE)
     })
 }
--- a/crates/stonevane/src/node_program.rs
+++ b/crates/stonevane/src/node_program.rs
@@ -1,4 +1,4 @@
-//! Finds the daemon's program.
+//! Locates the daemon's program, and builds it if this program was started by cargo.
 
 use std::ffi::OsString;
 use std::io;
@@ -7,46 +7,47 @@
 
 const NAME: &str = "stonevane-node";
 
-/// Why there is no program.
+/// Failure to locate the daemon's program.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// The one that was named is not there.
-    #[error("there is no program {}", .0.display())]
-    NotThere(PathBuf),
-    /// None is beside this program.
-    #[error("there is no {}; build it, or name one with --node-program", .0.display())]
-    NotBeside(PathBuf),
-    /// This program's own path is not known.
-    #[error("{0}")]
+    /// The given path is not a file.
+    #[error("--node-program: {} is not a file", .0.display())]
+    NotAFile(PathBuf),
+    /// The folder of this program has no daemon.
+    #[error("{} does not exist; build it, or give a path with --node-program", .0.display())]
+    Missing(PathBuf),
+    /// The path of this program is unknown.
+    #[error("the path of this program is unknown: {0}")]
     OwnPath(io::Error),
     /// Cargo could not be started.
     #[error("cargo can't be run: {0}")]
     Cargo(io::Error),
-    /// The build has failed.
+    /// Cargo's build of the daemon failed.
     #[error("{NAME} could not be built")]
     Build,
 }
 
-/// The program that was named; else the one beside this program; else, run by cargo, one that is built now.
-pub fn find(named: Option<&Path>) -> Result<PathBuf, ProgramError> {
-    if let Some(named) = named {
-        return match named.is_file() {
-            true => Ok(named.into()),
-            false => Err(ProgramError::NotThere(named.into())),
+/// Returns the given path, or the program in the folder of this program. Under `cargo run` the latter is
+/// built first.
+pub fn find(path: Option<&Path>) -> Result<PathBuf, ProgramError> {
+    if let Some(path) = path {
+        return match path.is_file() {
+            true => Ok(path.into()),
+            false => Err(ProgramError::NotAFile(path.into())),
         };
     }
     let own = std::env::current_exe().map_err(ProgramError::OwnPath)?;
     let folder = own.parent().unwrap_or(Path::new("."));
-    let beside = folder.join(NAME);
-    // Cargo builds only this package: the daemon is another one.
+    let program = folder.join(NAME);
+    // `cargo run` builds only this package; the daemon is in another one.
     if let Some(cargo) =
         std::env::var_os("CARGO").filter(|_| std::env::var_os("CARGO_MANIFEST_DIR").is_some())
     {
         build(cargo, folder)?;
     }
-    match beside.is_file() {
-        true => Ok(beside),
-        false => Err(ProgramError::NotBeside(beside)),
+    match program.is_file() {
+        true => Ok(program),
+        false => Err(ProgramError::Missing(program)),
     }
 }
 
--- a/crates/stonevane/src/parallel.rs
+++ b/crates/stonevane/src/parallel.rs
@@ -1,4 +1,4 @@
-//! Work on several threads.
+//! Maps a function over a range of numbers on several threads.
 
 use std::ops::RangeInclusive;
 use std::sync::Mutex;
@@ -6,15 +6,15 @@
 use std::thread::available_parallelism;
 use std::time::{Duration, Instant};
 
-/// The pause between looks at whether the threads have ended.
+/// Interval at which the calling thread checks whether the workers have ended.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One thread for each core.
+/// Returns the number of available cores.
 pub fn default_threads() -> u64 {
     available_parallelism().map_or(1, |cores| cores.get() as u64)
 }
 
-/// Numbers that threads work on, and the results.
+/// The numbers still to be mapped, shared by the worker threads, and the results so far.
 struct Work<R, F> {
     next: AtomicU64,
     last: u64,
@@ -28,7 +28,7 @@
         Work { next, last: *numbers.end(), results: Mutex::default(), function }
     }
 
-    /// Works until no number is left.
+    /// Takes and maps numbers until none is left.
     fn run(&self) {
         loop {
             let number = self.next.fetch_add(1, Ordering::Relaxed);
@@ -46,7 +46,7 @@
         self.results.lock().map_or(0, |results| results.len())
     }
 
-    /// The results in the order of their numbers.
+    /// Returns the results in the order of their numbers.
     fn finish(self) -> Vec<(u64, R)> {
         let mut results = self.results.into_inner().unwrap_or_default();
         results.sort_by_key(|(number, _)| *number);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Works on each number with one thread for each core; returns the results in the order of the numbers.
+/// Maps each number with one thread per core; returns the results in the order of the numbers.
 pub fn map<R: Send>(numbers: &RangeInclusive<u64>, function: impl Fn(u64) -> R + Sync) -> Vec<(u64, R)> {
     let work = Work::new(numbers, function);
     std::thread::scope(|scope| {
@@ -65,7 +65,8 @@
     work.finish()
 }
 
-/// The same with a number of threads; `progress` is called at an interval with the number of results.
+/// Like [`map`] with a given number of threads. Calls `progress` on the calling thread every `interval` with
+/// the number of results so far.
 pub fn map_with_progress<R: Send>(
     numbers: &RangeInclusive<u64>,
     threads: u64,
--- a/crates/stonevane/src/scale.rs
+++ b/crates/stonevane/src/scale.rs
@@ -1,4 +1,4 @@
-//! `stonevane scale`: what fleets of many thousands of nodes cost.
+//! `stonevane scale`: measures the cost of fleets of many thousands of nodes.
 
 mod measure;
 mod run;
@@ -8,16 +8,16 @@
 
 use crate::error::CommandError;
 
-/// The commands on the size of fleets.
+/// Subcommands of `stonevane scale`.
 #[derive(Subcommand)]
 pub enum Scale {
-    /// Measures what one role costs at several sizes, and how that grows.
+    /// Measure the cost of one role at several sizes, and how it grows.
     Measure(measure::Measure),
-    /// Prints the tables of capacity from kept measurements.
+    /// Print the capacity tables from recorded measurements.
     Table(table::Table),
-    /// Runs fleets of hollow nodes on this machine: a line of figures for each size.
+    /// Run fleets of stub nodes on this machine and print a line of figures for each size.
     Run(run::Run),
-    /// One process of such a fleet; started by `run` only.
+    /// Run one worker process of a fleet of stub nodes; only `scale run` starts it.
     #[command(hide = true)]
     Worker(run::Worker),
 }
--- a/crates/stonevane/src/scale/run.rs
+++ b/crates/stonevane/src/scale/run.rs
@@ -1,4 +1,4 @@
-//! `stonevane scale run`: fleets of hollow nodes, one after the other, and a line of figures for each.
+//! `stonevane scale run`: runs fleets of stub nodes one after another and prints a line of figures for each.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -16,85 +16,87 @@
 use crate::arguments::positive;
 use crate::error::{CommandError, require};
 
-/// The most seconds of a window or phase.
+/// Upper bound of --seconds and --phase-seconds: one day.
 const MAX_SECONDS: u64 = 24 * 60 * 60;
 
-/// Runs fleets of hollow nodes.
+/// Run fleets of stub nodes and check their cost against a budget.
 #[derive(Args)]
 #[command(
-    after_help = "A hollow node is the daemon without clients and cache servers: its core with its list from \
-discovery (TCP), and its membership machine (UDP), on loopback. Many share a process. Each fleet is started, measured \
-at rest for --seconds, and loses one node; the last figure is when all others hold it dead.
+    after_help = "A stub node (in messages: hollow node) is the daemon without clients and cache servers: its core with the server \
+list from discovery (TCP), and its membership machine (UDP), on loopback. Many share a process. Each fleet is started, \
+measured at rest for --seconds, and then one node is killed; the last figure is the time until all others consider it \
+dead.
 
 Examples:
-  stonevane scale run --nodes 16,64,300                       three fleets, one after the other
+  stonevane scale run --nodes 16,64,300                       three fleets, one after another
   stonevane scale run --nodes 1000 --csv hollow.csv --verbose
   stonevane scale run --nodes 1000 --regions 10 --membership-per-region
 
-Exit codes: 0 all sizes are within the budget, 1 one is not, 2 the input can't be used (nothing was started), 3 it \
-could not be run (nothing is left running)."
+Exit codes: 0 all sizes are within the budget, 1 one is not, 2 the input can't be used (nothing was started), 3 the \
+run could not be completed (nothing is left running)."
 )]
 pub struct Run {
-    /// Hollow nodes of each fleet: one number, or several that rise.
+    /// Stub nodes of each fleet: one number, or several in increasing order.
     #[arg(long, value_delimiter = ',', required = true, value_name = "N[,N...]")]
     nodes: Vec<u32>,
-    /// Regions: contiguous blocks of node numbers, of nearly equal size. Membership is flat: by itself this only numbers
-    /// the nodes and changes no message (see --membership-per-region).
+    /// Number of regions: contiguous blocks of node numbers of nearly equal size. Without
+    /// --membership-per-region, membership spans all regions, and their number changes no message.
     #[arg(long, default_value_t = 1)]
     regions: u32,
-    /// Makes each region a membership domain of its own: its nodes know of nobody outside it, and a death is to be known
-    /// within the region only.
+    /// Make each region a separate membership domain: its nodes know no node outside it, and a death needs to
+    /// be known within the region only.
     #[arg(long)]
     membership_per_region: bool,
-    /// The seed of every random choice.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Worker processes; else one for each 64 nodes, at most one for each processor.
+    /// Worker processes [default: one for each 64 nodes, at most one per processor].
     #[arg(long)]
     workers: Option<u32>,
-    /// Cache servers in discovery's list.
+    /// Cache servers in the server list from discovery.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=65_536))]
     caches: u32,
-    /// The period of membership; the other settings are those of an operator file that names nothing else.
+    /// Membership period, in milliseconds; all other settings have the defaults of the operator file.
     #[arg(long, default_value_t = 1_000, value_name = "MS")]
     period_ms: u64,
-    /// How long rates are measured, once the fleet is at rest.
+    /// Time for which rates are measured once the fleet is at rest, in seconds.
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=MAX_SECONDS))]
     seconds: u64,
-    /// How long each phase may take: to converge, to come to rest, to learn of the death. What is not reached then is
-    /// over the budget.
+    /// Time limit of each phase (converging, coming to rest, learning of the death), in seconds. A phase that
+    /// exceeds it is over the budget.
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u64).range(1..=MAX_SECONDS))]
     phase_seconds: u64,
-    /// Memory that all processes may have together; else, and at most, half of the machine's.
+    /// Memory limit of all processes together, in MiB; half of the machine's memory is the default and the
+    /// maximum.
     #[arg(long, value_name = "MB")]
     memory_mb: Option<u64>,
-    /// Budget: microseconds of processor time a node and second.
+    /// Budget: CPU time per node and second, in microseconds.
     #[arg(long, default_value_t = 17_000, value_name = "US")]
     budget_cpu_us: u64,
-    /// Budget: resident memory a node.
+    /// Budget: resident memory per node, in MiB.
     #[arg(long, default_value_t = 64, value_name = "MB")]
     budget_memory_mb: u64,
-    /// Budget: bytes of UDP and TCP a node and second.
+    /// Budget: UDP and TCP bytes per node and second.
     #[arg(long, default_value_t = 3_072, value_name = "BYTES")]
     budget_bytes: u64,
-    /// Budget: seconds until a death is known to all.
+    /// Budget: time until all nodes know of a death, in seconds.
     #[arg(long, default_value_t = 8.0, value_parser = positive, value_name = "SECONDS")]
     budget_death_s: f64,
-    /// Each line as a JSON object.
+    /// Print each line as a JSON object.
     #[arg(long)]
     json: bool,
-    /// The lines as CSV too.
+    /// Write the lines to a CSV file as well.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// Each step on standard error, with the numbers of the workers' processes.
+    /// Print each step on standard error, with the process ids of the workers.
     #[arg(long)]
     verbose: bool,
 }
 
-/// One process of a fleet of hollow nodes.
+/// Run one worker process of a fleet of stub nodes.
 #[derive(Args)]
 pub struct Worker {
-    /// Ends, by SIGKILL, with the process of this number that started it.
+    /// Process id of the parent; the worker is killed (SIGKILL) when it ends.
     #[arg(long, value_name = "PID")]
     ends_with: Option<u32>,
 }
@@ -112,7 +114,7 @@
 impl Run {
     pub fn run(self) -> Result<(), CommandError> {
         if self.nodes.windows(2).any(|pair| pair[0] >= pair[1]) {
-            return Err(CommandError::unusable("--nodes is to rise from one size to the next"));
+            return Err(CommandError::unusable("--nodes: each size must be greater than the one before it"));
         }
         let host = host::read().map_err(CommandError::not_run)?;
         let plans: Vec<Plan> =
@@ -125,7 +127,7 @@
             costs: MemoryCosts::default(),
             interrupt: Interrupt::default(),
         };
-        // All sizes before the first one starts.
+        // All sizes are checked before the first fleet starts.
         for plan in &plans {
             coordinator::check(plan, &environment).map_err(|error| run_error(&error))?;
         }
@@ -137,9 +139,9 @@
             let figures = self.measure(plan, &environment)?;
             all_within &= figures.within_budget;
             if self.json {
-                say!("{}", serde_json::to_string(&figures).map_err(CommandError::not_run)?);
+                outln!("{}", serde_json::to_string(&figures).map_err(CommandError::not_run)?);
             } else {
-                say!("{figures}");
+                outln!("{figures}");
             }
             if let Some(table) = &mut table {
                 table.serialize(&figures).map_err(CommandError::not_run)?;
@@ -173,11 +175,11 @@
         }
     }
 
-    /// Runs one fleet; what is over the budget is a line each on standard error.
+    /// Runs one fleet and prints a line on standard error for each figure over the budget.
     fn measure(&self, plan: &Plan, environment: &Environment) -> Result<Figures, CommandError> {
         let mut on_step = |step: String| {
             if self.verbose {
-                warn!("  {} nodes: {step}", plan.nodes);
+                errln!("  {} nodes: {step}", plan.nodes);
             }
         };
         let mut figures =
@@ -185,13 +187,13 @@
         let over = excesses(&self.budget(), &figures);
         figures.within_budget = over.is_empty();
         for excess in &over {
-            warn!("stonevane: {} nodes: over budget: {excess}", plan.nodes);
+            errln!("stonevane: {} nodes: over budget: {excess}", plan.nodes);
         }
         Ok(figures)
     }
 }
 
-/// This program, as a worker that ends with this process.
+/// Returns the command line of a worker that ends with this process.
 fn worker_command() -> std::io::Result<(PathBuf, Vec<String>)> {
     let parent = std::process::id().to_string();
     let arguments = ["scale", "worker", "--ends-with", &parent].map(str::to_owned).to_vec();
--- a/crates/stonevane/src/scale/table.rs
+++ b/crates/stonevane/src/scale/table.rs
@@ -1,4 +1,4 @@
-//! `stonevane scale table`: the tables of `docs/CAPACITY.md` from kept measurements.
+//! `stonevane scale table`: prints the tables of `docs/CAPACITY.md` from recorded measurements.
 
 use std::path::{Path, PathBuf};
 
@@ -9,16 +9,16 @@
 
 use crate::error::{CommandError, read_file};
 
-/// Which measurements.
+/// Arguments of `stonevane scale table`.
 #[derive(Args)]
 #[command(after_help = "Example: stonevane scale table --measurements docs/capacity")]
 pub struct Table {
-    /// The folder with the CSV files of `scale measure`.
+    /// Folder with the CSV files of `scale measure`, one for each role, named ROLE.csv.
     #[arg(long, value_name = "FOLDER", default_value = "docs/capacity")]
     measurements: PathBuf,
 }
 
-/// All lines of the files of a folder that measurements of roles are kept in.
+/// Reads the measurements of all roles from a folder.
 fn read_lines(folder: &Path) -> Result<Vec<Line>, CommandError> {
     let mut lines = Vec::new();
     for role in Role::ALL {
@@ -33,7 +33,7 @@
     pub fn run(self) -> Result<(), CommandError> {
         let figures = model::Figures::new(read_lines(&self.measurements)?);
         let rows = model::rows(&figures).map_err(CommandError::unusable)?;
-        say!("{}", model::tables(&rows));
+        outln!("{}", model::tables(&rows));
         Ok(())
     }
 }
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -1,4 +1,4 @@
-//! `stonevane sim`: fleets of the node's core in one process, with faults drawn from seeds.
+//! `stonevane sim`: simulates fleets of the node's core in one process, with faults drawn from seeds.
 
 mod run;
 
@@ -10,53 +10,54 @@
 use crate::arguments::ArgumentError;
 use crate::error::{CommandError, read_file, require};
 
-/// The simulator's commands.
+/// Subcommands of `stonevane sim`.
 #[derive(Subcommand)]
 pub enum Sim {
-    /// Plays the plans of some seeds, or one plan with other seeds; exit 1 where one fails.
+    /// Simulate the plans of a range of seeds, or one plan with each of the seeds; exit with code 1 if one
+    /// fails.
     #[command(after_help = "Examples:
   stonevane sim run --seeds 1..2000
-  stonevane sim run --seeds 1..40 --mutant reset-not-run         a deliberate fault of the core, to be found
+  stonevane sim run --seeds 1..40 --mutant reset-not-run         a mutant of the core, which must be detected
   stonevane sim run --seeds 1..100 --scenario plan.json
-  stonevane sim run --seeds 1..8 --large                         100 nodes, 60 caches, with the fleet's sums
+  stonevane sim run --seeds 1..8 --large                         100 nodes, 60 caches, with totals for each fleet
 
-The last line gives seeds, requests and failures.")]
+The last line gives the numbers of seeds, requests and failures.")]
     Run(run::Run),
-    /// Plays one seed again, and writes its history and its plan.
+    /// Replay one seed, print its faults and verdict, and write its history.
     #[command(
         after_help = "Example: stonevane sim replay 17 --history 17.jsonl; stonevane lab audit 17.jsonl"
     )]
     Replay {
-        /// The seed.
+        /// Seed of the simulation.
         seed: u64,
-        /// A plan in the place of the seed's own.
+        /// Use the plan in this JSON file instead of the one generated from the seed.
         #[arg(long, value_name = "FILE")]
         scenario: Option<PathBuf>,
-        /// A deliberate fault.
+        /// Inject a mutant (a deliberate fault of the core; see `sim mutants`).
         #[arg(long, value_parser = mutant)]
         mutant: Option<Mutant>,
-        /// Where the history goes.
+        /// Write the history to this file (JSON lines).
         #[arg(long, value_name = "FILE")]
         history: Option<PathBuf>,
     },
-    /// Cuts a seed that fails down to the smallest plan that still fails so, and prints that.
+    /// Shrink the plan of a failing seed and print the smallest plan with the same failure.
     #[command(
         after_help = "Example: stonevane sim shrink 17 > smallest.json; stonevane sim replay 17 --scenario smallest.json"
     )]
     Shrink {
-        /// The seed.
+        /// Seed of the simulation.
         seed: u64,
-        /// A plan in the place of the seed's own.
+        /// Use the plan in this JSON file instead of the one generated from the seed.
         #[arg(long, value_name = "FILE")]
         scenario: Option<PathBuf>,
-        /// A deliberate fault.
+        /// Inject a mutant (a deliberate fault of the core; see `sim mutants`).
         #[arg(long, value_parser = mutant)]
         mutant: Option<Mutant>,
-        /// Runs, at most.
+        /// Maximum number of simulation runs.
         #[arg(long, default_value_t = 2_000)]
         runs: usize,
     },
-    /// Lists the deliberate faults of the core, one a line, the name first.
+    /// List the mutants (deliberate faults of the core), one per line, the name first.
     Mutants,
 }
 
@@ -64,7 +65,7 @@
     Mutant::by_name(name).ok_or(ArgumentError::UnknownMutant { command: "stonevane sim mutants" })
 }
 
-/// The plan of a file, with a seed; else the seed's own.
+/// Reads the plan from a file and sets its seed; without a file, generates the plan from the seed.
 fn read_plan(file: Option<&Path>, seed: u64) -> Result<Plan, CommandError> {
     let Some(file) = file else { return Ok(Plan::generate(seed)) };
     let plan = Plan::parse(&read_file(file)?).map_err(|error| CommandError::unusable_file(file, error))?;
@@ -83,7 +84,7 @@
             }
             Sim::Mutants => {
                 for MutantInfo { name, description, .. } in Mutant::ALL {
-                    say!("{name:<18} {description}");
+                    outln!("{name:<18} {description}");
                 }
                 Ok(())
             }
@@ -104,13 +105,13 @@
     }
     for fault in &plan.faults {
         let (start_s, duration_s) = (fault.start_us as f64 / 1e6, fault.duration_us as f64 / 1e6);
-        say!("{start_s:>9.3} s  {duration_s:>7.3} s  {:?}", fault.kind);
+        outln!("{start_s:>9.3} s  {duration_s:>7.3} s  {:?}", fault.kind);
     }
     for violation in &verdict.violations {
-        say!("{violation}");
+        outln!("{violation}");
     }
-    say!("{}", verdict.report);
-    say!(
+    outln!("{}", verdict.report);
+    outln!(
         "seed {seed}: {} nodes, {} caches, {} requests, {} served, {} steps, history {:016x}",
         plan.nodes,
         plan.caches,
@@ -132,7 +133,7 @@
     let Some(shrunk) = shrink(&plan, Options { mutant, history: false }, runs) else {
         return Err(CommandError::Unusable(format!("seed {seed} does not fail")));
     };
-    warn!(
+    errln!(
         "{}: {} of {} faults, {} nodes, {} caches, {:.1} s, after {} runs",
         shrunk.code,
         shrunk.plan.faults.len(),
@@ -142,6 +143,6 @@
         shrunk.plan.load_duration_us as f64 / 1e6,
         shrunk.runs
     );
-    say!("{}", shrunk.plan.to_json());
+    outln!("{}", shrunk.plan.to_json());
     Ok(())
 }
--- a/crates/stonevane/src/sim/run.rs
+++ b/crates/stonevane/src/sim/run.rs
@@ -1,4 +1,4 @@
-//! `stonevane sim run`.
+//! `stonevane sim run`: simulates many seeds on several threads and reports the failing ones.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -13,47 +13,48 @@
 use crate::error::{CommandError, require};
 use crate::parallel::{default_threads, map_with_progress};
 
-/// How often progress is printed.
+/// Interval between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// Failing seeds that are printed one by one.
+/// Maximum number of failing seeds that are printed.
 const MAX_PRINTED: usize = 10;
-/// Findings that are printed of each.
+/// Maximum number of findings printed for a failing seed.
 const MAX_FINDINGS: usize = 2;
 
-/// Seeds that are played.
+/// Arguments of `stonevane sim run`.
 #[derive(Args)]
 pub struct Run {
-    /// `A..B`, the last one included, or one seed.
+    /// Seeds to simulate: an inclusive range `A..B`, or a single seed.
     #[arg(long, value_parser = seeds, default_value = "1..200")]
     seeds: RangeInclusive<u64>,
-    /// Nodes, in the place of what is drawn.
+    /// Number of nodes, instead of the number drawn from the seed.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=200))]
     nodes: Option<u64>,
-    /// A plan, in the place of those of the seeds; each seed plays it with other random numbers.
+    /// Simulate the plan in this JSON file instead of plans generated from the seeds; each seed runs it with
+    /// different random numbers.
     #[arg(long, value_name = "FILE")]
     scenario: Option<PathBuf>,
-    /// Large fleets, in the place of those of the seeds; the sums over each fleet are told.
+    /// Simulate large fleets (100 nodes, 60 caches) and print totals for each fleet.
     #[arg(long, conflicts_with_all = ["scenario", "nodes"])]
     large: bool,
-    /// A deliberate fault.
+    /// Inject a mutant (a deliberate fault of the core; see `sim mutants`).
     #[arg(long, value_parser = mutant)]
     mutant: Option<Mutant>,
-    /// Threads; else one for each core.
+    /// Number of threads [default: one per core].
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=256))]
     jobs: Option<u64>,
-    /// A JSON object for each seed that fails, and one at the end.
+    /// Print a JSON object for each failing seed, and one with the totals at the end.
     #[arg(long)]
     json: bool,
 }
 
-/// What one seed showed.
-struct Played {
+/// Result of one seed.
+struct SeedResult {
     requests: usize,
     simulated_us: u64,
     failure: Option<Verdict>,
 }
 
-/// What all seeds showed.
+/// Totals over all seeds.
 struct Totals {
     seeds: usize,
     requests: usize,
@@ -64,38 +65,38 @@
 
 impl Run {
     pub(super) fn run(self) -> Result<(), CommandError> {
-        // A bad file is reported before anything is played.
+        // A bad plan file is reported before the first simulation starts.
         read_plan(self.scenario.as_deref(), *self.seeds.start())?;
         let threads = self.jobs.unwrap_or_else(default_threads);
         let count = self.seeds.end() - self.seeds.start() + 1;
         let failed = AtomicUsize::new(0);
         let begun = Instant::now();
-        let played = map_with_progress(
+        let results = map_with_progress(
             &self.seeds,
             threads,
             |seed| {
-                let played = self.play(seed);
+                let result = self.run_seed(seed);
                 failed.fetch_add(
-                    usize::from(played.as_ref().is_some_and(|p| p.failure.is_some())),
+                    usize::from(result.as_ref().is_some_and(|p| p.failure.is_some())),
                     Ordering::Relaxed,
                 );
-                played
+                result
             },
             PROGRESS_INTERVAL,
-            |done| warn!("  {done} of {count} seeds, {} failed", failed.load(Ordering::Relaxed)),
+            |done| errln!("  {done} of {count} seeds, {} failed", failed.load(Ordering::Relaxed)),
         );
         let took_s = begun.elapsed().as_secs_f64().max(1e-6);
-        let played: Vec<(u64, Played)> =
-            played.into_iter().filter_map(|(seed, played)| Some((seed, played?))).collect();
+        let results: Vec<(u64, SeedResult)> =
+            results.into_iter().filter_map(|(seed, result)| Some((seed, result?))).collect();
         let totals = Totals {
-            seeds: played.len(),
-            requests: played.iter().map(|(_, played)| played.requests).sum(),
-            simulated_s: played.iter().map(|(_, played)| played.simulated_us).sum::<u64>() as f64 / 1e6,
+            seeds: results.len(),
+            requests: results.iter().map(|(_, result)| result.requests).sum(),
+            simulated_s: results.iter().map(|(_, result)| result.simulated_us).sum::<u64>() as f64 / 1e6,
             took_s,
             threads,
         };
         let failures: Vec<(u64, Verdict)> =
-            played.into_iter().filter_map(|(seed, played)| Some((seed, played.failure?))).collect();
+            results.into_iter().filter_map(|(seed, result)| Some((seed, result.failure?))).collect();
         match self.json {
             true => print_json(&failures, &totals),
             false => print_lines(&failures, &totals),
@@ -103,8 +104,8 @@
         require(failures.is_empty())
     }
 
-    /// Plays a seed; `None` where the plan's file can no longer be read.
-    fn play(&self, seed: u64) -> Option<Played> {
+    /// Simulates a seed; returns `None` if the plan's file can no longer be read.
+    fn run_seed(&self, seed: u64) -> Option<SeedResult> {
         let mut plan = match self.large {
             true => Plan::generate_large(seed),
             false => read_plan(self.scenario.as_deref(), seed).ok()?,
@@ -119,14 +120,14 @@
             print_totals(seed, &verdict);
         }
         let (requests, simulated_us) = (verdict.requests, verdict.simulated_us);
-        Some(Played { requests, simulated_us, failure: (!verdict.holds()).then_some(verdict) })
+        Some(SeedResult { requests, simulated_us, failure: (!verdict.holds()).then_some(verdict) })
     }
 }
 
-/// Prints the sums over a large fleet.
+/// Prints the totals of a large fleet.
 fn print_totals(seed: u64, verdict: &Verdict) {
     let totals = &verdict.totals;
-    warn!(
+    errln!(
         "  seed {seed}: {} of {} requests served, {} connections opened, {} calls to the origin \
          ({} turned away), {} to discovery ({} answered)",
         verdict.served,
@@ -144,30 +145,30 @@
         print_failure(*seed, verdict);
     }
     let Totals { seeds, requests, simulated_s, took_s, threads } = totals;
-    warn!("{simulated_s:.0} s simulated in {took_s:.1} s on {threads} threads");
-    say!("{seeds} seeds, {requests} requests, {} failures", failures.len());
+    errln!("{simulated_s:.0} s simulated in {took_s:.1} s on {threads} threads");
+    outln!("{seeds} seeds, {requests} requests, {} failures", failures.len());
 }
 
 fn print_failure(seed: u64, verdict: &Verdict) {
-    say!("seed {seed} fails:");
+    outln!("seed {seed} fails:");
     for violation in &verdict.violations {
-        say!("  {violation}");
+        outln!("  {violation}");
     }
     let findings = verdict.report.findings.iter().map(ToString::to_string);
     let faults = verdict.report.faults.iter().map(ToString::to_string);
     for finding in findings.chain(faults).take(MAX_FINDINGS) {
-        say!("  {}", finding.lines().next().unwrap_or_default());
+        outln!("  {}", finding.lines().next().unwrap_or_default());
     }
 }
 
 fn print_json(failures: &[(u64, Verdict)], totals: &Totals) {
     for (seed, verdict) in failures {
         let findings: Vec<_> = verdict.report.findings.iter().map(|finding| finding.code).collect();
-        say!("{}", serde_json::json!({"seed": seed, "broken": verdict.violations, "findings": findings}));
+        outln!("{}", serde_json::json!({"seed": seed, "broken": verdict.violations, "findings": findings}));
     }
     let failed: Vec<_> = failures.iter().map(|(seed, _)| *seed).collect();
     let Totals { seeds, requests, simulated_s, took_s, threads } = totals;
-    say!(
+    outln!(
         "{}",
         serde_json::json!({"seeds": seeds, "requests": requests, "failures": failed.len(), "failed": failed,
             "simulated_s": simulated_s, "took_s": took_s, "jobs": threads})
--- a/crates/stonevane/src/stand_in.rs
+++ b/crates/stonevane/src/stand_in.rs
@@ -1,4 +1,4 @@
-//! `stonevane stand-in`: one emulator by hand.
+//! `stonevane stand-in`: runs a single emulator in the foreground.
 
 mod client;
 
@@ -24,18 +24,18 @@
 use crate::arguments::named_address;
 use crate::error::CommandError;
 
-/// The name of the only node that an emulator by hand knows.
+/// Name of the only node that an emulator run by hand serves; every client counts as that node.
 const ANY_NODE: &str = "any";
-/// Changes of the list that wait to be carried out.
-const QUEUED_CHANGES: usize = 16;
+/// Capacity of the queue of list changes read from standard input.
+const CHANGE_QUEUE_LENGTH: usize = 16;
 
-/// What every stand-in can be told.
+/// Arguments that all emulators of servers share.
 #[derive(Args)]
 pub struct Common {
-    /// Where it listens.
+    /// Address to listen on; port 0 picks a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Keeps what it sees as a history.
+    /// Record a history of the requests to this file (JSON lines).
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
 }
@@ -52,69 +52,70 @@
     }
 }
 
-/// The stand-ins.
+/// The emulators, and the load client.
 #[derive(Subcommand)]
 pub enum StandIn {
-    /// A cache server: stores, misses, queues, drops repeats, limits connections.
+    /// Run a cache server with hits and misses, a queue, deduplication of retries and a connection limit.
     #[command(after_help = "Example: stonevane stand-in cache --listen 127.0.0.1:7001 --name s-1 --cold")]
     Cache {
         #[command(flatten)]
         common: Common,
-        /// Its name.
+        /// Name of the cache server.
         #[arg(long, default_value = "s-1")]
         name: String,
-        /// Work of a read, milliseconds.
+        /// Processing time of a read, in milliseconds.
         #[arg(long, default_value_t = 4)]
         work_ms: u64,
-        /// Starts cold, as after a restart.
+        /// Start cold, as after a restart.
         #[arg(long)]
         cold: bool,
     },
-    /// The origin: fixed capacity, a queue, stops when overrun.
+    /// Run an origin with fixed capacity and a queue, which stops when overrun.
     #[command(
         after_help = "Example: stonevane stand-in origin --listen 127.0.0.1:7010 --cache 127.0.0.1:7001"
     )]
     Origin {
         #[command(flatten)]
         common: Common,
-        /// A cache whose copies follow it; may be given again.
+        /// Cache server whose copies this origin updates (repeatable).
         #[arg(long, value_name = "ADDRESS")]
         cache: Vec<SocketAddr>,
-        /// Requests at once.
+        /// Maximum number of concurrent requests.
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=256))]
         slots: u64,
-        /// Work of a read, milliseconds.
+        /// Processing time of a read, in milliseconds.
         #[arg(long, default_value_t = 60)]
         read_ms: u64,
     },
-    /// Discovery: the list and its watch; changes are read from standard input as `NAME active|leaving|left`.
+    /// Run a discovery server with its list and watch. Change the list on standard input, one line per
+    /// change: `NAME active|leaving|left`.
     #[command(after_help = "Example:
   stonevane stand-in discovery --listen 127.0.0.1:8500 --server s-1=127.0.0.1:7001 --origin o=127.0.0.1:7010")]
     Discovery {
         #[command(flatten)]
         common: Common,
-        /// A cache server; may be given again.
+        /// Cache server in the list (repeatable).
         #[arg(long, value_name = "NAME=ADDRESS", value_parser = named_address)]
         server: Vec<(String, SocketAddr)>,
-        /// The origin.
+        /// Origin in the list (repeatable).
         #[arg(long, value_name = "NAME=ADDRESS", value_parser = named_address)]
         origin: Vec<(String, SocketAddr)>,
     },
-    /// Clients of one or more nodes, with a load drawn from a seed.
+    /// Send load to one or more nodes, drawn from a seed, and print a summary for each class.
     #[command(after_help = "Example: stonevane stand-in client --node 127.0.0.1:6379 --per-s 200 --for-s 10")]
     Client(Client),
-    /// A bare relay in a node's place: passes each read on to one server, and decides nothing.
+    /// Run a bare relay in place of a node: forward each read to one server, without any routing decision.
     Relay {
-        /// Where it listens.
+        /// Address to listen on; port 0 picks a free port.
         #[arg(long, default_value = "127.0.0.1:0")]
         listen: SocketAddr,
-        /// The server.
+        /// Server to forward to.
         #[arg(long)]
         server: SocketAddr,
     },
 }
 
-/// A recorder of a history that begins with the default rules.
+/// Starts a history that begins with the default rules.
 fn recorder(path: &Path) -> io::Result<(Recorder, Writer)> {
     let (recorder, writer) = Recorder::to(File::create(path)?);
     recorder.line(HistoryRecord {
@@ -127,14 +128,14 @@
     Ok((recorder, writer))
 }
 
-/// Waits until a history is written.
+/// Waits until the history is written completely.
 fn finish(writer: Writer) -> io::Result<()> {
-    warn!("{} lines of history", writer.finish()?);
+    errln!("{} history lines written", writer.finish()?);
     Ok(())
 }
 
 fn print_address(address: Option<SocketAddr>) {
-    say!("listening on {}", address.map_or("?".into(), |address| address.to_string()));
+    outln!("listening on {}", address.map_or("?".into(), |address| address.to_string()));
 }
 
 impl StandIn {
@@ -145,12 +146,12 @@
             return client.run(&runtime);
         }
         let writer = runtime.block_on(self.serve()).map_err(CommandError::not_run)?;
-        // The emulator's tasks hold recorders.
+        // The emulator's tasks hold recorders, which keep the writer running.
         drop(runtime);
         writer.map_or(Ok(()), finish).map_err(CommandError::not_run)
     }
 
-    /// Serves until it is interrupted; returns the writer of the history, where there is one.
+    /// Serves until interrupted; returns the history's writer if one is recorded.
     async fn serve(self) -> io::Result<Option<Writer>> {
         let clock = MonotonicClock::default();
         let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
@@ -164,7 +165,7 @@
                 }
                 print_address(cache.address(ANY_NODE));
                 interrupted().await;
-                say!("{:?}", cache.counts());
+                outln!("{:?}", cache.counts());
                 Ok(writer)
             }
             StandIn::Origin { common, cache, slots, read_ms } => {
@@ -175,7 +176,7 @@
                 origin.attach_remote(&cache);
                 print_address(origin.address(ANY_NODE));
                 interrupted().await;
-                say!("{:?}", origin.counts());
+                outln!("{:?}", origin.counts());
                 Ok(writer)
             }
             StandIn::Discovery { common, server, origin } => {
@@ -197,7 +198,7 @@
                 tokio::select! { () = interrupted() => {}, () = relay::relay(listener, server) => {} }
                 Ok(None)
             }
-            // Run by `run`.
+            // `run` handles it without `serve`.
             StandIn::Client(_) => Ok(None),
         }
     }
@@ -217,10 +218,10 @@
     }
 }
 
-/// Carries out changes from standard input until it ends.
+/// Applies changes from standard input until its end.
 async fn read_changes(discovery: &Arc<Discovery>) {
-    let (lines, mut queue) = tokio::sync::mpsc::channel::<String>(QUEUED_CHANGES);
-    // Standard input blocks: it has a thread of its own, which ends with the process.
+    let (lines, mut queue) = tokio::sync::mpsc::channel::<String>(CHANGE_QUEUE_LENGTH);
+    // Reading standard input blocks, so a separate thread reads it; it ends with the process.
     std::thread::spawn(move || {
         let stdin = io::stdin();
         for line in io::BufRead::lines(stdin.lock()).map_while(Result::ok) {
@@ -236,7 +237,7 @@
             [name, "active"] => discovery.change(name, "active", since, Duration::ZERO),
             [name, "leaving"] => discovery.change(name, "leaving", None, Duration::ZERO),
             [name, "left"] => discovery.change(name, "left", None, Duration::ZERO),
-            _ => warn!("stonevane: not like `NAME active|leaving|left`: {line}"),
+            _ => errln!("stonevane: expected `NAME active|leaving|left`, found: {line}"),
         }
     }
 }
--- a/crates/stonevane/src/stand_in/client.rs
+++ b/crates/stonevane/src/stand_in/client.rs
@@ -1,4 +1,4 @@
-//! `stonevane stand-in client`.
+//! `stonevane stand-in client`: sends load to running nodes and prints a summary.
 
 use std::fs::File;
 use std::io::{self, BufReader};
@@ -14,22 +14,22 @@
 use super::{finish, recorder};
 use crate::error::CommandError;
 
-/// Clients of nodes.
+/// Arguments of `stonevane stand-in client`.
 #[derive(Args)]
 pub struct Client {
-    /// A node; may be given again.
+    /// Node to send requests to (repeatable).
     #[arg(long, value_name = "ADDRESS", required = true)]
     node: Vec<SocketAddr>,
-    /// Requests a second.
+    /// Requests per second over all nodes.
     #[arg(long, default_value_t = 100.0)]
     per_s: f64,
-    /// For so many seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 5)]
     for_s: u64,
-    /// Of the load.
+    /// Seed of the load.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Keeps what it sees as a history.
+    /// Record a history of the requests to this file (JSON lines).
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
 }
@@ -37,11 +37,12 @@
 impl Client {
     pub(super) fn run(self, runtime: &Runtime) -> Result<(), CommandError> {
         let scenario = self.scenario()?;
-        // The figures come from the history, also where nobody asked for that.
+        // The summary is computed from the history, so one is recorded to a temporary file if none is
+        // requested.
         let path = self.history.clone().unwrap_or_else(|| {
             std::env::temp_dir().join(format!("stonevane-client-{}.jsonl", std::process::id()))
         });
-        self.play(&scenario, &path, runtime).map_err(CommandError::not_run)?;
+        self.run_load(&scenario, &path, runtime).map_err(CommandError::not_run)?;
         let summary = read_summary(&path);
         if self.history.is_none() {
             let _ = std::fs::remove_file(&path);
@@ -50,14 +51,14 @@
         Ok(())
     }
 
-    /// A scenario of this load.
+    /// Returns a scenario with this load.
     fn scenario(&self) -> Result<Scenario, CommandError> {
         let (per_s, for_ms) = (self.per_s, self.for_s.saturating_mul(1_000));
         let text = format!("name = \"by hand\"\n[load]\nper_s = {per_s:?}\nfor_ms = {for_ms}\n");
         Scenario::parse(&text).map_err(|errors| CommandError::Config { file: "the load".into(), errors })
     }
 
-    fn play(&self, scenario: &Scenario, path: &Path, runtime: &Runtime) -> io::Result<()> {
+    fn run_load(&self, scenario: &Scenario, path: &Path, runtime: &Runtime) -> io::Result<()> {
         let (recorder, writer) = recorder(path)?;
         runtime.block_on(async {
             let clock = MonotonicClock::default();
@@ -70,7 +71,7 @@
                 .collect();
             let clients = Clients::new(&targets, scenario.load.clone(), self.seed, &clock, recorder);
             let planned = plan(&scenario.load, targets.len(), self.seed);
-            warn!("{} requests in {} s ...", planned.len(), self.for_s);
+            errln!("{} requests in {} s ...", planned.len(), self.for_s);
             clients.play(planned, MonotonicClock::now()).await;
         });
         finish(writer)
@@ -84,7 +85,7 @@
 
 fn print(summary: &Summary) {
     for (name, class) in &summary.classes {
-        say!(
+        outln!(
             "{name}: {} asked, {} served, {} refused, {} failed; p50 {:.1} ms, p99 {:.1} ms",
             class.asked,
             class.served,
--- a/crates/stonevane/src/store.rs
+++ b/crates/stonevane/src/store.rs
@@ -1,4 +1,4 @@
-//! `stonevane store`: the store of record, for operators.
+//! `stonevane store`: operator commands for the store of record.
 
 mod export;
 mod import;
@@ -19,65 +19,65 @@
 use self::top::Top;
 use crate::error::CommandError;
 
-/// Zones of an import or an export in one transaction.
-const BATCH: usize = 1_000;
-/// How often progress is printed.
+/// Maximum number of zones in one transaction of an import or in one read of an export.
+const BATCH_ZONES: usize = 1_000;
+/// Interval between two lines of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The store's commands.
+/// Subcommands of `stonevane store`.
 #[derive(Subcommand)]
 pub enum Store {
-    /// Makes a store, or brings one to the newest form.
+    /// Create a store, or migrate an existing one to the newest format.
     #[command(after_help = "Example: stonevane store init zones.db")]
     Init {
-        /// The file.
+        /// Store file.
         file: PathBuf,
     },
-    /// Checks a store whole: pages, indices, versions. Exit 1 where it is damaged.
+    /// Check an entire store: pages, indices and versions; exit with code 1 if it is damaged.
     #[command(after_help = "Example: stonevane store check zones.db")]
     Check {
-        /// The file.
+        /// Store file.
         file: PathBuf,
     },
-    /// Imports zones; one that was broken off goes on where it stopped.
+    /// Import zones; an interrupted import resumes where it stopped.
     #[command(after_help = "Examples:
   stonevane store import zones.db zones.csv          CSV with the header key,value
-  stonevane store import zones.db zones.jsonl        a JSON object with key and value a line")]
+  stonevane store import zones.db zones.jsonl        one JSON object per line, with key and value")]
     Import(Import),
-    /// Exports all zones, in the order of their keys; the form by the name's ending.
+    /// Export all zones in the order of their keys; the extension selects the format.
     #[command(after_help = "Examples:
   stonevane store export zones.db zones.csv
-  stonevane store export --salvage damaged.db saved.jsonl     what can be read of a damaged file")]
+  stonevane store export --salvage damaged.db saved.jsonl     the readable part of a damaged file")]
     Export {
-        /// The file.
+        /// Store file.
         file: PathBuf,
-        /// Where to, `.csv` or `.jsonl`.
+        /// Output file, `.csv` or `.jsonl`.
         to: PathBuf,
-        /// Saves what can be read of a damaged file, which is not written to.
+        /// Export the readable part of a damaged file, without writing to that file.
         #[arg(long)]
         salvage: bool,
     },
-    /// Shows what a store is doing, a line a look: zones, edits a second, how long it takes to answer, what changed.
+    /// Show a store's activity, one line per poll: zones, edits per second, response time, latest changes.
     #[command(after_help = "Examples:
   stonevane store top zones.db
   stonevane store top postgres://stonevane@127.0.0.1:5432/zones --every-ms 500 --looks 10 --json
 
-Exit code 1 where the last look had no answer.")]
+Exit code 1 if the last poll had no answer.")]
     Top(Top),
-    /// Carries edits out that are read from standard input, `TOKEN KEY VALUE` a line; a line for each receipt.
+    /// Apply edits from standard input, one `TOKEN KEY VALUE` per line, and print a line for each receipt.
     Put {
-        /// The file.
+        /// Store file.
         file: PathBuf,
     },
-    /// Kills a writing process again and again, and checks that no receipt is lost and no edit done twice.
+    /// Kill a writing process repeatedly, and check that no receipt is lost and no edit applied twice.
     #[command(after_help = "Example: stonevane store torture scratch.db --kills 1000")]
     Torture {
-        /// A file that does not exist yet.
+        /// Store file to create; it must not exist.
         file: PathBuf,
-        /// How often.
+        /// Number of kills.
         #[arg(long, default_value_t = 100, value_parser = clap::value_parser!(u64).range(1..=100_000))]
         kills: u64,
-        /// Of the moments of the kills.
+        /// Seed of the times of the kills.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
@@ -129,30 +129,30 @@
     Ok(Sqlite::open(file, &Options::default())?)
 }
 
-/// Opens a store that must be there already.
+/// Opens a store; fails if the file does not exist.
 fn open_existing(file: &Path) -> Result<Sqlite, CommandError> {
     if !file.is_file() {
-        return Err(CommandError::unusable("there is no such store; `stonevane store init` makes one"));
+        return Err(CommandError::unusable("no such store; create one with `stonevane store init`"));
     }
     open(file)
 }
 
 fn init(file: &Path) -> Result<(), CommandError> {
     open(file)?;
-    say!("{}: a store of form {FORM}", file.display());
+    outln!("{}: a store of form {FORM}", file.display());
     Ok(())
 }
 
 fn check_file(file: &Path) -> Result<(), CommandError> {
     if !file.is_file() {
-        return Err(CommandError::unusable("there is no such store"));
+        return Err(CommandError::unusable("no such store"));
     }
     let zones = check(file, &Options::default())?;
-    say!("{}: good, {zones} zones", file.display());
+    outln!("{}: good, {zones} zones", file.display());
     Ok(())
 }
 
-/// Prints progress now and then.
+/// Prints progress at most once per [`PROGRESS_INTERVAL`].
 struct Progress {
     begun: Instant,
     last_printed: Instant,
@@ -167,7 +167,7 @@
         if self.last_printed.elapsed() >= PROGRESS_INTERVAL {
             self.last_printed = Instant::now();
             let rate = done as f64 / self.begun.elapsed().as_secs_f64();
-            warn!("  {done} {unit}, {rate:.0} a second");
+            errln!("  {done} {unit}, {rate:.0} per second");
         }
     }
 }
--- a/crates/stonevane/src/store/export.rs
+++ b/crates/stonevane/src/store/export.rs
@@ -1,4 +1,4 @@
-//! `stonevane store export`.
+//! `stonevane store export`: writes a store's zones to a CSV or JSON lines file.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -8,10 +8,10 @@
 use stonevane_store::sqlite::salvage as salvage_zones;
 
 use super::rows::Format;
-use super::{BATCH, Progress, open_existing};
+use super::{BATCH_ZONES, Progress, open_existing};
 use crate::error::CommandError;
 
-/// A file beside its place, which gets its name once it is complete.
+/// An output file, written under a temporary name and renamed once it is complete.
 struct Export<'a> {
     to: &'a Path,
     temporary: PathBuf,
@@ -40,8 +40,10 @@
                 writer.flush()?;
             }
             Format::JsonLines => {
-                let no_text = |_| io::Error::other(format!("the value of {} is no text", zone.key));
-                let value = std::str::from_utf8(&zone.value).map_err(no_text)?;
+                let not_utf8 = |_| {
+                    io::Error::other(format!("the value of {} is not UTF-8, which JSON requires", zone.key))
+                };
+                let value = std::str::from_utf8(&zone.value).map_err(not_utf8)?;
                 let row = serde_json::json!({"key": zone.key, "value": value, "version": zone.version});
                 writeln!(self.out, "{row}")?;
             }
@@ -51,7 +53,7 @@
         Ok(())
     }
 
-    /// Gives the file its name; returns the number of its zones.
+    /// Syncs and renames the file; returns the number of zones in it.
     fn finish(mut self) -> Result<u64, CommandError> {
         let synced = self.out.flush().and_then(|()| self.out.get_ref().sync_all());
         let renamed = synced.and_then(|()| std::fs::rename(&self.temporary, self.to));
@@ -67,25 +69,25 @@
     let mut out = Export::begin(to)?;
     let mut after = String::new();
     loop {
-        let zones = store.page(&after, BATCH).await?;
+        let zones = store.page(&after, BATCH_ZONES).await?;
         let Some(last) = zones.last() else { break };
         after.clone_from(&last.key);
         for zone in &zones {
             out.write(zone).map_err(|error| CommandError::unusable_file(to, error))?;
         }
     }
-    say!("{} zones exported", out.finish()?);
+    outln!("{} zones exported", out.finish()?);
     Ok(())
 }
 
-/// Exports what can be read of a damaged file.
+/// Exports the readable zones of a damaged file.
 pub(super) fn salvage(file: &Path, to: &Path) -> Result<(), CommandError> {
     let mut out = Export::begin(to)?;
     let (count, errors) = salvage_zones(file, |zone| out.write(&zone))?;
     out.finish()?;
     for error in &errors {
-        warn!("stonevane: {}: {error}", file.display());
+        errln!("stonevane: {}: {error}", file.display());
     }
-    say!("{count} zones saved{}", if errors.is_empty() { "" } else { "; there were others" });
+    outln!("{count} zones saved{}", if errors.is_empty() { "" } else { "; some could not be read" });
     Ok(())
 }
--- a/crates/stonevane/src/store/import.rs
+++ b/crates/stonevane/src/store/import.rs
@@ -1,4 +1,4 @@
-//! `stonevane store import`.
+//! `stonevane store import`: reads zones from a CSV or JSON lines file into a store.
 
 use std::path::PathBuf;
 
@@ -6,15 +6,15 @@
 use stonevane_store::Edit;
 
 use super::rows::{self, Row};
-use super::{BATCH, Progress, open_existing};
+use super::{BATCH_ZONES, Progress, open_existing};
 use crate::error::CommandError;
 
-/// An import.
+/// Arguments of `stonevane store import`.
 #[derive(Args)]
 pub struct Import {
-    /// The store.
+    /// Store file; it must exist.
     file: PathBuf,
-    /// What is imported, `.csv` or `.jsonl`.
+    /// Input file, `.csv` or `.jsonl`.
     from: PathBuf,
 }
 
@@ -25,13 +25,13 @@
 
     pub(super) async fn run(self) -> Result<(), CommandError> {
         let store = open_existing(&self.file)?;
-        // A source is known by its name and its length: one that has changed begins anew.
+        // A source is identified by its path and its length; if either has changed, the import starts over.
         let length = std::fs::metadata(&self.from)?.len();
         let name = self.from.canonicalize()?;
         let source = format!("{}#{length}", name.display());
         let done = store.imported(&source).await?;
         if done > 0 {
-            warn!("goes on after line {done}");
+            errln!("resuming after line {done}");
         }
         let (mut batch, mut count, mut last_line) = (Vec::new(), 0, done);
         let mut progress = Progress::new();
@@ -44,7 +44,7 @@
             edit.check().map_err(|error| CommandError::unusable(format!("line {line}: {error}")))?;
             batch.push((edit.key, edit.value));
             last_line = line;
-            if batch.len() == BATCH {
+            if batch.len() == BATCH_ZONES {
                 count += batch.len() as u64;
                 store.import(&source, last_line, std::mem::take(&mut batch)).await?;
                 progress.update(count, "zones");
@@ -52,7 +52,7 @@
         }
         count += batch.len() as u64;
         store.import(&source, last_line, batch).await?;
-        say!("{count} zones imported");
+        outln!("{count} zones imported");
         Ok(())
     }
 }
--- a/crates/stonevane/src/store/put.rs
+++ b/crates/stonevane/src/store/put.rs
@@ -1,4 +1,4 @@
-//! `stonevane store put`.
+//! `stonevane store put`: applies edits from standard input.
 
 use std::io::{BufRead, Read, Write};
 use std::path::Path;
@@ -8,18 +8,18 @@
 use super::open;
 use crate::error::CommandError;
 
-/// The most that is read, in bytes.
-const MAX_INPUT: u64 = 1 << 30;
-/// How long tokens are remembered, in milliseconds.
+/// Maximum input in bytes; the rest is ignored.
+const MAX_INPUT_BYTES: u64 = 1 << 30;
+/// Retention of idempotency keys (tokens), in milliseconds.
 const REMEMBER_MS: u64 = 3_600_000;
 
-/// Carries out the writes that are read, and prints each receipt at once.
+/// Applies edits line by line, and prints each receipt as soon as it arrives.
 pub(super) async fn put(file: &Path) -> Result<(), CommandError> {
     let store = open(file)?;
     let stdin = std::io::stdin();
     let mut out = std::io::stdout();
     let (mut lines, mut failed) = (0u64, 0u64);
-    for line in stdin.lock().take(MAX_INPUT).lines() {
+    for line in stdin.lock().take(MAX_INPUT_BYTES).lines() {
         let line = line?;
         lines += 1;
         let mut words = line.splitn(3, ' ');
@@ -49,7 +49,7 @@
     }
 }
 
-/// Whether a write that failed may have been done.
+/// Describes whether a failed edit may have been applied.
 fn effect(error: &StoreError) -> &'static str {
     if error.proves_not_done() { "not done" } else { "may be done" }
 }
--- a/crates/stonevane/src/store/top.rs
+++ b/crates/stonevane/src/store/top.rs
@@ -1,4 +1,4 @@
-//! `stonevane store top`: what a store of record is doing, while it does.
+//! `stonevane store top`: polls a store of record and prints its activity.
 
 use std::collections::VecDeque;
 use std::path::Path;
@@ -13,49 +13,49 @@
 
 use crate::error::CommandError;
 
-/// Changes that are read at a look, at most.
+/// Maximum number of changes read per poll.
 const MAX_CHANGES: usize = 1_000;
-/// Keys that are named.
-const NAMED_KEYS: usize = 5;
-/// Looks over which the slowest answer is shown.
-const SLOWEST_WINDOW: usize = 60;
-/// Looks between two headers.
-const HEADER_INTERVAL: u64 = 20;
-/// The least and the greatest time limit of a look.
+/// Maximum number of changed keys printed per poll.
+const MAX_PRINTED_KEYS: usize = 5;
+/// Number of latest polls over which the slowest response is shown.
+const SLOWEST_WINDOW_POLLS: usize = 60;
+/// Number of polls between two headers.
+const HEADER_INTERVAL_POLLS: u64 = 20;
+/// Bounds of the time limit of a poll, which otherwise is the interval between polls.
 const MIN_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is looked at, and how often.
+/// Arguments of `stonevane store top`.
 #[derive(Args)]
 pub struct Top {
-    /// A file, or `postgres://user@host:5432/database`.
+    /// Store file, or the URL of a PostgreSQL store: `postgres://user@host:5432/database`.
     pub store: String,
-    /// The time between two looks.
+    /// Interval between two polls, in milliseconds.
     #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(50..=3_600_000))]
     every_ms: u64,
-    /// Looks, and then the end; 0: until it is stopped.
+    /// Number of polls before exiting; 0 polls until interrupted.
     #[arg(long, default_value_t = 0)]
     looks: u64,
-    /// A JSON object a look.
+    /// Print a JSON object per poll.
     #[arg(long)]
     json: bool,
 }
 
-/// One look.
-struct Look {
+/// Result of one poll.
+struct Sample {
     figures: Result<Figures, StoreError>,
-    /// How long the store took to answer.
+    /// Response time of the store.
     took: Duration,
-    /// What changed since the look before, the oldest first.
+    /// Changes since the previous poll, the oldest first.
     changes: Vec<Change>,
-    /// Writes per second since the look before.
+    /// Edits per second since the previous poll.
     rate: Option<f64>,
-    /// The slowest answer of the last looks.
+    /// Slowest response of the last [`SLOWEST_WINDOW_POLLS`] polls.
     slowest: Duration,
     sizes: Option<FileSizes>,
 }
 
-/// The size of a store's file and of the log beside it, in bytes.
+/// Sizes of a store's file and of its write-ahead log, in bytes.
 #[derive(Debug, Clone, Copy)]
 struct FileSizes {
     file: u64,
@@ -71,25 +71,26 @@
     }
 }
 
-/// A store that is looked at, and what the last looks have shown.
-struct Watch<'a> {
+/// Polls a store and keeps what is needed to compare it with earlier polls.
+struct Sampler<'a> {
     store: Arc<dyn Store>,
-    /// The store's file, where it is one.
+    /// Path of a SQLite store; `None` for PostgreSQL.
     file: Option<&'a Path>,
     timeout: Duration,
-    /// The version at the last look that had an answer, and its moment.
+    /// Version at the last successful poll, and the time of that poll.
     previous: Option<(u64, Instant)>,
+    /// Response times of the last [`SLOWEST_WINDOW_POLLS`] polls.
     times: VecDeque<Duration>,
 }
 
-impl Watch<'_> {
-    async fn look(&mut self) -> Look {
+impl Sampler<'_> {
+    async fn poll(&mut self) -> Sample {
         let begun = Instant::now();
         let answer = timeout(self.timeout, self.store.figures()).await;
         let figures = answer.unwrap_or(Err(StoreError::TimedOut));
         let took = begun.elapsed();
         let changes = self.changes(&figures).await;
-        if self.times.len() == SLOWEST_WINDOW {
+        if self.times.len() == SLOWEST_WINDOW_POLLS {
             self.times.pop_front();
         }
         self.times.push_back(took);
@@ -104,10 +105,10 @@
             self.previous = Some((now.version, begun));
         }
         let slowest = self.times.iter().max().copied().unwrap_or_default();
-        Look { figures, took, changes, rate, slowest, sizes: self.file.map(FileSizes::read) }
+        Sample { figures, took, changes, rate, slowest, sizes: self.file.map(FileSizes::read) }
     }
 
-    /// What has changed since the look before.
+    /// Returns the changes since the last successful poll.
     async fn changes(&self, figures: &Result<Figures, StoreError>) -> Vec<Change> {
         match (self.previous, figures) {
             (Some((version, _)), Ok(now)) if now.version > version => {
@@ -120,11 +121,11 @@
 }
 
 impl Top {
-    /// Looks and prints until it is stopped.
+    /// Polls and prints until interrupted, or until the number of polls is reached.
     pub(super) async fn run(&self) -> Result<(), CommandError> {
         let file = (!self.store.contains("://")).then(|| Path::new(&self.store));
         if file.is_some_and(|file| !file.is_file()) {
-            return Err(CommandError::unusable("there is no such store"));
+            return Err(CommandError::unusable("no such store"));
         }
         let store: Arc<dyn Store> = if let Some(file) = file {
             Arc::new(Sqlite::open(file, &Options { readers: 1, ..Options::default() })?)
@@ -134,22 +135,22 @@
         };
         let interval = Duration::from_millis(self.every_ms);
         let timeout = interval.clamp(MIN_TIMEOUT, MAX_TIMEOUT);
-        let mut watch = Watch { store, file, timeout, previous: None, times: VecDeque::new() };
+        let mut sampler = Sampler { store, file, timeout, previous: None, times: VecDeque::new() };
         let stopped = stonevane_lab::interrupted();
         tokio::pin!(stopped);
         let mut answered = false;
-        for turn in 1u64.. {
+        for poll in 1u64.. {
             let begun = Instant::now();
-            let look = watch.look().await;
-            answered = look.figures.is_ok();
-            if !self.json && turn % HEADER_INTERVAL == 1 {
+            let sample = sampler.poll().await;
+            answered = sample.figures.is_ok();
+            if !self.json && poll % HEADER_INTERVAL_POLLS == 1 {
                 print_header(file.is_some());
             }
             match self.json {
-                true => print_json(&look),
-                false => print_line(&look),
+                true => print_json(&sample),
+                false => print_line(&sample),
             }
-            if turn == self.looks {
+            if poll == self.looks {
                 break;
             }
             tokio::select! {
@@ -159,7 +160,7 @@
         }
         match answered {
             true => Ok(()),
-            false => Err(CommandError::Damaged("the store gave no answer at the last look".into())),
+            false => Err(CommandError::Damaged("the store gave no answer at the last poll".into())),
         }
     }
 }
@@ -168,14 +169,14 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The keys that changed last, the newest first.
-fn newest_keys(look: &Look) -> Vec<&str> {
-    look.changes.iter().rev().take(NAMED_KEYS).map(|change| change.key.as_str()).collect()
+/// Returns the keys that changed last, the newest first.
+fn newest_keys(sample: &Sample) -> Vec<&str> {
+    sample.changes.iter().rev().take(MAX_PRINTED_KEYS).map(|change| change.key.as_str()).collect()
 }
 
 fn print_header(with_sizes: bool) {
     let sizes = if with_sizes { format!(" {:>9} {:>9}", "file MB", "log MB") } else { String::new() };
-    say!(
+    outln!(
         "{:>10} {:>9} {:>10} {:>8} {:>9} {:>9}{sizes}  changed last",
         "zones",
         "edits/s",
@@ -186,34 +187,34 @@
     );
 }
 
-fn print_line(look: &Look) {
-    let sizes = look.sizes.map_or(String::new(), |sizes| {
+fn print_line(sample: &Sample) {
+    let sizes = sample.sizes.map_or(String::new(), |sizes| {
         format!(" {:>9.1} {:>9.1}", sizes.file as f64 / 1e6, sizes.log as f64 / 1e6)
     });
-    match &look.figures {
-        Ok(now) => say!(
+    match &sample.figures {
+        Ok(now) => outln!(
             "{:>10} {:>9} {:>10} {:>8} {:>9.1} {:>9.1}{sizes}  {}",
             now.zones,
-            look.rate.map_or("-".into(), |rate| format!("{rate:.1}")),
+            sample.rate.map_or("-".into(), |rate| format!("{rate:.1}")),
             now.version,
             now.tokens,
-            milliseconds(look.took),
-            milliseconds(look.slowest),
-            newest_keys(look).join(" ")
+            milliseconds(sample.took),
+            milliseconds(sample.slowest),
+            newest_keys(sample).join(" ")
         ),
-        Err(error) => say!("{error}, after {:.0} ms{sizes}", milliseconds(look.took)),
+        Err(error) => outln!("{error}, after {:.0} ms{sizes}", milliseconds(sample.took)),
     }
 }
 
-fn print_json(look: &Look) {
-    let figures = look.figures.as_ref().ok();
+fn print_json(sample: &Sample) {
+    let figures = sample.figures.as_ref().ok();
     let line = serde_json::json!({
         "zones": figures.map(|figures| figures.zones), "version": figures.map(|figures| figures.version),
-        "tokens": figures.map(|figures| figures.tokens), "edits_per_s": look.rate,
-        "took_ms": milliseconds(look.took), "worst_ms": milliseconds(look.slowest),
-        "file_bytes": look.sizes.map(|sizes| sizes.file), "log_bytes": look.sizes.map(|sizes| sizes.log),
-        "changed": look.changes.len(), "changed_last": newest_keys(look),
-        "error": look.figures.as_ref().err().map(ToString::to_string),
+        "tokens": figures.map(|figures| figures.tokens), "edits_per_s": sample.rate,
+        "took_ms": milliseconds(sample.took), "worst_ms": milliseconds(sample.slowest),
+        "file_bytes": sample.sizes.map(|sizes| sizes.file), "log_bytes": sample.sizes.map(|sizes| sizes.log),
+        "changed": sample.changes.len(), "changed_last": newest_keys(sample),
+        "error": sample.figures.as_ref().err().map(ToString::to_string),
     });
-    say!("{line}");
+    outln!("{line}");
 }
--- a/crates/stonevane/src/store/torture.rs
+++ b/crates/stonevane/src/store/torture.rs
@@ -1,4 +1,4 @@
-//! `stonevane store torture`.
+//! `stonevane store torture`: crash test of the SQLite store.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{BufRead, BufReader, Write};
@@ -11,26 +11,26 @@
 use super::Progress;
 use crate::error::CommandError;
 
-/// Keys that are written.
+/// Number of distinct keys that are written.
 const KEYS: u64 = 50;
-/// Writes of a process that is killed: more than it can do.
-const ENDLESS: u64 = 1_000_000;
-/// A kill comes this long after the start at the latest, in microseconds: from before the process has opened the file to
-/// some hundred writes in.
+/// Number of edits requested from a process that is killed: more than it can make before the kill.
+const EDITS_UNTIL_KILLED: u64 = 1_000_000;
+/// Upper bound of the time from a process's start to its kill: kills range from before it has opened the file
+/// to after some hundred edits.
 const LATEST_KILL_US: u64 = 40_000;
 
-/// What processes have receipted.
+/// Receipts of all processes so far.
 #[derive(Default)]
 struct Receipts {
-    /// Versions by token.
+    /// Versions from the receipts, by token.
     versions: BTreeMap<u64, u64>,
-    /// Writes that had been done before their process was killed.
+    /// Number of edits that were applied although their process was killed before the receipt arrived.
     repeats: u64,
-    /// The next token. A write whose receipt never came is sent again, with the same token.
+    /// Next token. An edit without a receipt is sent again with the same token.
     next: u64,
 }
 
-/// A process that writes, and a thread that kills it.
+/// A process that writes, and the thread that kills it.
 struct Writer {
     input: ChildStdin,
     output: BufReader<ChildStdout>,
@@ -46,7 +46,7 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let (Some(input), Some(output)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(CommandError::not_run("a process has no pipes"));
+            return Err(CommandError::not_run("the writing process has no pipes"));
         };
         let killer = std::thread::spawn(move || {
             if let Some(delay) = kill_after {
@@ -58,7 +58,8 @@
         Ok(Writer { input, output: BufReader::new(output), killer })
     }
 
-    /// Writes one value; `None` where the process has been killed before its receipt.
+    /// Sends one edit and returns its receipt; `None` if the process was killed before it printed a complete
+    /// line.
     fn write(&mut self, token: u64) -> Option<String> {
         let sent = writeln!(self.input, "{token} key-{} value-{token}", token % KEYS);
         sent.and_then(|()| self.input.flush()).ok()?;
@@ -77,14 +78,15 @@
 }
 
 impl Receipts {
-    /// Writes until the process is killed, or so many tokens are receipted.
+    /// Sends edits until the process is killed or `count` receipts have arrived.
     fn collect(&mut self, writer: &mut Writer, count: u64) -> Result<(), CommandError> {
         let end = self.next + count;
         while self.next < end {
             let Some(line) = writer.write(self.next) else { break };
             let words: Vec<_> = line.split_whitespace().collect();
             let version = words.get(1).and_then(|word| word.parse().ok());
-            let version = version.ok_or_else(|| CommandError::Damaged(format!("said {line:?}")))?;
+            let version =
+                version.ok_or_else(|| CommandError::Damaged(format!("unexpected receipt {line:?}")))?;
             self.repeats += u64::from(words.get(2) == Some(&"true"));
             self.versions.insert(self.next, version);
             self.next += 1;
@@ -92,7 +94,8 @@
         Ok(())
     }
 
-    /// Checks that each write made one version: as many as there are receipts, none twice, none missing, in order.
+    /// Checks that each edit made exactly one version: no version is missing or occurs twice, and they are in
+    /// order.
     fn check(&self) -> Result<(), CommandError> {
         let receipts = self.versions.len();
         let distinct: BTreeSet<_> = self.versions.values().collect();
@@ -102,14 +105,14 @@
             return Ok(());
         }
         let counts = format!("{receipts} receipts, {} versions, the newest {newest}", distinct.len());
-        Err(CommandError::Damaged(format!("an edit was lost or done twice: {counts}")))
+        Err(CommandError::Damaged(format!("an edit was lost or applied twice: {counts}")))
     }
 }
 
-/// Kills a writing process again and again, and checks its receipts.
+/// Kills writing processes one after another, and checks their receipts and the store.
 pub(super) fn torture(file: &Path, kills: u64, seed: u64) -> Result<(), CommandError> {
     if file.exists() {
-        return Err(CommandError::unusable("is there already; torture wants a file of its own"));
+        return Err(CommandError::unusable("already exists; torture needs a new file"));
     }
     let (mut receipts, mut progress) = (Receipts::default(), Progress::new());
     let mut random = seed | 1;
@@ -117,17 +120,17 @@
         // Knuth's linear congruential generator.
         random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         let delay = Duration::from_micros((random >> 33) % LATEST_KILL_US);
-        // The last process is not killed: it repeats the write whose receipt may be missing.
+        // The last process is not killed: it repeats the edit whose receipt may be missing.
         let last = kill == kills;
         let mut writer = Writer::start(file, (!last).then_some(delay))?;
-        receipts.collect(&mut writer, if last { 1 } else { ENDLESS })?;
+        receipts.collect(&mut writer, if last { 1 } else { EDITS_UNTIL_KILLED })?;
         writer.finish();
         progress.update(kill, "kills");
     }
     let zones = check(file, &Options::default())?;
     receipts.check()?;
-    say!(
-        "{kills} kills, {} edits: every receipt kept, none done twice; {} had been done before their kill; {zones} zones",
+    outln!(
+        "{kills} kills, {} edits: every receipt kept, none applied twice; {} were applied but their receipt was lost in the kill; {zones} zones",
         receipts.versions.len(),
         receipts.repeats
     );
--- a/crates/stonevane/tests/cli.rs
+++ b/crates/stonevane/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line, as its users meet it.
+//! End-to-end tests of the command line: configuration, lab, logs, histories and emulators.
 #![allow(missing_docs)]
 
 use std::io::{BufRead, BufReader};
@@ -10,7 +10,7 @@
 use common::{STONEVANE, Temp, node, run, stonevane, text};
 
 #[test]
-fn an_operator_file_is_checked_with_a_line_for_each_fault() {
+fn config_check_prints_a_line_for_each_error() {
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operator.toml");
     let good = stonevane(&["config", "check", shipped]);
     assert!(good.status.success() && text(&good.stdout).ends_with("good\n"), "{good:?}");
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn scenarios_are_listed_one_a_line_and_the_first_is_calm() {
+fn lab_list_prints_a_scenario_per_line_and_calm_first() {
     let listed = stonevane(&["lab", "list"]);
     let listed = text(&listed.stdout);
     assert!(listed.lines().count() >= 10);
@@ -35,16 +35,16 @@
 }
 
 #[test]
-fn a_bad_scenario_or_history_is_exit_2_with_its_places() {
+fn an_invalid_scenario_or_history_exits_with_2_and_names_the_places() {
     let bad = Temp::new("bad-scenario.toml", "name = 'x'\n[load]\nper_sec = 3\n[[fault]]\ndo = 'kil'\n");
     let run = stonevane(&["lab", "run", bad.path()]);
     assert_eq!(run.status.code(), Some(2));
-    let said = text(&run.stderr);
+    let printed = text(&run.stderr);
     assert!(
-        said.contains("line 3, column 1: unknown key `per_sec` in [load]; did you mean `per_s`?"),
-        "{said}"
+        printed.contains("line 3, column 1: unknown key `per_sec` in [load]; did you mean `per_s`?"),
+        "{printed}"
     );
-    assert!(said.contains("line 5, column 6: `do` has no `kil`; did you mean `kill`?"), "{said}");
+    assert!(printed.contains("line 5, column 6: `do` has no `kil`; did you mean `kill`?"), "{printed}");
     let unknown = stonevane(&["lab", "run", "clam"]);
     assert_eq!(unknown.status.code(), Some(2));
     assert!(text(&unknown.stderr).contains("did you mean `calm`?"));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_load_and_verdict_and_another_seed_another_load() {
+fn a_seed_determines_load_and_verdict_and_another_seed_changes_the_load() {
     let short = Temp::new(
         "short.toml",
         "name = 'short'\nexpect = ['served >= 0.9']\n[load]\nfor_ms = 800\n[[fault]]\ndo = 'vanish'\nto = 'cache-1'\nat_ms = 300\nfor_ms = 200\n",
@@ -68,29 +68,32 @@
     for part in ["load", "seed", "holds", "scenario"] {
         assert_eq!(one[part], two[part], "{part}");
     }
-    let words = |run: &serde_json::Value| {
+    let fault_names = |run: &serde_json::Value| {
         let faults = run["summary"]["faults"].as_array().unwrap().clone();
         faults.into_iter().map(|fault| fault[1].clone()).collect::<Vec<_>>()
     };
-    assert_eq!(words(&one), words(&two));
+    assert_eq!(fault_names(&one), fault_names(&two));
     assert_ne!(one["load"], other["load"]);
 }
 
 #[test]
-fn logs_are_json_lines_where_they_are_asked_for() {
+fn log_json_writes_logs_as_json_lines() {
     let args = ["--log", "info", "--log-json", "lab", "run", "calm", "--crooked", "honest", "--load", "0.1"];
     let run = stonevane(&args);
-    let said = text(&run.stderr);
+    let printed = text(&run.stderr);
     let logs: Vec<serde_json::Value> =
-        said.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
+        printed.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
     let ready = logs.iter().filter(|l| l["fields"]["state"] == "ready").count();
-    assert_eq!(ready, 2, "{said}");
-    assert!(logs.iter().any(|l| l["fields"]["message"] == "judged" && l["fields"]["broken"] == 0), "{said}");
+    assert_eq!(ready, 2, "{printed}");
+    assert!(
+        logs.iter().any(|l| l["fields"]["message"] == "judged" && l["fields"]["broken"] == 0),
+        "{printed}"
+    );
     assert_eq!(stonevane(&["--log", "x=loud", "lab", "list"]).status.code(), Some(2));
 }
 
 #[test]
-fn what_is_expected_and_not_found_is_exit_1() {
+fn a_broken_expectation_exits_with_1() {
     let hard = Temp::new("hard.toml", "name = 'hard'\nexpect = ['asked <= 3']\n[load]\nfor_ms = 300\n");
     let (code, json, _) = run(hard.path(), &[]);
     assert_eq!((code, &json["holds"]), (Some(1), &serde_json::Value::Bool(false)));
@@ -98,7 +101,7 @@
 }
 
 #[test]
-fn a_crooked_node_is_exit_1_and_its_kept_history_says_the_same_again() {
+fn a_faulty_node_exits_with_1_and_an_audit_of_its_history_agrees() {
     let history = Temp::new("crooked.jsonl", "");
     let chart = Temp::new("crooked.svg", "");
     let args = [
@@ -114,12 +117,12 @@
     ];
     let run = stonevane(&args);
     assert_eq!(run.status.code(), Some(1));
-    let said = text(&run.stdout);
-    assert!(said.contains("rule 1") && said.contains("twice"), "{said}");
+    let printed = text(&run.stdout);
+    assert!(printed.contains("rule 1") && printed.contains("twice"), "{printed}");
     let audited = stonevane(&["lab", "audit", history.path()]);
     assert_eq!(audited.status.code(), Some(1));
     let last = |text: &str| text.lines().last().map(str::to_owned);
-    assert_eq!(last(&text(&audited.stdout)), last(&said));
+    assert_eq!(last(&text(&audited.stdout)), last(&printed));
     let lines = std::fs::read_to_string(&history.0).unwrap();
     let answers = lines.lines().filter(|l| l.contains("\"event\":\"answer\""));
     assert!(answers.clone().count() > 100 && answers.clone().all(|l| l.contains("\"outcome\":")));
@@ -128,9 +131,9 @@
 }
 
 #[test]
-fn a_lab_that_is_killed_while_it_writes_leaves_a_history_that_can_be_read() {
+fn a_history_of_a_killed_lab_is_readable_up_to_any_cut() {
     let history = Temp::new("killed.jsonl", "");
-    // Little nodes: no process is left behind.
+    // Stub nodes run in the lab's process, so the kill leaves no process behind.
     let args = ["lab", "run", "calm", "--crooked", "honest", "--history", history.path()];
     let mut lab =
         Command::new(STONEVANE).args(args).stderr(Stdio::null()).stdout(Stdio::null()).spawn().unwrap();
@@ -141,12 +144,12 @@
     for cut in 0..40 {
         std::fs::write(&history.0, &whole[..whole.len() - cut]).unwrap();
         let audited = stonevane(&["lab", "audit", history.path()]);
-        assert_eq!(audited.status.code(), Some(0), "{cut} bytes less: {}", text(&audited.stdout));
+        assert_eq!(audited.status.code(), Some(0), "{cut} bytes cut off: {}", text(&audited.stdout));
     }
 }
 
 #[test]
-fn a_lab_that_is_interrupted_ends_every_process_that_it_started() {
+fn an_interrupted_lab_ends_every_process_that_it_started() {
     for signal in ["INT", "TERM"] {
         let program = node();
         let mut lab = Command::new(STONEVANE)
@@ -155,7 +158,7 @@
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
-        // Its first line of progress: the nodes run.
+        // The first line of progress is printed once the nodes run.
         let mut line = String::new();
         BufReader::new(lab.stderr.take().unwrap()).read_line(&mut line).unwrap();
         let nodes = children(lab.id());
@@ -179,14 +182,14 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    panic!("waited 20 s in vain");
+    panic!("condition not met within 20 s");
 }
 
-/// A stand-in by hand, ended when dropped, and its address.
-struct ByHand(Child, String);
+/// An emulator or node process, killed when dropped, and the address that an emulator listens on.
+struct ServerProcess(Child, String);
 
-impl ByHand {
-    fn start(args: &[&str]) -> ByHand {
+impl ServerProcess {
+    fn start(args: &[&str]) -> ServerProcess {
         let mut child = Command::new(STONEVANE)
             .arg("stand-in")
             .args(args)
@@ -197,11 +200,11 @@
         let mut line = String::new();
         BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
         let address = line.trim().rsplit(' ').next().unwrap().to_owned();
-        ByHand(child, address)
+        ServerProcess(child, address)
     }
 }
 
-impl Drop for ByHand {
+impl Drop for ServerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -209,11 +212,11 @@
 }
 
 #[test]
-fn stand_ins_by_hand_make_a_fleet_of_processes_round_a_node() {
-    let cache = ByHand::start(&["cache", "--name", "s-1", "--cold"]);
-    let origin = ByHand::start(&["origin", "--cache", &cache.1, "--read-ms", "5"]);
+fn a_node_serves_reads_among_emulators_that_run_as_processes() {
+    let cache = ServerProcess::start(&["cache", "--name", "s-1", "--cold"]);
+    let origin = ServerProcess::start(&["origin", "--cache", &cache.1, "--read-ms", "5"]);
     let (server, store) = (format!("s-1={}", cache.1), format!("o-1={}", origin.1));
-    let discovery = ByHand::start(&["discovery", "--server", &server, "--origin", &store]);
+    let discovery = ServerProcess::start(&["discovery", "--server", &server, "--origin", &store]);
     let settings = r#"{"balancers":1,"me":0,"zone":0,"zones":["a"],"machineTypes":["std","origin"],"discovery":"ask",
         "classes":[{"name":"zone-lookup","goalTimeUs":750000,"deadlineUs":1500000,"effect":"pure"},
           {"name":"zone-edit","goalTimeUs":150000,"deadlineUs":300000,"effect":"token","dedupScope":"all","dedupWindowUs":200000}],
@@ -227,7 +230,7 @@
     let config = Temp::new("by-hand.json", &config);
     let child =
         Command::new(node()).env("ROUTER_CONFIG", config.path()).stderr(Stdio::null()).spawn().unwrap();
-    let _node = ByHand(child, String::new());
+    let _node = ServerProcess(child, String::new());
     let ready = || {
         use std::io::{Read, Write};
         let Ok(mut stream) = std::net::TcpStream::connect(listen) else { return false };
@@ -238,13 +241,13 @@
     };
     wait_for(ready);
     let node = listen.to_string();
-    let played = stonevane(&["stand-in", "client", "--node", &node, "--per-s", "60", "--for-s", "2"]);
-    let said = text(&played.stdout);
-    assert!(played.status.success(), "{said} {}", text(&played.stderr));
-    let reads = said.lines().find(|l| l.starts_with("zone-lookup")).unwrap_or_default();
-    let number = |what: &str| -> f64 {
-        let before = reads.split(what).next().unwrap_or("").trim();
+    let client = stonevane(&["stand-in", "client", "--node", &node, "--per-s", "60", "--for-s", "2"]);
+    let printed = text(&client.stdout);
+    assert!(client.status.success(), "{printed} {}", text(&client.stderr));
+    let reads = printed.lines().find(|l| l.starts_with("zone-lookup")).unwrap_or_default();
+    let number = |label: &str| -> f64 {
+        let before = reads.split(label).next().unwrap_or("").trim();
         before.rsplit(' ').next().unwrap_or("").parse().unwrap_or(0.0)
     };
-    assert!(number(" asked") > 60.0 && number(" served") >= 0.9 * number(" asked"), "{said}");
+    assert!(number(" asked") > 60.0 && number(" served") >= 0.9 * number(" asked"), "{printed}");
 }
--- a/crates/stonevane/tests/common/mod.rs
+++ b/crates/stonevane/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What all tests of the command line need.
+//! Helpers shared by the tests of the command line.
 #![allow(dead_code, missing_docs)]
 
 use std::path::{Path, PathBuf};
@@ -15,7 +15,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The daemon, built once where no other test has.
+/// Returns the path of the daemon's program, which is built once per test binary.
 pub fn node() -> &'static str {
     static NODE: OnceLock<String> = OnceLock::new();
     NODE.get_or_init(|| {
@@ -30,7 +30,7 @@
     })
 }
 
-/// Runs a scenario with the real node; what it printed as JSON, with its exit code.
+/// Runs a scenario with the real node; returns its exit code, its outcome as JSON and its standard error.
 pub fn run(name: &str, more: &[&str]) -> (Option<i32>, serde_json::Value, String) {
     let mut args = vec!["lab", "run", name, "--json", "-", "--node-program", node()];
     args.extend(more);
@@ -39,7 +39,7 @@
     (output.status.code(), json, text(&output.stderr))
 }
 
-/// A file that goes when its test ends.
+/// A temporary file, removed when dropped.
 pub struct Temp(pub PathBuf);
 
 impl Temp {
--- a/crates/stonevane/tests/fleet.rs
+++ b/crates/stonevane/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Membership with real processes: crooked members are caught, the control run serves as much, nothing is left behind
-//! by a lab that is killed.
+//! End-to-end tests of membership with real processes: faulty members are detected, membership does not
+//! reduce the served share, and a killed lab leaves no process behind.
 #![allow(missing_docs)]
 
 use std::process::{Command, Stdio};
@@ -9,16 +9,17 @@
 
 use common::{STONEVANE, Temp, node, stonevane, text};
 
-/// Three real nodes and a member in the place of n1: a real one is killed for good, the member is cut off for a while.
-const CROOKED: &str = "name = \"crooked\"\n[fleet]\nnodes = 5\n[load]\nper_s = 20\nfor_ms = 3000\n\
+/// Five nodes, one of which (n1) can be replaced by a faulty member. A real node is killed and stays down,
+/// and n1 is cut off from the others for a while.
+const FAULTY_MEMBER_SCENARIO: &str = "name = \"crooked\"\n[fleet]\nnodes = 5\n[load]\nper_s = 20\nfor_ms = 3000\n\
     [membership]\nperiod_ms = 200\ndetect = 14\n\
     [[fault]]\ndo = \"node-kill\"\nto = \"n2\"\nat_ms = 1500\nfor_ms = 8000\n\
     [[fault]]\ndo = \"cut\"\nfrom = \"nodes\"\nto = \"n1\"\nat_ms = 1500\nfor_ms = 6000\n\
     [[fault]]\ndo = \"cut\"\nfrom = \"n1\"\nto = \"nodes\"\nat_ms = 1500\nfor_ms = 6000\n";
 
-/// Plays the scenario with a crooked member; the codes of what it was caught at.
-fn codes(mutant: Option<&str>) -> (Vec<String>, serde_json::Value) {
-    let file = Temp::new(&format!("crooked-{}.toml", mutant.unwrap_or("none")), CROOKED);
+/// Runs the scenario with a faulty member; returns the distinct codes of the findings, and the outcome.
+fn finding_codes(mutant: Option<&str>) -> (Vec<String>, serde_json::Value) {
+    let file = Temp::new(&format!("crooked-{}.toml", mutant.unwrap_or("none")), FAULTY_MEMBER_SCENARIO);
     let mut args = vec!["lab", "run", file.path(), "--json", "-", "--node-program", node()];
     args.extend(mutant.iter().flat_map(|mutant| ["--crooked-member", mutant]));
     let output = stonevane(&args);
@@ -39,8 +40,8 @@
 }
 
 #[test]
-fn crooked_members_among_real_processes_are_caught_and_honest_ones_are_not() {
-    let played: Vec<_> = std::thread::scope(|scope| {
+fn faulty_members_among_real_processes_are_detected_and_correct_ones_are_not() {
+    let outcomes: Vec<_> = std::thread::scope(|scope| {
         let mutants = [
             None,
             Some("accuses-all"),
@@ -51,12 +52,13 @@
             Some("forwards-nothing"),
         ];
         let runs: Vec<_> =
-            mutants.into_iter().map(|mutant| (mutant, scope.spawn(move || codes(mutant)))).collect();
+            mutants.into_iter().map(|mutant| (mutant, scope.spawn(move || finding_codes(mutant)))).collect();
         runs.into_iter().map(|(mutant, run)| (mutant, run.join().unwrap())).collect()
     });
-    for (mutant, (codes, json)) in played {
+    for (mutant, (codes, json)) in outcomes {
         assert!(json["report"]["membership"]["views"].as_u64().unwrap() > 50);
-        // Old datagrams change nothing, and what one passes on the others do as well: neither does harm.
+        // Replayed datagrams are ignored, and the other members forward updates as well, so these two are
+        // harmless.
         let harmless = matches!(mutant, None | Some("replays" | "forwards-nothing"));
         assert_eq!(codes.is_empty(), harmless, "{mutant:?}: {codes:?}");
         if mutant == Some("lies-of-incarnations") {
@@ -66,7 +68,7 @@
 }
 
 #[test]
-fn with_membership_the_fleet_serves_no_less_than_without_it() {
+fn membership_does_not_reduce_the_served_share() {
     let served = |more: &[&str]| {
         let mut args = vec!["lab", "run", "fleet-crash", "--json", "-", "--node-program", node()];
         args.extend(more);
@@ -85,44 +87,44 @@
     assert!(on >= off - 0.03, "served {on} with membership, {off} without");
 }
 
-/// Processes whose command line holds a text.
-fn running(part: &str) -> usize {
+/// Returns the number of processes whose command line contains a text.
+fn count_processes(part: &str) -> usize {
     let entries = std::fs::read_dir("/proc").unwrap().flatten();
     let lines = entries.filter_map(|entry| std::fs::read(entry.path().join("cmdline")).ok());
     lines.filter(|line| String::from_utf8_lossy(line).contains(part)).count()
 }
 
 #[test]
-fn a_lab_that_is_killed_leaves_no_process_behind_paused_ones_neither() {
+fn a_killed_lab_leaves_no_process_behind_not_even_a_paused_one() {
     let scenario = Temp::new(
         "killed.toml",
         "name = \"killed\"\n[fleet]\nnodes = 4\n[load]\nper_s = 5\nfor_ms = 60000\n\
          [[fault]]\ndo = \"node-pause\"\nto = \"n1\"\nat_ms = 0\nfor_ms = 50000\n",
     );
-    // Its nodes are those of this program and no other.
+    // A copy of the program under a unique name identifies the nodes of this lab.
     let program = Temp::new("own-node", "");
     std::fs::copy(node(), program.path()).unwrap();
     let args = ["lab", "run", scenario.path(), "--node-program", program.path()];
     let mut lab =
         Command::new(STONEVANE).args(args).stdout(Stdio::null()).stderr(Stdio::null()).spawn().unwrap();
-    let wait = |what: &str, is: &dyn Fn() -> bool| {
+    let wait = |event: &str, condition: &dyn Fn() -> bool| {
         let end = Instant::now() + Duration::from_secs(60);
-        while !is() {
-            assert!(Instant::now() < end, "{what}");
+        while !condition() {
+            assert!(Instant::now() < end, "timed out: {event}");
             std::thread::sleep(Duration::from_millis(20));
         }
     };
-    let own = || running(program.path());
-    // The lab itself names the program as well.
-    wait("its nodes start", &|| own() == 5);
+    let count = || count_processes(program.path());
+    // Four nodes, and the lab itself, whose arguments name the program.
+    wait("its nodes start", &|| count() == 5);
     std::thread::sleep(Duration::from_millis(500));
     lab.kill().unwrap();
     lab.wait().unwrap();
-    wait("its nodes end", &|| own() == 0);
+    wait("its nodes end", &|| count() == 0);
 }
 
 #[test]
-fn deliberate_faults_are_listed_and_found_and_a_failing_seed_is_cut_down() {
+fn mutants_are_listed_and_detected_and_a_failing_seed_is_shrunk() {
     let list = text(&stonevane(&["fleet", "simulate", "--mutants"]).stdout);
     assert!(list.lines().count() >= 8 && list.lines().all(|line| line.contains("  ")), "{list}");
     let found =
--- a/crates/stonevane/tests/scale.rs
+++ b/crates/stonevane/tests/scale.rs
@@ -1,4 +1,4 @@
-//! `stonevane scale`: what it prints and writes, and what it refuses.
+//! End-to-end tests of `stonevane scale measure` and `scale table`: output, files and rejected arguments.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,16 +11,16 @@
 const CSV_HEADER: &str = "role,size,seed,metric,unit,basis,value";
 
 #[test]
-fn a_role_is_measured_printed_written_and_drawn() {
+fn a_measured_role_is_printed_and_written_as_csv_and_svg() {
     let (csv, chart) = (Temp::new("scale.csv", ""), Temp::new("scale.svg", ""));
     let args = ["scale", "measure", "--role", "discovery", "--sizes", "10,20,40"];
     let files = ["--csv", csv.path(), "--chart", chart.path()];
     let output = stonevane(&[&args[..], &files[..]].concat());
-    let said = text(&output.stdout);
+    let printed = text(&output.stdout);
     assert_eq!(output.status.code(), Some(0), "{}", text(&output.stderr));
-    let sizes: Vec<_> = said.lines().filter(|line| line.starts_with("discovery ")).collect();
-    assert_eq!(sizes.len(), 3, "{said}");
-    assert!(said.contains("start_calls: 0 + 1 a size"), "{said}");
+    let sizes: Vec<_> = printed.lines().filter(|line| line.starts_with("discovery ")).collect();
+    assert_eq!(sizes.len(), 3, "{printed}");
+    assert!(printed.contains("start_calls: 0 + 1 a size"), "{printed}");
     let written = std::fs::read_to_string(csv.path()).unwrap();
     assert_eq!(written.lines().next(), Some(CSV_HEADER));
     assert!(written.contains("discovery,40,1,start_calls,1,measured,40.0"), "{written}");
@@ -29,8 +29,8 @@
 }
 
 #[test]
-fn what_can_not_be_measured_is_one_line_and_nothing_is_started() {
-    let wrong: [(&[&str], &str); 12] = [
+fn invalid_arguments_are_reported_in_one_line_before_any_measurement() {
+    let cases: [(&[&str], &str); 12] = [
         (&["--role", "nodes", "--sizes", "3"], "there is no role \"nodes\"; one of membership, "),
         (&["--role", "discovery", "--sizes", "3,2"], "--sizes: 2 does not rise above 3"),
         (&["--role", "discovery", "--sizes", "3,3"], "--sizes: 3 does not rise above 3"),
@@ -47,25 +47,25 @@
         (&["--role", "discovery", "--sizes", "3", "--csv", "/nowhere/x.csv"], "/nowhere/x.csv: "),
         (&["--role", "discovery", "--sizes", "3", "--chart", "/nowhere/x.svg"], "/nowhere/x.svg: "),
     ];
-    for (args, says) in wrong {
+    for (args, expected) in cases {
         let output = stonevane(&[&["scale", "measure"], args].concat());
-        let said = text(&output.stderr);
-        assert_eq!(output.status.code(), Some(2), "{args:?}: {said}");
+        let printed = text(&output.stderr);
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {printed}");
         assert!(output.stdout.is_empty(), "{args:?}: {}", text(&output.stdout));
-        assert_eq!(said.lines().count(), 1, "{said}");
-        assert!(said.starts_with("stonevane: ") && said.contains(says), "{said}");
+        assert_eq!(printed.lines().count(), 1, "{printed}");
+        assert!(printed.starts_with("stonevane: ") && printed.contains(expected), "{printed}");
     }
 }
 
 #[test]
-fn tables_without_measurements_are_refused() {
+fn a_table_without_measurements_is_rejected() {
     let output = stonevane(&["scale", "table", "--measurements", "/nowhere"]);
-    let said = text(&output.stderr);
-    assert_eq!((output.status.code(), said.lines().count()), (Some(2), 1), "{said}");
+    let printed = text(&output.stderr);
+    assert_eq!((output.status.code(), printed.lines().count()), (Some(2), 1), "{printed}");
 }
 
-/// Whether a process runs that measures a size with a seed.
-fn measures(seed: &str) -> bool {
+/// Returns whether a process that measures a size with this seed is running.
+fn is_measuring(seed: &str) -> bool {
     let processes = std::fs::read_dir("/proc").unwrap().filter_map(Result::ok);
     let mut commands = processes.filter_map(|process| std::fs::read(process.path().join("cmdline")).ok());
     commands.any(|command| {
@@ -74,25 +74,25 @@
     })
 }
 
-/// Waits until something holds.
-fn wait_for(what: &str, holds: impl Fn() -> bool) {
+/// Waits until the condition holds; fails after 60 s.
+fn wait_for(event: &str, condition: impl Fn() -> bool) {
     let begun = Instant::now();
-    while !holds() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "waited in vain for {what}");
+    while !condition() {
+        assert!(begun.elapsed() < Duration::from_secs(60), "timed out waiting for {event}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn nothing_is_left_behind_by_a_measurement_that_is_killed() {
+fn a_killed_measurement_leaves_no_process_behind() {
     let seed = format!("7{}", std::process::id());
     let mut parent = Command::new(STONEVANE)
         .args(["scale", "measure", "--role", "membership", "--sizes", "2000", "--seed", &seed])
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    wait_for("the size's own process", || measures(&seed));
+    wait_for("the start of the size's process", || is_measuring(&seed));
     parent.kill().unwrap();
     parent.wait().unwrap();
-    wait_for("its end", || !measures(&seed));
+    wait_for("the end of the size's process", || !is_measuring(&seed));
 }
--- a/crates/stonevane/tests/scenarios.rs
+++ b/crates/stonevane/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! Every scenario of the lab against the real node. In a file of its own: nothing else is timed beside it.
+//! Runs every scenario of the lab with the real node. This is a separate test binary, so that no other test
+//! runs at the same time and disturbs its timing.
 #![allow(missing_docs)]
 
 use std::sync::Mutex;
@@ -7,45 +8,47 @@
 
 use common::{node, run, stonevane, text};
 
-/// Plays a scenario, the long ones in their short form. What did not hold, and whether a rule was broken.
-fn play(name: &str) -> Result<(), (bool, String)> {
+/// Runs a scenario, a long one in its short form. An error holds whether a rule was broken, and a
+/// description.
+fn check_scenario(name: &str) -> Result<(), (bool, String)> {
     let long = ["busy-", "store-", "cold-"].iter().any(|kind| name.starts_with(kind));
     let more: &[&str] = if long { &["--short"] } else { &[] };
-    let (code, json, said) = run(name, more);
+    let (code, json, printed) = run(name, more);
     if code == Some(0) {
         return Ok(());
     }
     let parts = [&json["expects"], &json["report"]["findings"], &json["summary"]["classes"]];
-    Err((json["report"]["broken"] != 0, format!("{name}: exit {code:?}, {parts:?}\n{said}")))
+    Err((json["report"]["broken"] != 0, format!("{name}: exit {code:?}, {parts:?}\n{printed}")))
 }
 
-/// Two at a time for each core: they wait for most of their time. A rule holds however busy the machine is; what a scenario expects
-/// of the fleet's speed is asked of it alone when it was missed beside the others.
+/// Scenarios wait most of the time, so two run at once per core (at most 6). The rules must hold under any
+/// machine load. Expectations can depend on speed: a scenario that misses one runs again alone, and must hold
+/// then.
 #[test]
 fn every_scenario_holds_with_the_real_node() {
     let listed = text(&stonevane(&["lab", "list"]).stdout);
     let names: Vec<_> =
         listed.lines().filter_map(|l| l.split_whitespace().next()).map(str::to_owned).collect();
-    let left = Mutex::new(names);
-    let (missed, wrong) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
+    let remaining = Mutex::new(names);
+    let (missed, failed) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     node();
-    let abreast = std::thread::available_parallelism().map_or(2, |cores| (2 * cores.get()).min(6));
+    let concurrent = std::thread::available_parallelism().map_or(2, |cores| (2 * cores.get()).min(6));
     std::thread::scope(|scope| {
-        for _ in 0..abreast {
+        for _ in 0..concurrent {
             scope.spawn(|| {
                 loop {
-                    let Some(name) = left.lock().unwrap().pop() else { return };
-                    match play(&name) {
+                    let Some(name) = remaining.lock().unwrap().pop() else { return };
+                    match check_scenario(&name) {
                         Ok(()) => {}
-                        Err((true, said)) => wrong.lock().unwrap().push(said),
+                        Err((true, printed)) => failed.lock().unwrap().push(printed),
                         Err((false, _)) => missed.lock().unwrap().push(name),
                     }
                 }
             });
         }
     });
-    let mut wrong = wrong.into_inner().unwrap();
+    let mut failed = failed.into_inner().unwrap();
     let missed = missed.into_inner().unwrap();
-    wrong.extend(missed.iter().filter_map(|name| play(name).err()).map(|(_, said)| said));
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    failed.extend(missed.iter().filter_map(|name| check_scenario(name).err()).map(|(_, printed)| printed));
+    assert!(failed.is_empty(), "{}", failed.join("\n"));
 }
