--- a/crates/stonevane/src/stand_in.rs
+++ b/crates/stonevane/src/stand_in.rs
@@ -35,7 +35,7 @@
     /// Address to listen on; port 0 picks a free port.
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// Record a history of the requests to this file (JSON lines).
+    /// Record the events that this emulator observes as a history in this file (JSON lines).
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
 }
