--- a/crates/stonevane-core/src/management.rs
+++ b/crates/stonevane-core/src/management.rs
@@ -98,14 +98,14 @@
         Ok(None) if line > MAX_HEAD / 2 => return Err(Answer::line(414, "the target is too long")),
         Ok(None) if bytes.len() >= MAX_HEAD => return Err(Answer::line(431, "the head is too long")),
         Ok(None) => return Ok(None),
-        Err(Malformed) => return Err(Answer::line(400, "malformed HTTP request")),
+        Err(Malformed) => return Err(Answer::line(400, "this is no call")),
     };
     let body = head.content_length.unwrap_or(0);
     if head.target.len() > MAX_HEAD / 2 {
         return Err(Answer::line(414, "the target is too long"));
     }
     if body > MAX_BODY_BYTES {
-        return Err(Answer::line(413, "the request body is too long; calls need none"));
+        return Err(Answer::line(413, "a call needs no body"));
     }
     let call = route(&head.method, &head.target)?;
     Ok((bytes.len() >= head.length + body).then_some(call))
@@ -126,7 +126,7 @@
         _ => (exclusion(path)?, "PUT"),
     };
     if method != allow {
-        let answer = Answer::line(405, format!("{path} accepts only the method {allow}"));
+        let answer = Answer::line(405, format!("{path} is called by {allow}"));
         return Err(Answer { allow: Some(allow), ..answer });
     }
     Ok(call)
@@ -138,11 +138,9 @@
     let (out, name) = match rest {
         Some(("disable", name)) => (true, name),
         Some(("enable", name)) => (false, name),
-        _ => return Err(Answer::line(404, "no call has this path")),
+        _ => return Err(Answer::line(404, "there is no such call")),
     };
-    let name = decode(name).ok_or_else(|| {
-        Answer::line(400, "the name is not percent-encoded UTF-8 without control characters")
-    })?;
+    let name = decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains('/') {
         return Err(Answer::line(404, "there is no cache server of that name"));
     }
--- a/crates/stonevane-node/src/config/file.rs
+++ b/crates/stonevane-node/src/config/file.rs
@@ -47,7 +47,7 @@
                 Some(present) => first_missing_key(value, present).map(|nested| format!("{key}.{nested}")),
             })
         }
-        (Value::Object(_), _) => Some("(an object)".into()),
+        (Value::Object(_), _) => Some("an object that stood here".into()),
         (Value::Array(previous), Value::Array(present)) => first_missing_entry_key(previous, present),
         _ => None,
     }
--- a/crates/stonevane-node/src/driver/operator_calls.rs
+++ b/crates/stonevane-node/src/driver/operator_calls.rs
@@ -15,7 +15,7 @@
         let mut state = self.lock();
         match call {
             Call::Ready if state.core.ready() => Answer::line(200, "ready"),
-            Call::Ready => Answer::line(503, "this process does not accept clients"),
+            Call::Ready => Answer::line(503, "this process takes no clients"),
             Call::Metrics => match serde_json::to_string(&state.core.report()) {
                 Ok(report) => Answer::object(report),
                 Err(error) => Answer::line(503, error.to_string()),
@@ -24,7 +24,7 @@
                 Some(membership) => Answer::object(membership.report(self.clock.now(), brief)),
                 None => Answer::line(
                     404,
-                    "membership is disabled: it needs [fleet] and `limits.peers` of the settings",
+                    "this node takes no part in a fleet: [fleet] of the operator file is not set",
                 ),
             },
             Call::Exclude { name, .. } if !state.core.has_cache_server(&name) => {
@@ -40,7 +40,7 @@
         let persisted =
             if excluded { self.exclusions.exclude(&name) } else { self.exclusions.reinstate(&name) };
         if let Err(error) = persisted {
-            return Answer::line(503, format!("the change cannot be persisted and was not made: {error}"));
+            return Answer::line(503, format!("it can't be kept, and is not done: {error}"));
         }
         let (result, event) =
             if excluded { ("out", "excluded by an operator") } else { ("back", "reinstated by an operator") };
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -117,7 +117,7 @@
     let _ = stream.set_nodelay(true);
     let call = match timeout(READ_TIMEOUT, read_call(&mut stream, stage)).await {
         Ok(call) => call?,
-        Err(_) => Err(Answer::line(408, "the call was not complete in time")),
+        Err(_) => Err(Answer::line(408, "no whole call in time")),
     };
     stage.set(CallStage::Complete);
     let answer = match call {
--- a/crates/stonevane-node/src/store/circuit_breaker.rs
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -118,7 +118,7 @@
         match outage {
             Some(error) => {
                 self.inner.counters.outages.increment();
-                log(&format!("store: {error}; calls are paused for {} ms", unavailable_for / MICROS_PER_MS));
+                log(&format!("store: {error}; no call for {} ms", unavailable_for / MICROS_PER_MS));
             }
             None => log("store: it answers again"),
         }
