--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -66,7 +66,7 @@
     let (opened, mut connections) = (node.counters.opened, 0);
     for _ in 0..COUNTED_S {
         node.serve(REQUESTS_PER_S, SECOND, KEY_COUNT);
-        connections += node.core.count().server_connections;
+        connections += node.core.resource_counts().server_connections;
     }
     let attempts = node.counters.attempts;
     if attempts * 10 < node.counters.requests * 9 {
--- a/crates/stonevane-core/src/clients/resp.rs
+++ b/crates/stonevane-core/src/clients/resp.rs
@@ -113,11 +113,11 @@
     if !arguments[1..READ_ARGUMENT_COUNT].iter().all(is_plain) {
         return Err(CommandError::InvalidArgument);
     }
-    let facts = String::from_utf8_lossy(&arguments[3]).into_owned();
+    let parameter_text = String::from_utf8_lossy(&arguments[3]).into_owned();
     let key = arguments[1].clone();
     let id = arguments[2].clone();
     let mut command = Command { write, key, id, ..Command::default() };
-    let parameters = Parameters::parse(&facts, deployment, &mut command)?;
+    let parameters = Parameters::parse(&parameter_text, deployment, &mut command)?;
     command.class = parameters.class.ok_or(CommandError::NoClass)?;
     if parameters.tenant.is_none() && !deployment.tenants.is_empty() {
         return Err(CommandError::NoTenant);
@@ -136,7 +136,7 @@
     // The deadline of the class bounds the wait that the client states.
     command.time_left = ((wait_ms * 1e3) as Micros).min(class.deadline);
     command.value = arguments.get(READ_ARGUMENT_COUNT).cloned();
-    command.facts = facts;
+    command.parameters = parameter_text;
     Ok(command)
 }
 
--- a/crates/stonevane-core/src/faults.rs
+++ b/crates/stonevane-core/src/faults.rs
@@ -9,7 +9,7 @@
     /// Draining and removed servers count as active.
     ForgetDrain,
     /// A connection with stray bytes behind its reply is reused.
-    KeepNoise,
+    KeepSurplus,
     /// A reset attempt counts as never sent.
     ResetNotRun,
     /// Server connections of abandoned attempts stay open.
@@ -29,17 +29,17 @@
     /// A cache miss is served as an empty value.
     ServeMiss,
     /// A partial reply is served when its connection is reset.
-    ServeTorn,
+    ServePartial,
     /// Client connections are accepted beyond the limit.
-    OverPlaces,
+    ExceedConnectionLimit,
     /// Each attempt is sent twice.
     SendTwice,
     /// Rejections and expired deadlines are not answered.
     ForgetRefusal,
     /// Failed calls to discovery are not retried.
-    Deaf,
+    NoDiscoveryRetry,
     /// Requests of a client that disconnected continue.
-    ForgetGone,
+    ContinueAfterDisconnect,
 }
 
 impl Mutant {
@@ -52,7 +52,7 @@
         ),
         MutantInfo::new(Mutant::ForgetDrain, "forget-drain", "draining and removed servers count as active"),
         MutantInfo::new(
-            Mutant::KeepNoise,
+            Mutant::KeepSurplus,
             "keep-noise",
             "a connection with stray bytes behind its reply is reused",
         ),
@@ -86,12 +86,12 @@
         ),
         MutantInfo::new(Mutant::ServeMiss, "serve-miss", "a cache miss is served as an empty value"),
         MutantInfo::new(
-            Mutant::ServeTorn,
+            Mutant::ServePartial,
             "serve-torn",
             "a partial reply is served when its connection is reset",
         ),
         MutantInfo::new(
-            Mutant::OverPlaces,
+            Mutant::ExceedConnectionLimit,
             "over-places",
             "client connections are accepted beyond the limit",
         ),
@@ -101,8 +101,12 @@
             "forget-refusal",
             "rejections and expired deadlines are not answered",
         ),
-        MutantInfo::new(Mutant::Deaf, "deaf", "failed calls to discovery are not retried"),
-        MutantInfo::new(Mutant::ForgetGone, "forget-gone", "requests of a client that disconnected continue"),
+        MutantInfo::new(Mutant::NoDiscoveryRetry, "deaf", "failed calls to discovery are not retried"),
+        MutantInfo::new(
+            Mutant::ContinueAfterDisconnect,
+            "forget-gone",
+            "requests of a client that disconnected continue",
+        ),
     ];
 
     /// Returns the mutant with this command-line name.
--- a/crates/stonevane-core/src/handover.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -77,7 +77,7 @@
 
 impl ProcessStatus {
     /// Encodes the status as a line. Processes of different versions exchange it, so the format is stable.
-    pub fn line(&self) -> String {
+    pub fn encode(&self) -> String {
         let stage = match self.stage {
             ProcessStage::Starting => "starting",
             ProcessStage::Serving => "serving",
@@ -86,8 +86,8 @@
         format!("1 {stage} {} {} {}\n", self.capacity.connections, self.capacity.memory, self.in_flight)
     }
 
-    /// Decodes a line of [`ProcessStatus::line`]; `None` if it has another format.
-    pub fn read(started: (Micros, u32), line: &str) -> Option<ProcessStatus> {
+    /// Decodes a line of [`ProcessStatus::encode`]; `None` if it has another format.
+    pub fn decode(started: (Micros, u32), line: &str) -> Option<ProcessStatus> {
         let words: Vec<_> = line.strip_suffix('\n')?.split(' ').collect();
         let ["1", stage, connections, memory, in_flight] = words[..] else { return None };
         let stage = match stage {
--- a/crates/stonevane-core/src/handover/tests.rs
+++ b/crates/stonevane-core/src/handover/tests.rs
@@ -121,7 +121,7 @@
         capacity: Capacity { connections: 7, memory: 8 },
         in_flight: 9,
     };
-    assert_eq!(ProcessStatus::read((5, 6), &status.line()), Some(status));
+    assert_eq!(ProcessStatus::decode((5, 6), &status.encode()), Some(status));
     for other in [
         "",
         "\n",
@@ -131,6 +131,6 @@
         "1 gone 7 8 9\n",
         "1 serving -7 8 9\n",
     ] {
-        assert_eq!(ProcessStatus::read((5, 6), other), None, "{other:?}");
+        assert_eq!(ProcessStatus::decode((5, 6), other), None, "{other:?}");
     }
 }
--- a/crates/stonevane-core/src/list.rs
+++ b/crates/stonevane-core/src/list.rs
@@ -10,8 +10,8 @@
 #[derive(Deserialize, Default, Debug)]
 pub struct EndpointList {
     /// Version of the list.
-    #[serde(default)]
-    pub index: u64,
+    #[serde(default, rename = "index")]
+    pub version: u64,
     /// Whether it is the full list, not a delta.
     #[serde(default)]
     pub snapshot: bool,
--- a/crates/stonevane-core/src/management.rs
+++ b/crates/stonevane-core/src/management.rs
@@ -28,7 +28,7 @@
         /// Name of the cache server in the server list.
         name: String,
         /// `true` excludes the server, `false` reinstates it.
-        out: bool,
+        excluded: bool,
     },
 }
 
@@ -91,7 +91,7 @@
 ///
 /// # Errors
 /// The answer to an invalid or unknown call.
-pub fn read(bytes: &[u8]) -> Result<Option<Call>, Answer> {
+pub fn decode(bytes: &[u8]) -> Result<Option<Call>, Answer> {
     let line = bytes.iter().position(|byte| *byte == b'\n').unwrap_or(bytes.len());
     let head = match http::request_head(&bytes[..bytes.len().min(MAX_HEAD)]) {
         Ok(Some(head)) => head,
@@ -135,20 +135,20 @@
 /// Decodes the path of a call that excludes or reinstates a cache server.
 fn exclusion(path: &str) -> Result<Call, Answer> {
     let rest = path.strip_prefix("/cache-servers/").and_then(|rest| rest.split_once('/'));
-    let (out, name) = match rest {
+    let (excluded, name) = match rest {
         Some(("disable", name)) => (true, name),
         Some(("enable", name)) => (false, name),
         _ => return Err(Answer::line(404, "there is no such call")),
     };
-    let name = decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
+    let name = percent_decode(name).ok_or_else(|| Answer::line(400, "the name can't be read"))?;
     if name.is_empty() || name.len() > MAX_NAME_BYTES || name.contains('/') {
         return Err(Answer::line(404, "there is no cache server of that name"));
     }
-    Ok(Call::Exclude { name, out })
+    Ok(Call::Exclude { name, excluded })
 }
 
 /// Decodes percent-encoding (RFC 3986, 2.1).
-fn decode(text: &str) -> Option<String> {
+fn percent_decode(text: &str) -> Option<String> {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
     while let Some(byte) = bytes.next() {
--- a/crates/stonevane-core/src/node/connections.rs
+++ b/crates/stonevane-core/src/node/connections.rs
@@ -190,7 +190,7 @@
             return false;
         }
         let has_capacity = clients < limits.per_side && connections.free() > 0;
-        has_capacity || self.faults.injects(Mutant::OverPlaces)
+        has_capacity || self.faults.injects(Mutant::ExceedConnectionLimit)
     }
 
     /// Returns how many bytes may be read from a connection now. After 0, nothing may be read until
--- a/crates/stonevane-core/src/node/discovery.rs
+++ b/crates/stonevane-core/src/node/discovery.rs
@@ -65,7 +65,7 @@
     }
 
     pub(super) fn on_list_failed(&mut self) {
-        self.discovery.calls_stopped |= self.faults.injects(Mutant::Deaf);
+        self.discovery.calls_stopped |= self.faults.injects(Mutant::NoDiscoveryRetry);
         self.notify_policy(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
     }
 
--- a/crates/stonevane-core/src/node/endpoints.rs
+++ b/crates/stonevane-core/src/node/endpoints.rs
@@ -188,13 +188,13 @@
 impl<F: Faults> Core<F> {
     /// Applies a full list or a delta. A delta older than the current list is ignored.
     pub(super) fn apply_list(&mut self, list: &EndpointList, kind: ListUpdate) {
-        let is_older = self.discovery.list_version.is_some_and(|version| list.index < version);
+        let is_older = self.discovery.list_version.is_some_and(|version| list.version < version);
         if kind == ListUpdate::Delta && is_older && !self.faults.injects(Mutant::OldList) {
             return;
         }
         // Without a cached list the version stays unknown, so that the full list is fetched.
         let is_absent = kind == ListUpdate::Cached && list.endpoints.is_empty();
-        self.discovery.list_version = (!is_absent).then_some(list.index);
+        self.discovery.list_version = (!is_absent).then_some(list.version);
         let is_first = self.endpoints.servers.is_empty();
         let context = ListContext {
             is_older: is_older && kind == ListUpdate::Full,
--- a/crates/stonevane-core/src/node/reports.rs
+++ b/crates/stonevane-core/src/node/reports.rs
@@ -53,7 +53,7 @@
     /// Number of attempts in flight.
     pub attempts: usize,
     /// Number of client-chosen ids of pending requests.
-    pub claimed_ids: usize,
+    pub pending_client_ids: usize,
     /// Reserved memory, in bytes.
     pub memory: usize,
     /// Number of timers, including stale ones that are not pruned yet.
@@ -62,7 +62,7 @@
 
 impl<F: Faults> Core<F> {
     /// Counts the resources that the core holds.
-    pub fn count(&self) -> ResourceCounts {
+    pub fn resource_counts(&self) -> ResourceCounts {
         let connections = &self.connections;
         ResourceCounts {
             clients: connections.clients.len(),
@@ -71,7 +71,7 @@
             unanswered: self.requests.unanswered,
             request_entries: self.requests.len(),
             attempts: self.attempts.len(),
-            claimed_ids: connections.clients.pending_ids.len(),
+            pending_client_ids: connections.clients.pending_ids.len(),
             memory: connections.memory.reserved(),
             timers: self.timers.len(),
         }
@@ -100,7 +100,7 @@
     }
 
     /// Returns the counters of each request class with the class's name.
-    pub fn counts(&self) -> impl Iterator<Item = (&str, &ClassCounts)> {
+    pub fn class_counters(&self) -> impl Iterator<Item = (&str, &ClassCounts)> {
         self.reporter.metrics.classes()
     }
 
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -288,7 +288,7 @@
         if let Some(class_slot) = entry.map(|entry| entry.class_slot) {
             self.reporter.metrics.class_mut(class_slot).disconnected += 1;
         }
-        if self.faults.injects(Mutant::ForgetGone) {
+        if self.faults.injects(Mutant::ContinueAfterDisconnect) {
             return;
         }
         self.close_request(id);
--- a/crates/stonevane-core/src/node/server_io.rs
+++ b/crates/stonevane-core/src/node/server_io.rs
@@ -109,7 +109,7 @@
 
     pub(super) fn on_server_bytes(&mut self, id: ConnId, bytes: &[u8]) {
         let Some(conn) = self.connections.pool.get_mut(id) else { return };
-        let keeps_surplus = self.faults.injects(Mutant::KeepNoise);
+        let keeps_surplus = self.faults.injects(Mutant::KeepSurplus);
         if keeps_surplus && conn.state == ConnState::Idle {
             return conn.keep_surplus(bytes);
         }
@@ -213,7 +213,8 @@
         // The request that waits for a resting connection is not counted yet.
         let was_used = conn.requests_carried + u64::from(conn.state == ConnState::Resting) > 1;
         let stream_target = conn.stream_target;
-        let partial_value = if self.faults.injects(Mutant::ServeTorn) { conn.partial_value() } else { None };
+        let partial_value =
+            if self.faults.injects(Mutant::ServePartial) { conn.partial_value() } else { None };
         self.close_server_connection(id, CloseReason::Lost);
         if let Some(target) = stream_target {
             self.on_stream_broken(target);
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -26,7 +26,7 @@
     /// Request id, chosen by the client.
     pub id: Bytes,
     /// Request parameters as the client sent them: `name=value`, separated by commas.
-    pub facts: String,
+    pub parameters: String,
     /// The value of a write.
     pub value: Option<Bytes>,
     /// Index of the request's class in the settings.
@@ -57,19 +57,19 @@
 
     /// Returns the parameters for an attempt: `d` is replaced by the client's remaining time in milliseconds,
     /// and all other parameters are unchanged.
-    pub fn facts_with_time_left(&self, left_ms: u64) -> String {
-        let mut facts = String::with_capacity(self.facts.len() + MAX_TIME_LEFT_DIGITS);
-        for (position, fact) in self.facts.split(',').enumerate() {
+    pub fn parameters_with_time_left(&self, left_ms: u64) -> String {
+        let mut parameters = String::with_capacity(self.parameters.len() + MAX_TIME_LEFT_DIGITS);
+        for (position, parameter) in self.parameters.split(',').enumerate() {
             if position > 0 {
-                facts.push(',');
+                parameters.push(',');
             }
-            if fact.starts_with("d=") {
-                let _ = write!(facts, "d={left_ms}");
+            if parameter.starts_with("d=") {
+                let _ = write!(parameters, "d={left_ms}");
             } else {
-                facts.push_str(fact);
+                parameters.push_str(parameter);
             }
         }
-        facts
+        parameters
     }
 }
 
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -10,11 +10,11 @@
 /// Encodes a client's command as a request to a cache server. `left_ms` is the time until the client's
 /// deadline.
 pub(super) fn encode(command: &Command, left_ms: u64) -> Bytes {
-    let facts = command.facts_with_time_left(left_ms);
+    let parameters = command.parameters_with_time_left(left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
     match &command.value {
-        Some(value) => resp::command(&[name, &command.key, &command.id, facts.as_bytes(), value]),
-        None => resp::command(&[name, &command.key, &command.id, facts.as_bytes()]),
+        Some(value) => resp::command(&[name, &command.key, &command.id, parameters.as_bytes(), value]),
+        None => resp::command(&[name, &command.key, &command.id, parameters.as_bytes()]),
     }
 }
 
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -21,7 +21,7 @@
     out.put_slice(&command.key);
     out.put_slice(format!(" HTTP/1.1\r\nHost: {host}\r\nX-Correlation-Id: ").as_bytes());
     out.put_slice(&command.id);
-    out.put_slice(format!("\r\nX-Facts: {}\r\n", command.facts_with_time_left(left_ms)).as_bytes());
+    out.put_slice(format!("\r\nX-Facts: {}\r\n", command.parameters_with_time_left(left_ms)).as_bytes());
     let body: &[u8] = command.value.as_deref().unwrap_or(b"");
     if command.write {
         out.put_slice(format!("Content-Length: {}\r\n", body.len()).as_bytes());
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -80,7 +80,7 @@
         max_sockets: sockets,
         memory_mb: 64,
         cached_list: EndpointList {
-            index: 1,
+            version: 1,
             snapshot: true,
             endpoints: vec![endpoint("cache", 1), endpoint("origin", 2)],
         },
--- a/crates/stonevane-core/tests/crossings.rs
+++ b/crates/stonevane-core/tests/crossings.rs
@@ -122,7 +122,7 @@
     /// Drains the only cache and lists another one. Returns the address of the new one.
     fn drain_cache(&mut self) -> SocketAddr {
         let endpoints = vec![server("cache", 1, "leaving", 0), server("other", 7, "active", 0)];
-        self.feed(Input::List(0, EndpointList { index: 2, snapshot: false, endpoints }));
+        self.feed(Input::List(0, EndpointList { version: 2, snapshot: false, endpoints }));
         SocketAddr::from(([127, 0, 0, 1], 7))
     }
 
@@ -132,9 +132,9 @@
 
     /// Asserts that no entry of any request is left.
     fn assert_nothing_left(&self) {
-        let count = self.core.count();
+        let count = self.core.resource_counts();
         assert_eq!(
-            (count.unanswered, count.request_entries, count.attempts, count.claimed_ids),
+            (count.unanswered, count.request_entries, count.attempts, count.pending_client_ids),
             (0, 0, 0, 0),
             "{count:?}"
         );
@@ -243,13 +243,13 @@
     harness.feed(Input::Bytes(conn, HIT));
     assert_eq!(harness.answers.len(), 1, "the request in flight was not served");
     assert!(harness.closed.contains(&conn));
-    assert_eq!(harness.core.count().idle_server_connections, 0);
+    assert_eq!(harness.core.resource_counts().idle_server_connections, 0);
 }
 
 #[test]
 fn a_full_list_older_than_a_drain_does_not_undo_it() {
-    let full_list = |index, status: &str, since| EndpointList {
-        index,
+    let full_list = |version, status: &str, since| EndpointList {
+        version,
         snapshot: true,
         endpoints: vec![
             server("cache", 1, status, since),
@@ -268,13 +268,13 @@
         harness.attempt_ports()
     };
     let mut harness = Harness::new();
-    let leaves = EndpointList { index: 41, ..full_list(41, "leaving", 0) };
+    let leaves = EndpointList { version: 41, ..full_list(41, "leaving", 0) };
     harness.feed(Input::List(0, leaves));
     harness.feed(Input::List(0, full_list(40, "active", 0)));
     assert!(!ports(&mut harness).contains(&1), "an older list undid the drain");
     // A list of a newer version does undo it, and so does an entry of a new server process.
     let newer = vec![server("cache", 1, "active", 0)];
-    harness.feed(Input::List(0, EndpointList { index: 42, snapshot: false, endpoints: newer }));
+    harness.feed(Input::List(0, EndpointList { version: 42, snapshot: false, endpoints: newer }));
     assert!(ports(&mut harness).contains(&1));
     let mut harness = Harness::new();
     harness.feed(Input::List(0, full_list(41, "leaving", 0)));
@@ -373,7 +373,7 @@
         assert_eq!(answers.len(), 1, "{order:?}: {answers:?}");
         let counts = harness
             .core
-            .counts()
+            .class_counters()
             .map(|(_, c)| c.served + c.rejected + c.failed + c.disconnected)
             .sum::<u64>();
         assert_eq!(counts, 1, "{order:?}");
@@ -395,7 +395,7 @@
     harness.attempts.clear();
     let mut clients = Vec::new();
     // Until the limit allows no further connection.
-    while harness.core.count().server_connections + harness.core.count().clients < 15 {
+    while harness.core.resource_counts().server_connections + harness.core.resource_counts().clients < 15 {
         let id_text = clients.len().to_string();
         clients.push(harness.connect_and_request(&id_text));
         assert_eq!(harness.attempts.len(), clients.len(), "{id_text}");
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -236,8 +236,11 @@
             let (at, event) = current_call.events.remove(0);
             current_call.silent_since = at;
             if event == CallEvent::Change {
-                let index = self.core.list_version().unwrap_or(0) + 1;
-                self.feed(Input::List(epoch, EndpointList { index, snapshot: false, endpoints: Vec::new() }));
+                let version = self.core.list_version().unwrap_or(0) + 1;
+                self.feed(Input::List(
+                    epoch,
+                    EndpointList { version, snapshot: false, endpoints: Vec::new() },
+                ));
             }
             return;
         }
--- a/crates/stonevane-core/tests/passage.rs
+++ b/crates/stonevane-core/tests/passage.rs
@@ -166,9 +166,12 @@
         prop_assert!(harness.written == expected, "the client got different bytes");
         harness.now += 3_000_000;
         harness.feed(Input::Wake);
-        let count = harness.core.count();
-        prop_assert_eq!((count.unanswered, count.claimed_ids, count.memory, count.attempts), (0, 0, 0, 0));
-        let served: u64 = harness.core.counts().map(|(_, counts)| counts.served).sum();
+        let count = harness.core.resource_counts();
+        prop_assert_eq!(
+            (count.unanswered, count.pending_client_ids, count.memory, count.attempts),
+            (0, 0, 0, 0)
+        );
+        let served: u64 = harness.core.class_counters().map(|(_, counts)| counts.served).sum();
         prop_assert_eq!(served, REQUESTS_BEFORE + lengths.len() as u64);
         Ok(())
     };
@@ -194,7 +197,7 @@
         "{} bytes were read for a client that reads none",
         reply.len() - rest.len()
     );
-    assert!(harness.core.count().memory <= 300_000, "{:?}", harness.core.count());
+    assert!(harness.core.resource_counts().memory <= 300_000, "{:?}", harness.core.resource_counts());
     // Reading continues as the client reads. The request's deadline no longer applies.
     while !rest.is_empty() {
         harness.now += 100_000;
@@ -213,7 +216,11 @@
     harness.feed(Input::Wake);
     assert!(harness.closed.contains(&harness.client) && harness.closed.contains(&conn));
     assert_eq!(
-        (harness.core.count().clients, harness.core.count().unanswered, harness.core.count().memory),
+        (
+            harness.core.resource_counts().clients,
+            harness.core.resource_counts().unanswered,
+            harness.core.resource_counts().memory
+        ),
         (0, 0, 0)
     );
 }
@@ -234,12 +241,12 @@
     harness.receive(conn, &long[..50_000], &mut std::iter::empty());
     harness.feed(Input::Closed(conn));
     assert!(harness.closed.contains(&harness.client));
-    let counts: Vec<_> = harness.core.counts().map(|(_, counts)| *counts).collect();
+    let counts: Vec<_> = harness.core.class_counters().map(|(_, counts)| *counts).collect();
     assert_eq!(
         (counts[0].accepted, counts[0].served, counts[0].failed, counts[0].disconnected),
         (REQUESTS_BEFORE + 3, REQUESTS_BEFORE + 1, 2, 0)
     );
-    assert_eq!(harness.core.count().memory, 0);
+    assert_eq!(harness.core.resource_counts().memory, 0);
 }
 
 #[test]
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -102,12 +102,15 @@
             harness.now += REST_US;
         }
         let started_at = harness.now;
-        while harness.core.count().idle_server_connections < 30 {
+        while harness.core.resource_counts().idle_server_connections < 30 {
             harness.send_requests(clients);
             harness.reply_to_all();
             harness.now += 4_000;
         }
-        assert!(harness.core.count().idle_server_connections == 30 && harness.now < started_at + REST_US);
+        assert!(
+            harness.core.resource_counts().idle_server_connections == 30
+                && harness.now < started_at + REST_US
+        );
         harness.now = started_at + REST_US - 2_000;
         (harness, started_at + REST_US)
     }
--- a/crates/stonevane-core/tests/start_times.rs
+++ b/crates/stonevane-core/tests/start_times.rs
@@ -53,7 +53,7 @@
 
 impl Node {
     fn start(clock_offset: i64, endpoints: Vec<Endpoint>) -> Node {
-        let endpoints = EndpointList { index: 1, snapshot: true, endpoints };
+        let endpoints = EndpointList { version: 1, snapshot: true, endpoints };
         let config = stonevane_core::CoreConfig {
             cached_list: endpoints,
             ..config_with(false, 64, Duration::ZERO, |_| {})
@@ -69,8 +69,8 @@
     }
 
     /// Applies a delta. Returns how many of its servers are in slow start.
-    fn apply_delta(&mut self, time: u64, index: u64, endpoints: Vec<Endpoint>) -> usize {
-        self.handle_at(time, Input::List(0, EndpointList { index, snapshot: false, endpoints }));
+    fn apply_delta(&mut self, time: u64, version: u64, endpoints: Vec<Endpoint>) -> usize {
+        self.handle_at(time, Input::List(0, EndpointList { version, snapshot: false, endpoints }));
         in_slow_start(&self.out)
     }
 }
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -70,7 +70,7 @@
             deployment.settings.tenants[0].quota_per_s = 50.0 * f64::from(nodes);
             deployment.zones = ["a", "b", "c"].map(String::from).into();
         });
-        config.cached_list = EndpointList { index: 1, snapshot: true, endpoints };
+        config.cached_list = EndpointList { version: 1, snapshot: true, endpoints };
         config.regions = regions;
         let mut harness = Harness {
             core: Core::new(START, config),
@@ -143,12 +143,12 @@
         self.attempt_ports.iter().copied().collect()
     }
 
-    fn apply_list(&mut self, index: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
-        self.feed(Input::List(0, EndpointList { index, snapshot, endpoints }));
+    fn apply_list(&mut self, version: u64, snapshot: bool, endpoints: Vec<Endpoint>) {
+        self.feed(Input::List(0, EndpointList { version, snapshot, endpoints }));
     }
 
-    fn apply_delta(&mut self, index: u64, endpoint: Endpoint) {
-        self.apply_list(index, false, vec![endpoint]);
+    fn apply_delta(&mut self, version: u64, endpoint: Endpoint) {
+        self.apply_list(version, false, vec![endpoint]);
     }
 
     /// Ports of all server connections.
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -156,6 +156,6 @@
             "{count} nodes: {} opened",
             harness.opened
         );
-        assert!(harness.nodes.iter().all(|node| node.count().attempts == 0));
+        assert!(harness.nodes.iter().all(|node| node.resource_counts().attempts == 0));
     }
 }
--- a/crates/stonevane-node/src/discovery/mod.rs
+++ b/crates/stonevane-node/src/discovery/mod.rs
@@ -67,7 +67,7 @@
     }
 
     /// Counts bytes in `traffic`, which several clients can share.
-    pub fn counted(self, traffic: Arc<Traffic>) -> Self {
+    pub fn with_traffic(self, traffic: Arc<Traffic>) -> Self {
         Discovery { traffic, ..self }
     }
 
--- a/crates/stonevane-node/src/driver/operator_calls.rs
+++ b/crates/stonevane-node/src/driver/operator_calls.rs
@@ -30,7 +30,7 @@
             Call::Exclude { name, .. } if !state.core.has_cache_server(&name) => {
                 Answer::line(404, "there is no cache server of that name")
             }
-            Call::Exclude { name, out } => self.set_excluded(&mut state, name, out),
+            Call::Exclude { name, excluded } => self.set_excluded(&mut state, name, excluded),
         }
     }
 
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -172,7 +172,7 @@
         if text.is_empty() && !lock_path.exists() {
             return None;
         }
-        Some(ProcessStatus::read(process, &text).unwrap_or_else(|| self.unpublished_status(process, total)))
+        Some(ProcessStatus::decode(process, &text).unwrap_or_else(|| self.unpublished_status(process, total)))
     }
 
     /// Returns the status that is assumed of a process without a readable one: an older process may hold the
@@ -184,7 +184,7 @@
 
     fn publish(&mut self, capacity: Capacity) {
         self.own.capacity = capacity;
-        let line = self.own.line();
+        let line = self.own.encode();
         if line == self.published {
             return;
         }
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -141,7 +141,7 @@
         }
         stage.set(CallStage::Partial);
         bytes.extend_from_slice(&buffer[..count]);
-        match management::read(&bytes) {
+        match management::decode(&bytes) {
             Ok(None) if bytes.len() > MAX_CALL_BYTES => {
                 return Ok(Err(Answer::line(413, "the call is too long")));
             }
--- a/crates/stonevane-node/src/store/edits.rs
+++ b/crates/stonevane-node/src/store/edits.rs
@@ -17,7 +17,7 @@
 /// Minimum time for which the store remembers idempotency keys, in milliseconds.
 const MIN_IDEMPOTENCY_WINDOW_MS: u64 = 60_000;
 const MICROS_PER_MS: u64 = 1_000;
-/// Prefix of the fact of a command that holds its idempotency key.
+/// Prefix of the parameter of a command that holds its idempotency key.
 const IDEMPOTENCY_KEY_PREFIX: &str = "k=";
 
 /// Fence of a key: while it exists, fetches of the key that began before it do not count as current.
@@ -90,11 +90,13 @@
         Idempotency::WithKey { window, .. } => window / MICROS_PER_MS,
         _ => 0,
     };
-    let mut facts = command.facts.split(',');
+    let mut parameters = command.parameters.split(',');
     Ok(Edit {
         key: key_text(&command.key)?,
         value: command.value.as_ref().map(|value| value.to_vec()).unwrap_or_default(),
-        token: facts.find_map(|fact| fact.strip_prefix(IDEMPOTENCY_KEY_PREFIX)).map(str::to_owned),
+        token: parameters
+            .find_map(|parameter| parameter.strip_prefix(IDEMPOTENCY_KEY_PREFIX))
+            .map(str::to_owned),
         remember_ms: window_ms.max(MIN_IDEMPOTENCY_WINDOW_MS),
     })
 }
--- a/crates/stonevane-scale/src/stub_driver.rs
+++ b/crates/stonevane-scale/src/stub_driver.rs
@@ -115,7 +115,7 @@
                 }
             };
             let discovery =
-                Discovery::new(Arc::default(), Arc::new(on_input)).counted(shared.traffic.clone());
+                Discovery::new(Arc::default(), Arc::new(on_input)).with_traffic(shared.traffic.clone());
             let (outputs, progress) = (Outputs::default(), NodeProgress::default());
             let state = Mutex::new(State { node, outputs, discovery, progress });
             StubDriver { state, socket, shared, rescheduled: Notify::new() }
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -97,6 +97,6 @@
             weight: 1.0,
             since_ms: if entry.started_at == 0 { 0 } else { (epoch_us + entry.started_at) / 1_000 },
         });
-        EndpointList { index: self.version, snapshot: version == 0, endpoints: endpoints.collect() }
+        EndpointList { version: self.version, snapshot: version == 0, endpoints: endpoints.collect() }
     }
 }
--- a/crates/stonevane-sim/src/simulation/discovery.rs
+++ b/crates/stonevane-sim/src/simulation/discovery.rs
@@ -36,7 +36,7 @@
         let list = self.discovery.list_after(watch.version, EPOCH_US);
         let at = self.now() + self.draw_delay();
         let watcher = &mut self.nodes[node];
-        watcher.watch = Some(Watch { version: list.index, ..watch });
+        watcher.watch = Some(Watch { version: list.version, ..watch });
         let at = at.max(watcher.last_watch_delivery);
         watcher.last_watch_delivery = at;
         let call = DiscoveryCall { node, incarnation: watcher.incarnation, epoch: watch.epoch };
@@ -51,7 +51,7 @@
     /// Returns a stale update: all entries as active, under an index below `version`.
     fn stale_list(&self, version: u64) -> EndpointList {
         let mut list = self.discovery.list_after(0, EPOCH_US);
-        list.index = version.saturating_sub(1);
+        list.version = version.saturating_sub(1);
         list.snapshot = false;
         for endpoint in &mut list.endpoints {
             endpoint.status = "active".into();
--- a/crates/stonevane-sim/src/simulation/invariants.rs
+++ b/crates/stonevane-sim/src/simulation/invariants.rs
@@ -34,7 +34,7 @@
 
     fn node_violation(&self, node: usize) -> Option<(Invariant, String)> {
         let checked = &self.nodes[node];
-        let count = checked.core.as_ref()?.count();
+        let count = checked.core.as_ref()?.resource_counts();
         let streams = checked.streams.len();
         let (connections, descriptors) = (count.clients + count.server_connections, self.plan.max_sockets);
         if connections != streams {
@@ -45,10 +45,12 @@
             let detail = format!("node {node} holds {streams} connections of {descriptors}");
             return Some((Invariant::Descriptors, detail));
         }
-        if count.unanswered != count.claimed_ids || count.unanswered > count.request_entries {
+        if count.unanswered != count.pending_client_ids || count.unanswered > count.request_entries {
             return Some((
                 Invariant::Owners,
-                format!("node {node} has unanswered requests without a claimed id or an entry: {count:?}"),
+                format!(
+                    "node {node} has unanswered requests without a pending client id or an entry: {count:?}"
+                ),
             ));
         }
         let open = count.request_entries + count.attempts + connections;
@@ -69,8 +71,8 @@
     pub(super) fn check_leftovers(&mut self) {
         for node in 0..self.nodes.len() {
             let Some(core) = &self.nodes[node].core else { continue };
-            let count = core.count();
-            let requests = count.unanswered + count.request_entries + count.claimed_ids;
+            let count = core.resource_counts();
+            let requests = count.unanswered + count.request_entries + count.pending_client_ids;
             if requests + count.attempts + count.memory > 0 {
                 let detail = format!("node {node} holds {count:?} when all is quiet");
                 self.record_violation(Invariant::NoLeftovers, detail);
--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -45,7 +45,7 @@
     Connections,
     /// A node stays within its limit of descriptors.
     Descriptors,
-    /// Each unanswered request has exactly one claimed id, and an entry in the request table.
+    /// Each unanswered request has exactly one pending client id, and an entry in the request table.
     Owners,
     /// The number of a node's timers is bounded by its open requests, attempts and connections.
     Timers,
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_request_forwarded_after_its_client_left_violates_left_sent() {
-    let options = Options { mutant: Some(Mutant::ForgetGone), history: false };
+    let options = Options { mutant: Some(Mutant::ContinueAfterDisconnect), history: false };
     let violates_left_sent = |seed| {
         run(&Plan::generate(seed), options)
             .violations
