--- a/crates/stonevane-config/src/document.rs
+++ b/crates/stonevane-config/src/document.rs
@@ -13,21 +13,21 @@
 pub const MAX_DOCUMENT_BYTES: usize = 1 << 20;
 
 /// Byte range of an element in a document.
-pub type Place = Range<usize>;
+pub type Span = Range<usize>;
 
 /// The errors of a document, shared by its tables.
 #[derive(Clone, Default)]
-pub(crate) struct Errors(Rc<RefCell<Vec<(Place, Problem)>>>);
+pub(crate) struct Errors(Rc<RefCell<Vec<(Span, Problem)>>>);
 
 impl Errors {
-    pub(crate) fn push(&self, place: Place, problem: Problem) {
-        self.0.borrow_mut().push((place, problem));
+    pub(crate) fn push(&self, span: Span, problem: Problem) {
+        self.0.borrow_mut().push((span, problem));
     }
 
     /// Returns all errors in the order of the text, without duplicates.
-    fn sorted(&self) -> Vec<(Place, Problem)> {
+    fn sorted(&self) -> Vec<(Span, Problem)> {
         let mut errors = self.0.borrow().clone();
-        errors.sort_by_key(|(place, _)| place.start);
+        errors.sort_by_key(|(span, _)| span.start);
         errors.dedup();
         errors
     }
@@ -63,11 +63,11 @@
 
     /// Returns all errors found so far, in the order of the text.
     pub fn errors(&self) -> Vec<ConfigError> {
-        self.errors.sorted().into_iter().map(|(place, problem)| self.locate(&place, problem)).collect()
+        self.errors.sorted().into_iter().map(|(span, problem)| self.locate(&span, problem)).collect()
     }
 
-    fn locate(&self, place: &Place, problem: Problem) -> ConfigError {
-        let mut starts = (0..=place.start.min(self.text.len())).rev();
+    fn locate(&self, span: &Span, problem: Problem) -> ConfigError {
+        let mut starts = (0..=span.start.min(self.text.len())).rev();
         let start = starts.find(|start| self.text.is_char_boundary(*start)).unwrap_or(0);
         let before = &self.text[..start];
         let line = before.matches('\n').count() + 1;
--- a/crates/stonevane-config/src/error.rs
+++ b/crates/stonevane-config/src/error.rs
@@ -64,7 +64,7 @@
     },
     /// The value is not one of the key's accepted words.
     #[error("`{key}` has no `{word}`{hint}")]
-    UnknownWord {
+    UnknownValue {
         /// Name of the key.
         key: String,
         /// The rejected value.
--- a/crates/stonevane-config/src/lib.rs
+++ b/crates/stonevane-config/src/lib.rs
@@ -21,6 +21,6 @@
 pub mod operator;
 mod table;
 
-pub use document::{Document, MAX_DOCUMENT_BYTES, Place};
+pub use document::{Document, MAX_DOCUMENT_BYTES, Span};
 pub use error::{ConfigError, Problem, suggest};
 pub use table::Table;
--- a/crates/stonevane-config/src/operator.rs
+++ b/crates/stonevane-config/src/operator.rs
@@ -15,7 +15,7 @@
 pub use self::regions::{Region, Regions};
 pub use self::servers::Servers;
 pub use self::start::Start;
-pub use self::store::{Copies, Place, Store};
+pub use self::store::{Copies, Store, StoreLocation};
 
 /// All options of an operator file.
 #[derive(Debug, Clone, PartialEq, Default)]
--- a/crates/stonevane-config/src/operator/clients.rs
+++ b/crates/stonevane-config/src/operator/clients.rs
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Clients {
     /// Time from the accept by which the first command must be complete; otherwise the connection is closed.
-    pub first: Duration,
+    pub first_command: Duration,
     /// Time from a command's first byte by which the command must be complete.
-    pub whole: Duration,
+    pub command: Duration,
     /// Time by which an answer must be written, from when it is the next to be written.
-    pub written: Duration,
+    pub write: Duration,
     /// Idle time after which a connection may be evicted if the connection table is full.
-    pub spare: Duration,
+    pub evictable_idle: Duration,
     /// Idle time after which a connection is closed in any case.
     pub idle: Duration,
 }
@@ -22,10 +22,10 @@
 impl Default for Clients {
     fn default() -> Self {
         Clients {
-            first: Duration::from_millis(2_200),
-            whole: Duration::from_millis(2_300),
-            written: Duration::from_millis(4_000),
-            spare: Duration::from_millis(10),
+            first_command: Duration::from_millis(2_200),
+            command: Duration::from_millis(2_300),
+            write: Duration::from_millis(4_000),
+            evictable_idle: Duration::from_millis(10),
             idle: Duration::from_millis(15_000),
         }
     }
@@ -38,15 +38,15 @@
             Duration::from_millis(table.integer(key, default.as_millis() as u64, 10..=3_600_000))
         };
         let clients = Clients {
-            first: time("first_ms", base.first),
-            whole: time("whole_ms", base.whole),
-            written: time("written_ms", base.written),
-            spare: time("spare_ms", base.spare),
+            first_command: time("first_ms", base.first_command),
+            command: time("whole_ms", base.command),
+            write: time("written_ms", base.write),
+            evictable_idle: time("spare_ms", base.evictable_idle),
             idle: time("idle_ms", base.idle),
         };
-        if clients.spare > clients.idle {
+        if clients.evictable_idle > clients.idle {
             let rule = format!("`spare_ms` is to be at most `idle_ms`, {}", clients.idle.as_millis());
-            table.error(table.place_of("spare_ms"), rule);
+            table.error(table.span_of("spare_ms"), rule);
         }
         clients
     }
--- a/crates/stonevane-config/src/operator/regions.rs
+++ b/crates/stonevane-config/src/operator/regions.rs
@@ -5,7 +5,7 @@
 
 /// Default number of usable cache servers below which a further region is used: while one of two servers
 /// restarts, the other one serves.
-const DEFAULT_LEAST: u64 = 2;
+const DEFAULT_MIN_USABLE: u64 = 2;
 const MAX_NODES: u64 = 1_000_000;
 const MAX_SERVERS: u64 = 100_000;
 
@@ -28,7 +28,7 @@
     /// Number of nodes in this node's region, this one included.
     pub nodes: u32,
     /// Number of usable cache servers below which a further region is used as well.
-    pub least: usize,
+    pub min_usable: usize,
 }
 
 impl Regions {
@@ -38,10 +38,10 @@
         if !table.has("nodes") {
             table.missing("nodes");
         }
-        let least = table.integer("least", DEFAULT_LEAST, 1..=MAX_SERVERS) as usize;
+        let min_usable = table.integer("least", DEFAULT_MIN_USABLE, 1..=MAX_SERVERS) as usize;
         let Some(zones) = table.table("zones") else {
             if !table.has("zones") {
-                table.error(table.place(), "[regions.zones] is missing: the regions and their zones");
+                table.error(table.span(), "[regions.zones] is missing: the regions and their zones");
             }
             return None;
         };
@@ -50,25 +50,25 @@
         if home.is_none() && !home_name.is_empty() {
             let names: Vec<_> = others.iter().map(|region| region.name.as_str()).collect();
             let rule = format!("`home` is no region of [regions.zones]{}", suggest(&home_name, &names));
-            table.error(table.place_of("home"), rule);
+            table.error(table.span_of("home"), rule);
         }
-        Some(Regions { home: others.remove(home?), others, nodes: nodes? as u32, least })
+        Some(Regions { home: others.remove(home?), others, nodes: nodes? as u32, min_usable })
     }
 }
 
 /// Reads the regions with their zones, and reports zones that are in more than one region.
 fn read_zones(table: &Table<'_, '_>) -> Vec<Region> {
     let mut regions: Vec<Region> = Vec::new();
-    for (name, place) in table.keys() {
+    for (name, span) in table.keys() {
         let mut region = Region { name, zones: Vec::new() };
         let zones = table.texts(&region.name);
         if zones.is_empty() {
-            table.error(place, format!("the region `{}` has no zone", region.name));
+            table.error(span, format!("the region `{}` has no zone", region.name));
         }
-        for (zone, place) in zones {
+        for (zone, span) in zones {
             let owner = regions.iter().chain([&region]).find(|other| other.zones.contains(&zone));
             if let Some(other) = owner {
-                table.error(place, format!("the zone `{zone}` is in the region `{}` already", other.name));
+                table.error(span, format!("the zone `{zone}` is in the region `{}` already", other.name));
             } else {
                 region.zones.push(zone);
             }
--- a/crates/stonevane-config/src/operator/start.rs
+++ b/crates/stonevane-config/src/operator/start.rs
@@ -7,18 +7,18 @@
 pub struct Start {
     /// Limit of attempts in flight that all nodes together have at each cache server when they start; 0: no
     /// limit.
-    pub each: f64,
+    pub attempts_per_server: f64,
 }
 
 impl Default for Start {
     fn default() -> Self {
-        Start { each: 8.0 }
+        Start { attempts_per_server: 8.0 }
     }
 }
 
 impl Start {
     pub(super) fn read(table: &Table<'_, '_>) -> Start {
-        let each = table.number("each", Start::default().each, 0.1..=10_000.0);
-        Start { each: if table.flag("ramp", true) { each } else { 0.0 } }
+        let attempts_per_server = table.number("each", Start::default().attempts_per_server, 0.1..=10_000.0);
+        Start { attempts_per_server: if table.flag("ramp", true) { attempts_per_server } else { 0.0 } }
     }
 }
--- a/crates/stonevane-config/src/operator/store.rs
+++ b/crates/stonevane-config/src/operator/store.rs
@@ -8,7 +8,7 @@
 
 /// Location of the store of record.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Place {
+pub enum StoreLocation {
     /// An SQLite file that the node opens itself.
     Sqlite {
         /// Path of the file, which is created if it does not exist.
@@ -18,7 +18,7 @@
         /// Time to wait for a lock on the file that another process holds.
         busy: Duration,
         /// Reads run on the node's own thread while they take at most this long; `None`: never.
-        here: Option<Duration>,
+        inline_read_limit: Option<Duration>,
     },
     /// A PostgreSQL server.
     Postgres {
@@ -29,12 +29,12 @@
     },
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for StoreLocation {
     /// Formats the path of the file, or the URL of the server without credentials.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Place::Sqlite { file, .. } => write!(f, "{}", file.display()),
-            Place::Postgres { url, .. } => {
+            StoreLocation::Sqlite { file, .. } => write!(f, "{}", file.display()),
+            StoreLocation::Postgres { url, .. } => {
                 let host = url.split_once("://").map_or(url.as_str(), |(_, rest)| rest);
                 write!(f, "postgres://{}", host.rsplit_once('@').map_or(host, |(_, host)| host))
             }
@@ -55,36 +55,36 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Store {
     /// Location of the store.
-    pub place: Place,
+    pub place: StoreLocation,
     /// The most calls that may wait for the store; further calls are rejected at once.
     pub queue: usize,
     /// Timeout of a call.
-    pub stall: Duration,
+    pub call_timeout: Duration,
     /// Number of consecutive timeouts after which calls pause until the next probe.
     pub failures: u32,
     /// First and longest pause before a probe call; the pause grows up to the longest while the store does
     /// not answer.
-    pub probe: (Duration, Duration),
+    pub probe_delays: (Duration, Duration),
     /// Copies that nodes send to caches; `None`: nodes send none.
     pub copies: Option<Copies>,
     /// Whether concurrent fetches of one key are coalesced into one query.
-    pub shares: bool,
+    pub coalesces_fetches: bool,
 }
 
 impl Store {
     pub(super) fn read(table: &Table<'_, '_>) -> Store {
-        let place = read_place(table);
+        let place = read_location(table);
         check_companions(table);
-        let shares = table.flag("share_fetches", true);
-        let copies = read_copies(table, shares);
+        let coalesces_fetches = table.flag("share_fetches", true);
+        let copies = read_copies(table, coalesces_fetches);
         Store {
             copies,
-            shares,
+            coalesces_fetches,
             place,
             queue: table.integer("queue", 1_024, 1..=65_536) as usize,
-            stall: milliseconds(table, "stall_ms", 500, 60_000),
+            call_timeout: milliseconds(table, "stall_ms", 500, 60_000),
             failures: table.integer("failures", 3, 1..=1_000) as u32,
-            probe: read_probe(table),
+            probe_delays: read_probe_delays(table),
         }
     }
 }
@@ -93,31 +93,36 @@
     Duration::from_millis(table.integer(key, default, 1..=most))
 }
 
-fn read_place(table: &Table<'_, '_>) -> Place {
+fn read_location(table: &Table<'_, '_>) -> StoreLocation {
     let file = table.text("sqlite").unwrap_or_default();
     let url = table.text("postgres").unwrap_or_default();
     match (table.has("sqlite"), table.has("postgres")) {
         (true, true) => {
-            table.error(table.place_of("postgres"), "only one of `sqlite` and `postgres` may be set");
+            table.error(table.span_of("postgres"), "only one of `sqlite` and `postgres` may be set");
         }
-        (false, false) => table.error(table.place(), "`sqlite` or `postgres` is missing in [store]"),
+        (false, false) => table.error(table.span(), "`sqlite` or `postgres` is missing in [store]"),
         (true, false) if file.is_empty() => {
-            table.error(table.place_of("sqlite"), "`sqlite` is to name a file");
+            table.error(table.span_of("sqlite"), "`sqlite` is to name a file");
         }
         (false, true) if !["postgres://", "postgresql://"].iter().any(|scheme| url.starts_with(scheme)) => {
             let rule = "`postgres` is to be like `postgres://user@host:5432/database`";
-            table.error(table.place_of("postgres"), rule);
+            table.error(table.span_of("postgres"), rule);
         }
         _ => {}
     }
     let readers = table.integer("readers", 2, 1..=16) as usize;
     let connections = table.integer("connections", 4, 1..=64) as usize;
     let busy = milliseconds(table, "busy_ms", 200, 10_000);
-    let here = Duration::from_micros(table.integer("quick_us", 0, 0..=100_000));
+    let inline_read_limit = Duration::from_micros(table.integer("quick_us", 0, 0..=100_000));
     if url.is_empty() {
-        Place::Sqlite { file: file.into(), readers, busy, here: (!here.is_zero()).then_some(here) }
+        StoreLocation::Sqlite {
+            file: file.into(),
+            readers,
+            busy,
+            inline_read_limit: (!inline_read_limit.is_zero()).then_some(inline_read_limit),
+        }
     } else {
-        Place::Postgres { url, connections }
+        StoreLocation::Postgres { url, connections }
     }
 }
 
@@ -127,33 +132,33 @@
         [("readers", "sqlite"), ("busy_ms", "sqlite"), ("quick_us", "sqlite"), ("connections", "postgres")];
     for (key, companion) in companions {
         if table.has(key) && !table.has(companion) {
-            table.error(table.place_of(key), format!("`{key}` goes with `{companion}`"));
+            table.error(table.span_of(key), format!("`{key}` goes with `{companion}`"));
         }
     }
 }
 
-fn read_probe(table: &Table<'_, '_>) -> (Duration, Duration) {
+fn read_probe_delays(table: &Table<'_, '_>) -> (Duration, Duration) {
     let first = milliseconds(table, "probe_ms", 250, 60_000);
     let longest = milliseconds(table, "probe_most_ms", 1_000, 60_000);
     if first > longest {
         let rule = format!("`probe_ms` is to be at most `probe_most_ms`, {}", longest.as_millis());
-        table.error(table.place_of("probe_ms"), rule);
+        table.error(table.span_of("probe_ms"), rule);
     }
     (first, longest)
 }
 
-fn read_copies(table: &Table<'_, '_>, shares: bool) -> Option<Copies> {
+fn read_copies(table: &Table<'_, '_>, coalesces_fetches: bool) -> Option<Copies> {
     let fills = table.flag("fills", false);
-    if fills && !shares {
+    if fills && !coalesces_fetches {
         let rule = "`fills = true` goes with `share_fetches = true`: what is not fenced is not filled";
-        table.error(table.place_of("share_fetches"), rule);
+        table.error(table.span_of("share_fetches"), rule);
     }
     let words = [("store", false), ("placement", true)];
     let before_receipt = table.one_of("edit_visibility", &words).unwrap_or(false);
     let lifetime = milliseconds(table, "copy_ms", 10_000, 86_400_000);
     if before_receipt && !fills {
         let rule = "`edit_visibility = \"placement\"` goes with `fills = true`";
-        table.error(table.place_of("edit_visibility"), rule);
+        table.error(table.span_of("edit_visibility"), rule);
     }
     fills.then_some(Copies { lifetime, before_receipt })
 }
--- a/crates/stonevane-config/src/table.rs
+++ b/crates/stonevane-config/src/table.rs
@@ -8,7 +8,7 @@
 use toml::de::{DeTable, DeValue};
 
 use crate::document::Errors;
-use crate::{Place, Problem, suggest};
+use crate::{Problem, Span, suggest};
 
 /// A table of a document, which is read by the subsystem that owns it.
 ///
@@ -17,15 +17,15 @@
 pub struct Table<'r, 't> {
     name: String,
     content: &'r DeTable<'t>,
-    place: Place,
+    span: Span,
     /// Keys that have been read.
     known: RefCell<Vec<String>>,
     errors: Errors,
 }
 
 impl<'r, 't> Table<'r, 't> {
-    pub(crate) fn new(name: String, content: &'r DeTable<'t>, place: Place, errors: Errors) -> Self {
-        Table { name, content, place, known: RefCell::default(), errors }
+    pub(crate) fn new(name: String, content: &'r DeTable<'t>, span: Span, errors: Errors) -> Self {
+        Table { name, content, span, known: RefCell::default(), errors }
     }
 
     /// Returns the table's name in the document, empty for the top-level table.
@@ -33,26 +33,26 @@
         &self.name
     }
 
-    /// Returns the table's place in the document.
-    pub fn place(&self) -> Place {
-        self.place.clone()
+    /// Returns the table's span in the document.
+    pub fn span(&self) -> Span {
+        self.span.clone()
     }
 
-    /// Reports an error at a place.
-    pub fn error(&self, place: Place, problem: impl Into<Problem>) {
-        self.errors.push(place, problem.into());
+    /// Reports an error at a span.
+    pub fn error(&self, span: Span, problem: impl Into<Problem>) {
+        self.errors.push(span, problem.into());
     }
 
     /// Reports that a key is missing.
     pub fn missing(&self, key: &str) {
-        self.error(self.place(), Problem::MissingKey { key: key.to_owned(), section: self.section_title() });
+        self.error(self.span(), Problem::MissingKey { key: key.to_owned(), section: self.section_title() });
     }
 
     /// Reports that a key's value is not one of the accepted words.
-    pub fn unknown_word(&self, key: &str, word: &str, known: &[&str]) {
+    pub fn unknown_value(&self, key: &str, word: &str, known: &[&str]) {
         let hint = suggest(word, known);
-        let problem = Problem::UnknownWord { key: key.to_owned(), word: word.to_owned(), hint };
-        self.error(self.place_of(key), problem);
+        let problem = Problem::UnknownValue { key: key.to_owned(), word: word.to_owned(), hint };
+        self.error(self.span_of(key), problem);
     }
 
     fn get(&self, key: &str) -> Option<&'r Spanned<DeValue<'t>>> {
@@ -72,23 +72,23 @@
     fn check_bounds<T: PartialOrd + Display>(
         &self,
         key: &str,
-        place: Place,
+        span: Span,
         number: Option<T>,
         bounds: &RangeInclusive<T>,
     ) -> Option<T> {
         let number = number.filter(|number| bounds.contains(number));
         if number.is_none() {
             let (least, most) = (bounds.start().to_string(), bounds.end().to_string());
-            self.error(place, Problem::OutOfBounds { key: key.to_owned(), least, most });
+            self.error(span, Problem::OutOfBounds { key: key.to_owned(), least, most });
         }
         number
     }
 
     /// Returns the keys of the table in the order of the text, and marks all of them as known.
-    pub fn keys(&self) -> Vec<(String, Place)> {
+    pub fn keys(&self) -> Vec<(String, Span)> {
         let keys = self.content.iter().map(|(key, _)| (key.get_ref().to_string(), key.span()));
-        let mut keys: Vec<(String, Place)> = keys.collect();
-        keys.sort_by_key(|(_, place)| place.start);
+        let mut keys: Vec<(String, Span)> = keys.collect();
+        keys.sort_by_key(|(_, span)| span.start);
         self.known.borrow_mut().extend(keys.iter().map(|(key, _)| key.clone()));
         keys
     }
@@ -98,9 +98,9 @@
         self.get(key).is_some()
     }
 
-    /// Returns the place of a key's value, or of the table if the key is absent.
-    pub fn place_of(&self, key: &str) -> Place {
-        self.get(key).map_or(self.place(), Spanned::span)
+    /// Returns the span of a key's value, or of the table if the key is absent.
+    pub fn span_of(&self, key: &str) -> Span {
+        self.get(key).map_or(self.span(), Spanned::span)
     }
 
     /// Reads an integer within bounds; `default` if the key is absent.
@@ -179,13 +179,13 @@
         let found = words.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
         if found.is_none() {
             let known: Vec<_> = words.iter().map(|(word, _)| *word).collect();
-            self.unknown_word(key, &text, &known);
+            self.unknown_value(key, &text, &known);
         }
         found
     }
 
-    /// Reads a list of strings, each with its place; empty if the key is absent.
-    pub fn texts(&self, key: &str) -> Vec<(String, Place)> {
+    /// Reads a list of strings, each with its span; empty if the key is absent.
+    pub fn texts(&self, key: &str) -> Vec<(String, Span)> {
         let Some(value) = self.get(key) else { return Vec::new() };
         let DeValue::Array(items) = value.get_ref() else {
             return self.wrong_type(key, value, "a list of texts").unwrap_or_default();
@@ -197,10 +197,10 @@
         items.iter().filter_map(text).collect()
     }
 
-    /// Reads a list of strings or a single string, each with its place; empty if the key is absent.
-    pub fn texts_or_text(&self, key: &str) -> Vec<(String, Place)> {
+    /// Reads a list of strings or a single string, each with its span; empty if the key is absent.
+    pub fn texts_or_text(&self, key: &str) -> Vec<(String, Span)> {
         match self.get(key).map(|value| (value.get_ref(), value.span())) {
-            Some((DeValue::String(text), place)) => vec![(text.to_string(), place)],
+            Some((DeValue::String(text), span)) => vec![(text.to_string(), span)],
             _ => self.texts(key),
         }
     }
@@ -227,9 +227,9 @@
         items.iter().filter_map(table).collect()
     }
 
-    fn nested(&self, key: &str, content: &'r DeTable<'t>, place: Place) -> Table<'r, 't> {
+    fn nested(&self, key: &str, content: &'r DeTable<'t>, span: Span) -> Table<'r, 't> {
         let name = if self.name.is_empty() { key.to_owned() } else { format!("{}.{key}", self.name) };
-        Table::new(name, content, place, self.errors.clone())
+        Table::new(name, content, span, self.errors.clone())
     }
 
     fn section_title(&self) -> String {
--- a/crates/stonevane-config/tests/faults.rs
+++ b/crates/stonevane-config/tests/faults.rs
@@ -68,13 +68,13 @@
         zones: zones.iter().map(std::string::ToString::to_string).collect(),
     };
     let others = vec![region("south", &["a", "b"])];
-    assert_eq!(regions, Regions { home: region("north", &["c"]), others, nodes: 643, least: 2 });
+    assert_eq!(regions, Regions { home: region("north", &["c"]), others, nodes: 643, min_usable: 2 });
     // The section in the shipped file, uncommented.
     let shipped = include_str!("../../../deploy/operator.toml");
     let offered: Vec<_> = shipped.lines().skip_while(|line| *line != "## [regions]").collect();
     let offered = offered.iter().filter_map(|line| line.strip_prefix("## ")).collect::<Vec<_>>().join("\n");
     let offered = Operator::parse(&offered).unwrap().regions.unwrap();
-    assert_eq!((offered.home, offered.least), (region("south", &["a", "b"]), regions.least));
+    assert_eq!((offered.home, offered.min_usable), (region("south", &["a", "b"]), regions.min_usable));
 }
 
 #[test]
@@ -133,7 +133,7 @@
 fn set_values_replace_the_defaults() {
     let set = Operator::parse("[servers]\nrest_ms = 0x10\n").unwrap();
     assert_eq!(set.servers, Servers { rest: std::time::Duration::from_millis(16) });
-    let start = |text: &str| Operator::parse(text).map(|operator| operator.start.each);
+    let start = |text: &str| Operator::parse(text).map(|operator| operator.start.attempts_per_server);
     assert_eq!(start(""), Ok(8.0));
     assert_eq!(start("[start]\neach = 2.5\n"), Ok(2.5));
     assert_eq!(start("[start]\neach = 2.5\nramp = false\n"), Ok(0.0));
--- a/crates/stonevane-core/src/clients/mod.rs
+++ b/crates/stonevane-core/src/clients/mod.rs
@@ -37,10 +37,10 @@
     fn from(configured: &operator::Clients) -> ClientTimeouts {
         let micros = |time: std::time::Duration| time.as_micros() as Micros;
         ClientTimeouts {
-            first_command: micros(configured.first),
-            command: micros(configured.whole),
-            write: micros(configured.written),
-            evictable_idle: micros(configured.spare),
+            first_command: micros(configured.first_command),
+            command: micros(configured.command),
+            write: micros(configured.write),
+            evictable_idle: micros(configured.evictable_idle),
             idle: micros(configured.idle),
         }
     }
--- a/crates/stonevane-core/src/subset.rs
+++ b/crates/stonevane-core/src/subset.rs
@@ -84,7 +84,7 @@
         let others = regions.others.into_iter().map(region).collect();
         EndpointSubset {
             home: regions.home.name.clone(),
-            selector: RegionSelector::new(region(regions.home), others, regions.least, node),
+            selector: RegionSelector::new(region(regions.home), others, regions.min_usable, node),
             home_nodes: regions.nodes,
             entries: HashMap::new(),
             cache_weight: 0.0,
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -34,12 +34,17 @@
     caches.map(|(port, zone)| endpoint(port, zone, "active")).into()
 }
 
-fn regions(least: usize) -> Regions {
+fn regions(min_usable: usize) -> Regions {
     let region = |name: &str, zones: &[&str]| Region {
         name: name.into(),
         zones: zones.iter().map(std::string::ToString::to_string).collect(),
     };
-    Regions { home: region("south", &["a", "b"]), others: vec![region("north", &["c"])], nodes: 2, least }
+    Regions {
+        home: region("south", &["a", "b"]),
+        others: vec![region("north", &["c"])],
+        nodes: 2,
+        min_usable,
+    }
 }
 
 /// A core whose servers accept connections at once and reply when the test makes them.
--- a/crates/stonevane-experiment/src/matrix/read.rs
+++ b/crates/stonevane-experiment/src/matrix/read.rs
@@ -44,7 +44,7 @@
     let search = root.table("search").map(read_search);
     if search.is_some() && root.has("loads") {
         root.error(
-            root.place_of("loads"),
+            root.span_of("loads"),
             "`loads` can't be combined with [search], which determines the loads",
         );
     }
@@ -52,7 +52,7 @@
     let experiment = Experiment { name, scenarios, digest, seeds, nodes, loads, short, operators, search };
     let runs = experiment.settings().len().saturating_mul(experiment.seeds.len());
     if runs > MAX_RUNS {
-        root.error(root.place(), format!("the experiment has {runs} runs; at most {MAX_RUNS} are accepted"));
+        root.error(root.span(), format!("the experiment has {runs} runs; at most {MAX_RUNS} are accepted"));
     }
     root.finish();
     let errors = document.errors();
@@ -63,7 +63,7 @@
 fn non_empty<T>(root: &Table<'_, '_>, key: &str, mut list: Vec<T>, default: T) -> Vec<T> {
     if list.is_empty() {
         if root.has(key) {
-            root.error(root.place_of(key), format!("an empty matrix: `{key}` has no values"));
+            root.error(root.span_of(key), format!("an empty matrix: `{key}` has no values"));
         }
         list.push(default);
     }
@@ -75,16 +75,16 @@
     let (mut scenarios, mut texts) = (Vec::new(), String::new());
     let names = root.texts("scenarios");
     if names.is_empty() {
-        root.error(root.place_of("scenarios"), "an empty matrix: `scenarios` has no values");
+        root.error(root.span_of("scenarios"), "an empty matrix: `scenarios` has no values");
     }
-    for (name, place) in names {
+    for (name, span) in names {
         match read_scenario(&name, find) {
             Ok((scenario, text)) => {
                 texts.push_str(&text);
                 let file_text = BuiltInScenario::find(&name).is_none().then_some(text);
                 scenarios.push(NamedScenario { name, scenario, file_text });
             }
-            Err(error) => root.error(place, error.to_string()),
+            Err(error) => root.error(span, error.to_string()),
         }
     }
     (scenarios, digest(texts.as_bytes()))
@@ -112,7 +112,7 @@
         && let Err(errors) = Operator::parse(&text)
     {
         for error in errors {
-            table.error(table.place_of("text"), format!("the operator file `{name}`: {error}"));
+            table.error(table.span_of("text"), format!("the operator file `{name}`: {error}"));
         }
     }
     table.finish();
@@ -121,17 +121,17 @@
 
 fn read_search(table: Table<'_, '_>) -> Search {
     let mut expects = Vec::new();
-    for (line, place) in table.texts("expect") {
+    for (line, span) in table.texts("expect") {
         match Expectation::parse(&line) {
             Ok(expectation) => expects.push(expectation),
-            Err(error) => table.error(place, error.to_string()),
+            Err(error) => table.error(span, error.to_string()),
         }
     }
     let least = table.number("least", 0.25, 0.01..=100.0);
     let most = table.number("most", 4.0, 0.01..=100.0);
     let within = table.number("within", 0.1, 0.001..=10.0);
     if least >= most {
-        table.error(table.place_of("least"), "`least` must be less than `most`");
+        table.error(table.span_of("least"), "`least` must be less than `most`");
     }
     table.finish();
     Search { expects, least, most, within }
--- a/crates/stonevane-lab/src/scenario/read.rs
+++ b/crates/stonevane-lab/src/scenario/read.rs
@@ -185,9 +185,9 @@
 
 fn read_version_1_nodes(table: &Table<'_, '_>) -> NodeSelector {
     let words = table.texts_or_text("speak_first");
-    for (word, place) in &words {
+    for (word, span) in &words {
         if !NodeSelector::is_word(word) {
-            table.error(place.clone(), format!("`{word}` does not select nodes: `speak_first` takes `nodes`, `first-half`, `second-half` or `every-N`"));
+            table.error(span.clone(), format!("`{word}` does not select nodes: `speak_first` takes `nodes`, `first-half`, `second-half` or `every-N`"));
         }
     }
     NodeSelector(words.into_iter().map(|(word, _)| word).collect())
@@ -198,7 +198,7 @@
     let mutant = Mutant::named(&name);
     if mutant.is_none() {
         let names: Vec<&str> = Mutant::ALL.iter().map(|(_, name, _)| *name).collect();
-        table.unknown_word("crooked", &name, &names);
+        table.unknown_value("crooked", &name, &names);
     }
     mutant
 }
@@ -276,10 +276,10 @@
 
 fn read_expectations(root: &Table<'_, '_>, key: &str) -> Vec<Expectation> {
     let mut expectations = Vec::new();
-    for (line, place) in root.texts(key) {
+    for (line, span) in root.texts(key) {
         match Expectation::parse(&line) {
             Ok(expectation) => expectations.push(expectation),
-            Err(error) => root.error(place, error.to_string()),
+            Err(error) => root.error(span, error.to_string()),
         }
     }
     expectations
--- a/crates/stonevane-lab/src/scenario/read_step.rs
+++ b/crates/stonevane-lab/src/scenario/read_step.rs
@@ -161,9 +161,9 @@
         let known: Vec<&str> = self.nodes.iter().chain(&self.servers).map(String::as_str).collect();
         let group = |key| {
             let mut group = Vec::new();
-            for (name, place) in self.table.texts(key) {
+            for (name, span) in self.table.texts(key) {
                 if !known.contains(&name.as_str()) {
-                    self.table.error(place, format!("there is no `{name}`{}", suggest(&name, &known)));
+                    self.table.error(span, format!("there is no `{name}`{}", suggest(&name, &known)));
                 }
                 group.push(name);
             }
@@ -177,7 +177,7 @@
             let known: Vec<_> =
                 PgFault::ALL.iter().map(|fault| format!("{STORE_PREFIX}{}", fault.name())).collect();
             let known: Vec<&str> = known.iter().map(String::as_str).collect();
-            self.unknown_word(word, &known);
+            self.unknown_value(word, &known);
             return None;
         };
         let delay_ms = |default| self.table.integer("by_ms", default, 1..=MAX_DELAY_MS);
@@ -196,12 +196,12 @@
 
     fn unknown_action(&self, word: &str) -> Option<Action> {
         let known: Vec<_> = Fault::ALL.iter().map(|fault| fault.name()).chain(ACTIONS).collect();
-        self.unknown_word(word, &known);
+        self.unknown_value(word, &known);
         None
     }
 
-    fn unknown_word(&self, word: &str, known: &[&str]) {
-        self.table.unknown_word("do", word, known);
+    fn unknown_value(&self, word: &str, known: &[&str]) {
+        self.table.unknown_value("do", word, known);
     }
 
     /// Returns the index in `names` of the name under a key. Reports an unknown name; `None` if it is unknown
@@ -212,7 +212,7 @@
         let found = names.iter().position(|known| *known == name);
         if found.is_none() {
             let what = format!("there is no `{name}`{}", suggest(&name, &names));
-            self.table.error(self.table.place_of(key), what);
+            self.table.error(self.table.span_of(key), what);
         }
         found
     }
@@ -255,9 +255,9 @@
         let known: Vec<&str> = known.collect();
         let mut all_known = true;
         let listed = self.table.texts_or_text(key);
-        for (name, place) in &listed {
+        for (name, span) in &listed {
             if !NodeSelector::is_word(name) && !known.contains(&name.as_str()) {
-                self.table.error(place.clone(), format!("there is no `{name}`{}", suggest(name, &known)));
+                self.table.error(span.clone(), format!("there is no `{name}`{}", suggest(name, &known)));
                 all_known = false;
             }
         }
--- a/crates/stonevane-node/src/cli.rs
+++ b/crates/stonevane-node/src/cli.rs
@@ -58,7 +58,7 @@
     #[error("{} errors in the peers of [fleet]", .0.len())]
     Peers(Vec<PeersError>),
     #[error("cannot open the store {place}: {source}")]
-    Store { place: operator::Place, source: StoreError },
+    Store { place: operator::StoreLocation, source: StoreError },
     #[error("cannot listen on {address}: {source}")]
     Listen { address: SocketAddr, source: Error },
 }
--- a/crates/stonevane-node/src/process.rs
+++ b/crates/stonevane-node/src/process.rs
@@ -112,7 +112,7 @@
     let mut deployment = config.deployment;
     // A process that takes over from another receives its clients gradually and needs no start-up limit.
     deployment.settings.startup_attempts_per_server =
-        if inherits_listener { 0.0 } else { config.operator.start.each };
+        if inherits_listener { 0.0 } else { config.operator.start.attempts_per_server };
     deployment.settings.coalesce_fetches = store.is_some_and(OriginStore::coalesces_fetches);
     CoreConfig {
         deployment,
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -51,7 +51,7 @@
     /// # Errors
     /// The store cannot be opened.
     pub fn open(config: &operator::Store, seed: u64) -> Result<OriginStore, StoreError> {
-        let (shortest, longest) = config.probe;
+        let (shortest, longest) = config.probe_delays;
         let breaker = breaker::Limits {
             failures: config.failures,
             shortest: to_micros(shortest),
@@ -60,13 +60,13 @@
         };
         Ok(OriginStore(Arc::new(Inner {
             store: open_backend(config, seed)?,
-            call_timeout: config.stall,
+            call_timeout: config.call_timeout,
             fetches: Mutex::new(FetchTable::new()),
             breaker: CircuitBreaker::new(breaker, seed),
             counters: Counters::default(),
             own_edits: Mutex::default(),
             on_unavailable: OnceLock::new(),
-            coalesces_fetches: config.shares,
+            coalesces_fetches: config.coalesces_fetches,
             cache_updater: OnceLock::new(),
             copies: config.copies,
         })))
@@ -118,8 +118,9 @@
 
 fn open_backend(config: &operator::Store, seed: u64) -> Result<Box<dyn Store>, StoreError> {
     match &config.place {
-        operator::Place::Sqlite { file, readers, busy, here } => {
-            let inline = here.map(|slow| quick::Limits { slow: to_micros(slow), ..quick::Limits::default() });
+        operator::StoreLocation::Sqlite { file, readers, busy, inline_read_limit } => {
+            let inline = inline_read_limit
+                .map(|slow| quick::Limits { slow: to_micros(slow), ..quick::Limits::default() });
             let options = sqlite::Options {
                 readers: *readers,
                 queue: config.queue,
@@ -129,11 +130,11 @@
             };
             Ok(Box::new(Sqlite::open(file, &options)?))
         }
-        operator::Place::Postgres { url, connections } => {
+        operator::StoreLocation::Postgres { url, connections } => {
             let options = postgres::Options {
                 connections: *connections,
                 queue: config.queue,
-                stall: config.stall,
+                stall: config.call_timeout,
                 seed,
                 ..postgres::Options::default()
             };
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -49,11 +49,11 @@
         let fleet = operator.fleet.ok_or(PlanError::NoMembership)?;
         Ok(Membership {
             period: fleet.period.as_micros() as Micros,
-            answer: fleet.answer.as_micros() as Micros,
+            answer: fleet.probe_timeout.as_micros() as Micros,
             indirect: fleet.indirect,
             suspicion: fleet.suspicion,
-            heeds_health: fleet.heeds_health,
-            speaks: fleet.speaks,
+            heeds_health: fleet.uses_local_health,
+            speaks: fleet.max_version,
         })
     }
 }
