--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -200,7 +200,7 @@
         let key = format!("{:016x}", 1 + self.rng.rand_range(0..keys));
         let id = format!("{:x}", self.counters.requests);
         let arguments: [&[u8]; 4] = [b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=1900"];
-        self.feed(Input::Bytes(client, &resp::command(&arguments)));
+        self.feed(Input::Bytes(client, &resp::encode_command(&arguments)));
     }
 
     /// Passes a response to the core from an offset on, as far as the read budget of the core allows.
--- a/crates/stonevane-capacity/src/roles/server_list.rs
+++ b/crates/stonevane-capacity/src/roles/server_list.rs
@@ -5,7 +5,7 @@
 //! module. Sockets are not included.
 
 use bytes::BytesMut;
-use stonevane_codec::http::{self, Chunks};
+use stonevane_codec::http::{self, ChunkedDecoder};
 use stonevane_codec::lines::ObjectReader;
 use stonevane_core::{Core, EndpointList, Input, Outputs};
 
@@ -43,7 +43,7 @@
 struct Watch {
     raw: BytesMut,
     body: BytesMut,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     objects: ObjectReader,
     head_read: bool,
 }
@@ -56,7 +56,9 @@
         };
         self.raw.extend_from_slice(bytes);
         if !self.head_read {
-            let Some(head) = http::head(&self.raw).map_err(|_| unexpected())? else { return Ok(None) };
+            let Some(head) = http::response_head(&self.raw).map_err(|_| unexpected())? else {
+                return Ok(None);
+            };
             let _ = self.raw.split_to(head.length);
             self.head_read = true;
         }
--- a/crates/stonevane-codec/src/http.rs
+++ b/crates/stonevane-codec/src/http.rs
@@ -15,7 +15,7 @@
 
 /// The head of a response.
 #[derive(Debug, Default, PartialEq)]
-pub struct Head {
+pub struct ResponseHead {
     /// Length of the head, in bytes, including the empty line after it.
     pub length: usize,
     /// Status code; 0 if the parser gives none.
@@ -39,13 +39,13 @@
 /// # Errors
 /// [`Malformed`] if the input is not a response head, if the head is too long, or if it states the length of
 /// its body in two ways (RFC 9112, 6.3).
-pub fn head(buffer: &[u8]) -> Result<Option<Head>, Malformed> {
+pub fn response_head(buffer: &[u8]) -> Result<Option<ResponseHead>, Malformed> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
     let Some(length) = head_length(response.parse(buffer), buffer)? else { return Ok(None) };
     let status = response.code.unwrap_or(0);
     let is_http_1_0 = response.version == Some(0);
-    let mut head = Head { length, status, close: is_http_1_0, ..Head::default() };
+    let mut head = ResponseHead { length, status, close: is_http_1_0, ..ResponseHead::default() };
     for header in &*response.headers {
         let value = std::str::from_utf8(header.value).unwrap_or("").trim();
         match header.name.to_ascii_lowercase().as_str() {
@@ -141,7 +141,7 @@
 
 /// Incremental decoder of a chunked body.
 #[derive(Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     /// Bytes of the current chunk that have not been received.
     remaining: usize,
     /// Whether the line end after a chunk's content is the next input.
@@ -149,7 +149,7 @@
     ended: bool,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Moves the received content of the body from `from` to `to`. Returns `true` at the end of the body.
     ///
     /// # Errors
--- a/crates/stonevane-codec/src/resp.rs
+++ b/crates/stonevane-codec/src/resp.rs
@@ -9,7 +9,7 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 /// Maximum length of a value or other argument of a command, in bytes.
-pub const MAX_VALUE: usize = 64 * 1024;
+pub const MAX_ARG_BYTES: usize = 64 * 1024;
 /// Maximum number of arguments of a command, and of elements of an array in a reply.
 const MAX_ARRAY_ITEMS: usize = 16;
 /// Length up to which the arguments of a command are copied into one shared allocation, in bytes.
@@ -33,17 +33,17 @@
 
 /// A reply, or an element of an array in one.
 #[derive(Debug, PartialEq, Clone)]
-pub enum Value {
+pub enum Reply {
     /// A bulk string; `None` for null.
     Bulk(Option<Bytes>),
     /// An array; a null array is decoded as an empty one.
-    Array(Vec<Value>),
+    Array(Vec<Reply>),
     /// A simple string.
-    Line(Bytes),
+    SimpleString(Bytes),
     /// An error.
     Error(Bytes),
     /// An integer.
-    Number(i64),
+    Integer(i64),
 }
 
 /// Removes one complete command, an array of bulk strings, from the front of the buffer. Returns its
@@ -52,7 +52,7 @@
 /// # Errors
 /// [`Malformed`] if the input is not a command or exceeds a limit.
 pub fn take_command(buffer: &mut BytesMut) -> Result<Option<Vec<Bytes>>, Malformed> {
-    let mut scanner = Scanner::new(buffer, MAX_VALUE);
+    let mut scanner = Scanner::new(buffer, MAX_ARG_BYTES);
     let mut args = [Span::default(); MAX_ARRAY_ITEMS];
     let Some(count) = scanner.command(&mut args)? else { return Ok(None) };
     let end = scanner.position;
@@ -73,17 +73,17 @@
 ///
 /// # Errors
 /// [`Malformed`] if the input is not a reply or exceeds a limit.
-pub fn take_value(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Value>, Malformed> {
+pub fn take_reply(buffer: &mut BytesMut, max_bulk_bytes: usize) -> Result<Option<Reply>, Malformed> {
     let mut scanner = Scanner::new(buffer, max_bulk_bytes);
-    let Some(value) = scanner.value(0)? else { return Ok(None) };
+    let Some(reply) = scanner.reply(0)? else { return Ok(None) };
     let end = scanner.position;
     let _ = buffer.split_to(end);
-    Ok(Some(value))
+    Ok(Some(reply))
 }
 
 /// Returns the length, in bytes, that a reply states for the bulk string at the start of its array; `None` if
 /// that is incomplete, null or of another type.
-pub fn stated_length(buffer: &[u8]) -> Option<usize> {
+pub fn value_length(buffer: &[u8]) -> Option<usize> {
     let mut scanner = Scanner::new(buffer, usize::MAX);
     scanner.length(b'*', MAX_ARRAY_ITEMS).ok()??;
     scanner.length(b'$', usize::MAX).ok()??.stated()
@@ -91,7 +91,7 @@
 
 /// Position of the value of a served reply in a buffer.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
-pub struct ValueHead {
+pub struct ValuePosition {
     /// Offset of its first byte.
     pub start: usize,
     /// Stated length, in bytes; the buffer may hold less.
@@ -100,11 +100,11 @@
 
 /// Returns the position of the value of a served reply, which is an array of three elements that begins with
 /// a bulk string. Returns `None` while the lines before the value are incomplete, and for any other reply.
-pub fn value_head(buffer: &[u8]) -> Option<ValueHead> {
+pub fn served_value_position(buffer: &[u8]) -> Option<ValuePosition> {
     let mut scanner = Scanner::new(buffer, usize::MAX);
     let count = scanner.length(b'*', MAX_ARRAY_ITEMS).ok()??.stated()?;
     let length = scanner.length(b'$', usize::MAX).ok()??.stated()?;
-    (count == SERVED_REPLY_ITEMS).then_some(ValueHead { start: scanner.position, length })
+    (count == SERVED_REPLY_ITEMS).then_some(ValuePosition { start: scanner.position, length })
 }
 
 /// Returns the length, in bytes, of the rest of a served reply, where `buffer` starts directly after the
@@ -112,7 +112,7 @@
 ///
 /// # Errors
 /// [`Malformed`] if the input is not the rest of a served reply.
-pub fn reply_end(buffer: &[u8], max_bulk_bytes: usize) -> Result<Option<usize>, Malformed> {
+pub fn served_reply_rest_length(buffer: &[u8], max_bulk_bytes: usize) -> Result<Option<usize>, Malformed> {
     let mut scanner = Scanner::new(buffer, max_bulk_bytes);
     match buffer.get(..2) {
         None => return Ok(None),
@@ -235,12 +235,12 @@
         Ok(Some(count))
     }
 
-    fn value(&mut self, depth: u8) -> Result<Option<Value>, Malformed> {
+    fn reply(&mut self, depth: u8) -> Result<Option<Reply>, Malformed> {
         let Some(type_byte) = self.bytes.get(self.position) else { return Ok(None) };
         match type_byte {
-            b'$' => Ok(self.bulk()?.map(|bulk| Value::Bulk(self.copy(bulk)))),
+            b'$' => Ok(self.bulk()?.map(|bulk| Reply::Bulk(self.copy(bulk)))),
             b'*' if depth < MAX_DEPTH => self.array(depth),
-            b'+' | b'-' | b':' => self.line_value(*type_byte),
+            b'+' | b'-' | b':' => self.line_reply(*type_byte),
             _ => Err(Malformed("unexpected type")),
         }
     }
@@ -252,28 +252,28 @@
         }
     }
 
-    fn array(&mut self, depth: u8) -> Result<Option<Value>, Malformed> {
+    fn array(&mut self, depth: u8) -> Result<Option<Reply>, Malformed> {
         let Some(length) = self.length(b'*', MAX_ARRAY_ITEMS)? else { return Ok(None) };
         let count = length.stated().unwrap_or(0);
         let mut items = Vec::with_capacity(count.min(MAX_INITIAL_CAPACITY));
         for _ in 0..count {
-            match self.value(depth + 1)? {
+            match self.reply(depth + 1)? {
                 None => return Ok(None),
                 Some(item) => items.push(item),
             }
         }
-        Ok(Some(Value::Array(items)))
+        Ok(Some(Reply::Array(items)))
     }
 
-    fn line_value(&mut self, type_byte: u8) -> Result<Option<Value>, Malformed> {
+    fn line_reply(&mut self, type_byte: u8) -> Result<Option<Reply>, Malformed> {
         let Some(line) = self.line(MAX_LINE_BYTES)? else { return Ok(None) };
         let text = &line[1..];
         Ok(Some(match type_byte {
-            b'+' => Value::Line(Bytes::copy_from_slice(text)),
-            b'-' => Value::Error(Bytes::copy_from_slice(text)),
+            b'+' => Reply::SimpleString(Bytes::copy_from_slice(text)),
+            b'-' => Reply::Error(Bytes::copy_from_slice(text)),
             _ => {
                 let number = std::str::from_utf8(text).ok().and_then(|text| text.parse().ok());
-                Value::Number(number.ok_or(Malformed("invalid number"))?)
+                Reply::Integer(number.ok_or(Malformed("invalid number"))?)
             }
         }))
     }
@@ -300,7 +300,7 @@
 }
 
 /// Encodes a command with its arguments, the name first.
-pub fn command(args: &[&[u8]]) -> Bytes {
+pub fn encode_command(args: &[&[u8]]) -> Bytes {
     let size = args.iter().map(|arg| arg.len() + ARG_FRAMING_BYTES).sum::<usize>() + ARG_FRAMING_BYTES;
     let mut out = BytesMut::with_capacity(size);
     put_length(&mut out, '*', args.len());
--- a/crates/stonevane-codec/src/resp/tests.rs
+++ b/crates/stonevane-codec/src/resp/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_command_is_decoded_only_once_it_is_complete() {
-    let encoded = command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
+    let encoded = encode_command(&[b"OBJ.GET", b"k", b"i", b"c=read"]);
     for cut in 0..encoded.len() {
         let mut part = BytesMut::from(&encoded[..cut]);
         assert_eq!(take_command(&mut part), Ok(None), "{cut} bytes");
@@ -38,11 +38,11 @@
 #[test]
 fn replies_are_decoded_and_deep_nesting_is_rejected() {
     let mut replies = BytesMut::from("*3\r\n$2\r\nab\r\n$-1\r\n$3\r\nhit\r\n-BUSY\r\n:7\r\n");
-    let bulk = |text: &'static str| Value::Bulk(Some(Bytes::from_static(text.as_bytes())));
-    let array = Value::Array(vec![bulk("ab"), Value::Bulk(None), bulk("hit")]);
-    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(array)));
-    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(Value::Error("BUSY".into()))));
-    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(Some(Value::Number(7))));
-    assert_eq!(take_value(&mut replies, MAX_VALUE), Ok(None));
-    assert!(take_value(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_VALUE).is_err());
+    let bulk = |text: &'static str| Reply::Bulk(Some(Bytes::from_static(text.as_bytes())));
+    let array = Reply::Array(vec![bulk("ab"), Reply::Bulk(None), bulk("hit")]);
+    assert_eq!(take_reply(&mut replies, MAX_ARG_BYTES), Ok(Some(array)));
+    assert_eq!(take_reply(&mut replies, MAX_ARG_BYTES), Ok(Some(Reply::Error("BUSY".into()))));
+    assert_eq!(take_reply(&mut replies, MAX_ARG_BYTES), Ok(Some(Reply::Integer(7))));
+    assert_eq!(take_reply(&mut replies, MAX_ARG_BYTES), Ok(None));
+    assert!(take_reply(&mut BytesMut::from(&b"*1\r\n".repeat(9000)[..]), MAX_ARG_BYTES).is_err());
 }
--- a/crates/stonevane-core/src/node/client_io.rs
+++ b/crates/stonevane-core/src/node/client_io.rs
@@ -1,6 +1,6 @@
 //! Events on client connections: input, writes, time limits, disconnects.
 
-use stonevane_codec::resp::{MAX_VALUE, Malformed};
+use stonevane_codec::resp::{MAX_ARG_BYTES, Malformed};
 
 use super::Core;
 use super::drain::Phase;
@@ -12,7 +12,7 @@
 use crate::trace::CloseReason;
 
 /// Memory reserved for a long command, in bytes: the received bytes and the value that is copied out of them.
-const LONG_COMMAND_MEMORY: usize = 2 * MAX_VALUE;
+const LONG_COMMAND_MEMORY: usize = 2 * MAX_ARG_BYTES;
 
 impl<F: Faults> Core<F> {
     pub(super) fn on_accepted(&mut self, id: ConnId) {
--- a/crates/stonevane-core/src/servers/cache.rs
+++ b/crates/stonevane-core/src/servers/cache.rs
@@ -1,7 +1,7 @@
 //! The RESP2 protocol of cache servers: encodes attempts and decodes their replies.
 
 use bytes::{Bytes, BytesMut};
-use stonevane_codec::resp::{self, Value};
+use stonevane_codec::resp;
 use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport};
 
 use crate::reply::{MalformedReply, Reply};
@@ -13,8 +13,8 @@
     let parameters = command.parameters_with_time_left(left_ms);
     let name: &[u8] = if command.write { b"OBJ.SET" } else { b"OBJ.GET" };
     match &command.value {
-        Some(value) => resp::command(&[name, &command.key, &command.id, parameters.as_bytes(), value]),
-        None => resp::command(&[name, &command.key, &command.id, parameters.as_bytes()]),
+        Some(value) => resp::encode_command(&[name, &command.key, &command.id, parameters.as_bytes(), value]),
+        None => resp::encode_command(&[name, &command.key, &command.id, parameters.as_bytes()]),
     }
 }
 
@@ -25,21 +25,22 @@
     load_names: &[String],
     max_value: usize,
 ) -> Result<Option<Reply>, MalformedReply> {
-    let Some(value) = resp::take_value(buffer, max_value).map_err(|_| MalformedReply)? else {
+    let Some(reply) = resp::take_reply(buffer, max_value).map_err(|_| MalformedReply)? else {
         return Ok(None);
     };
-    match value {
-        Value::Array(items) => decode_served(items, load_names).map(Some),
-        Value::Error(line) => decode_error(&line, load_names).map(Some),
+    match reply {
+        resp::Reply::Array(items) => decode_served(items, load_names).map(Some),
+        resp::Reply::Error(line) => decode_error(&line, load_names).map(Some),
         // Not a reply of the protocol: later bytes on the connection can't be matched to a request.
-        Value::Bulk(_) | Value::Line(_) | Value::Number(_) => Err(MalformedReply),
+        resp::Reply::Bulk(_) | resp::Reply::SimpleString(_) | resp::Reply::Integer(_) => Err(MalformedReply),
     }
 }
 
 /// Decodes an array of value, lookup result and load report. An invalid lookup result or load report is
 /// ignored, and the reply is still valid.
-fn decode_served(items: Vec<Value>, load_names: &[String]) -> Result<Reply, MalformedReply> {
-    let Ok([Value::Bulk(value), Value::Bulk(lookup), Value::Bulk(report)]) = <[Value; 3]>::try_from(items)
+fn decode_served(items: Vec<resp::Reply>, load_names: &[String]) -> Result<Reply, MalformedReply> {
+    let Ok([resp::Reply::Bulk(value), resp::Reply::Bulk(lookup), resp::Reply::Bulk(report)]) =
+        <[resp::Reply; 3]>::try_from(items)
     else {
         return Err(MalformedReply);
     };
--- a/crates/stonevane-core/src/servers/conn.rs
+++ b/crates/stonevane-core/src/servers/conn.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_codec::resp::{self, MAX_VALUE};
+use stonevane_codec::resp::{self, MAX_ARG_BYTES};
 use stonevane_policy::{Micros, ServerId};
 
 use super::{cache, origin};
@@ -111,7 +111,7 @@
 
 /// Position and length of a value in the bytes of a reply.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ValueHead {
+pub(super) struct ValuePosition {
     /// Offset of the value's first byte.
     pub start: usize,
     /// Stated length of the value, in bytes.
@@ -217,10 +217,10 @@
     }
 
     fn decode(&mut self, now: Micros, options: &DecodeOptions<'_>) -> ReadOutcome {
-        if let Some(head) = self.long_value_head() {
+        if let Some(position) = self.long_value_position() {
             return match self.reservation {
-                _ if head.length > MAX_STREAMED_VALUE_BYTES => ReadOutcome::Malformed,
-                Some(_) => ReadOutcome::StreamBegins(head.length),
+                _ if position.length > MAX_STREAMED_VALUE_BYTES => ReadOutcome::Malformed,
+                Some(_) => ReadOutcome::StreamBegins(position.length),
                 None => ReadOutcome::Incomplete,
             };
         }
@@ -251,29 +251,29 @@
         Reply { reusable, ..reply }
     }
 
-    /// Returns the head of a value that is too long to be buffered; `None` if it is shorter or not known yet.
-    fn long_value_head(&self) -> Option<ValueHead> {
-        let head = match self.protocol {
-            Protocol::Origin => origin::value_head(&self.buffer),
-            Protocol::Cache => resp::value_head(&self.buffer).map(|head| ValueHead {
-                start: head.start,
-                length: head.length,
+    /// Returns the position of a value that is too long to be buffered; `None` if it is shorter or not known yet.
+    fn long_value_position(&self) -> Option<ValuePosition> {
+        let position = match self.protocol {
+            Protocol::Origin => origin::served_value_position(&self.buffer),
+            Protocol::Cache => resp::served_value_position(&self.buffer).map(|position| ValuePosition {
+                start: position.start,
+                length: position.length,
                 reusable: true,
             }),
             Protocol::Store => None,
         };
-        head.filter(|head| head.length > MAX_VALUE)
+        position.filter(|position| position.length > MAX_ARG_BYTES)
     }
 
     /// Begins to stream the value to a client, and returns the memory reservation of its buffer there.
     pub fn begin_stream(&mut self, target: StreamTarget) -> Option<MemoryReservation> {
-        let head = self.long_value_head()?;
-        let _ = self.buffer.split_to(head.start);
+        let position = self.long_value_position()?;
+        let _ = self.buffer.split_to(position.start);
         self.state = ConnState::Streaming;
         self.stream_target = Some(target);
         self.attempt = None;
-        self.stream_remaining = head.length;
-        self.reusable_after_stream = head.reusable;
+        self.stream_remaining = position.length;
+        self.reusable_after_stream = position.reusable;
         self.reservation.take()
     }
 
@@ -287,7 +287,7 @@
             return StreamPiece { bytes, is_last: false, reply_end: None };
         }
         let ends_cleanly = match self.protocol {
-            Protocol::Cache => match resp::reply_end(&self.buffer, max_value) {
+            Protocol::Cache => match resp::served_reply_rest_length(&self.buffer, max_value) {
                 Ok(None) => None,
                 Ok(Some(end)) => Some(end == self.buffer.len()),
                 // The value is still complete.
@@ -309,7 +309,7 @@
     /// replies together stay within the memory budget. The caller queues the connection for it; from then on
     /// it counts as queued.
     pub fn must_queue_for_memory(&mut self, max_value: usize) -> Option<usize> {
-        let streams = self.long_value_head().is_some();
+        let streams = self.long_value_position().is_some();
         let fits_chunk = self.buffer.len() <= READ_CHUNK_BYTES && !streams;
         if fits_chunk || self.reservation.is_some() || self.awaits_memory {
             return None;
@@ -324,7 +324,7 @@
         self.reservation = Some(reservation);
         self.awaits_memory = false;
         self.deadline = Some(deadline);
-        if self.long_value_head().is_some() {
+        if self.long_value_position().is_some() {
             return;
         }
         let length = self.buffered_length(max_value);
@@ -334,9 +334,9 @@
     /// Returns the number of bytes to buffer for a reply, from its stated length.
     fn buffered_length(&self, max_value: usize) -> usize {
         let stated = match self.protocol {
-            Protocol::Origin => origin::stated_length(&self.buffer),
-            Protocol::Cache | Protocol::Store => resp::stated_length(&self.buffer),
+            Protocol::Origin => origin::value_length(&self.buffer),
+            Protocol::Cache | Protocol::Store => resp::value_length(&self.buffer),
         };
-        stated.unwrap_or(0).clamp(MAX_VALUE, max_value.max(MAX_VALUE))
+        stated.unwrap_or(0).clamp(MAX_ARG_BYTES, max_value.max(MAX_ARG_BYTES))
     }
 }
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -1,11 +1,11 @@
 //! The HTTP/1.1 protocol of the origin: encodes attempts and decodes their replies.
 
 use bytes::{BufMut, Bytes, BytesMut};
-use stonevane_codec::http::{self, Chunks, Head};
+use stonevane_codec::http::{self, ChunkedDecoder, ResponseHead};
 use stonevane_policy::AttemptStatus;
 
 use super::cache;
-use super::conn::ValueHead;
+use super::conn::ValuePosition;
 use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
@@ -63,10 +63,10 @@
 /// Finds the head of the final response, and the length of the interim responses ahead of it. These stay in
 /// the buffer until the final head has arrived, so that each call counts all of them: a server could send
 /// them endlessly.
-fn final_head(buffer: &[u8]) -> Result<Option<(usize, Head)>, MalformedReply> {
+fn final_head(buffer: &[u8]) -> Result<Option<(usize, ResponseHead)>, MalformedReply> {
     let mut interim_length = 0;
     for _ in 0..=MAX_INTERIM_RESPONSES {
-        let head = http::head(&buffer[interim_length..]).map_err(|_| MalformedReply)?;
+        let head = http::response_head(&buffer[interim_length..]).map_err(|_| MalformedReply)?;
         let Some(head) = head else { return Ok(None) };
         match head.status {
             100 | 102..200 => interim_length += head.length,
@@ -91,7 +91,7 @@
 ) -> Result<Option<Body>, MalformedReply> {
     let mut rest = BytesMut::from(&buffer[start..]);
     let mut value = BytesMut::new();
-    let complete = Chunks::default().take(&mut rest, &mut value).map_err(|_| MalformedReply)?;
+    let complete = ChunkedDecoder::default().take(&mut rest, &mut value).map_err(|_| MalformedReply)?;
     if !complete {
         let too_long = rest.len() + value.len() > 2 * max_value;
         return if too_long { Err(MalformedReply) } else { Ok(None) };
@@ -107,7 +107,7 @@
 fn take_sized_body(
     buffer: &mut BytesMut,
     start: usize,
-    head: &Head,
+    head: &ResponseHead,
     max_value: usize,
 ) -> Result<Option<Body>, MalformedReply> {
     let length = match head.content_length {
@@ -126,13 +126,13 @@
 
 /// Returns the position of a served reply's value; `None` while the head is incomplete or if no length is
 /// stated.
-pub(super) fn value_head(buffer: &[u8]) -> Option<ValueHead> {
-    let head = http::head(buffer).ok()??;
+pub(super) fn served_value_position(buffer: &[u8]) -> Option<ValuePosition> {
+    let head = http::response_head(buffer).ok()??;
     let length = head.content_length.filter(|_| head.status == 200 && !head.chunked)?;
-    Some(ValueHead { start: head.length, length, reusable: !head.close })
+    Some(ValuePosition { start: head.length, length, reusable: !head.close })
 }
 
 /// Returns the stated length of a reply's value, in bytes, once the head has arrived.
-pub(super) fn stated_length(buffer: &[u8]) -> Option<usize> {
-    http::head(buffer).ok().flatten().and_then(|head| head.content_length)
+pub(super) fn value_length(buffer: &[u8]) -> Option<usize> {
+    http::response_head(buffer).ok().flatten().and_then(|head| head.content_length)
 }
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -101,5 +101,5 @@
 
 /// A client's read command.
 pub fn get(key: &str, id: &str) -> Bytes {
-    resp::command(&[b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=900"])
+    resp::encode_command(&[b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=900"])
 }
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -305,7 +305,7 @@
             true => remaining_ms * 1_000 / 2,
             false => (message.deadline_us + LATE_ANSWER_GRACE_US).saturating_sub(sent_us),
         };
-        let read = tokio::time::timeout(Duration::from_micros(timeout_us), connection.read_value()).await;
+        let read = tokio::time::timeout(Duration::from_micros(timeout_us), connection.read_reply()).await;
         let arrival = self.clock.arrival();
         let interval = TimeInterval { earliest: arrival.earliest.max(started_us), latest: arrival.latest };
         let line = message.history_line(&target.name, interval);
--- a/crates/stonevane-emulators/src/client/connection.rs
+++ b/crates/stonevane-emulators/src/client/connection.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use stonevane_audit::{Event, HistoryRecord, Outcome};
-use stonevane_codec::resp::{self, Value};
+use stonevane_codec::resp::{self, Reply};
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
@@ -35,12 +35,12 @@
     }
 
     /// Reads one answer; `None` at the end of the connection.
-    pub(super) async fn read_value(&mut self) -> Option<Value> {
+    pub(super) async fn read_reply(&mut self) -> Option<Reply> {
         loop {
-            match resp::take_value(&mut self.input, MAX_VALUE_BYTES) {
-                Ok(Some(value)) => return Some(value),
+            match resp::take_reply(&mut self.input, MAX_VALUE_BYTES) {
+                Ok(Some(reply)) => return Some(reply),
                 Ok(None) => {}
-                Err(_) => return Some(Value::Error(Bytes::from_static(b"malformed"))),
+                Err(_) => return Some(Reply::Error(Bytes::from_static(b"malformed"))),
             }
             self.input.reserve(READ_SIZE);
             if !matches!(self.stream.read_buf(&mut self.input).await, Ok(count) if count > 0) {
@@ -80,15 +80,15 @@
     }
 }
 
-impl From<Value> for Answer {
-    fn from(value: Value) -> Answer {
-        match value {
-            Value::Bulk(Some(value)) => Answer::served(&value),
-            Value::Array(items) => match items.into_iter().next() {
-                Some(Value::Bulk(Some(value))) => Answer::served(&value),
+impl From<Reply> for Answer {
+    fn from(reply: Reply) -> Answer {
+        match reply {
+            Reply::Bulk(Some(value)) => Answer::served(&value),
+            Reply::Array(items) => match items.into_iter().next() {
+                Some(Reply::Bulk(Some(value))) => Answer::served(&value),
                 _ => Answer::failed(),
             },
-            Value::Error(line) if line.starts_with(BUSY) => {
+            Reply::Error(line) if line.starts_with(BUSY) => {
                 let retry_after = unique_part(line.get(BUSY.len() + 1..).unwrap_or(b""));
                 Answer {
                     outcome: Outcome::Rejected,
--- a/crates/stonevane-emulators/src/client/message.rs
+++ b/crates/stonevane-emulators/src/client/message.rs
@@ -66,8 +66,8 @@
         let facts = self.facts(remaining_ms);
         let (key, id, facts) = (self.key.as_bytes(), self.id.as_bytes(), facts.as_bytes());
         match self.class.write {
-            true => resp::command(&[b"OBJ.SET", key, id, facts, &self.value]),
-            false => resp::command(&[b"OBJ.GET", key, id, facts]),
+            true => resp::encode_command(&[b"OBJ.SET", key, id, facts, &self.value]),
+            false => resp::encode_command(&[b"OBJ.GET", key, id, facts]),
         }
     }
 
--- a/crates/stonevane-emulators/src/origin/remote.rs
+++ b/crates/stonevane-emulators/src/origin/remote.rs
@@ -38,7 +38,7 @@
 
     fn send(&self, arguments: &[&str]) {
         let arguments: Vec<&[u8]> = arguments.iter().map(|argument| argument.as_bytes()).collect();
-        let command = resp::command(&arguments);
+        let command = resp::encode_command(&arguments);
         for queue in &self.queues {
             let _ = queue.try_send(command.clone());
         }
--- a/crates/stonevane-emulators/src/relay.rs
+++ b/crates/stonevane-emulators/src/relay.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_codec::resp::{self, Value};
+use stonevane_codec::resp::{self, Reply};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -56,12 +56,12 @@
 
 impl ServerConnection {
     /// Sends a command and reads the response; `None` when the server has closed the connection.
-    async fn call(&mut self, arguments: &[Bytes]) -> std::io::Result<Option<Value>> {
+    async fn call(&mut self, arguments: &[Bytes]) -> std::io::Result<Option<Reply>> {
         let arguments: Vec<&[u8]> = arguments.iter().map(Bytes::as_ref).collect();
-        self.stream.write_all(&resp::command(&arguments)).await?;
+        self.stream.write_all(&resp::encode_command(&arguments)).await?;
         loop {
-            if let Some(value) = resp::take_value(&mut self.input, resp::MAX_VALUE).map_err(malformed)? {
-                return Ok(Some(value));
+            if let Some(reply) = resp::take_reply(&mut self.input, resp::MAX_ARG_BYTES).map_err(malformed)? {
+                return Ok(Some(reply));
             }
             self.input.reserve(READ_SIZE);
             let read = tokio::time::timeout(SERVER_TIMEOUT, self.stream.read_buf(&mut self.input)).await;
@@ -73,14 +73,14 @@
 }
 
 /// Converts a server's response to the response for the client.
-fn answer(value: Value) -> BytesMut {
+fn answer(reply: Reply) -> BytesMut {
     let mut answer = BytesMut::new();
-    match value {
-        Value::Array(items) => match items.into_iter().next() {
-            Some(Value::Bulk(Some(value))) => resp::put_bulk(&mut answer, &value),
+    match reply {
+        Reply::Array(items) => match items.into_iter().next() {
+            Some(Reply::Bulk(Some(value))) => resp::put_bulk(&mut answer, &value),
             _ => answer.extend_from_slice(b"-ERR miss\r\n"),
         },
-        Value::Error(line) => {
+        Reply::Error(line) => {
             answer.extend_from_slice(b"-");
             answer.extend_from_slice(&line);
             answer.extend_from_slice(b"\r\n");
--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use stonevane_codec::resp::{self, Value};
+use stonevane_codec::resp::{self, Reply};
 use stonevane_emulators::cache::{Cache, CacheSpec};
 use stonevane_emulators::client::{Clients, Load, LoadClass, plan};
 use stonevane_emulators::discovery::{Discovery, DiscoveryFault, DiscoverySpec, Entry};
@@ -52,16 +52,16 @@
 
     async fn send(&mut self, words: &[&str]) {
         let words: Vec<&[u8]> = words.iter().map(|w| w.as_bytes()).collect();
-        self.stream.write_all(&resp::command(&words)).await.unwrap();
+        self.stream.write_all(&resp::encode_command(&words)).await.unwrap();
     }
 
     /// Returns the next answer; `None` at the end of the connection.
-    async fn answer(&mut self) -> Option<Value> {
+    async fn answer(&mut self) -> Option<Reply> {
         loop {
-            match resp::take_value(&mut self.input, resp::MAX_VALUE) {
+            match resp::take_reply(&mut self.input, resp::MAX_ARG_BYTES) {
                 Ok(Some(value)) => return Some(value),
                 Ok(None) => {}
-                Err(_) => return Some(Value::Error("malformed".into())),
+                Err(_) => return Some(Reply::Error("malformed".into())),
             }
             let read = tokio::time::timeout(TIMEOUT, self.stream.read_buf(&mut self.input))
                 .await
@@ -72,16 +72,16 @@
         }
     }
 
-    async fn get(&mut self, key: &str, id: &str) -> Option<Value> {
+    async fn get(&mut self, key: &str, id: &str) -> Option<Reply> {
         self.send(&["OBJ.GET", key, id, "c=read,d=1000"]).await;
         self.answer().await
     }
 }
 
-fn value(answer: Option<Value>) -> Option<String> {
+fn value(answer: Option<Reply>) -> Option<String> {
     match answer? {
-        Value::Array(items) => match &items[0] {
-            Value::Bulk(Some(value)) => Some(String::from_utf8_lossy(value).split(' ').next()?.to_owned()),
+        Reply::Array(items) => match &items[0] {
+            Reply::Bulk(Some(value)) => Some(String::from_utf8_lossy(value).split(' ').next()?.to_owned()),
             _ => None,
         },
         other => Some(format!("{other:?}")),
@@ -89,8 +89,8 @@
 }
 
 #[expect(clippy::unnecessary_wraps, reason = "compared with answers, which may be missing")]
-fn busy() -> Option<Value> {
-    Some(Value::Error(Bytes::from_static(b"BUSY")))
+fn busy() -> Option<Reply> {
+    Some(Reply::Error(Bytes::from_static(b"BUSY")))
 }
 
 /// Sends a request to an HTTP server and returns the response.
@@ -99,7 +99,7 @@
     stream.write_all(request.as_bytes()).await.unwrap();
     let mut text = Vec::new();
     loop {
-        let response_head = stonevane_codec::http::head(&text).ok().flatten();
+        let response_head = stonevane_codec::http::response_head(&text).ok().flatten();
         if response_head.is_some_and(|head| text.len() >= head.length + head.content_length.unwrap_or(0)) {
             return String::from_utf8_lossy(&text).into_owned();
         }
@@ -224,7 +224,7 @@
     cache.set_fault(Some("n0"), Fault::Tail);
     let mut client = Client::to(cache.address("n0")).await;
     assert!(is_correct(value(client.get("a", "1").await)));
-    assert_eq!(client.answer().await, Some(Value::Bulk(Some(Bytes::from_static(b"other")))));
+    assert_eq!(client.answer().await, Some(Reply::Bulk(Some(Bytes::from_static(b"other")))));
     cache.set_fault(Some("n0"), Fault::Stall);
     client.send(&["OBJ.GET", "a", "3", "c=read"]).await;
     let stalled = tokio::time::timeout(Duration::from_millis(100), client.answer()).await;
--- a/crates/stonevane-lab/src/stub/upstream.rs
+++ b/crates/stonevane-lab/src/stub/upstream.rs
@@ -29,13 +29,13 @@
 async fn read_from_cache(server: SocketAddr, words: &[Bytes]) -> Option<CacheAnswer> {
     let mut stream = TcpStream::connect(server).await.ok()?;
     let words: Vec<&[u8]> = words.iter().map(Bytes::as_ref).collect();
-    stream.write_all(&resp::command(&words)).await.ok()?;
+    stream.write_all(&resp::encode_command(&words)).await.ok()?;
     let mut buffer = BytesMut::new();
     loop {
-        match resp::take_value(&mut buffer, resp::MAX_VALUE).ok()? {
-            Some(resp::Value::Array(items)) => match items.into_iter().next() {
-                Some(resp::Value::Bulk(Some(value))) => return Some(CacheAnswer::Value(value)),
-                Some(resp::Value::Bulk(None)) => return Some(CacheAnswer::NoValue),
+        match resp::take_reply(&mut buffer, resp::MAX_ARG_BYTES).ok()? {
+            Some(resp::Reply::Array(items)) => match items.into_iter().next() {
+                Some(resp::Reply::Bulk(Some(value))) => return Some(CacheAnswer::Value(value)),
+                Some(resp::Reply::Bulk(None)) => return Some(CacheAnswer::NoValue),
                 _ => return None,
             },
             Some(_) => return Some(CacheAnswer::NoValue),
@@ -66,7 +66,7 @@
     stream.write_all(body).await.ok()?;
     let mut buffer = BytesMut::new();
     loop {
-        if let Some(head) = http::head(&buffer).ok()? {
+        if let Some(head) = http::response_head(&buffer).ok()? {
             let length = head.content_length?;
             if buffer.len() >= head.length + length {
                 let _ = buffer.split_to(head.length);
--- a/crates/stonevane-node/src/cache_updates/dispatcher.rs
+++ b/crates/stonevane-node/src/cache_updates/dispatcher.rs
@@ -81,7 +81,7 @@
             let version = invalidation.version.to_string();
             let arguments = ["OBJ.VOID", &invalidation.key, &version, &self.lifetime_ms].map(str::as_bytes);
             let command = CacheCommand {
-                bytes: resp::command(&arguments),
+                bytes: resp::encode_command(&arguments),
                 acknowledged: Some((invalidation.key.clone(), invalidation.version)),
             };
             self.send(invalidation.cache, command);
@@ -121,7 +121,7 @@
         let version = version.to_string();
         let arguments =
             [b"OBJ.FILL", key.as_bytes(), version.as_bytes(), self.lifetime_ms.as_bytes(), value.as_ref()];
-        let bytes = resp::command(&arguments);
+        let bytes = resp::encode_command(&arguments);
         for cache in caches {
             self.send(cache, CacheCommand { bytes: bytes.clone(), acknowledged: None });
         }
--- a/crates/stonevane-node/src/discovery/call.rs
+++ b/crates/stonevane-node/src/discovery/call.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::BytesMut;
-use stonevane_codec::http::{self, Chunks, Head};
+use stonevane_codec::http::{self, ChunkedDecoder, ResponseHead};
 use stonevane_codec::lines::ObjectReader;
 use stonevane_core::discovery_timeouts::{Awaited, DiscoveryTimeouts};
 use stonevane_core::{DiscoveryEpoch, Input};
@@ -101,9 +101,9 @@
         context: &CallContext,
         deadline: HeadDeadline,
         last_received: &mut Instant,
-    ) -> Result<Head, CallError> {
+    ) -> Result<ResponseHead, CallError> {
         loop {
-            if let Some(head) = http::head(&self.received).map_err(|_| CallError::Malformed)? {
+            if let Some(head) = http::response_head(&self.received).map_err(|_| CallError::Malformed)? {
                 let accepted = head.status == STATUS_OK;
                 return if accepted { Ok(head) } else { Err(CallError::Status(head.status)) };
             }
@@ -122,7 +122,7 @@
     /// Passes each list of the response to the core, until the response ends.
     pub async fn lists(
         mut self,
-        head: Head,
+        head: ResponseHead,
         context: &CallContext,
         last_received: &mut Instant,
     ) -> Result<(), CallError> {
@@ -171,18 +171,18 @@
     bytes: BytesMut,
     is_single_list: bool,
     is_chunked: bool,
-    chunks: Chunks,
+    chunks: ChunkedDecoder,
     /// Remaining bytes of a body that is not chunked.
     remaining: usize,
 }
 
 impl Body {
-    fn new(head: &Head) -> Body {
+    fn new(head: &ResponseHead) -> Body {
         Body {
             bytes: BytesMut::new(),
             is_single_list: head.content_length.is_some(),
             is_chunked: head.chunked,
-            chunks: Chunks::default(),
+            chunks: ChunkedDecoder::default(),
             remaining: head.content_length.unwrap_or(usize::MAX),
         }
     }
--- a/crates/stonevane-node/src/discovery/watch.rs
+++ b/crates/stonevane-node/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use stonevane_codec::http::Head;
+use stonevane_codec::http::ResponseHead;
 use stonevane_core::DiscoveryEpoch;
 use tokio::time::Instant;
 
@@ -78,7 +78,7 @@
 
 /// Waits for the head of the response to the previous call. If that call fails, this never returns and the
 /// present call continues alone.
-async fn previous_head(previous: &mut Option<PendingCall>, context: &CallContext) -> Head {
+async fn previous_head(previous: &mut Option<PendingCall>, context: &CallContext) -> ResponseHead {
     if let Some(call) = previous
         && let Ok(head) = call.head(context, HeadDeadline::None, &mut Instant::now()).await
     {
--- a/crates/stonevane-sim/src/simulation/clients.rs
+++ b/crates/stonevane-sim/src/simulation/clients.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use stonevane_audit::{Event as RecordedEvent, HistoryRecord, Outcome};
-use stonevane_codec::resp::{self, Value};
+use stonevane_codec::resp::{self, Reply};
 
 use super::event::Event;
 use super::network::ClosedStream;
@@ -37,15 +37,15 @@
 }
 
 impl Answer {
-    fn from_reply(reply: &Value) -> Answer {
+    fn from_reply(reply: &Reply) -> Answer {
         let empty = |outcome| Answer { outcome, value: String::new(), retry_after_ms: 0 };
         match reply {
-            Value::Bulk(Some(value)) => {
+            Reply::Bulk(Some(value)) => {
                 let text = String::from_utf8_lossy(value);
                 let value = text.split(' ').next().unwrap_or_default().to_owned();
                 Answer { value, ..empty(Outcome::Served) }
             }
-            Value::Error(line) if line.starts_with(b"BUSY") => {
+            Reply::Error(line) if line.starts_with(b"BUSY") => {
                 let text = String::from_utf8_lossy(line);
                 let retry_after_ms = text.split(' ').nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0);
                 Answer { retry_after_ms, ..empty(Outcome::Rejected) }
@@ -225,7 +225,7 @@
             if stream.peer_inbox.is_empty() {
                 break;
             }
-            let reply = match resp::take_value(&mut stream.peer_inbox, MAX_VALUE_BYTES) {
+            let reply = match resp::take_reply(&mut stream.peer_inbox, MAX_VALUE_BYTES) {
                 Ok(Some(reply)) => reply,
                 Ok(None) => return,
                 Err(error) => {
@@ -246,8 +246,8 @@
         }
     }
 
-    fn unsolicited_reply(&mut self, id: StreamId, reply: &Value) {
-        if matches!(reply, Value::Error(line) if line.starts_with(INCOMPLETE_COMMAND)) {
+    fn unsolicited_reply(&mut self, id: StreamId, reply: &Reply) {
+        if matches!(reply, Reply::Error(line) if line.starts_with(INCOMPLETE_COMMAND)) {
             return;
         }
         let Some(stream) = self.streams.get(&id) else { return };
@@ -448,7 +448,9 @@
     }
     let (key, id) = (request.key.as_bytes(), request.id());
     match kind.is_write {
-        true => resp::command(&[b"OBJ.SET", key, id.as_bytes(), metadata.as_bytes(), value.as_bytes()]),
-        false => resp::command(&[b"OBJ.GET", key, id.as_bytes(), metadata.as_bytes()]),
+        true => {
+            resp::encode_command(&[b"OBJ.SET", key, id.as_bytes(), metadata.as_bytes(), value.as_bytes()])
+        }
+        false => resp::encode_command(&[b"OBJ.GET", key, id.as_bytes(), metadata.as_bytes()]),
     }
 }
