--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -23,7 +23,7 @@
 /// Time that a server takes to respond, in microseconds.
 const RESPONSE_DELAY: Micros = 2_000;
 /// Idle time after which servers close a connection, a rule of the platform, in microseconds.
-pub const IDLE_CLOSE: Micros = 15_000_000;
+pub const IDLE_TIMEOUT: Micros = 15_000_000;
 /// Time after a response during which a server connection is not reused: the operator file's default.
 const CONNECTION_REST: Duration = Duration::from_millis(15);
 /// Most bytes of a response that are read at once.
@@ -54,7 +54,7 @@
         zones: super::listing::zone_names(),
         machine_types: vec!["cache".into()],
         connect_timeout: 250_000,
-        idle_close: IDLE_CLOSE,
+        idle_timeout: IDLE_TIMEOUT,
         max_open: 20_000,
         load_metric_names: Vec::new(),
     }
--- a/crates/stonevane-core/src/node/connections.rs
+++ b/crates/stonevane-core/src/node/connections.rs
@@ -106,7 +106,7 @@
             limits: ConnectionLimits::of_config(config),
             eviction: Eviction::default(),
             clients: ClientTable::new(ClientTimeouts::from(&config.clients)),
-            pool: Pool::new(config.deployment.idle_close, rest),
+            pool: Pool::new(config.deployment.idle_timeout, rest),
             max_reply_value: (memory.capacity() / REPLY_VALUE_MEMORY_DIVISOR).min(MAX_REPLY_VALUE),
             memory,
             answered_clients: VecDeque::new(),
--- a/crates/stonevane-core/src/node/policy.rs
+++ b/crates/stonevane-core/src/node/policy.rs
@@ -85,7 +85,7 @@
             Action::HealthCheck(server) => self.policy.events.push_back(Event::HealthCheckFinished {
                 server,
                 ok: false,
-                took: 0,
+                elapsed: 0,
                 load: LoadReport::default(),
             }),
             Action::SendToPeer { .. } => {}
--- a/crates/stonevane-core/src/node/reload.rs
+++ b/crates/stonevane-core/src/node/reload.rs
@@ -86,13 +86,13 @@
         deployment.settings.coalesce_fetches = previous.settings.coalesce_fetches;
         deployment.settings.startup_attempts_per_server = previous.settings.startup_attempts_per_server;
         let position = |name: &String| previous.tenants.iter().position(|other| other == name);
-        let tenants = deployment.tenants.iter().map(position).collect();
+        let previous_positions = deployment.tenants.iter().map(position).collect();
         let indexes_changed = previous.zones != deployment.zones
             || previous.machine_types != deployment.machine_types
             || previous.settings.origin_kind != deployment.settings.origin_kind;
         let objectives = deployment.settings.classes.iter().map(|class| class.latency_objective);
         self.connections.set_stall_timeout(objectives.max().unwrap_or(0));
-        self.connections.pool.set_idle_close(deployment.idle_close);
+        self.connections.pool.set_idle_timeout(deployment.idle_timeout);
         self.reporter.set_classes(&deployment.classes);
         let timeouts_before = DiscoveryTimeouts::of(&self.deployment.settings);
         self.deployment = deployment;
@@ -101,7 +101,7 @@
         if !settings.poll_discovery && DiscoveryTimeouts::of(settings) != timeouts_before {
             self.call_discovery(DiscoveryRequest::WatchAgent);
         }
-        self.notify_settings(tenants);
+        self.notify_settings(previous_positions);
         if indexes_changed {
             self.reindex_servers();
         } else {
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Passes the settings to the policy. `tenants` has the previous index of each tenant, `None` for a new
-    /// one.
-    pub(super) fn notify_settings(&mut self, tenants: Vec<Option<usize>>) {
+    /// Passes the settings to the policy. `previous_positions` has the previous position of each tenant,
+    /// `None` for a new one.
+    pub(super) fn notify_settings(&mut self, previous_positions: Vec<Option<usize>>) {
         let settings = Box::new(self.current_settings());
-        self.notify_policy(Event::Settings { settings, tenants });
+        self.notify_policy(Event::Settings { settings, previous_positions });
     }
 
     /// The settings with the number of nodes from gossip and the weight of all cache servers, including those
@@ -131,7 +131,7 @@
         settings
     }
 
-    /// The tenants' previous indexes if no tenant has changed.
+    /// The tenants' previous positions if no tenant has changed.
     pub(super) fn unchanged_tenants(&self) -> Vec<Option<usize>> {
         (0..self.deployment.tenants.len()).map(Some).collect()
     }
--- a/crates/stonevane-core/src/servers/pool.rs
+++ b/crates/stonevane-core/src/servers/pool.rs
@@ -38,21 +38,21 @@
 }
 
 impl Pool {
-    /// Creates an empty pool. Servers close a connection that was idle for `idle_close`; a connection is not
+    /// Creates an empty pool. Servers close a connection that was idle for `idle_timeout`; a connection is not
     /// reused for `reuse_delay` after a reply.
-    pub fn new(idle_close: Micros, reuse_delay: Micros) -> Pool {
+    pub fn new(idle_timeout: Micros, reuse_delay: Micros) -> Pool {
         Pool {
             conns: HashMap::new(),
             idle: BTreeMap::new(),
-            idle_limit: idle_close / SERVER_IDLE_CLOSE_DIVISOR,
+            idle_limit: idle_timeout / SERVER_IDLE_CLOSE_DIVISOR,
             keep_alive: HashMap::new(),
             reuse_delay,
         }
     }
 
     /// Changes the idle time after which servers close a connection.
-    pub fn set_idle_close(&mut self, idle_close: Micros) {
-        self.idle_limit = idle_close / SERVER_IDLE_CLOSE_DIVISOR;
+    pub fn set_idle_timeout(&mut self, idle_timeout: Micros) {
+        self.idle_limit = idle_timeout / SERVER_IDLE_CLOSE_DIVISOR;
     }
 
     fn max_keep_alive(&self, protocol: Protocol) -> Micros {
--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -59,7 +59,7 @@
         zones: names("a"),
         machine_types: vec!["cache".into(), "origin".into()],
         connect_timeout: 100_000,
-        idle_close: 10_000_000,
+        idle_timeout: 10_000_000,
         max_open: 1_024,
         load_metric_names: Vec::new(),
     };
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -29,8 +29,8 @@
 }
 
 impl Harness {
-    fn new(clients: usize, idle_close: u64) -> Harness {
-        let core = core_with(false, 64, Duration::from_micros(REST_US), |d| d.idle_close = idle_close);
+    fn new(clients: usize, idle_timeout: u64) -> Harness {
+        let core = core_with(false, 64, Duration::from_micros(REST_US), |d| d.idle_timeout = idle_timeout);
         let (last_reply_at, awaiting_reply) = (HashMap::new(), Vec::new());
         let mut harness = Harness {
             core,
@@ -93,8 +93,8 @@
 
     /// A core with as many server connections as the limit allows, all of them resting, and the time at which
     /// the first has rested.
-    fn with_full_table(clients: usize, idle_close: u64) -> (Harness, u64) {
-        let mut harness = Harness::new(clients, idle_close);
+    fn with_full_table(clients: usize, idle_timeout: u64) -> (Harness, u64) {
+        let mut harness = Harness::new(clients, idle_timeout);
         // Enough replies for the policy to raise the cache's limit on concurrent requests.
         for _ in 0..40 {
             harness.send_requests(1);
--- a/crates/stonevane-node/src/driver/tests.rs
+++ b/crates/stonevane-node/src/driver/tests.rs
@@ -22,7 +22,7 @@
         zones: list("a"),
         machine_types: list("cache"),
         connect_timeout: 100_000,
-        idle_close: 10_000_000,
+        idle_timeout: 10_000_000,
         max_open: 100,
         load_metric_names: Vec::new(),
     };
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -112,7 +112,7 @@
     fn head(&self) -> OrderHead {
         let mut head = OrderHead::default();
         for candidate in self.candidates {
-            let draw = self.hasher.of(candidate.id);
+            let draw = self.hasher.unit_hash(candidate.id);
             if self.min_score(candidate, draw) <= head.worst_score() {
                 head.insert(self.scored(candidate, draw));
             }
@@ -122,7 +122,7 @@
 
     /// Returns the servers after the head, sorted.
     fn rest(&self) -> Vec<ScoredServer> {
-        let scored = |candidate: &Candidate| self.scored(candidate, self.hasher.of(candidate.id));
+        let scored = |candidate: &Candidate| self.scored(candidate, self.hasher.unit_hash(candidate.id));
         let mut servers: Vec<ScoredServer> = self.candidates.iter().map(scored).collect();
         servers.sort_unstable_by(|a, b| a.partial_cmp(b).unwrap_or(std::cmp::Ordering::Equal));
         servers.split_off(HEAD_LENGTH.min(servers.len()))
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -36,7 +36,7 @@
         /// Complete new settings.
         settings: Box<Settings>,
         /// For each tenant of the new settings, its position in the previous ones; `None` for a new tenant.
-        tenants: Vec<Option<usize>>,
+        previous_positions: Vec<Option<usize>>,
     },
     /// Fraction of the node's quota of the origin and of servers in slow start that belongs to this process,
     /// from 0 to 1. It is 1 unless another process of the same node has the rest.
@@ -63,7 +63,7 @@
         /// Whether the check succeeded.
         ok: bool,
         /// Time from sending the check to its end, in microseconds.
-        took: Micros,
+        elapsed: Micros,
         /// Load report of the server; empty if the response carried none.
         load: LoadReport,
     },
--- a/crates/stonevane-policy/src/hash.rs
+++ b/crates/stonevane-policy/src/hash.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns a number between 0 and 1 for the key and a server.
-    pub fn of(&self, server: ServerId) -> f64 {
+    pub fn unit_hash(&self, server: ServerId) -> f64 {
         let high = (u64::from(server) << 32) ^ self.high;
         let product = u128::from(self.low) * u128::from(high);
         let folded = product as u64 ^ (product >> 64) as u64;
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -52,7 +52,7 @@
     /// Time after which an attempt to connect has failed.
     pub connect_timeout: Micros,
     /// Idle time after which servers close a connection.
-    pub idle_close: Micros,
+    pub idle_timeout: Micros,
     /// Maximum number of requests that a node may hold open at once.
     pub max_open: usize,
 }
@@ -310,7 +310,7 @@
         machine_types: wire.machine_types,
         load_metric_names: wire.report.fields,
         connect_timeout: micros(wire.limits.connect_timeout_us),
-        idle_close: micros(wire.limits.idle_close_us),
+        idle_timeout: micros(wire.limits.idle_close_us),
         max_open: wire.limits.max_open,
     })
 }
--- a/crates/stonevane-policy/tests/behavior_digest.rs
+++ b/crates/stonevane-policy/tests/behavior_digest.rs
@@ -230,8 +230,8 @@
             }
             _ => {
                 let settings = Box::new(settings(variant));
-                let tenants = (0..settings.tenants.len()).map(Some).collect();
-                self.event(Event::Settings { settings, tenants });
+                let previous_positions = (0..settings.tenants.len()).map(Some).collect();
+                self.event(Event::Settings { settings, previous_positions });
             }
         }
     }
--- a/crates/stonevane-policy/tests/operations.rs
+++ b/crates/stonevane-policy/tests/operations.rs
@@ -38,7 +38,7 @@
     assert_eq!(reads(&mut node, 2_000, 200, 2), 0);
     node.list(ListUpdate::Full, full_list());
     assert_eq!(reads(&mut node, 3_000, 200, 2), 0);
-    node.event(Event::Settings { settings: Box::new(settings()), tenants: Vec::new() });
+    node.event(Event::Settings { settings: Box::new(settings()), previous_positions: Vec::new() });
     assert_eq!(reads(&mut node, 4_000, 200, 2), 0);
     // It is not used as a last resort either when all other servers are excluded.
     for id in [1, 3, 4] {
@@ -102,7 +102,7 @@
 fn new_settings(change: impl FnOnce(&mut Settings)) -> Event {
     let mut settings = settings();
     change(&mut settings);
-    Event::Settings { settings: Box::new(settings), tenants: Vec::new() }
+    Event::Settings { settings: Box::new(settings), previous_positions: Vec::new() }
 }
 
 #[test]
@@ -175,7 +175,7 @@
     let spent = (1..100).take_while(|id| request(&mut node, *id, 0)).count();
     assert!(spent < 99, "the bucket of the first tenant did not run empty");
     let swapped = Settings { tenants: vec![tenants[1].clone(), tenants[0].clone()], ..settings() };
-    node.event(Event::Settings { settings: Box::new(swapped), tenants: vec![Some(1), Some(0)] });
+    node.event(Event::Settings { settings: Box::new(swapped), previous_positions: vec![Some(1), Some(0)] });
     assert!(!request(&mut node, 500, 1), "the empty bucket moves with its tenant");
     assert!(request(&mut node, 501, 0), "the full bucket moves with its tenant");
 }
--- a/crates/stonevane-sim/src/simulation/settings.rs
+++ b/crates/stonevane-sim/src/simulation/settings.rs
@@ -88,7 +88,7 @@
         machine_types: owned(&["cache", "origin"]),
         load_metric_names: Vec::new(),
         connect_timeout: 100_000,
-        idle_close: 10_000_000,
+        idle_timeout: 10_000_000,
         max_open: MAX_SERVER_CONNECTIONS,
     }
 }
--- a/crates/stonevane-wire-adapter/src/codec/events.rs
+++ b/crates/stonevane-wire-adapter/src/codec/events.rs
@@ -134,7 +134,7 @@
         code::REQUEST => Event::Request(request(record)),
         code::HEALTH_CHECK => Event::HealthCheckFinished {
             ok: u16_at(record, 3) == HEALTH_CHECK_OK,
-            took: u32_at(record, 5).into(),
+            elapsed: u32_at(record, 5).into(),
             server: u32_at(record, 9),
             load: load_report(record, 13),
         },
