--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -159,7 +159,7 @@
             Event::ProcessShare(share) => self.process_share = share.clamp(MIN_PROCESS_SHARE, 1.0),
             Event::ShuttingDown => self.shut_down(actions),
             Event::Settings { settings, previous_positions } => {
-                self.apply_settings(*settings, &previous_positions)
+                self.apply_settings(*settings, &previous_positions);
             }
             Event::Exclude { server, excluded } => self.on_exclude(server, excluded, actions),
             Event::PeerMessage { .. } | Event::HealthCheckFinished { .. } => {}
