--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -156,9 +156,14 @@
         "the slow hit is not answered first"
     );
     assert_eq!(value(client.answer().await), None, "the fast miss is not answered second");
-    for (kind, text) in
-        [('L', "PONG"), ('L', "OK"), ('L', "OK"), ('E', "NOPERM"), ('E', "ERR"), ('E', "SYNTAX")]
-    {
+    for (kind, text) in [
+        ("SimpleString(", "PONG"),
+        ("SimpleString(", "OK"),
+        ("SimpleString(", "OK"),
+        ("Error(", "NOPERM"),
+        ("Error(", "ERR"),
+        ("Error(", "SYNTAX"),
+    ] {
         let answer = format!("{:?}", client.answer().await.unwrap());
         assert!(answer.starts_with(kind) && answer.contains(text), "{answer}");
     }
