--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -59,7 +59,7 @@
         zones: names("a"),
         machine_types: vec!["cache".into(), "origin".into()],
         connect_timeout: 100_000,
-        idle_close: 10_000_000,
+        idle_timeout: 10_000_000,
         max_open: 1_024,
         load_metric_names: Vec::new(),
     };
@@ -80,7 +80,7 @@
         max_sockets: sockets,
         memory_mb: 64,
         cached_list: EndpointList {
-            index: 1,
+            version: 1,
             snapshot: true,
             endpoints: vec![endpoint("cache", 1), endpoint("origin", 2)],
         },
@@ -101,5 +101,5 @@
 
 /// A client's read command.
 pub fn get(key: &str, id: &str) -> Bytes {
-    resp::command(&[b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=900"])
+    resp::encode_command(&[b"OBJ.GET", key.as_bytes(), id.as_bytes(), b"c=read,t=all,d=900"])
 }
