--- a/crates/stonevane-node/src/store/circuit_breaker.rs
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 use stonevane_policy::Micros;
 use stonevane_store::StoreError;
-use stonevane_store::breaker::{Breaker, Limits, State, Word};
+use stonevane_store::breaker::{Breaker, Decision, Limits, State};
 
 use super::Inner;
 use crate::clock::to_micros;
@@ -51,7 +51,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn admit(&self) -> Word {
+    fn admit(&self) -> Decision {
         let mut state = self.lock();
         let now = state.now();
         state.breaker.call(now)
@@ -95,12 +95,12 @@
     /// Admits a call, unless the breaker is open.
     pub fn acquire(inner: &Arc<Inner>) -> Result<Permit, StoreError> {
         let admission = inner.breaker.admit();
-        if matches!(admission, Word::Refuse { .. }) {
+        if matches!(admission, Decision::Reject { .. }) {
             return Err(StoreError::Stopped);
         }
         Ok(Permit {
             inner: inner.clone(),
-            is_probe: admission == Word::Probe,
+            is_probe: admission == Decision::Probe,
             answered_before: inner.store.answered(),
         })
     }
@@ -131,7 +131,7 @@
     /// lock or a pooled connection does not show it if the store has answered other calls meanwhile.
     fn is_outage(&self, error: &StoreError) -> bool {
         let none_answered = self.inner.store.answered() == self.answered_before;
-        error.is_silence() && (none_answered || *error == StoreError::Behind)
+        error.is_unresponsive() && (none_answered || *error == StoreError::Behind)
     }
 }
 
--- a/crates/stonevane-node/src/store/edits.rs
+++ b/crates/stonevane-node/src/store/edits.rs
@@ -104,7 +104,7 @@
     let receipt = inner.store.edit(edit).await;
     match &receipt {
         Ok(receipt) if !receipt.repeat => inner.own_edits().record_receipt(receipt.version),
-        Err(error) if !error.proves_not_done() => inner.edit_unanswered(key).await,
+        Err(error) if !error.is_certainly_not_applied() => inner.edit_unanswered(key).await,
         _ => {}
     }
     let invalidation = match (&receipt, inner.cache_updater.get()) {
--- a/crates/stonevane-node/src/store/fetches.rs
+++ b/crates/stonevane-node/src/store/fetches.rs
@@ -127,9 +127,9 @@
     let mut fetches = inner.fetches();
     let joiner = fetches.next_joiner();
     match fetches.flights.join(&key, joiner, NO_DEADLINE) {
-        Joined::NoRoom => return Err(StoreError::Busy),
-        Joined::Waits(_) => inner.counters.joined.increment(),
-        Joined::Begins(flight) => {
+        Joined::Rejected => return Err(StoreError::Busy),
+        Joined::Waiting(_) => inner.counters.joined.increment(),
+        Joined::Started(flight) => {
             let task = tokio::spawn(run_fetch(inner.clone(), flight, key));
             fetches.tasks.insert(flight, task.abort_handle());
         }
@@ -143,8 +143,8 @@
     let fetched = query(&inner, &key).await;
     let mut fetches = inner.fetches();
     fetches.tasks.remove(&flight);
-    let Some(completed) = fetches.flights.landed(flight) else { return };
-    let fetched = fetched.map(|value| Value { cacheable: value.cacheable && completed.may_keep, ..value });
+    let Some(completed) = fetches.flights.complete(flight) else { return };
+    let fetched = fetched.map(|value| Value { cacheable: value.cacheable && completed.cacheable, ..value });
     for joiner in completed.joiners {
         if let Some(sender) = fetches.waiters.remove(&joiner) {
             let _ = sender.send(fetched.clone());
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -53,9 +53,9 @@
     pub fn open(config: &operator::Store, seed: u64) -> Result<OriginStore, StoreError> {
         let (shortest, longest) = config.probe;
         let breaker = breaker::Limits {
-            failures: config.failures,
-            shortest: to_micros(shortest),
-            longest: to_micros(longest),
+            failure_threshold: config.failures,
+            min_open: to_micros(shortest),
+            max_open: to_micros(longest),
             ..breaker::Limits::default()
         };
         Ok(OriginStore(Arc::new(Inner {
@@ -119,12 +119,13 @@
 fn open_backend(config: &operator::Store, seed: u64) -> Result<Box<dyn Store>, StoreError> {
     match &config.place {
         operator::Place::Sqlite { file, readers, busy, here } => {
-            let inline = here.map(|slow| quick::Limits { slow: to_micros(slow), ..quick::Limits::default() });
+            let inline = here
+                .map(|slow| quick::Limits { slow_threshold: to_micros(slow), ..quick::Limits::default() });
             let options = sqlite::Options {
                 readers: *readers,
                 queue: config.queue,
-                busy: *busy,
-                here: inline,
+                busy_timeout: *busy,
+                inline_reads: inline,
                 ..sqlite::Options::default()
             };
             Ok(Box::new(Sqlite::open(file, &options)?))
@@ -133,7 +134,7 @@
             let options = postgres::Options {
                 connections: *connections,
                 queue: config.queue,
-                stall: config.stall,
+                statement_timeout: config.stall,
                 seed,
                 ..postgres::Options::default()
             };
@@ -203,7 +204,7 @@
 /// effect and another attempt could end differently.
 fn failed(error: &StoreError, kind: CallKind) -> Reply {
     let permanent = matches!(error, StoreError::Bounds(_) | StoreError::Conflict);
-    let may_have_run = kind == CallKind::Edit && !error.proves_not_done();
+    let may_have_run = kind == CallKind::Edit && !error.is_certainly_not_applied();
     let status = if permanent || may_have_run { AttemptStatus::Error } else { AttemptStatus::Rejected };
     reply(status, None)
 }
--- a/crates/stonevane-store/src/breaker.rs
+++ b/crates/stonevane-store/src/breaker.rs
@@ -8,18 +8,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
     /// Failures in a row, with no answer between them, that open the breaker.
-    pub failures: u32,
+    pub failure_threshold: u32,
     /// Duration of the open state after the threshold is reached.
-    pub shortest: Micros,
+    pub min_open: Micros,
     /// The longest duration of the open state, which doubles with each failed probe.
-    pub longest: Micros,
+    pub max_open: Micros,
     /// Fraction of the duration, up to which a random time is added so that nodes do not probe in step.
     pub jitter: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { failures: 5, shortest: 250_000, longest: 2_000_000, jitter: 0.5 }
+        Limits { failure_threshold: 5, min_open: 250_000, max_open: 2_000_000, jitter: 0.5 }
     }
 }
 
@@ -47,13 +47,13 @@
 
 /// The breaker's decision on a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum Decision {
     /// The call may pass.
     Pass,
     /// The call may pass as the probe: its outcome closes the breaker or opens it again.
     Probe,
     /// The call is rejected.
-    Refuse {
+    Reject {
         /// Time after which another call may be tried, microseconds.
         retry_after: Micros,
     },
@@ -78,16 +78,16 @@
     }
 
     /// Decides whether a call may pass now.
-    pub fn call(&mut self, now: Micros) -> Word {
+    pub fn call(&mut self, now: Micros) -> Decision {
         match self.state {
-            State::Closed { .. } => Word::Pass,
+            State::Closed { .. } => Decision::Pass,
             State::Open { until, wait } if now >= until => {
                 self.state = State::HalfOpen { wait };
-                Word::Probe
+                Decision::Probe
             }
-            State::Open { until, .. } => Word::Refuse { retry_after: until - now },
+            State::Open { until, .. } => Decision::Reject { retry_after: until - now },
             // The outcome of the probe is expected within about the duration of the last open state.
-            State::HalfOpen { wait } => Word::Refuse { retry_after: wait.max(1) },
+            State::HalfOpen { wait } => Decision::Reject { retry_after: wait.max(1) },
         }
     }
 
@@ -99,12 +99,12 @@
     /// A call was not answered in time, or its connection was lost. `random` is a random number from 0 to 1.
     pub fn failed(&mut self, now: Micros, random: f64) {
         match self.state {
-            State::Closed { failures } if failures + 1 < self.limits.failures => {
+            State::Closed { failures } if failures + 1 < self.limits.failure_threshold => {
                 self.state = State::Closed { failures: failures + 1 };
             }
-            State::Closed { .. } => self.open(now, self.limits.shortest, random),
+            State::Closed { .. } => self.open(now, self.limits.min_open, random),
             State::HalfOpen { wait } => {
-                self.open(now, wait.saturating_mul(2).min(self.limits.longest), random);
+                self.open(now, wait.saturating_mul(2).min(self.limits.max_open), random);
             }
             // The call began before the breaker opened, so its failure adds nothing.
             State::Open { .. } => {}
--- a/crates/stonevane-store/src/contract.rs
+++ b/crates/stonevane-store/src/contract.rs
@@ -16,14 +16,14 @@
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<Zone>>;
 
     /// Applies an edit, once per idempotency key. The receipt is returned after the commit.
-    /// [`StoreError::proves_not_done`] states whether a failed edit may be sent again.
+    /// [`StoreError::is_certainly_not_applied`] states whether a failed edit may be sent again.
     fn edit(&self, edit: Edit) -> StoreFuture<'_, Receipt>;
 
     /// Reads at most `limit` keys that changed after version `after`, oldest change first.
     fn changes(&self, after: u64, limit: usize) -> StoreFuture<'_, Vec<Change>>;
 
     /// Reads the store's version and its numbers of entries.
-    fn figures(&self) -> StoreFuture<'_, Figures>;
+    fn stats(&self) -> StoreFuture<'_, StoreStats>;
 
     /// Number of calls that the store has answered so far, errors included. While it grows, the store has not
     /// stopped, even if some calls time out.
@@ -39,7 +39,7 @@
 
 /// The version of a store and its numbers of entries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Figures {
+pub struct StoreStats {
     /// The newest version, which equals the number of edits so far.
     pub version: u64,
     /// Number of keys.
@@ -140,13 +140,13 @@
 
 impl StoreError {
     /// Whether an edit that failed with this error was certainly not applied.
-    pub fn proves_not_done(&self) -> bool {
+    pub fn is_certainly_not_applied(&self) -> bool {
         use StoreError::{Closed, Corrupt, Io, TimedOut};
         !matches!(self, Closed | TimedOut | Io(_) | Corrupt(_))
     }
 
     /// Whether the store gave no usable answer, which suggests that it has stopped. Other errors are answers.
-    pub fn is_silence(&self) -> bool {
+    pub fn is_unresponsive(&self) -> bool {
         matches!(
             self,
             StoreError::TimedOut | StoreError::Closed | StoreError::Unreachable | StoreError::Behind
--- a/crates/stonevane-store/src/flight.rs
+++ b/crates/stonevane-store/src/flight.rs
@@ -36,11 +36,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Joined {
     /// A new flight begins: the store is to be called once.
-    Begins(FlightId),
+    Started(FlightId),
     /// The caller has joined a flight in progress.
-    Waits(FlightId),
+    Waiting(FlightId),
     /// A limit is reached, or the joiner already waits: the caller is to be rejected.
-    NoRoom,
+    Rejected,
 }
 
 /// A completed flight.
@@ -51,7 +51,7 @@
     /// The joiners to answer, in the order in which they joined.
     pub joiners: Vec<JoinerId>,
     /// Whether caches may keep the value: no edit of the key was in progress since the fetch began.
-    pub may_keep: bool,
+    pub cacheable: bool,
 }
 
 struct Flight<K> {
@@ -104,21 +104,21 @@
     /// Joins the flight of a key, or begins one. The joiner waits until `deadline`.
     pub fn join(&mut self, key: &K, joiner: JoinerId, deadline: Micros) -> Joined {
         if self.joiners.contains_key(&joiner) {
-            return Joined::NoRoom;
+            return Joined::Rejected;
         }
         if let Some(id) = self.joinable.get(key).copied()
             && let Some(flight) = self.flights.get_mut(&id)
         {
             if flight.joiners.len() >= self.limits.joiners {
-                return Joined::NoRoom;
+                return Joined::Rejected;
             }
             self.last_position += 1;
             flight.joiners.insert(self.last_position, joiner);
             self.add_joiner(joiner, id, deadline);
-            return Joined::Waits(id);
+            return Joined::Waiting(id);
         }
         if self.flights.len() >= self.limits.flights {
-            return Joined::NoRoom;
+            return Joined::Rejected;
         }
         let id = self.next_id;
         self.next_id += 1;
@@ -129,7 +129,7 @@
         self.joinable.insert(key.clone(), id);
         self.by_key.entry(key.clone()).or_default().push(id);
         self.add_joiner(joiner, id, deadline);
-        Joined::Begins(id)
+        Joined::Started(id)
     }
 
     /// Records the joiner at the last position of a flight, and its deadline.
@@ -175,13 +175,13 @@
     }
 
     /// Completes a flight, with a value or an error. `None` where it was cancelled.
-    pub fn landed(&mut self, id: FlightId) -> Option<CompletedFetch<K>> {
+    pub fn complete(&mut self, id: FlightId) -> Option<CompletedFetch<K>> {
         let flight = self.remove_flight(id)?;
         let joiners: Vec<_> = flight.joiners.into_values().collect();
         for joiner in &joiners {
             self.joiners.remove(joiner);
         }
-        Some(CompletedFetch { key: flight.key, joiners, may_keep: !flight.overlaps_edit })
+        Some(CompletedFetch { key: flight.key, joiners, cacheable: !flight.overlaps_edit })
     }
 
     /// An edit of a key begins. Returns `false`, and records nothing, where [`Limits::edits`] is reached.
--- a/crates/stonevane-store/src/lib.rs
+++ b/crates/stonevane-store/src/lib.rs
@@ -17,6 +17,6 @@
 pub mod reconnect;
 pub mod sqlite;
 
-pub use contract::{Change, Edit, Figures, Receipt, Store, StoreError, Zone};
+pub use contract::{Change, Edit, Receipt, Store, StoreError, StoreStats, Zone};
 pub use postgres::Postgres;
 pub use sqlite::Sqlite;
--- a/crates/stonevane-store/src/postgres.rs
+++ b/crates/stonevane-store/src/postgres.rs
@@ -20,7 +20,7 @@
 use tokio_postgres::{AsyncMessage, Client, Config, NoTls, Statement};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::contract::{Change, Edit, Figures, Receipt, Store, StoreError, StoreFuture, Zone, check_key};
+use crate::contract::{Change, Edit, Receipt, Store, StoreError, StoreFuture, StoreStats, Zone, check_key};
 use crate::following::{ChangeCursor, Notification, notification_payload};
 use crate::reconnect::{self, Decision, Reconnect};
 
@@ -58,7 +58,7 @@
     pub queue: usize,
     /// Time limit of a statement at the server, and of opening a connection. The transaction of an edit may
     /// take four times as long.
-    pub stall: Duration,
+    pub statement_timeout: Duration,
     /// Waits between attempts to connect.
     pub reconnect: reconnect::Limits,
     /// Seed of the random part of the waits.
@@ -70,7 +70,7 @@
         Options {
             connections: 4,
             queue: 1_024,
-            stall: Duration::from_millis(500),
+            statement_timeout: Duration::from_millis(500),
             reconnect: reconnect::Limits::default(),
             seed: 0,
         }
@@ -184,7 +184,7 @@
             return self.inner.connection_failed(session.opened_at);
         }
         // Asks the server to stop the statement. The connection closes when its client is dropped.
-        let (cancel, limit) = (session.client.cancel_token(), self.inner.options.stall);
+        let (cancel, limit) = (session.client.cancel_token(), self.inner.options.statement_timeout);
         if let Ok(runtime) = tokio::runtime::Handle::try_current() {
             runtime.spawn(async move { timeout(limit, cancel.cancel_query(NoTls)).await });
         }
@@ -305,7 +305,7 @@
             }
         };
         let mut attempt = ConnectAttempt { inner: self, started, finished: false };
-        let connected = timeout(self.options.stall, self.connect(started)).await;
+        let connected = timeout(self.options.statement_timeout, self.connect(started)).await;
         attempt.finished = true;
         match connected {
             Ok(Ok(session)) => {
@@ -327,7 +327,7 @@
     /// Converts the result of a statement, and counts it where the server answered.
     fn count_answer<T>(&self, result: Result<T, tokio_postgres::Error>) -> Result<T, StoreError> {
         let result = result.map_err(|e| store_error(&e, false));
-        if !result.as_ref().is_err_and(StoreError::is_silence) {
+        if !result.as_ref().is_err_and(StoreError::is_unresponsive) {
             self.answered.fetch_add(1, Ordering::Relaxed);
         }
         result
@@ -337,7 +337,7 @@
         let failed = |e: tokio_postgres::Error| store_error(&e, false);
         let (client, connection) = self.config.connect(NoTls).await.map_err(failed)?;
         tokio::spawn(connection);
-        let limit = format!("SET statement_timeout = {}", self.options.stall.as_millis().max(1));
+        let limit = format!("SET statement_timeout = {}", self.options.statement_timeout.as_millis().max(1));
         client.batch_execute(&limit).await.map_err(failed)?;
         migrate(&client).await?;
         let statements = Statements::prepare(&client).await.map_err(failed)?;
@@ -382,13 +382,15 @@
     async fn edit(self: &Arc<Self>, edit: Edit) -> Result<Receipt, StoreError> {
         edit.check()?;
         // Nothing has been sent yet: an edit that gets no permit in time is rejected, and may be sent again.
-        let permit = timeout(self.options.stall / 2, self.edit_permits.acquire()).await;
+        let permit = timeout(self.options.statement_timeout / 2, self.edit_permits.acquire()).await;
         let _permit = permit.map_err(|_| StoreError::Busy)?.map_err(|_| StoreError::Stopped)?;
         let lease = self.lease().await?;
         let mut committing = false;
         // Each statement has a time limit at the server; this one is for a server that does not answer at
         // all.
-        let result = timeout(self.options.stall * 4, self.transaction(&lease, &edit, &mut committing)).await;
+        let result =
+            timeout(self.options.statement_timeout * 4, self.transaction(&lease, &edit, &mut committing))
+                .await;
         match result {
             Ok(Ok(receipt)) => {
                 lease.return_to_pool();
@@ -494,7 +496,7 @@
         Ok(changes)
     }
 
-    async fn figures(self: &Arc<Self>) -> Result<Figures, StoreError> {
+    async fn stats(self: &Arc<Self>) -> Result<StoreStats, StoreError> {
         let lease = self.lease().await?;
         let Some(session) = &lease.session else { return Err(StoreError::Unreachable) };
         let query = "SELECT c.version, (SELECT COUNT(*) FROM zones) AS zones, (SELECT COUNT(*) FROM edits) AS edits \
@@ -506,9 +508,9 @@
         });
         let number =
             |column| row.and_then(|row| row.get(column)).and_then(|text| text.parse().ok()).unwrap_or(0);
-        let figures = Figures { version: number(0), zones: number(1), tokens: number(2) };
+        let stats = StoreStats { version: number(0), zones: number(1), tokens: number(2) };
         lease.return_to_pool();
-        Ok(figures)
+        Ok(stats)
     }
 
     /// Sends changes to a subscriber until its receiver is dropped. Reconnects after a random wait when the
@@ -543,7 +545,8 @@
                 self.0.abort();
             }
         }
-        let (failed, limit) = (|e: tokio_postgres::Error| store_error(&e, false), self.options.stall);
+        let (failed, limit) =
+            (|e: tokio_postgres::Error| store_error(&e, false), self.options.statement_timeout);
         let timed_out = |_| StoreError::Unreachable;
         let connected = timeout(limit, self.config.connect(NoTls)).await.map_err(timed_out)?;
         let (client, mut connection) = connected.map_err(failed)?;
@@ -598,7 +601,9 @@
     ) -> Result<(), StoreError> {
         loop {
             let changes = self.changes(cursor.version(), NOTIFICATION_QUEUE_LENGTH);
-            let changes = timeout(self.options.stall, changes).await.map_err(|_| StoreError::TimedOut)??;
+            let changes = timeout(self.options.statement_timeout, changes)
+                .await
+                .map_err(|_| StoreError::TimedOut)??;
             let is_last_page = changes.len() < NOTIFICATION_QUEUE_LENGTH;
             for change in cursor.advance(changes) {
                 subscriber.send(change).await.map_err(|_| StoreError::Stopped)?;
@@ -691,8 +696,8 @@
         Box::pin(self.0.changes(after, limit))
     }
 
-    fn figures(&self) -> StoreFuture<'_, Figures> {
-        Box::pin(self.0.figures())
+    fn stats(&self) -> StoreFuture<'_, StoreStats> {
+        Box::pin(self.0.stats())
     }
 
     fn answered(&self) -> u64 {
--- a/crates/stonevane-store/src/quick.rs
+++ b/crates/stonevane-store/src/quick.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// A read that takes longer is slow.
-    pub slow: Micros,
+    pub slow_threshold: Micros,
     /// Pause of inline reads after the first slow read; doubles with each further one.
     pub min_pause: Micros,
     /// The longest pause.
@@ -20,7 +20,7 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { slow: 1_000, min_pause: 1_000_000, max_pause: 60_000_000, reset_after: 1_000 }
+        Limits { slow_threshold: 1_000, min_pause: 1_000_000, max_pause: 60_000_000, reset_after: 1_000 }
     }
 }
 
@@ -47,7 +47,7 @@
 
     /// Takes the duration of an inline read into account.
     pub fn record(&mut self, now: Micros, duration: Micros) {
-        if duration > self.limits.slow {
+        if duration > self.limits.slow_threshold {
             self.paused_until = now.saturating_add(self.next_pause);
             self.next_pause = self.next_pause.saturating_mul(2).min(self.limits.max_pause);
             self.fast_reads = 0;
--- a/crates/stonevane-store/src/quick/tests.rs
+++ b/crates/stonevane-store/src/quick/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn each_slow_read_doubles_the_pause_of_inline_reads_and_fast_reads_reset_it() {
-    let limits = Limits { slow: 10, min_pause: 100, max_pause: 400, reset_after: 3 };
+    let limits = Limits { slow_threshold: 10, min_pause: 100, max_pause: 400, reset_after: 3 };
     let mut policy = InlineReadPolicy::new(limits);
     let mut slow_at = Vec::new();
     for now in 0..3_000 {
--- a/crates/stonevane-store/src/sqlite/file.rs
+++ b/crates/stonevane-store/src/sqlite/file.rs
@@ -28,7 +28,7 @@
 ];
 
 /// The newest schema version, SQLite's `user_version`.
-pub const FORM: u32 = MIGRATIONS.len() as u32;
+pub const SCHEMA_VERSION: u32 = MIGRATIONS.len() as u32;
 
 /// Whether a file is a store; `false` where it is missing or empty. Reads the file's header without opening
 /// it as a database, so that a rejected file is not modified (SQLite's file format, 1.3: `user_version` at
@@ -48,7 +48,7 @@
         return Err(StoreError::Foreign);
     }
     match number(60) {
-        Some(found) if found > FORM => Err(StoreError::Newer { found, known: FORM }),
+        Some(found) if found > SCHEMA_VERSION => Err(StoreError::Newer { found, known: SCHEMA_VERSION }),
         _ => Ok(true),
     }
 }
@@ -85,7 +85,7 @@
 
 pub(super) fn connect(path: &Path, options: &Options) -> Result<Connection, rusqlite::Error> {
     let db = Connection::open(path)?;
-    db.busy_timeout(options.busy)?;
+    db.busy_timeout(options.busy_timeout)?;
     db.pragma_update(None, "journal_mode", "WAL")?;
     db.pragma_update(None, "synchronous", "FULL")?;
     db.pragma_update(None, "max_page_count", options.max_pages)?;
@@ -97,10 +97,10 @@
     let tx = db.transaction_with_behavior(TransactionBehavior::Immediate).map_err(|e| store_error(&e))?;
     let found: u32 =
         tx.pragma_query_value(None, "user_version", |row| row.get(0)).map_err(|e| store_error(&e))?;
-    if found > FORM {
-        return Err(StoreError::Newer { found, known: FORM });
+    if found > SCHEMA_VERSION {
+        return Err(StoreError::Newer { found, known: SCHEMA_VERSION });
     }
-    if found == FORM {
+    if found == SCHEMA_VERSION {
         return Ok(());
     }
     for step in &MIGRATIONS[found as usize..] {
@@ -108,7 +108,7 @@
     }
     let set_version = |tx: &rusqlite::Transaction<'_>| {
         tx.pragma_update(None, "application_id", APPLICATION_ID)?;
-        tx.pragma_update(None, "user_version", FORM)
+        tx.pragma_update(None, "user_version", SCHEMA_VERSION)
     };
     set_version(&tx).map_err(|e| store_error(&e))?;
     tx.commit().map_err(|e| store_error(&e))?;
--- a/crates/stonevane-store/src/sqlite/mod.rs
+++ b/crates/stonevane-store/src/sqlite/mod.rs
@@ -21,10 +21,10 @@
 use self::file::{check_with, connect, create, is_store, migrate};
 use self::reader::{InlineReader, ReadJob, run_reader};
 use self::writer::{Batching, WriteJob, run_writer};
-use crate::contract::{Change, Edit, Figures, Receipt, Store, StoreError, StoreFuture, Zone, check_key};
+use crate::contract::{Change, Edit, Receipt, Store, StoreError, StoreFuture, StoreStats, Zone, check_key};
 use crate::quick::{self, InlineReadPolicy};
 
-pub use self::file::{APPLICATION_ID, FORM, check, salvage};
+pub use self::file::{APPLICATION_ID, SCHEMA_VERSION, check, salvage};
 /// The underlying library, for benchmarks that compare with it.
 pub use rusqlite;
 
@@ -41,11 +41,11 @@
     /// it.
     pub batch_delay: Duration,
     /// Time to wait for the lock of another process on the file.
-    pub busy: Duration,
+    pub busy_timeout: Duration,
     /// The largest size of the file, in pages (by default 4 KiB each).
     pub max_pages: u32,
     /// Limits for reads of one key on the caller's own thread; `None`: all reads run on the reader threads.
-    pub here: Option<quick::Limits>,
+    pub inline_reads: Option<quick::Limits>,
 }
 
 impl Default for Options {
@@ -55,9 +55,9 @@
             queue: 1_024,
             batch: 64,
             batch_delay: Duration::ZERO,
-            busy: Duration::from_millis(500),
+            busy_timeout: Duration::from_millis(500),
             max_pages: 1 << 24,
-            here: None,
+            inline_reads: None,
         }
     }
 }
@@ -121,10 +121,10 @@
             let jobs = jobs.clone();
             readers.push(std::thread::spawn(move || run_reader(&db, &jobs)));
         }
-        let inline_reader = match options.here {
+        let inline_reader = match options.inline_reads {
             None => None,
             Some(limits) => {
-                let options = Options { busy: Duration::ZERO, ..options.clone() };
+                let options = Options { busy_timeout: Duration::ZERO, ..options.clone() };
                 let db = connect(path, &options).map_err(|e| store_error(&e))?;
                 Some(Mutex::new(InlineReader {
                     db,
@@ -178,7 +178,7 @@
     /// Applies an edit, once per idempotency key. The receipt is returned after the commit.
     ///
     /// # Errors
-    /// [`StoreError`]; [`StoreError::proves_not_done`] states whether the edit may be sent again.
+    /// [`StoreError`]; [`StoreError::is_certainly_not_applied`] states whether the edit may be sent again.
     pub async fn edit(&self, edit: Edit) -> Result<Receipt, StoreError> {
         edit.check()?;
         self.write(|reply| WriteJob::Edit(edit, reply)).await
@@ -211,8 +211,8 @@
     /// Imports zones. The same transaction records `lines`, the number of lines of the source that are
     /// imported so far, these zones included.
     ///
-    /// # Errors
-    /// [`StoreError`]; [`StoreError::proves_not_done`] states whether certainly none of the zones was
+    /// [`StoreError`]; [`StoreError::is_certainly_not_applied`] states whether certainly none of the zones
+    /// was imported.
     /// imported.
     pub async fn import(
         &self,
@@ -243,8 +243,8 @@
         Box::pin(Sqlite::changes(self, after, limit))
     }
 
-    fn figures(&self) -> StoreFuture<'_, Figures> {
-        Box::pin(self.read(ReadJob::Figures))
+    fn stats(&self) -> StoreFuture<'_, StoreStats> {
+        Box::pin(self.read(ReadJob::Stats))
     }
 
     fn answered(&self) -> u64 {
--- a/crates/stonevane-store/src/sqlite/reader.rs
+++ b/crates/stonevane-store/src/sqlite/reader.rs
@@ -7,7 +7,7 @@
 use rusqlite::{Connection, OptionalExtension, params};
 
 use super::{ReplySender, store_error};
-use crate::contract::{Change, Figures, StoreError, Zone};
+use crate::contract::{Change, StoreError, StoreStats, Zone};
 use crate::quick::InlineReadPolicy;
 
 pub(super) enum ReadJob {
@@ -15,7 +15,7 @@
     Changes(u64, usize, ReplySender<Vec<Change>>),
     Page(String, usize, ReplySender<Vec<Zone>>),
     Imported(String, ReplySender<u64>),
-    Figures(ReplySender<Figures>),
+    Stats(ReplySender<StoreStats>),
 }
 
 /// The connection for reads on the caller's thread, and the policy that allows them.
@@ -57,7 +57,7 @@
                 let lines = db.query_row(lines, [source], |row| row.get(0)).optional();
                 let _ = reply.send(lines.map(Option::unwrap_or_default).map_err(failed));
             }
-            ReadJob::Figures(reply) => drop(reply.send(figures(db).map_err(failed))),
+            ReadJob::Stats(reply) => drop(reply.send(stats(db).map_err(failed))),
         }
     }
 }
@@ -81,11 +81,12 @@
     changes.query_map(params![after, limit as u64], change)?.collect()
 }
 
-fn figures(db: &Connection) -> Result<Figures, rusqlite::Error> {
-    let mut figures = db.prepare_cached(
+fn stats(db: &Connection) -> Result<StoreStats, rusqlite::Error> {
+    let mut statement = db.prepare_cached(
         "SELECT (SELECT version FROM counter), (SELECT COUNT(*) FROM zones), (SELECT COUNT(*) FROM edits)",
     )?;
-    figures.query_row([], |row| Ok(Figures { version: row.get(0)?, zones: row.get(1)?, tokens: row.get(2)? }))
+    statement
+        .query_row([], |row| Ok(StoreStats { version: row.get(0)?, zones: row.get(1)?, tokens: row.get(2)? }))
 }
 
 fn page(db: &Connection, after: &str, limit: usize) -> Result<Vec<Zone>, rusqlite::Error> {
--- a/crates/stonevane-store/tests/flight.rs
+++ b/crates/stonevane-store/tests/flight.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use stonevane_store::breaker::{Breaker, Limits as BreakerLimits, State, Word};
+use stonevane_store::breaker::{Breaker, Decision, Limits as BreakerLimits, State};
 use stonevane_store::flight::{FlightId, Flights, Joined, Limits};
 
 fn limits() -> Limits {
@@ -16,55 +16,55 @@
 fn two_hundred_callers_of_one_key_share_one_fetch() {
     let mut flights = Flights::new(Limits::default());
     let joined: Vec<_> = (0..200).map(|joiner| flights.join(&"k", joiner, 1_000)).collect();
-    let Joined::Begins(id) = joined[0] else { panic!("{joined:?}") };
-    assert!(joined[1..].iter().all(|j| *j == Joined::Waits(id)));
-    let completed = flights.landed(id).unwrap();
+    let Joined::Started(id) = joined[0] else { panic!("{joined:?}") };
+    assert!(joined[1..].iter().all(|j| *j == Joined::Waiting(id)));
+    let completed = flights.complete(id).unwrap();
     assert_eq!(completed.joiners, (0..200).collect::<Vec<_>>());
-    assert!(completed.may_keep && flights.joiner_count() == 0 && flights.in_flight() == 0);
+    assert!(completed.cacheable && flights.joiner_count() == 0 && flights.in_flight() == 0);
 }
 
 #[test]
 fn a_fetch_continues_while_any_joiner_waits_and_is_cancelled_when_the_last_leaves() {
     let mut flights = Flights::new(limits());
-    let Joined::Begins(id) = flights.join(&"k", 1, 10) else { panic!() };
+    let Joined::Started(id) = flights.join(&"k", 1, 10) else { panic!() };
     flights.join(&"k", 2, 20);
     assert_eq!(flights.leave(1), None, "another joiner still waits");
     assert_eq!(flights.expire(19), (vec![], vec![]));
     assert_eq!(flights.expire(20), (vec![2], vec![id]));
-    assert_eq!(flights.landed(id), None, "it was cancelled");
-    assert!(matches!(flights.join(&"k", 3, 30), Joined::Begins(other) if other != id));
+    assert_eq!(flights.complete(id), None, "it was cancelled");
+    assert!(matches!(flights.join(&"k", 3, 30), Joined::Started(other) if other != id));
 }
 
 #[test]
 fn a_caller_after_an_edits_receipt_does_not_join_an_older_fetch() {
     let mut flights = Flights::new(limits());
-    let Joined::Begins(old) = flights.join(&"k", 1, 10) else { panic!() };
+    let Joined::Started(old) = flights.join(&"k", 1, 10) else { panic!() };
     assert!(flights.edit_begins(&"k"));
     assert_eq!(
         flights.join(&"k", 2, 10),
-        Joined::Waits(old),
+        Joined::Waiting(old),
         "before the receipt, the old and the new value are both correct"
     );
     flights.edit_ended(&"k");
-    let Joined::Begins(new) = flights.join(&"k", 3, 10) else {
+    let Joined::Started(new) = flights.join(&"k", 3, 10) else {
         panic!("joined a fetch from before the receipt")
     };
-    assert!(!flights.landed(old).unwrap().may_keep, "the value may be old, so no cache may keep it");
-    assert!(flights.landed(new).unwrap().may_keep);
-    assert_eq!(flights.join(&"other", 4, 10), Joined::Begins(new + 1));
+    assert!(!flights.complete(old).unwrap().cacheable, "the value may be old, so no cache may keep it");
+    assert!(flights.complete(new).unwrap().cacheable);
+    assert_eq!(flights.join(&"other", 4, 10), Joined::Started(new + 1));
 }
 
 #[test]
 fn flights_joiners_and_edits_are_bounded() {
     let mut flights = Flights::new(limits());
     for joiner in 0..5 {
-        assert_ne!(flights.join(&0, joiner, 9), Joined::NoRoom);
+        assert_ne!(flights.join(&0, joiner, 9), Joined::Rejected);
     }
-    assert_eq!(flights.join(&0, 5, 9), Joined::NoRoom, "too many joiners of a fetch");
+    assert_eq!(flights.join(&0, 5, 9), Joined::Rejected, "too many joiners of a fetch");
     for key in 1..4 {
-        assert!(matches!(flights.join(&key, 10 + key, 9), Joined::Begins(_)));
+        assert!(matches!(flights.join(&key, 10 + key, 9), Joined::Started(_)));
     }
-    assert_eq!(flights.join(&9, 20, 9), Joined::NoRoom, "too many fetches");
+    assert_eq!(flights.join(&9, 20, 9), Joined::Rejected, "too many fetches");
     assert_eq!([1, 1, 2, 3].map(|key| flights.edit_begins(&key)), [true, true, true, false]);
     flights.edit_ended(&1);
     assert!(flights.edit_begins(&3));
@@ -155,14 +155,14 @@
                     let full = model.flights.len() >= 4;
                     let joinable = model.flights.iter_mut().find(|f| f.key == key && f.joinable);
                     let expected = match joinable {
-                        Some(flight) if flight.joiners.len() >= 5 => Joined::NoRoom,
+                        Some(flight) if flight.joiners.len() >= 5 => Joined::Rejected,
                         Some(flight) => {
                             flight.joiners.push((joiner, deadline));
-                            Joined::Waits(flight.id)
+                            Joined::Waiting(flight.id)
                         }
-                        None if full => Joined::NoRoom,
+                        None if full => Joined::Rejected,
                         None => {
-                            let Joined::Begins(id) = joined else {
+                            let Joined::Started(id) = joined else {
                                 return Err(TestCaseError::fail("no new fetch"));
                             };
                             prop_assert!(model.flights.iter().all(|f| f.id != id));
@@ -176,11 +176,11 @@
                                 overlaps_edit,
                                 read: None,
                             });
-                            Joined::Begins(id)
+                            Joined::Started(id)
                         }
                     };
                     prop_assert_eq!(joined, expected);
-                    if joined != Joined::NoRoom {
+                    if joined != Joined::Rejected {
                         model
                             .receipt_at_join
                             .insert(joiner, model.newest_receipt.get(&key).copied().unwrap_or(0));
@@ -210,20 +210,20 @@
                         continue;
                     }
                     let flight = model.flights.remove(at);
-                    let completed = flights.landed(flight.id).unwrap();
+                    let completed = flights.complete(flight.id).unwrap();
                     let version = flight.read.unwrap();
                     prop_assert_eq!(
                         &completed.joiners,
                         &flight.joiners.iter().map(|(j, _)| *j).collect::<Vec<_>>()
                     );
-                    prop_assert_eq!((completed.key, completed.may_keep), (flight.key, !flight.overlaps_edit));
+                    prop_assert_eq!((completed.key, completed.cacheable), (flight.key, !flight.overlaps_edit));
                     for joiner in completed.joiners {
                         prop_assert!(
                             version >= model.receipt_at_join[&joiner],
                             "a value older than a receipt from before the call"
                         );
                     }
-                    if completed.may_keep {
+                    if completed.cacheable {
                         model.cache.insert(flight.key, version);
                     }
                 }
@@ -299,19 +299,19 @@
     fn a_breaker_lets_one_probe_pass_at_a_time(
         steps in proptest::collection::vec((0u8..4, 0u64..400, 0.0f64..1.0), 1..60),
     ) {
-        let limits = BreakerLimits { failures: 3, shortest: 100, longest: 400, jitter: 0.5 };
+        let limits = BreakerLimits { failure_threshold: 3, min_open: 100, max_open: 400, jitter: 0.5 };
         let mut breaker = Breaker::new(limits);
         let (mut now, mut probing, mut failures, mut open_until) = (0u64, false, 0u32, None::<u64>);
         for (step, elapsed, random) in steps {
             now += elapsed;
             match step {
                 0 | 1 => match breaker.call(now) {
-                    Word::Pass => prop_assert!(open_until.is_none()),
-                    Word::Probe => {
+                    Decision::Pass => prop_assert!(open_until.is_none()),
+                    Decision::Probe => {
                         prop_assert!(!probing && open_until.is_some_and(|until| now >= until));
                         probing = true;
                     }
-                    Word::Refuse { retry_after } => {
+                    Decision::Reject { retry_after } => {
                         prop_assert!(open_until.is_some() && retry_after > 0 && retry_after <= 600);
                     }
                 },
--- a/crates/stonevane-store/tests/postgres.rs
+++ b/crates/stonevane-store/tests/postgres.rs
@@ -16,7 +16,7 @@
 }
 
 fn node(server: &Server) -> Postgres {
-    let options = Options { stall: Duration::from_millis(300), ..Options::default() };
+    let options = Options { statement_timeout: Duration::from_millis(300), ..Options::default() };
     Postgres::new(&server.url(), options).unwrap()
 }
 
@@ -82,7 +82,7 @@
         server.set_fault(fault);
         let lost = timeout(Duration::from_secs(10), one.edit(edit("a", "one", Some(&token)))).await;
         let lost = lost.expect("the edit ends within 10 s").unwrap_err();
-        assert!(!lost.proves_not_done(), "the edit was applied: {lost}");
+        assert!(!lost.is_certainly_not_applied(), "the edit was applied: {lost}");
         server.set_fault(PgFault::None);
         let receipt = other.edit(edit("a", "one", Some(&token))).await;
         assert_eq!(receipt, Ok(Receipt { version, repeat: true }));
@@ -104,7 +104,7 @@
         server.set_fault(fault);
         let failed = timeout(Duration::from_secs(5), node.edit(edit("a", "two", Some("t")))).await;
         let failed = failed.expect("the edit ends within 5 s").unwrap_err();
-        assert_eq!((&failed, failed.proves_not_done()), (&wanted, true), "{fault:?}");
+        assert_eq!((&failed, failed.is_certainly_not_applied()), (&wanted, true), "{fault:?}");
         server.set_fault(PgFault::None);
         let again = async {
             while value(&node, "a").await.is_err() {}
@@ -115,7 +115,7 @@
     }
     server.set_fault(PgFault::MidRow);
     let torn = value(&node, "a").await.unwrap_err();
-    assert!(torn.is_silence(), "{torn}");
+    assert!(torn.is_unresponsive(), "{torn}");
     server.set_fault(PgFault::TooMany);
     assert_eq!(
         value(&node, "a").await,
--- a/crates/stonevane-store/tests/store.rs
+++ b/crates/stonevane-store/tests/store.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use rusqlite::Connection;
-use stonevane_store::sqlite::{APPLICATION_ID, FORM, Options, check};
+use stonevane_store::sqlite::{APPLICATION_ID, Options, SCHEMA_VERSION, check};
 use stonevane_store::{Change, Edit, Receipt, Sqlite, StoreError};
 
 /// A temporary folder, removed when the test ends.
@@ -149,7 +149,7 @@
         assert!(done < 100, "the limit of 160 KiB must be reached by now");
     };
     assert_eq!(full, StoreError::Full);
-    assert!(full.proves_not_done() && done > 1);
+    assert!(full.is_certainly_not_applied() && done > 1);
     assert_eq!(store.get(&format!("k{done}")).await, Ok(None), "the failed edit was not applied");
     assert!(store.get("k0").await.unwrap().is_some(), "existing zones are still readable");
     drop(store);
@@ -161,7 +161,7 @@
 #[tokio::test]
 async fn edits_of_a_file_locked_by_another_process_fail_as_busy_and_reads_succeed() {
     let folder = Folder::new();
-    let options = Options { busy: Duration::from_millis(20), ..Options::default() };
+    let options = Options { busy_timeout: Duration::from_millis(20), ..Options::default() };
     let store = Sqlite::open(&folder.file(), &options).unwrap();
     store.edit(edit("a", "one", None)).await.unwrap();
     let other = Connection::open(folder.file()).unwrap();
@@ -175,7 +175,7 @@
 #[tokio::test]
 async fn calls_beyond_the_queue_length_are_rejected_at_once() {
     let folder = Folder::new();
-    let options = Options { queue: 1, busy: Duration::from_millis(300), ..Options::default() };
+    let options = Options { queue: 1, busy_timeout: Duration::from_millis(300), ..Options::default() };
     let store = std::sync::Arc::new(Sqlite::open(&folder.file(), &options).unwrap());
     let other = Connection::open(folder.file()).unwrap();
     other.execute_batch("BEGIN IMMEDIATE").unwrap();
@@ -221,9 +221,9 @@
     assert_eq!(open_error(&path), StoreError::Foreign);
     let newer = Connection::open(&path).unwrap();
     newer.pragma_update(None, "application_id", APPLICATION_ID).unwrap();
-    newer.pragma_update(None, "user_version", FORM + 1).unwrap();
+    newer.pragma_update(None, "user_version", SCHEMA_VERSION + 1).unwrap();
     drop(newer);
-    assert_eq!(open_error(&path), StoreError::Newer { found: FORM + 1, known: FORM });
+    assert_eq!(open_error(&path), StoreError::Newer { found: SCHEMA_VERSION + 1, known: SCHEMA_VERSION });
 }
 
 #[tokio::test]
@@ -295,7 +295,8 @@
 #[tokio::test]
 async fn inline_reads_see_each_edit_and_leave_no_log_behind() {
     let folder = Folder::new();
-    let options = Options { here: Some(stonevane_store::quick::Limits::default()), ..Options::default() };
+    let options =
+        Options { inline_reads: Some(stonevane_store::quick::Limits::default()), ..Options::default() };
     let store = Sqlite::open(&folder.file(), &options).unwrap();
     let answered = stonevane_store::Store::answered(&store);
     for edit_number in 1..=50u64 {
@@ -308,8 +309,8 @@
     assert_eq!(store.get("b").await, Ok(None));
     assert!(matches!(store.get("").await, Err(StoreError::Bounds(_))));
     // The first inline read counts as slow, so the reader threads serve the others, with the same results.
-    let slow = stonevane_store::quick::Limits { slow: 0, ..Default::default() };
-    let other = Sqlite::open(&folder.file(), &Options { here: Some(slow), ..options }).unwrap();
+    let slow = stonevane_store::quick::Limits { slow_threshold: 0, ..Default::default() };
+    let other = Sqlite::open(&folder.file(), &Options { inline_reads: Some(slow), ..options }).unwrap();
     for _ in 0..3 {
         assert_eq!(other.get("a").await.unwrap().unwrap().version, 50);
     }
--- a/crates/stonevane/src/bench/store/sqlite.rs
+++ b/crates/stonevane/src/bench/store/sqlite.rs
@@ -27,7 +27,7 @@
         let threaded = Arc::new(Sqlite::open(&path, &Options::default())?);
         let zones = (0..KEYS).map(|number| (key(number), vec![b'v'; VALUE_LEN])).collect();
         runtime.block_on(threaded.import("bench", KEYS, zones))?;
-        let options = Options { here: Some(quick::Limits::default()), ..Options::default() };
+        let options = Options { inline_reads: Some(quick::Limits::default()), ..Options::default() };
         let on_caller = Arc::new(Sqlite::open(&path, &options)?);
         let bare = rusqlite::Connection::open(&path)?;
         bare.pragma_update(None, "synchronous", "FULL")?;
--- a/crates/stonevane/src/store.rs
+++ b/crates/stonevane/src/store.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use clap::Subcommand;
-use stonevane_store::sqlite::{FORM, Options, check};
+use stonevane_store::sqlite::{Options, SCHEMA_VERSION, check};
 use stonevane_store::{Sqlite, StoreError};
 
 use self::import::Import;
@@ -139,7 +139,7 @@
 
 fn init(file: &Path) -> Result<(), CommandError> {
     open(file)?;
-    say!("{}: a store of form {FORM}", file.display());
+    say!("{}: a store of form {SCHEMA_VERSION}", file.display());
     Ok(())
 }
 
--- a/crates/stonevane/src/store/put.rs
+++ b/crates/stonevane/src/store/put.rs
@@ -51,5 +51,5 @@
 
 /// Whether a write that failed may have been done.
 fn effect(error: &StoreError) -> &'static str {
-    if error.proves_not_done() { "not done" } else { "may be done" }
+    if error.is_certainly_not_applied() { "not done" } else { "may be done" }
 }
--- a/crates/stonevane/src/store/top.rs
+++ b/crates/stonevane/src/store/top.rs
@@ -8,7 +8,7 @@
 use clap::Args;
 use stonevane_store::postgres::Options as PoolOptions;
 use stonevane_store::sqlite::Options;
-use stonevane_store::{Change, Figures, Postgres, Sqlite, Store, StoreError};
+use stonevane_store::{Change, Postgres, Sqlite, Store, StoreError, StoreStats};
 use tokio::time::timeout;
 
 use crate::error::CommandError;
@@ -43,7 +43,7 @@
 
 /// One look.
 struct Look {
-    figures: Result<Figures, StoreError>,
+    figures: Result<StoreStats, StoreError>,
     /// How long the store took to answer.
     took: Duration,
     /// What changed since the look before, the oldest first.
@@ -85,7 +85,7 @@
 impl Watch<'_> {
     async fn look(&mut self) -> Look {
         let begun = Instant::now();
-        let answer = timeout(self.timeout, self.store.figures()).await;
+        let answer = timeout(self.timeout, self.store.stats()).await;
         let figures = answer.unwrap_or(Err(StoreError::TimedOut));
         let took = begun.elapsed();
         let changes = self.changes(&figures).await;
@@ -108,7 +108,7 @@
     }
 
     /// What has changed since the look before.
-    async fn changes(&self, figures: &Result<Figures, StoreError>) -> Vec<Change> {
+    async fn changes(&self, figures: &Result<StoreStats, StoreError>) -> Vec<Change> {
         match (self.previous, figures) {
             (Some((version, _)), Ok(now)) if now.version > version => {
                 let read = timeout(self.timeout, self.store.changes(version, MAX_CHANGES)).await;
