--- a/crates/stonevane-audit/src/auditor/emulator_faults.rs
+++ b/crates/stonevane-audit/src/auditor/emulator_faults.rs
@@ -39,12 +39,17 @@
     }
 
     /// Adds a fault of the server that the last record of the evidence names.
-    fn report_emulator_fault(&mut self, code: &'static str, what: String, evidence: Vec<NumberedRecord>) {
-        self.report.faulty += 1;
+    fn report_emulator_fault(
+        &mut self,
+        code: &'static str,
+        description: String,
+        evidence: Vec<NumberedRecord>,
+    ) {
+        self.report.fault_count += 1;
         if self.report.faults.len() >= Report::MAX_REPORTED {
             return;
         }
         let server = evidence.last().map_or("", |record| record.server_name()).to_owned();
-        self.report.faults.push(EmulatorFault { server, code, what, evidence: quote(evidence) });
+        self.report.faults.push(EmulatorFault { server, code, description, evidence: quote(evidence) });
     }
 }
--- a/crates/stonevane-audit/src/auditor/evidence.rs
+++ b/crates/stonevane-audit/src/auditor/evidence.rs
@@ -47,13 +47,18 @@
     pub check: &'static str,
     /// Id of the request; empty if the violation concerns no single request.
     pub request: String,
-    pub what: String,
+    pub description: String,
     pub evidence: Vec<NumberedRecord>,
 }
 
 impl Violation {
-    pub fn new(rule: Rule, code: &'static str, what: String, evidence: Vec<NumberedRecord>) -> Violation {
-        Violation { rule, code, check: code, request: String::new(), what, evidence }
+    pub fn new(
+        rule: Rule,
+        code: &'static str,
+        description: String,
+        evidence: Vec<NumberedRecord>,
+    ) -> Violation {
+        Violation { rule, code, check: code, request: String::new(), description, evidence }
     }
 
     /// Sets the request that the violation concerns.
--- a/crates/stonevane-audit/src/auditor/members.rs
+++ b/crates/stonevane-audit/src/auditor/members.rs
@@ -15,9 +15,15 @@
     /// Handles a reading of a node's member table.
     pub(super) fn view_read(&mut self, record: &NumberedRecord) {
         let Some(observer) = self.membership.number(&record.node) else { return };
-        for breach in self.membership.view(record.time, observer, &record.state) {
-            let what = format!("n{} in the view of {}: {}", breach.member, record.node, breach.what);
-            self.report_violation(Violation::new(Rule::Membership, breach.code, what, vec![record.clone()]));
+        for violation in self.membership.view(record.time, observer, &record.state) {
+            let what =
+                format!("n{} in the view of {}: {}", violation.member, record.node, violation.description);
+            self.report_violation(Violation::new(
+                Rule::Membership,
+                violation.code,
+                what,
+                vec![record.clone()],
+            ));
         }
     }
 
--- a/crates/stonevane-audit/src/auditor/mod.rs
+++ b/crates/stonevane-audit/src/auditor/mod.rs
@@ -177,7 +177,7 @@
     pub fn finish(mut self) -> Report {
         self.settle(u64::MAX, true);
         self.report.peak_requests = self.requests.peak;
-        self.report.membership = self.membership.figures().clone();
+        self.report.membership = self.membership.measurements().clone();
         self.report
     }
 
@@ -203,7 +203,7 @@
 
     /// Adds a finding to the report, at most once per request and code.
     fn report_violation(&mut self, violation: Violation) {
-        let Violation { rule, code, check, request, what, evidence } = violation;
+        let Violation { rule, code, check, request, description, evidence } = violation;
         if !self.is_enabled(check) {
             return;
         }
@@ -215,12 +215,12 @@
             }
             tracked.reported.push(code);
         }
-        self.report.broken += 1;
+        self.report.finding_count += 1;
         if self.report.findings.len() >= Report::MAX_REPORTED {
             return;
         }
         // The first record of the request shows its class, key and deadline.
         let evidence = quote(evidence.into_iter().chain(first_sent).collect());
-        self.report.findings.push(Finding { rule, code, request, what, evidence });
+        self.report.findings.push(Finding { rule, code, request, description, evidence });
     }
 }
--- a/crates/stonevane-audit/src/auditor/slow_start.rs
+++ b/crates/stonevane-audit/src/auditor/slow_start.rs
@@ -30,7 +30,7 @@
         for load in server.load.loads() {
             let limit = warm_up.capacity_within(load.from, window_us) * rules.overload_multiple;
             let work = load.work_us as f64;
-            let over = work > limit * (1.0 + rules.cold_slack);
+            let over = work > limit * (1.0 + rules.overload_tolerance);
             if over && load.attributable_us as f64 >= rules.informed_share * work {
                 overload = Some((load, limit));
             }
--- a/crates/stonevane-audit/src/lib.rs
+++ b/crates/stonevane-audit/src/lib.rs
@@ -30,6 +30,6 @@
 pub use auditor::Auditor;
 pub use history::{Effect, Event, HistoryError, HistoryRecord, MalformedLine, Outcome};
 pub use interval::TimeInterval;
-pub use membership::{Breach, Membership, MembershipFigures};
+pub use membership::{Membership, MembershipMeasurements, MembershipViolation};
 pub use report::{EmulatorFault, Evidence, Finding, Report, Rule};
 pub use rules::{ClassRule, DedupScope, Idempotency, MembershipRules, OriginRule, Rules, work_capacity};
--- a/crates/stonevane-audit/src/membership/detection.rs
+++ b/crates/stonevane-audit/src/membership/detection.rs
@@ -8,7 +8,7 @@
 
 /// Measurements of the membership protocol; the rules do not depend on them.
 #[derive(Debug, Clone, PartialEq, Default, Serialize)]
-pub struct MembershipFigures {
+pub struct MembershipMeasurements {
     /// Number of views read.
     pub views: usize,
     /// Number of processes that ended without announcing that they leave.
@@ -19,11 +19,11 @@
     /// For each death that all healthy views detected: microseconds until the last of them did.
     pub last_us: Vec<u64>,
     /// Number of times that a member was declared dead in some view although it and the view's owner had been
-    /// healthy for longer than [`crate::MembershipRules::accuse_us`].
+    /// healthy for longer than [`crate::MembershipRules::false_death_limit_us`].
     pub false_deaths: usize,
 }
 
-impl MembershipFigures {
+impl MembershipMeasurements {
     /// Returns a quantile, 0 to 1, of times; `None` if there are none.
     pub fn quantile(times: &[u64], quantile: f64) -> Option<u64> {
         let mut times = times.to_vec();
@@ -57,7 +57,7 @@
     /// Records the end of a process that did not announce that it leaves.
     pub(super) fn record_death(&mut self, member: usize, ended_at: u64) {
         let detected_by = vec![false; self.members.len()];
-        self.figures.deaths += 1;
+        self.measurements.deaths += 1;
         self.deaths.push(Death {
             member,
             ended_at,
@@ -81,7 +81,7 @@
 
     fn count_false_death(&mut self, time: TimeInterval, observer: usize, member: usize, state: ViewState) {
         // After this time the view can't show a death from before the member became healthy.
-        let bound = self.rules.accuse_us;
+        let bound = self.rules.false_death_limit_us;
         let is_settled = |member: &Member| {
             member.healthy_since.is_some_and(|since| time.earliest > since.saturating_add(bound))
         };
@@ -91,7 +91,7 @@
         match (state == ViewState::Dead, entry.state == Some(ViewState::Dead)) {
             (true, false) if are_settled => {
                 entry.is_false_death = true;
-                self.figures.false_deaths += usize::from(*views == 0);
+                self.measurements.false_deaths += usize::from(*views == 0);
                 *views += 1;
             }
             (false, _) if std::mem::take(&mut entry.is_false_death) => *views = views.saturating_sub(1),
@@ -109,14 +109,14 @@
             let elapsed_us = time.earliest.saturating_sub(death.ended_at);
             if death.first_us.is_none() {
                 death.first_us = Some(elapsed_us);
-                self.figures.first_us.push(elapsed_us);
+                self.measurements.first_us.push(elapsed_us);
             }
             death.detected_by[observer] = true;
             let is_done =
                 |other: usize| death.detected_by[other] || self.members[other].healthy_since.is_none();
             if (0..count).all(is_done) {
                 death.last_us = Some(elapsed_us);
-                self.figures.last_us.push(elapsed_us);
+                self.measurements.last_us.push(elapsed_us);
             }
         }
     }
--- a/crates/stonevane-audit/src/membership/mod.rs
+++ b/crates/stonevane-audit/src/membership/mod.rs
@@ -12,7 +12,7 @@
 mod views;
 
 use detection::Death;
-pub use detection::MembershipFigures;
+pub use detection::MembershipMeasurements;
 use views::ViewEntry;
 
 use crate::interval::TimeInterval;
@@ -20,7 +20,7 @@
 
 /// A violation of a membership rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Breach {
+pub struct MembershipViolation {
     /// Rule that is violated:
     /// - `undetected`: a member whose process has ended is dead or suspected in every healthy view;
     /// - `accused`: a healthy member is not dead in any healthy view;
@@ -36,7 +36,7 @@
     /// Number of the member that the view shows wrongly.
     pub member: usize,
     /// Description of the violation.
-    pub what: String,
+    pub description: String,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -67,7 +67,7 @@
     deaths: Vec<Death>,
     /// Number of views, for each member, that show it dead although it is healthy.
     false_death_views: Vec<usize>,
-    figures: MembershipFigures,
+    measurements: MembershipMeasurements,
     /// Number of active partitions from one member to another: a matrix with a row per sender.
     partitions: Vec<u16>,
     /// Number of ordered pairs with an active partition.
@@ -92,7 +92,7 @@
             members: vec![not_started; count],
             deaths: Vec::new(),
             false_death_views: vec![0; count],
-            figures: MembershipFigures::default(),
+            measurements: MembershipMeasurements::default(),
             partitions: vec![0; count * count],
             partitioned_pairs: 0,
             degradations: 0,
@@ -108,8 +108,8 @@
     }
 
     /// Returns the measurements so far.
-    pub fn figures(&self) -> &MembershipFigures {
-        &self.figures
+    pub fn measurements(&self) -> &MembershipMeasurements {
+        &self.measurements
     }
 
     /// Handles a change of a member's process; `state` is that of the event [`crate::Event::Node`].
--- a/crates/stonevane-audit/src/membership/views.rs
+++ b/crates/stonevane-audit/src/membership/views.rs
@@ -1,6 +1,6 @@
 //! Views of members, and the checks of what they show.
 
-use super::{Breach, Member, Membership};
+use super::{Member, Membership, MembershipViolation};
 use crate::interval::TimeInterval;
 
 /// Number of suspicions of a healthy member, in normal or mildly degraded network conditions, that is a
@@ -96,27 +96,27 @@
     }
 }
 
-/// A violation by an entry: the code, one of [`Breach::code`], and a description.
+/// A violation by an entry: the code, one of [`MembershipViolation::code`], and a description.
 struct Violation {
     code: &'static str,
-    what: String,
+    description: String,
 }
 
-fn violation(code: &'static str, what: String) -> Violation {
-    Violation { code, what }
+fn violation(code: &'static str, description: String) -> Violation {
+    Violation { code, description }
 }
 
 impl Membership {
     /// Checks a view that was read: one letter per member, `a`live, `s`uspect, `d`ead, `l`eft or `?` for
     /// unknown. A violation that lasts over several readings is returned once.
-    pub fn view(&mut self, time: TimeInterval, observer: usize, states: &str) -> Vec<Breach> {
-        let mut breaches = Vec::new();
+    pub fn view(&mut self, time: TimeInterval, observer: usize, states: &str) -> Vec<MembershipViolation> {
+        let mut violations = Vec::new();
         let count = self.members.len();
         if observer >= count {
-            return breaches;
+            return violations;
         }
         let states: Vec<ViewState> = states.bytes().map(ViewState::of_letter).collect();
-        self.figures.views += 1;
+        self.measurements.views += 1;
         self.measure(time, observer, &states);
         let has_converged = self.has_converged(time);
         // A view may lack members at its end, if its owner's list of members is shorter.
@@ -125,22 +125,22 @@
             let found = self.check_entry(time, observer, member, state, has_converged);
             let entry = &mut self.views[observer * count + member];
             match found {
-                Some(Violation { code, what }) if !entry.is_reported => {
+                Some(Violation { code, description }) if !entry.is_reported => {
                     entry.is_reported = true;
-                    breaches.push(Breach { code, observer, member, what });
+                    violations.push(MembershipViolation { code, observer, member, description });
                 }
                 Some(_) => {}
                 None => entry.is_reported = false,
             }
         }
-        breaches
+        violations
     }
 
     fn has_converged(&self, time: TimeInterval) -> bool {
         let no_active_faults = self.partitioned_pairs == 0
             && self.degradations == 0
             && !self.members.iter().any(|member| member.suspensions > 0);
-        no_active_faults && time.earliest > self.changed_at + self.rules.converge_us
+        no_active_faults && time.earliest > self.changed_at + self.rules.convergence_limit_us
     }
 
     fn check_entry(
@@ -157,7 +157,8 @@
             (entry.state, entry.since) = (Some(state), time.latest);
         }
         let now = time.earliest;
-        let is_quiet = self.severe_degradations == 0 && now > self.changed_at + self.rules.accuse_us;
+        let is_quiet =
+            self.severe_degradations == 0 && now > self.changed_at + self.rules.false_death_limit_us;
         let seen = Observation { observer, member, state, now, has_changed, is_quiet, has_converged };
         let subject = self.members[member].clone();
         if !subject.ever_started && state.is_live() {
@@ -177,7 +178,7 @@
 
     /// Checks a member without a process: views show its end in time, and do not show it alive again.
     fn check_gone(&mut self, seen: &Observation, down_since: u64) -> Option<Violation> {
-        let detect_us = self.rules.detect_us;
+        let detection_limit_us = self.rules.detection_limit_us;
         let healthy_since = self.members[seen.observer].healthy_since;
         let entry = self.entry(seen);
         if entry.was_declared_dead && seen.state.is_live() {
@@ -187,11 +188,11 @@
                 format!("shown alive again after it was shown dead, {ms} ms after its process ended"),
             ));
         }
-        if seen.state.is_gone() && seen.exceeds(down_since, detect_us) {
+        if seen.state.is_gone() && seen.exceeds(down_since, detection_limit_us) {
             entry.was_declared_dead = true;
         }
         let since = down_since.max(healthy_since.unwrap_or(u64::MAX));
-        let is_undetected = seen.state == ViewState::Alive && seen.exceeds(since, detect_us);
+        let is_undetected = seen.state == ViewState::Alive && seen.exceeds(since, detection_limit_us);
         let ms = seen.ms_since(down_since);
         is_undetected.then(|| violation("undetected", format!("shown alive {ms} ms after its process ended")))
     }
@@ -200,7 +201,8 @@
     /// rare.
     fn check_healthy(&mut self, seen: &Observation, subject: &Member) -> Option<Violation> {
         let (own, other) = self.members[seen.observer].healthy_since.zip(subject.healthy_since)?;
-        let (accuse_us, refute_us) = (self.rules.accuse_us, self.rules.refute_us);
+        let (false_death_limit_us, refutation_limit_us) =
+            (self.rules.false_death_limit_us, self.rules.refutation_limit_us);
         let since = own.max(other).max(self.entry(seen).since);
         let ms = seen.ms_since(since);
         if seen.state.is_gone() {
@@ -208,7 +210,7 @@
                 let what = "declared dead without a recent fault, though it runs and is reachable";
                 return Some(violation("accused", what.into()));
             }
-            let is_falsely_dead = seen.exceeds(since, accuse_us);
+            let is_falsely_dead = seen.exceeds(since, false_death_limit_us);
             return is_falsely_dead.then(|| {
                 violation("accused", format!("shown dead for {ms} ms, though it runs and is reachable"))
             });
@@ -222,13 +224,13 @@
         {
             return Some(violation);
         }
-        seen.exceeds(since, refute_us).then(|| {
+        seen.exceeds(since, refutation_limit_us).then(|| {
             violation("unrefuted", format!("suspected for {ms} ms, though it runs and is reachable"))
         })
     }
 
     fn count_false_suspicion(&mut self, seen: &Observation) -> Option<Violation> {
-        let window_us = FALSE_SUSPICION_WINDOW_FACTOR * self.rules.refute_us;
+        let window_us = FALSE_SUSPICION_WINDOW_FACTOR * self.rules.refutation_limit_us;
         let entry = self.entry(seen);
         let first = entry.false_suspicions_since;
         if seen.exceeds(first, window_us) {
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -7,7 +7,7 @@
 
 use serde::Serialize;
 
-use crate::membership::MembershipFigures;
+use crate::membership::MembershipMeasurements;
 
 /// A rule that a history is audited against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -30,7 +30,7 @@
     AttemptIntegrity,
     /// The limits of the deployment: attempts per request, hedged requests, time to exit after SIGTERM.
     Limits,
-    /// The rules for the members' views of each other; see [`crate::Breach::code`].
+    /// The rules for the members' views of each other; see [`crate::MembershipViolation::code`].
     #[serde(rename = "members")]
     Membership,
 }
@@ -68,7 +68,8 @@
     /// Id of the request; empty if the finding concerns no single request.
     pub request: String,
     /// Description of the violation.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// Lines that prove the finding, in the order of the history.
     pub evidence: Vec<Evidence>,
 }
@@ -79,7 +80,7 @@
         if !self.request.is_empty() {
             write!(f, ", request {}", self.request)?;
         }
-        write!(f, ": {}", self.what)?;
+        write!(f, ": {}", self.description)?;
         write_lines(f, &self.evidence)
     }
 }
@@ -93,14 +94,15 @@
     /// Kind of fault.
     pub code: &'static str,
     /// Description of the fault.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// Lines that prove the fault, in the order of the history.
     pub evidence: Vec<Evidence>,
 }
 
 impl fmt::Display for EmulatorFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the emulator {} is at fault, {}: {}", self.server, self.code, self.what)?;
+        write!(f, "the emulator {} is at fault, {}: {}", self.server, self.code, self.description)?;
         write_lines(f, &self.evidence)
     }
 }
@@ -115,13 +117,15 @@
     /// Findings in the order in which they were proven; at most [`Report::MAX_REPORTED`] are kept.
     pub findings: Vec<Finding>,
     /// Total number of findings, including those that were not kept.
-    pub broken: usize,
+    #[serde(rename = "broken")]
+    pub finding_count: usize,
     /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MAX_REPORTED`]
     /// are kept.
     pub faults: Vec<EmulatorFault>,
     /// Total number of faults, including those that were not kept. If it is not 0, the findings and their
     /// absence are unreliable.
-    pub faulty: usize,
+    #[serde(rename = "faulty")]
+    pub fault_count: usize,
     /// Records read, without the first one.
     pub events: usize,
     /// Requests that clients sent; a resend of the same request does not count.
@@ -142,7 +146,7 @@
     #[serde(rename = "held_at_most")]
     pub peak_requests: usize,
     /// Measurements of the membership protocol.
-    pub membership: MembershipFigures,
+    pub membership: MembershipMeasurements,
     /// Number of answers by class; the array is indexed by [`crate::Outcome`]: served, rejected, failed.
     pub answers: BTreeMap<String, [usize; 3]>,
 }
@@ -153,7 +157,7 @@
 
     /// Returns whether no rule is violated.
     pub fn holds(&self) -> bool {
-        self.broken == 0
+        self.finding_count == 0
     }
 }
 
@@ -169,8 +173,8 @@
         write!(
             f,
             "{verdict}: {} breaches in {} events, {} requests, {} attempts ({} excused, {} not settled at the end)",
-            self.broken, self.events, self.requests, self.attempts, self.excused, self.pending
+            self.finding_count, self.events, self.requests, self.attempts, self.excused, self.pending
         )?;
-        if self.faulty > 0 { write!(f, "; {} faults of emulators", self.faulty) } else { Ok(()) }
+        if self.fault_count > 0 { write!(f, "; {} faults of emulators", self.fault_count) } else { Ok(()) }
     }
 }
--- a/crates/stonevane-audit/src/rules.rs
+++ b/crates/stonevane-audit/src/rules.rs
@@ -77,21 +77,25 @@
     }
 }
 
-/// Bounds on the views of members; see [`crate::Breach::code`].
+/// Bounds on the views of members; see [`crate::MembershipViolation::code`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(default, deny_unknown_fields)]
 pub struct MembershipRules {
     /// Number of members; their names are `n0`, `n1` and so on.
     pub members: usize,
     /// Time in microseconds after the end of a member's process from which no healthy view shows it as alive.
-    pub detect_us: u64,
+    #[serde(rename = "detect_us")]
+    pub detection_limit_us: u64,
     /// Maximum time in microseconds for which a healthy view shows a healthy member as dead.
-    pub accuse_us: u64,
+    #[serde(rename = "accuse_us")]
+    pub false_death_limit_us: u64,
     /// Maximum time in microseconds for which a healthy view suspects a healthy member without interruption.
-    pub refute_us: u64,
+    #[serde(rename = "refute_us")]
+    pub refutation_limit_us: u64,
     /// Time in microseconds after the end of all faults from which every view matches the state of the
     /// processes.
-    pub converge_us: u64,
+    #[serde(rename = "converge_us")]
+    pub convergence_limit_us: u64,
 }
 
 /// Limits of all rules.
@@ -115,7 +119,8 @@
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
     /// Tolerance for a load that exceeds the limit by chance, as a share of the limit.
-    pub cold_slack: f64,
+    #[serde(rename = "cold_slack")]
+    pub overload_tolerance: f64,
     /// An overload is attributed to nodes if at least this share of its work, 0 to 1, comes from nodes that
     /// know of the server's start.
     #[serde(rename = "informed_part")]
@@ -155,7 +160,7 @@
             assumed_notified_us: 6_000_000,
             overload_multiple: 3.0,
             overload_window_us: 2_000_000,
-            cold_slack: 0.05,
+            overload_tolerance: 0.05,
             informed_share: 2.0 / 3.0,
             kill_grace_us: 700_000,
             shutdown_limit_us: 0,
--- a/crates/stonevane-experiment/src/results.rs
+++ b/crates/stonevane-experiment/src/results.rs
@@ -95,8 +95,8 @@
         RunResult {
             figures: FIGURES.iter().filter_map(figure).collect(),
             holds,
-            broken: report.broken,
-            faulty: report.faulty,
+            broken: report.finding_count,
+            faulty: report.fault_count,
             codes,
             marks_ms: summary.classes.into_iter().map(|(name, class)| (name, class.marks_ms)).collect(),
             steps: summary.steps,
--- a/crates/stonevane-lab/src/fleet/rules.rs
+++ b/crates/stonevane-lab/src/fleet/rules.rs
@@ -49,9 +49,9 @@
     let us = |periods: u64| periods * spec.period.as_micros() as u64;
     MembershipRules {
         members,
-        detect_us: us(bounds.detection),
-        accuse_us: us(bounds.accuracy),
-        refute_us: us(bounds.refutation),
-        converge_us: us(bounds.convergence),
+        detection_limit_us: us(bounds.detection),
+        false_death_limit_us: us(bounds.accuracy),
+        refutation_limit_us: us(bounds.refutation),
+        convergence_limit_us: us(bounds.convergence),
     }
 }
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -177,10 +177,16 @@
         let _ = std::fs::remove_file(&path);
     }
     let (report, summary) = evaluated?;
-    tracing::info!(scenario = scenario.name, seed, broken = report.broken, events = report.events, "judged");
+    tracing::info!(
+        scenario = scenario.name,
+        seed,
+        broken = report.finding_count,
+        events = report.events,
+        "judged"
+    );
     let check = |expectation| CheckedExpectation::new(expectation, &summary, &report);
     let expects: Vec<_> = scenario.expects.iter().map(check).collect();
-    let holds = report.holds() && report.faulty == 0 && expects.iter().all(|checked| checked.holds);
+    let holds = report.holds() && report.fault_count == 0 && expects.iter().all(|checked| checked.holds);
     Ok(Outcome { scenario: scenario.name, seed, load, summary, report, expects, holds })
 }
 
--- a/crates/stonevane-lab/tests/overlap.rs
+++ b/crates/stonevane-lab/tests/overlap.rs
@@ -43,7 +43,7 @@
 
 #[track_caller]
 fn assert_no_findings(outcome: &Outcome) {
-    assert!(outcome.report.holds() && outcome.report.faulty == 0, "{}", outcome.report);
+    assert!(outcome.report.holds() && outcome.report.fault_count == 0, "{}", outcome.report);
     assert!(outcome.report.requests > 300, "{}", outcome.report);
 }
 
--- a/crates/stonevane-sim/src/members/mod.rs
+++ b/crates/stonevane-sim/src/members/mod.rs
@@ -9,4 +9,4 @@
 
 pub use plan::{Bounds, MemberFault, MemberFaultKind, MemberPlan, MemberPlanError};
 pub use shrink::shrink_members;
-pub use simulation::{MemberOptions, MemberVerdict, TimedBreach, play};
+pub use simulation::{MemberOptions, MemberVerdict, TimedViolation, run};
--- a/crates/stonevane-sim/src/members/plan/generate.rs
+++ b/crates/stonevane-sim/src/members/plan/generate.rs
@@ -65,7 +65,7 @@
             loss: [0.0, 0.02, 0.1, 0.1][random.below(4)],
             has_key: random.chance(0.3),
             first_version_members: if random.chance(0.2) { random.below(starting + 1) } else { 0 },
-            heeds_health: true,
+            uses_local_health: true,
             faults: Vec::new(),
             duration_us: 0,
             bounds: Bounds { detection: 0, accuracy: 0, refutation: 0, convergence: 0 },
@@ -85,7 +85,7 @@
     /// Returns a plan for measurements with a fixed set of faults. From 10 s on, the share `slow` of the
     /// members is slow; the share `loss` of all datagrams is lost throughout; from 20 s on, one member is
     /// killed every 30 s.
-    pub fn measured(seed: u64, members: usize, loss: f64, slow: f64, duration_us: u64) -> MemberPlan {
+    pub fn for_measurement(seed: u64, members: usize, loss: f64, slow: f64, duration_us: u64) -> MemberPlan {
         let slow_members = (members as f64 * slow) as usize;
         let mut faults: Vec<MemberFault> = (0..slow_members)
             .map(|member| MemberFault {
@@ -111,7 +111,7 @@
             loss,
             has_key: false,
             first_version_members: 0,
-            heeds_health: true,
+            uses_local_health: true,
             faults,
             duration_us,
             // Only accuracy is judged.
--- a/crates/stonevane-sim/src/members/plan/mod.rs
+++ b/crates/stonevane-sim/src/members/plan/mod.rs
@@ -173,7 +173,8 @@
     #[serde(rename = "old")]
     pub first_version_members: usize,
     /// Whether the Lifeguard extensions lengthen members' timeouts, such as the local health multiplier.
-    pub heeds_health: bool,
+    #[serde(rename = "heeds_health")]
+    pub uses_local_health: bool,
     /// Faults, ordered by start time.
     pub faults: Vec<MemberFault>,
     /// Duration of the run, microseconds; an hour at most.
@@ -236,10 +237,10 @@
     pub fn rules(&self) -> MembershipRules {
         MembershipRules {
             members: self.members,
-            detect_us: self.bounds.detection * SECOND_US,
-            accuse_us: self.bounds.accuracy * SECOND_US,
-            refute_us: self.bounds.refutation * SECOND_US,
-            converge_us: self.bounds.convergence * SECOND_US,
+            detection_limit_us: self.bounds.detection * SECOND_US,
+            false_death_limit_us: self.bounds.accuracy * SECOND_US,
+            refutation_limit_us: self.bounds.refutation * SECOND_US,
+            convergence_limit_us: self.bounds.convergence * SECOND_US,
         }
     }
 
--- a/crates/stonevane-sim/src/members/shrink.rs
+++ b/crates/stonevane-sim/src/members/shrink.rs
@@ -2,7 +2,7 @@
 //! one by one; then members.
 
 use super::plan::MemberPlan;
-use super::simulation::{MemberOptions, play};
+use super::simulation::{MemberOptions, run};
 use crate::shrink::remove_by_halves;
 
 /// Smallest fleet that shrinking leaves.
@@ -21,7 +21,7 @@
         self.runs += 1;
         let is_accepted = self.runs <= self.max_runs
             && candidate != *plan
-            && play(&candidate, self.options).code() == Some(self.code);
+            && run(&candidate, self.options).code() == Some(self.code);
         if is_accepted {
             *plan = candidate;
         }
@@ -36,7 +36,7 @@
     options: MemberOptions,
     max_runs: usize,
 ) -> Option<(MemberPlan, &'static str)> {
-    let code = play(plan, options).code()?;
+    let code = run(plan, options).code()?;
     let mut shrinker = Shrinker { options, code, runs: 1, max_runs };
     let mut plan = plan.clone();
     let faults = plan.faults.len();
--- a/crates/stonevane-sim/src/members/simulation/mod.rs
+++ b/crates/stonevane-sim/src/members/simulation/mod.rs
@@ -5,7 +5,7 @@
 mod process;
 
 use oorandom::Rand64;
-use stonevane_audit::{Breach, Membership, MembershipFigures, TimeInterval};
+use stonevane_audit::{Membership, MembershipMeasurements, MembershipViolation, TimeInterval};
 use stonevane_membership::{Mutant, Outputs};
 
 use super::plan::MemberPlan;
@@ -18,7 +18,7 @@
 /// Interval at which views are checked, microseconds.
 const VIEW_INTERVAL_US: u64 = PERIOD_US / 2;
 /// Maximum number of rule violations that are kept.
-const MAX_KEPT_BREACHES: usize = 20;
+const MAX_KEPT_VIOLATIONS: usize = 20;
 
 /// Options of a run.
 #[derive(Debug, Clone, Copy, Default)]
@@ -30,28 +30,28 @@
 
 /// A rule violation and its time.
 #[derive(Debug, Clone)]
-pub struct TimedBreach {
+pub struct TimedViolation {
     /// Simulated time, microseconds.
     pub at_us: u64,
     /// The rule and the members concerned.
-    pub breach: Breach,
+    pub violation: MembershipViolation,
 }
 
 /// Result of a run.
 #[derive(Debug, Clone, Default)]
 pub struct MemberVerdict {
     /// Rule violations in the order of their detection; at most 20 are kept.
-    pub breaches: Vec<TimedBreach>,
+    pub violations: Vec<TimedViolation>,
     /// Number of all rule violations.
-    pub broken: usize,
+    pub violation_count: usize,
     /// Number of datagrams sent.
     pub datagrams: u64,
     /// Number of bytes sent in datagrams.
     pub bytes: u64,
     /// Total running time of all members, seconds.
-    pub member_s: f64,
+    pub member_seconds: f64,
     /// Detection times and false suspicions, as the auditor measured them.
-    pub figures: MembershipFigures,
+    pub statistics: MembershipMeasurements,
     /// Digest of all datagrams with their senders, receivers and times.
     pub digest: u64,
 }
@@ -59,12 +59,12 @@
 impl MemberVerdict {
     /// Whether no rule was broken.
     pub fn holds(&self) -> bool {
-        self.broken == 0
+        self.violation_count == 0
     }
 
     /// Returns the code of the first rule that was broken.
     pub fn code(&self) -> Option<&'static str> {
-        self.breaches.first().map(|broken| broken.breach.code)
+        self.violations.first().map(|first| first.violation.code)
     }
 }
 
@@ -109,7 +109,7 @@
 }
 
 /// Runs a plan to its end.
-pub fn play(plan: &MemberPlan, options: MemberOptions) -> MemberVerdict {
+pub fn run(plan: &MemberPlan, options: MemberOptions) -> MemberVerdict {
     let mut simulation = Simulation::new(plan, options);
     simulation.begin();
     while let Some(event) = simulation.queue.next_until(plan.duration_us) {
@@ -165,7 +165,7 @@
                 self.count_sent(machine.status().counts);
             }
         }
-        self.verdict.figures = self.membership.figures().clone();
+        self.verdict.statistics = self.membership.measurements().clone();
         self.verdict
     }
 
@@ -192,11 +192,11 @@
         let time = self.time();
         for observer in 0..self.plan.starting_members() {
             let Some(view) = self.view_of(observer) else { continue };
-            self.verdict.member_s += VIEW_INTERVAL_US as f64 / 1e6;
-            for breach in self.membership.view(time, observer, &view) {
-                self.verdict.broken += 1;
-                if self.verdict.breaches.len() < MAX_KEPT_BREACHES {
-                    self.verdict.breaches.push(TimedBreach { at_us: time.latest, breach });
+            self.verdict.member_seconds += VIEW_INTERVAL_US as f64 / 1e6;
+            for violation in self.membership.view(time, observer, &view) {
+                self.verdict.violation_count += 1;
+                if self.verdict.violations.len() < MAX_KEPT_VIOLATIONS {
+                    self.verdict.violations.push(TimedViolation { at_us: time.latest, violation });
                 }
             }
         }
--- a/crates/stonevane-sim/src/members/simulation/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -81,7 +81,7 @@
             members: self.plan.members as u16,
             period: PERIOD_US,
             probe_timeout: PERIOD_US / 2,
-            uses_local_health: self.plan.heeds_health,
+            uses_local_health: self.plan.uses_local_health,
             key: self.plan.has_key.then_some([9; 32]),
             max_version: if member < self.plan.first_version_members { 1 } else { 2 },
             seed,
--- a/crates/stonevane-sim/src/shrink.rs
+++ b/crates/stonevane-sim/src/shrink.rs
@@ -144,7 +144,7 @@
 
 /// Shrinks a failing plan in at most `max_runs` runs; returns `None` if the plan doesn't fail.
 pub fn shrink(plan: &Plan, options: Options, max_runs: usize) -> Option<Shrunk> {
-    let options = Options { history: false, ..options };
+    let options = Options { keeps_history: false, ..options };
     let code = run(plan, options).code()?;
     let mut shrinker = Shrinker { options, code, runs: 1, max_runs };
     let mut plan = plan.clone();
--- a/crates/stonevane-sim/src/simulation/mod.rs
+++ b/crates/stonevane-sim/src/simulation/mod.rs
@@ -100,7 +100,7 @@
             streams: HashMap::new(),
             next_stream: 1,
             requests: Vec::new(),
-            recorder: Recorder::new(&settings::rules(), options.history),
+            recorder: Recorder::new(&settings::rules(), options.keeps_history),
             violations: Vec::new(),
             impatience_faults: 0,
             crowd_faults: 0,
--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -12,7 +12,7 @@
     /// A deliberate bug of the core (mutation testing).
     pub mutant: Option<Mutant>,
     /// Whether the history is kept as text.
-    pub history: bool,
+    pub keeps_history: bool,
 }
 
 /// Counters over the whole fleet and run.
@@ -128,7 +128,7 @@
 impl Verdict {
     /// Whether the auditor found no violation and no server fault, and all invariants held.
     pub fn holds(&self) -> bool {
-        self.report.holds() && self.report.faulty == 0 && self.violations.is_empty()
+        self.report.holds() && self.report.fault_count == 0 && self.violations.is_empty()
     }
 
     /// Returns the failure's code: the auditor's code of the first finding or server fault, or the name of
--- a/crates/stonevane-sim/tests/behavior_digest.rs
+++ b/crates/stonevane-sim/tests/behavior_digest.rs
@@ -8,7 +8,7 @@
 #[test]
 fn histories_of_simulated_fleets_stay_the_same() {
     let seeds = 1..=EXPECTED.len() as u64;
-    let digest = |seed| run(&Plan::generate(seed), Options { mutant: None, history: false }).digest;
+    let digest = |seed| run(&Plan::generate(seed), Options { mutant: None, keeps_history: false }).digest;
     let digests: Vec<_> = seeds.map(|seed| format!("{:016x}", digest(seed))).collect();
     assert_eq!(digests, EXPECTED);
 }
--- a/crates/stonevane-sim/tests/members.rs
+++ b/crates/stonevane-sim/tests/members.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use stonevane_membership::Mutant;
-use stonevane_sim::members::{MemberOptions, MemberPlan, TimedBreach, play, shrink_members};
+use stonevane_sim::members::{MemberOptions, MemberPlan, TimedViolation, run, shrink_members};
 
 /// Runs the plans of seeds on all cores and returns the seeds that fail, each with its first rule violation.
 fn failing(seeds: std::ops::Range<u64>, mutant: Option<Mutant>, first_only: bool) -> Vec<(u64, String)> {
@@ -18,15 +18,15 @@
             if seed >= seeds.end || first_only && !failed.lock().unwrap().is_empty() {
                 return;
             }
-            let verdict = play(&MemberPlan::generate(seed), MemberOptions { mutant });
-            if let Some(TimedBreach { at_us, breach }) = verdict.breaches.first() {
+            let verdict = run(&MemberPlan::generate(seed), MemberOptions { mutant });
+            if let Some(TimedViolation { at_us, violation }) = verdict.violations.first() {
                 let description = format!(
                     "{} at {} s: n{} of n{}: {}",
-                    breach.code,
+                    violation.code,
                     at_us / 1_000_000,
-                    breach.observer,
-                    breach.member,
-                    breach.what
+                    violation.observer,
+                    violation.member,
+                    violation.description
                 );
                 failed.lock().unwrap().push((seed, description));
             }
@@ -57,13 +57,13 @@
 #[test]
 fn the_same_plan_gives_the_same_run_and_a_failing_one_is_shrunk() {
     let plan = MemberPlan::generate(3);
-    let run = |plan: &MemberPlan| play(plan, MemberOptions::default()).digest;
-    assert_eq!(run(&plan), run(&MemberPlan::parse(&plan.to_json()).unwrap()));
-    assert_ne!(run(&plan), run(&MemberPlan { seed: 4, ..plan }));
+    let digest_of = |plan: &MemberPlan| run(plan, MemberOptions::default()).digest;
+    assert_eq!(digest_of(&plan), digest_of(&MemberPlan::parse(&plan.to_json()).unwrap()));
+    assert_ne!(digest_of(&plan), digest_of(&MemberPlan { seed: 4, ..plan }));
     let options = MemberOptions { mutant: Some(Mutant::NeverRefutes) };
     let failing =
-        (1..41).map(MemberPlan::generate).find(|plan| !play(plan, options).holds() && plan.faults.len() > 2);
+        (1..41).map(MemberPlan::generate).find(|plan| !run(plan, options).holds() && plan.faults.len() > 2);
     let plan = failing.unwrap();
     let (shrunk, code) = shrink_members(&plan, options, 200).unwrap();
-    assert!(shrunk.faults.len() < plan.faults.len() && play(&shrunk, options).code() == Some(code));
+    assert!(shrunk.faults.len() < plan.faults.len() && run(&shrunk, options).code() == Some(code));
 }
--- a/crates/stonevane-sim/tests/members_digest.rs
+++ b/crates/stonevane-sim/tests/members_digest.rs
@@ -2,12 +2,12 @@
 //! digest of all datagrams per seed. An intended change updates the digests, and its commit says why.
 #![allow(missing_docs)]
 
-use stonevane_sim::members::{MemberOptions, MemberPlan, play};
+use stonevane_sim::members::{MemberOptions, MemberPlan, run};
 
 #[test]
 fn datagrams_of_simulated_fleets_of_members_stay_the_same() {
     let seeds = 1..=EXPECTED.len() as u64;
-    let digest = |seed| play(&MemberPlan::generate(seed), MemberOptions::default()).digest;
+    let digest = |seed| run(&MemberPlan::generate(seed), MemberOptions::default()).digest;
     let digests: Vec<_> = seeds.map(|seed| format!("{:016x}", digest(seed))).collect();
     assert_eq!(digests, EXPECTED);
 }
--- a/crates/stonevane-sim/tests/sim.rs
+++ b/crates/stonevane-sim/tests/sim.rs
@@ -57,7 +57,7 @@
 #[test]
 fn every_mutant_is_found_within_forty_seeds() {
     for MutantInfo { mutant, name, .. } in Mutant::ALL {
-        let options = Options { mutant: Some(mutant), history: false };
+        let options = Options { mutant: Some(mutant), keeps_history: false };
         let found = (1..=MUTANT_SEED_COUNT).any(|seed| !run(&Plan::generate(seed), options).holds());
         assert!(found, "{name} is not found in {MUTANT_SEED_COUNT} seeds");
     }
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_request_forwarded_after_its_client_left_violates_left_sent() {
-    let options = Options { mutant: Some(Mutant::ForgetGone), history: false };
+    let options = Options { mutant: Some(Mutant::ForgetGone), keeps_history: false };
     let violates_left_sent = |seed| {
         run(&Plan::generate(seed), options)
             .violations
@@ -77,21 +77,25 @@
 
 #[test]
 fn the_same_seed_gives_the_same_history_to_the_byte() {
-    let options = Options { mutant: None, history: true };
+    let options = Options { mutant: None, keeps_history: true };
     for seed in [1, 7, 23] {
         let (one, other) = (run(&Plan::generate(seed), options), run(&Plan::generate(seed), options));
         assert!(one.history == other.history && one.digest == other.digest, "seed {seed}");
         assert!(one.history.lines().count() > 100);
         // Auditing the text of the history gives the same verdict.
         let read = stonevane_audit::audit(one.history.as_bytes()).unwrap();
-        assert_eq!((read.broken, read.requests), (one.report.broken, one.report.requests), "seed {seed}");
+        assert_eq!(
+            (read.finding_count, read.requests),
+            (one.report.finding_count, one.report.requests),
+            "seed {seed}"
+        );
     }
     assert_ne!(run(&Plan::generate(1), options).digest, run(&Plan::generate(2), options).digest);
 }
 
 #[test]
 fn a_plan_that_fails_is_shrunk_to_three_faults_or_fewer_and_fails_in_the_same_way() {
-    let options = Options { mutant: Some(Mutant::ForgetDrain), history: false };
+    let options = Options { mutant: Some(Mutant::ForgetDrain), keeps_history: false };
     let seed =
         (1..=MUTANT_SEED_COUNT).find(|seed| run(&Plan::generate(*seed), options).code().is_some()).unwrap();
     let plan = Plan::generate(seed);
--- a/crates/stonevane/src/bench/history.rs
+++ b/crates/stonevane/src/bench/history.rs
@@ -124,7 +124,7 @@
         bytes as f64 / 1e6,
         report.events as f64 / took_s,
         report.peak_requests,
-        report.broken
+        report.finding_count
     );
     Ok(())
 }
--- a/crates/stonevane/src/bench/stampede.rs
+++ b/crates/stonevane/src/bench/stampede.rs
@@ -32,7 +32,7 @@
     let kind = NodeKind::Process(program.to_path_buf().into());
     let options = Options { seed: Some(seed), ..Options::of(kind) };
     let outcome = run_scenario(&scenario, &options)?;
-    if outcome.report.broken > 0 {
+    if outcome.report.finding_count > 0 {
         return Err(format!("a rule was broken, seed {seed}: {:?}", outcome.report).into());
     }
     let queries = outcome.summary.store_queries.unwrap_or(0);
--- a/crates/stonevane/src/fleet/measure.rs
+++ b/crates/stonevane/src/fleet/measure.rs
@@ -4,9 +4,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use clap::Args;
-use stonevane_audit::MembershipFigures;
+use stonevane_audit::MembershipMeasurements;
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
-use stonevane_sim::members::{MemberOptions, MemberPlan, MemberVerdict, play};
+use stonevane_sim::members::{MemberOptions, MemberPlan, MemberVerdict, run as run_simulation};
 
 use super::seconds;
 use crate::arguments::share;
@@ -119,13 +119,14 @@
     fn measure(&self, cell: Cell, seed: u64) -> Measured {
         let Setting { members, slow, heeds_health } = cell.setting;
         let length_us = self.seconds * 1_000_000;
-        let plan = MemberPlan::measured(seed, members as usize, cell.loss, slow, length_us);
-        let verdict = play(&MemberPlan { heeds_health, ..plan }, MemberOptions::default());
-        let member_hours = (verdict.member_s / 3_600.0).max(1e-9);
-        let false_deaths = verdict.figures.false_deaths as f64 / member_hours;
+        let plan = MemberPlan::for_measurement(seed, members as usize, cell.loss, slow, length_us);
+        let verdict =
+            run_simulation(&MemberPlan { uses_local_health: heeds_health, ..plan }, MemberOptions::default());
+        let member_hours = (verdict.member_seconds / 3_600.0).max(1e-9);
+        let false_deaths = verdict.statistics.false_deaths as f64 / member_hours;
         Measured {
             cell,
-            seen_by_all_us: MembershipFigures::quantile(&verdict.figures.last_us, 0.5),
+            seen_by_all_us: MembershipMeasurements::quantile(&verdict.statistics.last_us, 0.5),
             false_deaths,
             line: line(cell, &verdict, false_deaths),
         }
@@ -134,9 +135,9 @@
 
 /// A line of the table, in the order of [`HEADER`].
 fn line(cell: Cell, verdict: &MemberVerdict, false_deaths: f64) -> String {
-    let figures = &verdict.figures;
-    let quantile = |times: &[u64], quantile| seconds(MembershipFigures::quantile(times, quantile));
-    let member_s = verdict.member_s.max(1e-9);
+    let figures = &verdict.statistics;
+    let quantile = |times: &[u64], quantile| seconds(MembershipMeasurements::quantile(times, quantile));
+    let member_s = verdict.member_seconds.max(1e-9);
     let columns = [
         cell.setting.members.to_string(),
         cell.loss.to_string(),
--- a/crates/stonevane/src/fleet/simulate.rs
+++ b/crates/stonevane/src/fleet/simulate.rs
@@ -5,9 +5,11 @@
 use std::time::Instant;
 
 use clap::Args;
-use stonevane_audit::MembershipFigures;
+use stonevane_audit::MembershipMeasurements;
 use stonevane_membership::Mutant;
-use stonevane_sim::members::{MemberOptions, MemberPlan, MemberVerdict, play, shrink_members};
+use stonevane_sim::members::{
+    MemberOptions, MemberPlan, MemberVerdict, run as run_simulation, shrink_members,
+};
 
 use super::{mutant, seconds};
 use crate::arguments::seeds;
@@ -58,7 +60,7 @@
         self.plan(*seeds.start())?;
         let options = MemberOptions { mutant: self.mutant };
         let begun = Instant::now();
-        let played = parallel::map(&seeds, |seed| Some(play(&self.plan(seed).ok()?, options)));
+        let played = parallel::map(&seeds, |seed| Some(run_simulation(&self.plan(seed).ok()?, options)));
         let played: Vec<(u64, MemberVerdict)> =
             played.into_iter().filter_map(|(seed, verdict)| Some((seed, verdict?))).collect();
         let failed: Vec<_> = played.iter().filter(|(_, verdict)| !verdict.holds()).collect();
@@ -83,7 +85,7 @@
             (None, Some(members)) => MemberPlan::generate_sized(seed, members as usize),
             (None, None) => MemberPlan::generate(seed),
         };
-        Ok(MemberPlan { heeds_health: !self.without_health, ..plan })
+        Ok(MemberPlan { uses_local_health: !self.without_health, ..plan })
     }
 
     fn print_smallest(&self, seed: u64, options: MemberOptions) -> Result<(), CommandError> {
@@ -98,14 +100,14 @@
 }
 
 fn print_failure(seed: u64, verdict: &MemberVerdict) {
-    let Some(first) = verdict.breaches.first() else { return };
-    let breach = &first.breach;
+    let Some(first) = verdict.violations.first() else { return };
+    let breach = &first.violation;
     let (observer, member) = (breach.observer, breach.member);
     let at_s = first.at_us as f64 / 1e6;
     say!(
         "seed {seed} fails: {} at {at_s:.1} s, n{member} in n{observer}'s view: {}",
         breach.code,
-        breach.what
+        breach.description
     );
 }
 
@@ -114,10 +116,10 @@
     let sum = |figure: &dyn Fn(&MemberVerdict) -> f64| {
         played.iter().map(|(_, verdict)| figure(verdict)).sum::<f64>()
     };
-    let member_s = sum(&|verdict| verdict.member_s).max(1e-9);
+    let member_s = sum(&|verdict| verdict.member_seconds).max(1e-9);
     let deaths: Vec<u64> =
-        played.iter().flat_map(|(_, verdict)| verdict.figures.last_us.iter().copied()).collect();
-    let last = |quantile: f64| seconds(MembershipFigures::quantile(&deaths, quantile));
+        played.iter().flat_map(|(_, verdict)| verdict.statistics.last_us.iter().copied()).collect();
+    let last = |quantile: f64| seconds(MembershipMeasurements::quantile(&deaths, quantile));
     warn!(
         "{member_s:.0} member-seconds in {took_s:.1} s; {:.2} datagrams and {:.0} bytes a member and second; a death is \
          seen by all after {} s (median), {} s (95 in a hundred), {} s (all); {} false deaths seen",
@@ -126,6 +128,6 @@
         last(0.5),
         last(0.95),
         last(1.0),
-        sum(&|verdict| verdict.figures.false_deaths as f64),
+        sum(&|verdict| verdict.statistics.false_deaths as f64),
     );
 }
--- a/crates/stonevane/src/lab/print.rs
+++ b/crates/stonevane/src/lab/print.rs
@@ -1,6 +1,6 @@
 //! Prints the outcome of a run.
 
-use stonevane_audit::MembershipFigures;
+use stonevane_audit::MembershipMeasurements;
 use stonevane_lab::{Outcome, Summary};
 
 /// Prints the outcome of a run.
@@ -70,9 +70,9 @@
     }
 }
 
-fn print_membership(members: &MembershipFigures) {
+fn print_membership(members: &MembershipMeasurements) {
     let quantile = |times: &[u64], quantile| {
-        let us = MembershipFigures::quantile(times, quantile);
+        let us = MembershipMeasurements::quantile(times, quantile);
         us.map_or("-".into(), |us| format!("{:.1}", us as f64 / 1e6))
     };
     say!(
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -98,7 +98,7 @@
     history: Option<&Path>,
 ) -> Result<(), CommandError> {
     let plan = read_plan(scenario, seed)?;
-    let verdict = simulate(&plan, Options { mutant, history: history.is_some() });
+    let verdict = simulate(&plan, Options { mutant, keeps_history: history.is_some() });
     if let Some(file) = history {
         std::fs::write(file, &verdict.history).map_err(|error| CommandError::unusable_file(file, error))?;
     }
@@ -129,7 +129,7 @@
     runs: usize,
 ) -> Result<(), CommandError> {
     let plan = read_plan(scenario, seed)?;
-    let Some(shrunk) = shrink(&plan, Options { mutant, history: false }, runs) else {
+    let Some(shrunk) = shrink(&plan, Options { mutant, keeps_history: false }, runs) else {
         return Err(CommandError::Unusable(format!("seed {seed} does not fail")));
     };
     warn!(
--- a/crates/stonevane/src/sim/run.rs
+++ b/crates/stonevane/src/sim/run.rs
@@ -114,7 +114,7 @@
             plan.clock_drifts.resize(plan.nodes, 0.0);
             plan.faults.retain(|fault| fault.kind.node().is_none_or(|node| node < plan.nodes));
         }
-        let verdict = simulate(&plan, Options { mutant: self.mutant, history: false });
+        let verdict = simulate(&plan, Options { mutant: self.mutant, keeps_history: false });
         if self.large {
             print_totals(seed, &verdict);
         }
