--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -11,7 +11,7 @@
 use common::{START, core_seeded};
 use stonevane_core::{Core, DiscoveryCall, DiscoveryRequest, Input, Output, Outputs};
 use stonevane_policy::Micros;
-use stonevane_server_model::service::Turns;
+use stonevane_server_model::service::CallQueue;
 
 const SECOND: Micros = 1_000_000;
 /// Latest time after a change at which the change counts as notified (protocol).
@@ -68,10 +68,10 @@
         let first = |seed| watch_times(&mut node(seed, 10 * SECOND), START + MAX_NOTIFICATION_DELAY)[0];
         let mut calls: Vec<Micros> = (0..nodes).map(|number| first(fleet * 1_000 + number)).collect();
         calls.sort_unstable();
-        let mut service_queue = Turns::default();
+        let mut service_queue = CallQueue::default();
         let mut in_time = |call: &&Micros| {
             service_queue
-                .take(**call, service_time, MAX_QUEUE_TIME)
+                .enqueue(**call, service_time, MAX_QUEUE_TIME)
                 .is_some_and(|at| at <= **call + ANSWER_TIMEOUT)
         };
         let answered = calls.iter().filter(&mut in_time).count();
--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -14,7 +14,7 @@
 use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_codec::resp;
 use stonevane_server_model::value::padded;
-use stonevane_server_model::work::{Cores, Window, drawn, work_capacity};
+use stonevane_server_model::work::{Cores, WorkWindow, request_work_us, work_capacity};
 
 use self::connection::Connection;
 use self::copies::{Copies, Fill, Lifetime};
@@ -61,7 +61,7 @@
 struct State {
     copies: Copies,
     cores: Cores,
-    recent_work: Window,
+    recent_work: WorkWindow,
     /// Start of the process, for one that warms up; `None` for one that started warm.
     started_us: Option<u64>,
     draining: bool,
@@ -125,7 +125,7 @@
         State {
             copies: Copies::new(spec.objects),
             cores: Cores::new(spec.cores),
-            recent_work: Window::default(),
+            recent_work: WorkWindow::default(),
             started_us,
             draining: false,
             overloaded: false,
@@ -381,7 +381,7 @@
         counts.attempts += 1;
         let number = state.number;
         let lookup = state.lookup(request, number, now);
-        let full_work_us = drawn(spec.work_us, spec.work_cv, &request.id);
+        let full_work_us = request_work_us(spec.work_us, spec.work_cv, &request.id);
         let work_us = if lookup.version.is_some() { full_work_us } else { full_work_us / MISS_WORK_DIVISOR };
         if state.becomes_overloaded(spec, now, work_us) {
             state.overloaded = true;
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use stonevane_audit::{Event, HistoryRecord, TimeInterval};
-use stonevane_server_model::service::Turns;
+use stonevane_server_model::service::CallQueue;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
@@ -64,7 +64,7 @@
     /// Number of active cuts for each node; a node with any is cut off from discovery.
     cuts: watch::Sender<BTreeMap<String, usize>>,
     addresses: Mutex<BTreeMap<String, SocketAddr>>,
-    turns: Mutex<Turns>,
+    calls: Mutex<CallQueue>,
     spec: DiscoverySpec,
     /// Number of changes announced so far, from which each change takes its order.
     changes: AtomicU64,
@@ -91,7 +91,7 @@
             fault: watch::channel(DiscoveryFault::None).0,
             cuts: watch::channel(BTreeMap::new()).0,
             addresses: Mutex::default(),
-            turns: Mutex::default(),
+            calls: Mutex::default(),
             spec,
             changes: AtomicU64::new(0),
             skew_ms: Mutex::default(),
--- a/crates/stonevane-emulators/src/discovery/connection.rs
+++ b/crates/stonevane-emulators/src/discovery/connection.rs
@@ -61,7 +61,7 @@
         let entries = lock(&self.endpoints).update_entries(held_index);
         let work_us = (self.spec.call + self.spec.line * entries).as_micros() as u64;
         let most_ahead_us = self.spec.most_ahead.as_micros() as u64;
-        let done = lock(&self.turns).take(MonotonicClock::now(), work_us, most_ahead_us);
+        let done = lock(&self.calls).enqueue(MonotonicClock::now(), work_us, most_ahead_us);
         self.record_call(node, done.is_some());
         let Some(done) = done else { return false };
         tokio::time::sleep(Duration::from_micros(done.saturating_sub(MonotonicClock::now()))).await;
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use stonevane_audit::{Effect, Event, HistoryRecord, TimeInterval};
 use stonevane_server_model::value::padded;
-use stonevane_server_model::work::{Cores, Window, drawn};
+use stonevane_server_model::work::{Cores, WorkWindow, request_work_us};
 
 use self::connection::Connection;
 use self::remote::RemoteCaches;
@@ -29,7 +29,7 @@
 
 struct State {
     cores: Cores,
-    recent_work: Window,
+    recent_work: WorkWindow,
     /// Version of each key that has been written; all other keys have version 0.
     versions: HashMap<String, u64>,
     newest_version: u64,
@@ -86,7 +86,7 @@
     fn new(spec: &OriginSpec) -> State {
         State {
             cores: Cores::new(spec.slots),
-            recent_work: Window::default(),
+            recent_work: WorkWindow::default(),
             versions: HashMap::new(),
             newest_version: 0,
             idempotency: IdempotencyKeys::default(),
@@ -194,7 +194,7 @@
     pub fn counts(&self) -> Counts {
         let state = lock(&self.state);
         let window_capacity_us = self.spec.capacity() / 1e6 * self.spec.fall_us as f64;
-        let peak = state.recent_work.peak as f64 / window_capacity_us;
+        let peak = state.recent_work.peak_us as f64 / window_capacity_us;
         Counts { reads: state.reads, writes: state.writes, falls: state.falls, peak }
     }
 
@@ -211,7 +211,7 @@
             (true, None) => spec.write_us,
             (true, Some(_)) => spec.write_us / REPEAT_WORK_DIVISOR,
         };
-        let work_us = drawn(mean_work_us, spec.work_cv, &request.id);
+        let work_us = request_work_us(mean_work_us, spec.work_cv, &request.id);
         if state.overloads(spec, now, work_us) {
             self.record_stop(arrival.last_byte);
         }
--- a/crates/stonevane-lab/src/summary/reader.rs
+++ b/crates/stonevane-lab/src/summary/reader.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use stonevane_audit::{Effect, Event, HistoryRecord, Outcome, Rules};
-use stonevane_server_model::work::{Window, work_capacity};
+use stonevane_server_model::work::{WorkWindow, work_capacity};
 
 use super::{INTERVAL_US, Interval, Summary};
 
@@ -32,9 +32,9 @@
     cold_share: f64,
     warm_us: u64,
     capacity_us_per_s: f64,
-    last_second: Window,
+    last_second: WorkWindow,
     /// Work in the window of the overload rule.
-    rule_window: Window,
+    rule_window: WorkWindow,
 }
 
 impl ServerLoad {
@@ -45,8 +45,8 @@
             cold_share: 1.0,
             warm_us: 0,
             capacity_us_per_s,
-            last_second: Window::default(),
-            rule_window: Window::default(),
+            last_second: WorkWindow::default(),
+            rule_window: WorkWindow::default(),
         }
     }
 
--- a/crates/stonevane-server-model/src/work.rs
+++ b/crates/stonevane-server-model/src/work.rs
@@ -9,7 +9,7 @@
 /// Returns the work of one request, in microseconds: log-normal with this mean and coefficient of variation,
 /// drawn from the request's id alone, so that the same request is the same work at every server. Without
 /// variation it is the mean.
-pub fn drawn(mean_us: u64, coefficient_of_variation: f64, request: &str) -> u64 {
+pub fn request_work_us(mean_us: u64, coefficient_of_variation: f64, request: &str) -> u64 {
     if coefficient_of_variation <= 0.0 {
         return mean_us;
     }
@@ -66,14 +66,14 @@
 
 /// Work that arrived within a sliding window.
 #[derive(Default)]
-pub struct Window {
+pub struct WorkWindow {
     arrivals: VecDeque<Arrival>,
     sum_us: u64,
     /// Largest amount of work that the window has held, in microseconds.
-    pub peak: u64,
+    pub peak_us: u64,
 }
 
-impl Window {
+impl WorkWindow {
     /// Adds work, and returns the work that has arrived within the window that ends now, in microseconds.
     pub fn add(&mut self, now: u64, work_us: u64, window_us: u64) -> u64 {
         self.arrivals.push_back(Arrival { at: now, work_us });
@@ -81,7 +81,7 @@
         while let Some(oldest) = self.arrivals.pop_front_if(|arrival| arrival.at + window_us < now) {
             self.sum_us -= oldest.work_us;
         }
-        self.peak = self.peak.max(self.sum_us);
+        self.peak_us = self.peak_us.max(self.sum_us);
         self.sum_us
     }
 
--- a/crates/stonevane-server-model/src/work/tests.rs
+++ b/crates/stonevane-server-model/src/work/tests.rs
@@ -13,20 +13,21 @@
 
 #[test]
 fn drawn_work_has_the_given_mean_and_variation_and_depends_only_on_the_request() {
-    let drawn: Vec<f64> = (0..20_000).map(|i| drawn(100_000, 0.5, &format!("r{i}")) as f64).collect();
+    let drawn: Vec<f64> =
+        (0..20_000).map(|i| request_work_us(100_000, 0.5, &format!("r{i}")) as f64).collect();
     let mean = drawn.iter().sum::<f64>() / drawn.len() as f64;
     let cv = (drawn.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / drawn.len() as f64).sqrt() / mean;
     assert!((97_000.0..103_000.0).contains(&mean) && (0.45..0.55).contains(&cv), "{mean} {cv}");
-    assert_eq!(super::drawn(100, 0.5, "a"), super::drawn(100, 0.5, "a"));
-    assert_eq!(super::drawn(100, 0.0, "a"), 100);
+    assert_eq!(super::request_work_us(100, 0.5, "a"), super::request_work_us(100, 0.5, "a"));
+    assert_eq!(super::request_work_us(100, 0.0, "a"), 100);
 }
 
 #[test]
 fn a_window_sums_the_work_within_it_and_keeps_its_peak_when_cleared() {
-    let mut window = Window::default();
+    let mut window = WorkWindow::default();
     assert_eq!([window.add(0, 3, 10), window.add(10, 4, 10), window.add(11, 5, 10)], [3, 7, 9]);
     window.clear();
-    assert_eq!((window.add(12, 1, 10), window.peak), (1, 9));
+    assert_eq!((window.add(12, 1, 10), window.peak_us), (1, 9));
 }
 
 #[test]
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Model of the discovery service: a versioned server list, and a queue that handles one call at a time.
 
 use stonevane_core::{Endpoint, EndpointList};
-use stonevane_server_model::service::Turns;
+use stonevane_server_model::service::CallQueue;
 
 use crate::server::Server;
 
@@ -36,7 +36,7 @@
     pub is_down: bool,
     /// Whether a stale watch event follows each new one.
     pub sends_stale_events: bool,
-    calls: Turns,
+    calls: CallQueue,
 }
 
 impl Discovery {
@@ -55,14 +55,14 @@
             version: 1,
             is_down: false,
             sends_stale_events: false,
-            calls: Turns::default(),
+            calls: CallQueue::default(),
         }
     }
 
     /// Queues a call and returns its outcome. Earlier calls are worked on first, even if their callers timed
     /// out.
     pub fn take_call(&mut self, now: u64, work_us: u64) -> CallOutcome {
-        match self.calls.take(now, work_us, MAX_QUEUED_TIMEOUTS * CALL_TIMEOUT_US) {
+        match self.calls.enqueue(now, work_us, MAX_QUEUED_TIMEOUTS * CALL_TIMEOUT_US) {
             None => CallOutcome::Failed { at: now },
             Some(at) if at <= now + CALL_TIMEOUT_US => CallOutcome::Answered { at },
             Some(_) => CallOutcome::Failed { at: now + CALL_TIMEOUT_US },
--- a/crates/stonevane-sim/src/server/mod.rs
+++ b/crates/stonevane-sim/src/server/mod.rs
@@ -8,7 +8,7 @@
 
 use protocol::ServerRequest;
 use stonevane_audit::{Effect, work_capacity};
-use stonevane_server_model::work::{Cores, drawn};
+use stonevane_server_model::work::{Cores, request_work_us};
 
 /// CPU cores of each cache and of the origin.
 const CORES: usize = 4;
@@ -147,7 +147,7 @@
         self.attempts += 1;
         let number = self.attempts;
         let (mut effect, version) = self.effect_of(now, request, number);
-        let full_work_us = drawn(self.mean_work_us(request), WORK_VARIATION, &request.id);
+        let full_work_us = request_work_us(self.mean_work_us(request), WORK_VARIATION, &request.id);
         let cost_us = if effect == Effect::Miss { full_work_us / MISS_WORK_DIVISOR } else { full_work_us };
         let took_us = (cost_us as f64 / self.speed(now)) as u64;
         let answered_at = self.cores.take(now, took_us, MAX_QUEUE_US).unwrap_or_else(|| {
