--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeSet, BinaryHeap};
 
 use oorandom::Rand64;
-use stonevane_membership::{Input, Machine, MemberId, Micros, Outputs, Setup, State};
+use stonevane_membership::{Input, Machine, MemberConfig, MemberId, Micros, Outputs, State};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
@@ -196,15 +196,15 @@
     }
 
     fn start(&mut self, member: MemberId) {
-        let setup = Setup {
+        let config = MemberConfig {
             number: member,
             members: self.members,
             seed: self.rng.rand_u64(),
             nonce: self.rng.rand_u64() as u32,
-            ..Setup::default()
+            ..MemberConfig::default()
         };
         let process = &mut self.processes[usize::from(member)];
-        (process.machine, process.next_wake) = (Some(Machine::new(self.now, setup)), Micros::MAX);
+        (process.machine, process.next_wake) = (Some(Machine::new(self.now, config)), Micros::MAX);
         self.handle_input(member, Input::Wake);
     }
 
@@ -213,7 +213,7 @@
         let Some(machine) = &mut process.machine else { return };
         let (now, outputs) = (self.now, &mut self.outputs);
         self.traffic.cpu.run(|| machine.handle(now, input, outputs));
-        let next = machine.next();
+        let next = machine.next_wake_at();
         let wakes_earlier = next < process.next_wake;
         process.next_wake = process.next_wake.min(next);
         if wakes_earlier {
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -11,7 +11,9 @@
 
 use oorandom::Rand64;
 use stonevane_membership::wire::{self, Kind, Message};
-use stonevane_membership::{Input, Instance, Machine, MemberId, Micros, Outputs, Record, Setup, State};
+use stonevane_membership::{
+    Input, Instance, Machine, MemberConfig, MemberId, Micros, Outputs, Record, State,
+};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
@@ -82,7 +84,13 @@
     fn new(members: MemberId, seed: u64) -> Simulation {
         let mut rng = Rand64::new(u128::from(seed) << 16 | 0x5a);
         let nonce = rng.rand_u64() as u32;
-        let setup = Setup { number: REAL_MEMBER, members, seed: rng.rand_u64(), nonce, ..Setup::default() };
+        let config = MemberConfig {
+            number: REAL_MEMBER,
+            members,
+            seed: rng.rand_u64(),
+            nonce,
+            ..MemberConfig::default()
+        };
         let record = |member: MemberId| Record {
             member,
             instance: Instance { generation: 1, nonce: u32::from(member) + 7 },
@@ -94,7 +102,7 @@
             members,
             now: 0,
             rng,
-            machine: Machine::new(0, setup),
+            machine: Machine::new(0, config),
             outputs: Outputs::default(),
             queue: BinaryHeap::new(),
             actions: Vec::new(),
@@ -158,7 +166,7 @@
     fn handle_input(&mut self, input: Input<'_>) -> Result<(), MeasureError> {
         let (machine, outputs, now) = (&mut self.machine, &mut self.outputs, self.now);
         self.cpu.run(|| machine.handle(now, input, outputs));
-        let next = self.machine.next();
+        let next = self.machine.next_wake_at();
         if next < self.next_wake {
             self.next_wake = next;
             self.schedule(next.max(now), Action::Wake);
--- a/crates/stonevane-lab/src/faulty_member.rs
+++ b/crates/stonevane-lab/src/faulty_member.rs
@@ -7,7 +7,7 @@
 use oorandom::Rand64;
 use stonevane_emulators::MonotonicClock;
 use stonevane_membership::wire::{Kind, Message};
-use stonevane_membership::{Input, Instance, Machine, Mutant, Outputs, Record, Setup, State};
+use stonevane_membership::{Input, Instance, Machine, MemberConfig, Mutant, Outputs, Record, State};
 use tokio::net::UdpSocket;
 use tokio::sync::watch;
 
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct FaultyMember {
     /// Configuration of the membership machine.
-    pub setup: Setup,
+    pub config: MemberConfig,
     /// Address on which the member receives datagrams.
     pub listen: SocketAddr,
     /// Addresses of the members, indexed by number.
@@ -37,11 +37,11 @@
     /// Takes part in membership until `terminate` changes.
     pub async fn run(self, mut terminate: watch::Receiver<bool>) {
         let Ok(socket) = UdpSocket::bind(self.listen).await else { return };
-        let FaultyMember { setup, peers, mutant, .. } = self;
-        let mut machine = Machine::with(MonotonicClock::now(), setup, Some(mutant));
+        let FaultyMember { config, peers, mutant, .. } = self;
+        let mut machine = Machine::with(MonotonicClock::now(), config, Some(mutant));
         let (mut outputs, mut buffer) = (Outputs::default(), [0; RECEIVE_BUFFER_BYTES]);
         loop {
-            let wait = Duration::from_micros(machine.next().saturating_sub(MonotonicClock::now()));
+            let wait = Duration::from_micros(machine.next_wake_at().saturating_sub(MonotonicClock::now()));
             let received = tokio::select! {
                 received = socket.recv_from(&mut buffer) => received.ok(),
                 () = tokio::time::sleep(wait) => None,
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -12,7 +12,7 @@
 use stonevane_emulators::origin::{Origin, OriginSpec};
 use stonevane_emulators::peers::PeerNetwork;
 use stonevane_emulators::{MonotonicClock, Recorder, lock};
-use stonevane_membership::Setup;
+use stonevane_membership::MemberConfig;
 use tokio::net::{TcpListener, UdpSocket};
 
 use super::config::{KEY_BYTE, KEY_LEN_BYTES, membership_section, settings};
@@ -349,7 +349,7 @@
         let spec = self.scenario.membership.as_ref()?;
         let faulty = spec.faulty_member.filter(|faulty| faulty.node == number)?;
         let period_us = spec.period.as_micros() as u64;
-        let setup = Setup {
+        let config = MemberConfig {
             number: number as u16,
             members: addresses.peers.len() as u16,
             period: period_us,
@@ -357,10 +357,10 @@
             key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN_BYTES]),
             seed: self.seed,
             nonce: 1 + number as u32,
-            ..Setup::default()
+            ..MemberConfig::default()
         };
         let listen = addresses.peers[number].1;
-        Some(FaultyMember { setup, listen, peers: peers.peers(number).to_vec(), mutant: faulty.mutant })
+        Some(FaultyMember { config, listen, peers: peers.peers(number).to_vec(), mutant: faulty.mutant })
     }
 }
 
--- a/crates/stonevane-membership/src/faults.rs
+++ b/crates/stonevane-membership/src/faults.rs
@@ -5,11 +5,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mutant {
     /// Declares every probed member dead, even after an ack.
-    AccusesAll,
+    DeclaresAllDead,
     /// Does not refute suspicions of itself.
     NeverRefutes,
     /// Reports dead members as alive, under an incarnation that they never had.
-    LiesOfIncarnations,
+    ForgesIncarnations,
     /// Sends its own old datagrams again.
     Replays,
     /// Disseminates no updates, and answers neither ping-reqs nor digests.
@@ -24,11 +24,11 @@
     /// Runs neither anti-entropy nor, while another member is live, reconnection.
     NoRepair,
     /// Never takes a generation after that of its earlier instance.
-    StaleLife,
+    StaleGeneration,
     /// Never declares a suspected member dead.
     NeverDeclares,
     /// Never suspects a member.
-    NeverAccuses,
+    NeverSuspects,
     /// Treats a nack as an ack.
     NackIsAck,
 }
@@ -36,10 +36,10 @@
 impl Mutant {
     /// All faults, each with its name on the command line and a description.
     pub const ALL: [(Mutant, &'static str, &'static str); 13] = [
-        (Mutant::AccusesAll, "accuses-all", "declares every probed member dead, even after an ack"),
+        (Mutant::DeclaresAllDead, "accuses-all", "declares every probed member dead, even after an ack"),
         (Mutant::NeverRefutes, "never-refutes", "does not refute suspicions of itself"),
         (
-            Mutant::LiesOfIncarnations,
+            Mutant::ForgesIncarnations,
             "lies-of-incarnations",
             "reports dead members as alive, under an incarnation that they never had",
         ),
@@ -57,9 +57,13 @@
             "suspects without indirect probes, and ignores other datagrams of the member",
         ),
         (Mutant::NoRepair, "no-repair", "runs neither anti-entropy nor reconnection"),
-        (Mutant::StaleLife, "stale-life", "never takes a generation after that of its earlier instance"),
+        (
+            Mutant::StaleGeneration,
+            "stale-life",
+            "never takes a generation after that of its earlier instance",
+        ),
         (Mutant::NeverDeclares, "never-declares", "never declares a suspected member dead"),
-        (Mutant::NeverAccuses, "never-accuses", "never suspects a member"),
+        (Mutant::NeverSuspects, "never-accuses", "never suspects a member"),
         (Mutant::NackIsAck, "nack-is-ack", "treats a relay's nack as the probed member's ack"),
     ];
 
--- a/crates/stonevane-membership/src/lib.rs
+++ b/crates/stonevane-membership/src/lib.rs
@@ -9,16 +9,16 @@
 //! senders outside the list are rejected.
 //!
 //! ```
-//! use stonevane_membership::{NoFaults, Input, Machine, Outputs, Setup, State};
+//! use stonevane_membership::{Input, Machine, MemberConfig, NoFaults, Outputs, State};
 //!
-//! let setup = |number| Setup {
+//! let config = |number| MemberConfig {
 //!     number,
 //!     members: 2,
 //!     seed: 7 + u64::from(number),
 //!     nonce: 100 + u32::from(number),
-//!     ..Setup::default()
+//!     ..MemberConfig::default()
 //! };
-//! let mut members = [Machine::<NoFaults>::new(0, setup(0)), Machine::new(0, setup(1))];
+//! let mut members = [Machine::<NoFaults>::new(0, config(0)), Machine::new(0, config(1))];
 //! let mut outputs = Outputs::default();
 //! members[0].handle(0, Input::Wake, &mut outputs);
 //! let (to, bytes) = outputs.sends.pop_front().unwrap();
@@ -35,7 +35,7 @@
 pub mod wire;
 
 pub use faults::{Faults, Mutant, NoFaults};
-pub use machine::{Input, Machine, MemberEvent, Outputs, Setup};
+pub use machine::{Input, Machine, MemberConfig, MemberEvent, Outputs};
 pub use record::{Instance, MemberId, Record, State};
 pub use status::{Counts, MemberStatus, Status};
 
--- a/crates/stonevane-membership/src/machine/anti_entropy.rs
+++ b/crates/stonevane-membership/src/machine/anti_entropy.rs
@@ -66,8 +66,8 @@
         let updating = !self.gossip.is_idle();
         let periods =
             if updating { REQUEST_INTERVAL_PERIODS_DURING_UPDATES } else { REQUEST_INTERVAL_PERIODS };
-        self.anti_entropy.allow_request_at(now + periods * self.setup.period);
-        self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.setup.number), out);
+        self.anti_entropy.allow_request_at(now + periods * self.config.period);
+        self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.config.number), out);
     }
 
     /// Answers the digests of another table with the records of all partitions that differ.
@@ -76,13 +76,16 @@
         if self.faults.has(Mutant::ForwardsNothing) {
             return;
         }
-        if !self.anti_entropy.admit_answer(now, self.setup.period) {
+        if !self.anti_entropy.admit_answer(now, self.config.period) {
             return;
         }
         let records = self.differing_records(digests);
         self.send_records(message.from, message.probe, &records, out);
         if message.kind == Kind::Digests && !records.is_empty() {
-            self.send(Envelope::new(message.from, Kind::DigestsReply, message.probe, self.setup.number), out);
+            self.send(
+                Envelope::new(message.from, Kind::DigestsReply, message.probe, self.config.number),
+                out,
+            );
         }
     }
 
@@ -95,8 +98,8 @@
 
     /// Sends records in as many datagrams as needed, up to [`MAX_ANSWER_DATAGRAMS`].
     fn send_records(&mut self, to: MemberId, probe: u32, records: &[Record], out: &mut Outputs) {
-        let capacity = record_capacity(self.version_for(to), false, self.setup.key.is_some());
-        let envelope = Envelope::new(to, Kind::Gossip, probe, self.setup.number);
+        let capacity = record_capacity(self.version_for(to), false, self.config.key.is_some());
+        let envelope = Envelope::new(to, Kind::Gossip, probe, self.config.number);
         for records in records.chunks(capacity).take(MAX_ANSWER_DATAGRAMS) {
             self.transmit(envelope, records.to_vec(), out);
         }
--- a/crates/stonevane-membership/src/machine/gossip.rs
+++ b/crates/stonevane-membership/src/machine/gossip.rs
@@ -74,20 +74,20 @@
             return;
         }
         self.gossip.next_round_at = Micros::MAX;
-        if self.faults.has(Mutant::LiesOfIncarnations) {
+        if self.faults.has(Mutant::ForgesIncarnations) {
             self.forge_incarnation(now, out);
         }
         if self.gossip.is_idle() || self.faults.has(Mutant::ForwardsNothing) {
             return;
         }
         let fanout = self.gossip.fanout();
-        for member in self.random_peers(fanout, self.setup.number) {
+        for member in self.random_peers(fanout, self.config.number) {
             if !self.gossip.is_idle() {
-                self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.number), out);
+                self.send(Envelope::new(member, Kind::Gossip, 0, self.config.number), out);
             }
         }
         if !self.gossip.is_idle() {
-            self.gossip.next_round_at = now + self.setup.period / ROUNDS_PER_PERIOD;
+            self.gossip.next_round_at = now + self.config.period / ROUNDS_PER_PERIOD;
         }
     }
 
@@ -100,12 +100,12 @@
             let forged = Record { state: State::Alive, incarnation, ..record };
             self.merge(now, forged, out);
         }
-        self.gossip.next_round_at = now + self.setup.period / ROUNDS_PER_PERIOD;
+        self.gossip.next_round_at = now + self.config.period / ROUNDS_PER_PERIOD;
     }
 
     /// Queues an update about a member for dissemination.
     pub(super) fn disseminate(&mut self, now: Micros, member: MemberId) {
-        self.gossip.push(member, now + self.setup.period / FIRST_ROUND_DIVISOR);
+        self.gossip.push(member, now + self.config.period / FIRST_ROUND_DIVISOR);
     }
 
     /// Adds queued updates to the records of a datagram, up to `capacity` records in total.
--- a/crates/stonevane-membership/src/machine/merge.rs
+++ b/crates/stonevane-membership/src/machine/merge.rs
@@ -9,7 +9,7 @@
     /// Merges a record: a later record replaces the known one, and a record of the same suspicion confirms
     /// it.
     pub(super) fn merge(&mut self, now: Micros, record: Record, out: &mut Outputs) {
-        if record.member == self.setup.number {
+        if record.member == self.config.number {
             return self.merge_own(now, record, out);
         }
         match self.members.record(record.member) {
@@ -52,7 +52,7 @@
     /// Returns the record of the next incarnation, which refutes a report about the current one.
     fn refute(&mut self, own: &Record, reported: &Record) -> Record {
         if reported.state != State::Alive {
-            self.counts.refuted += 1;
+            self.counts.suspicions_refuted += 1;
             self.health.penalize(1);
         }
         Record { incarnation: reported.incarnation + 1, ..*own }
@@ -62,7 +62,7 @@
     /// another process that claims its number. Returns `None` if the reported generation is the highest
     /// possible one.
     fn supersede_instance(&mut self, own: &Record, reported: &Record) -> Option<Record> {
-        if self.faults.has(Mutant::StaleLife) {
+        if self.faults.has(Mutant::StaleGeneration) {
             return None;
         }
         self.counts.identity_conflicts += 1;
@@ -89,7 +89,7 @@
     /// Adds a member that has become live to the current probe round.
     fn add_to_probe_round(&mut self, before: Option<Record>, record: &Record) {
         let was_live = before.is_some_and(|before| before.state.is_live());
-        if !was_live && record.state.is_live() && record.member != self.setup.number {
+        if !was_live && record.state.is_live() && record.member != self.config.number {
             self.probing.add(record.member, &mut self.random);
         }
     }
--- a/crates/stonevane-membership/src/machine/mod.rs
+++ b/crates/stonevane-membership/src/machine/mod.rs
@@ -36,7 +36,7 @@
 mod suspicion;
 mod transmission;
 
-pub use setup::{Input, MemberEvent, Outputs, Setup};
+pub use setup::{Input, MemberConfig, MemberEvent, Outputs};
 
 use self::anti_entropy::AntiEntropy;
 use self::gossip::Gossip;
@@ -61,7 +61,7 @@
 /// State machine of one member.
 #[derive(Debug)]
 pub struct Machine<F: Faults = NoFaults> {
-    setup: Setup,
+    config: MemberConfig,
     faults: F,
     random: Random,
     members: MemberTable,
@@ -81,31 +81,31 @@
 
 impl<F: Faults> Machine<F> {
     /// Creates a member that knows only itself.
-    pub fn new(now: Micros, setup: Setup) -> Self {
-        Self::with(now, setup, F::default())
+    pub fn new(now: Micros, config: MemberConfig) -> Self {
+        Self::with(now, config, F::default())
     }
 
     /// Creates a member that knows only itself and has deliberate faults.
-    pub fn with(now: Micros, mut setup: Setup, faults: F) -> Self {
-        let members = setup.members.max(setup.number.saturating_add(1));
-        setup.members = members;
+    pub fn with(now: Micros, mut config: MemberConfig, faults: F) -> Self {
+        let members = config.members.max(config.number.saturating_add(1));
+        config.members = members;
         let mut machine = Machine {
             faults,
-            random: Random::new(setup.seed, setup.nonce),
+            random: Random::new(config.seed, config.nonce),
             members: MemberTable::new(members),
-            health: LocalHealth::new(setup.uses_local_health),
+            health: LocalHealth::new(config.uses_local_health),
             isolation: Isolation::new(now),
-            probing: Probing::new(now, setup.nonce),
+            probing: Probing::new(now, config.nonce),
             relays: Relays::default(),
             reconnection: Reconnection::new(now),
-            suspicions: Suspicions::new(&setup),
+            suspicions: Suspicions::new(&config),
             gossip: Gossip::new(members),
             anti_entropy: AntiEntropy::new(now),
             transmitter: Transmitter::default(),
             wake_at: now,
             leaving: false,
             counts: Counts::default(),
-            setup,
+            config,
         };
         let own = machine.initial_record();
         machine.replace(now, own, &mut Outputs::default());
@@ -113,7 +113,7 @@
     }
 
     /// Returns the time at which the machine has to be woken next.
-    pub fn next(&self) -> Micros {
+    pub fn next_wake_at(&self) -> Micros {
         self.wake_at
     }
 
@@ -152,10 +152,10 @@
     /// Grows the fleet to `members` members. The new ones are unknown, so reconnection contacts them like
     /// members that are not live.
     fn grow(&mut self, members: MemberId) {
-        if members <= self.setup.members {
+        if members <= self.config.members {
             return;
         }
-        self.setup.members = members;
+        self.config.members = members;
         self.members.grow(members);
         self.gossip.grow(members);
     }
@@ -168,26 +168,26 @@
         self.probing.abandon();
         let left = Record { state: State::Left, ..self.own_record() };
         self.replace(now, left, out);
-        for member in self.random_peers(LEAVE_FANOUT, self.setup.number) {
-            self.send(Envelope::new(member, Kind::Gossip, 0, self.setup.number), out);
+        for member in self.random_peers(LEAVE_FANOUT, self.config.number) {
+            self.send(Envelope::new(member, Kind::Gossip, 0, self.config.number), out);
         }
     }
 
     /// Returns the record of this member.
     fn own_record(&self) -> Record {
         let initial = self.initial_record();
-        self.members.record(self.setup.number).unwrap_or(initial)
+        self.members.record(self.config.number).unwrap_or(initial)
     }
 
     fn initial_record(&self) -> Record {
-        let member = self.setup.number;
-        let instance = Instance { generation: 1, nonce: self.setup.nonce };
+        let member = self.config.number;
+        let instance = Instance { generation: 1, nonce: self.config.nonce };
         Record { member, instance, incarnation: 0, state: State::Alive, by: member }
     }
 
     /// Returns up to `count` random live members, other than this one and `except`.
     fn random_peers(&mut self, count: usize, except: MemberId) -> Vec<MemberId> {
-        let me = self.setup.number;
+        let me = self.config.number;
         let candidates = self.members.live().filter(|member| *member != me && *member != except).collect();
         self.random.choose(candidates, count)
     }
--- a/crates/stonevane-membership/src/machine/probing.rs
+++ b/crates/stonevane-membership/src/machine/probing.rs
@@ -151,16 +151,16 @@
 
     fn begin_period(&mut self, now: Micros, out: &mut Outputs) {
         let multiplier = self.health.multiplier();
-        self.probing.end_period_at(now + self.setup.period * multiplier);
+        self.probing.end_period_at(now + self.config.period * multiplier);
         if self.leaving {
             return;
         }
         let Some(member) = self.next_target() else { return };
         let number = self.probing.next_number();
-        let timeout_at = Some(now + self.setup.probe_timeout * multiplier);
+        let timeout_at = Some(now + self.config.probe_timeout * multiplier);
         let probe = Probe { member, number, started_at: now, timeout_at, answered: false, missing_nacks: 0 };
         self.probing.current = Some(probe);
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
+        self.send(Envelope::new(member, Kind::Ping, number, self.config.number), out);
     }
 
     /// Returns the next member to be probed, from this round or from a new one.
@@ -168,7 +168,7 @@
         if let Some(member) = self.probing.next_live(&self.members) {
             return Some(member);
         }
-        self.probing.round = self.random_peers(usize::MAX, self.setup.number);
+        self.probing.round = self.random_peers(usize::MAX, self.config.number);
         self.probing.next_live(&self.members)
     }
 
@@ -187,8 +187,8 @@
     /// Probes a member again, because only the datagram may have been lost, and requests indirect probes of
     /// it from others. Returns the number of requests sent.
     fn request_indirect_probes(&mut self, member: MemberId, number: u32, out: &mut Outputs) -> u64 {
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
-        let relays = self.random_peers(self.setup.indirect_probes, member);
+        self.send(Envelope::new(member, Kind::Ping, number, self.config.number), out);
+        let relays = self.random_peers(self.config.indirect_probes, member);
         for relay in &relays {
             self.send(Envelope::new(*relay, Kind::PingReq, number, member), out);
         }
@@ -200,7 +200,7 @@
         let Some(probe) = self.probing.current.take() else { return };
         let live = self.members.record(probe.member).filter(|record| record.state.is_live());
         let Some(record) = live else { return };
-        if self.faults.has(Mutant::AccusesAll) {
+        if self.faults.has(Mutant::DeclaresAllDead) {
             return self.report_failure(now, record, State::Dead, out);
         }
         if probe.answered {
@@ -214,10 +214,10 @@
         self.penalize_failed_probe(&probe);
         // A member whose datagrams arrive is alive: only the path to it, or its receiving side, is cut.
         let received = received_since(&self.members, &probe) && !self.faults.has(Mutant::NoIndirect);
-        if received || self.faults.has(Mutant::NeverAccuses) {
+        if received || self.faults.has(Mutant::NeverSuspects) {
             return;
         }
-        self.counts.accused += 1;
+        self.counts.suspicions_started += 1;
         let immediate = self.faults.has(Mutant::NoSuspicion);
         let state = if immediate { State::Dead } else { State::Suspect };
         self.report_failure(now, record, state, out);
@@ -229,7 +229,7 @@
     }
 
     fn report_failure(&mut self, now: Micros, record: Record, state: State, out: &mut Outputs) {
-        let report = Record { state, by: self.setup.number, ..record };
+        let report = Record { state, by: self.config.number, ..record };
         self.merge(now, report, out);
     }
 }
--- a/crates/stonevane-membership/src/machine/process_pause.rs
+++ b/crates/stonevane-membership/src/machine/process_pause.rs
@@ -15,22 +15,22 @@
     /// Recovers from a pause if the machine was woken more than half a protocol period late.
     pub(super) fn detect_pause(&mut self, now: Micros, out: &mut Outputs) {
         let late = now.saturating_sub(self.wake_at);
-        if late > self.setup.period / 2 {
+        if late > self.config.period / 2 {
             self.recover_from_pause(now, late, out);
         }
     }
 
     fn recover_from_pause(&mut self, now: Micros, late: Micros, out: &mut Outputs) {
         self.counts.pauses += 1;
-        self.health.penalize(1 + late / self.setup.period);
+        self.health.penalize(1 + late / self.config.period);
         self.probing.abandon();
         self.relays.clear();
-        let rest_of_period = self.random.below(self.setup.period as usize) as Micros;
+        let rest_of_period = self.random.below(self.config.period as usize) as Micros;
         self.probing.end_period_at(now + rest_of_period);
-        self.suspicions.postpone(late + GRACE_PERIODS * self.setup.period);
+        self.suspicions.postpone(late + GRACE_PERIODS * self.config.period);
         self.isolation.restart_silence(now);
         // Others may have declared this member dead; their answers to its pings carry that record.
-        for member in self.random_peers(PINGS_AFTER_PAUSE, self.setup.number) {
+        for member in self.random_peers(PINGS_AFTER_PAUSE, self.config.number) {
             self.ping_outside_round(member, out);
         }
         self.anti_entropy.allow_request_at(now);
--- a/crates/stonevane-membership/src/machine/reception.rs
+++ b/crates/stonevane-membership/src/machine/reception.rs
@@ -7,37 +7,37 @@
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
 use crate::record::{MemberId, Record, State};
-use crate::wire::{Kind, Message, Refused};
+use crate::wire::{Kind, Message, RejectReason};
 
 impl<F: Faults> Machine<F> {
     /// Handles a datagram that arrived from the address of a member.
     pub(super) fn receive(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Outputs) {
         let message = match self.read(from, bytes) {
             Ok(message) => message,
-            Err(reason) => return self.counts.refuse(reason),
+            Err(reason) => return self.counts.reject(reason),
         };
         let acceptance = self.accept(&message);
         match acceptance {
             Acceptance::Newest => self.observe_sender(now, &message),
             Acceptance::OutOfOrder => {}
             Acceptance::Duplicate | Acceptance::EndedInstance => {
-                self.counts.refused_old += 1;
+                self.counts.rejected_old += 1;
                 return;
             }
         }
-        self.counts.heard += 1;
-        self.counts.heard_bytes += bytes.len() as u64;
+        self.counts.received += 1;
+        self.counts.received_bytes += bytes.len() as u64;
         self.members[from].max_version = message.max_version;
         self.merge_all(now, &message, out);
         self.dispatch(now, &message, out);
     }
 
     /// Decodes a datagram, and checks its sender and receiver.
-    fn read(&self, from: MemberId, bytes: &[u8]) -> Result<Message, Refused> {
-        let message = Message::read(bytes, self.setup.key.as_ref(), self.setup.members)?;
-        let me = self.setup.number;
+    fn read(&self, from: MemberId, bytes: &[u8]) -> Result<Message, RejectReason> {
+        let message = Message::read(bytes, self.config.key.as_ref(), self.config.members)?;
+        let me = self.config.number;
         if message.from != from || message.to != me || from == me {
-            return Err(Refused::Address);
+            return Err(RejectReason::Address);
         }
         Ok(message)
     }
@@ -90,7 +90,7 @@
     }
 
     fn handle_ping(&mut self, ping: &Message, out: &mut Outputs) {
-        self.send(Envelope::new(ping.from, Kind::Ack, ping.probe, self.setup.number), out);
+        self.send(Envelope::new(ping.from, Kind::Ack, ping.probe, self.config.number), out);
     }
 
     fn handle_ack(&mut self, now: Micros, ack: &Message, out: &mut Outputs) {
--- a/crates/stonevane-membership/src/machine/reconnection.rs
+++ b/crates/stonevane-membership/src/machine/reconnection.rs
@@ -63,10 +63,10 @@
         if self.reconnection.next_attempt_at > now {
             return;
         }
-        let me = self.setup.number;
+        let me = self.config.number;
         let connected = self.members.live().any(|member| member != me);
         let pace = if connected { CONNECTED } else { DISCONNECTED };
-        self.reconnection.next_attempt_at = now + self.setup.period / pace.attempts_per_period;
+        self.reconnection.next_attempt_at = now + self.config.period / pace.attempts_per_period;
         if self.leaving || connected && self.faults.has(Mutant::NoRepair) {
             return;
         }
@@ -86,6 +86,6 @@
     pub(super) fn ping_outside_round(&mut self, member: MemberId, out: &mut Outputs) {
         let number = self.probing.next_number();
         self.reconnection.remember(number, member);
-        self.send(Envelope::new(member, Kind::Ping, number, self.setup.number), out);
+        self.send(Envelope::new(member, Kind::Ping, number, self.config.number), out);
     }
 }
--- a/crates/stonevane-membership/src/machine/relays.rs
+++ b/crates/stonevane-membership/src/machine/relays.rs
@@ -3,7 +3,7 @@
 //! target has not answered.
 
 use super::transmission::Envelope;
-use super::{Machine, Outputs, Setup};
+use super::{Machine, MemberConfig, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
 use crate::record::MemberId;
@@ -49,15 +49,15 @@
     }
 
     /// Adds the indirect probe that a ping-req requests, under a probe number of this member.
-    fn add(&mut self, now: Micros, number: u32, request: &Message, setup: &Setup) {
-        let nack_after = setup.probe_timeout * NACK_AFTER_PERCENT / 100;
+    fn add(&mut self, now: Micros, number: u32, request: &Message, config: &MemberConfig) {
+        let nack_after = config.probe_timeout * NACK_AFTER_PERCENT / 100;
         self.0.push(Relay {
             target: request.about,
             number,
             requester: request.from,
             requester_probe: request.probe,
             nack_at: Some(now + nack_after),
-            expires_at: now + RELAY_LIFETIME_PERIODS * setup.period,
+            expires_at: now + RELAY_LIFETIME_PERIODS * config.period,
         });
     }
 
@@ -89,12 +89,12 @@
     /// Pings the target of a ping-req on behalf of the requester.
     pub(super) fn handle_ping_req(&mut self, now: Micros, request: &Message, out: &mut Outputs) {
         let forwards = !self.faults.has(Mutant::ForwardsNothing);
-        if self.relays.is_full() || request.about == self.setup.number || !forwards {
+        if self.relays.is_full() || request.about == self.config.number || !forwards {
             return;
         }
         let number = self.probing.next_number();
-        self.relays.add(now, number, request, &self.setup);
-        self.send(Envelope::new(request.about, Kind::Ping, number, self.setup.number), out);
+        self.relays.add(now, number, request, &self.config);
+        self.send(Envelope::new(request.about, Kind::Ping, number, self.config.number), out);
     }
 
     /// Forwards an ack if it answers an indirect probe, and returns whether it did.
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -7,7 +7,7 @@
 
 /// Parameters of a member, set at its start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Setup {
+pub struct MemberConfig {
     /// Number of this member.
     pub number: MemberId,
     /// Number of members in the fleet, this one included.
@@ -34,9 +34,9 @@
     pub nonce: u32,
 }
 
-impl Default for Setup {
+impl Default for MemberConfig {
     fn default() -> Self {
-        Setup {
+        MemberConfig {
             number: 0,
             members: 1,
             period: 1_000_000,
@@ -57,7 +57,7 @@
 pub enum Input<'b> {
     /// Datagram that arrived from the address of a member.
     Datagram(MemberId, &'b [u8]),
-    /// Wake-up, due at the time that `Machine::next` returned.
+    /// Wake-up, due at the time that `Machine::next_wake_at` returned.
     Wake,
     /// Newer list of peers with this many members. Members keep their numbers, so a shorter list changes
     /// nothing.
--- a/crates/stonevane-membership/src/machine/snapshot.rs
+++ b/crates/stonevane-membership/src/machine/snapshot.rs
@@ -16,13 +16,13 @@
     }
 
     /// Returns the number of live members, this one included.
-    pub fn living(&self) -> usize {
+    pub fn live_count(&self) -> usize {
         self.members.live_count()
     }
 
     /// Returns the number of members that share the fleet's limits, or may share them: all known members that
     /// have not left. A member that was declared dead counts, because it may only be unreachable.
-    pub fn known(&self) -> usize {
+    pub fn not_left_count(&self) -> usize {
         let records = self.members.iter().filter_map(|(_, member)| member.record());
         records.filter(|record| record.state != State::Left).count()
     }
@@ -42,7 +42,7 @@
     pub fn status(&self) -> Status {
         let own = self.own_record();
         Status {
-            number: self.setup.number,
+            number: self.config.number,
             instance: own.instance,
             incarnation: own.incarnation,
             health: self.health.score(),
@@ -58,12 +58,12 @@
             member: number,
             record: member.record(),
             state: self.state(number),
-            since: member.changed_at,
-            heard: member.last_received,
-            answered: member.last_answered,
-            unanswered: member.last_unanswered,
+            changed_at: member.changed_at,
+            last_received: member.last_received,
+            last_answered: member.last_answered,
+            last_unanswered: member.last_unanswered,
             health: member.health,
-            accusers: self.suspicions.reporter_count(number) as u8,
+            reporters: self.suspicions.reporter_count(number) as u8,
         }
     }
 }
--- a/crates/stonevane-membership/src/machine/suspicion.rs
+++ b/crates/stonevane-membership/src/machine/suspicion.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{Machine, Outputs, Setup};
+use super::{Machine, MemberConfig, Outputs};
 use crate::Micros;
 use crate::faults::{Faults, Mutant};
 use crate::record::{MemberId, Record, State};
@@ -63,11 +63,11 @@
 
 impl Suspicions {
     /// Creates the state without suspicions.
-    pub fn new(setup: &Setup) -> Suspicions {
+    pub fn new(config: &MemberConfig) -> Suspicions {
         let timeouts = Timeouts {
-            multiplier: setup.suspicion_multiplier,
-            period: setup.period as f64,
-            dynamic: setup.uses_local_health,
+            multiplier: config.suspicion_multiplier,
+            period: config.period as f64,
+            dynamic: config.uses_local_health,
         };
         Suspicions { timeouts, by_member: BTreeMap::new(), deadlines: BTreeSet::new() }
     }
@@ -154,17 +154,17 @@
     /// Declares a member dead that has not refuted its suspicion in time.
     fn suspicion_expired(&mut self, now: Micros, member: MemberId, out: &mut Outputs) {
         let Some(record) = self.members.record(member) else { return };
-        let silent = self.isolation.silent_since() + SILENT_PERIODS * self.setup.period < now;
+        let silent = self.isolation.silent_since() + SILENT_PERIODS * self.config.period < now;
         if silent {
             // No datagrams arrive, so a refutation would not have arrived either.
-            self.suspicions.extend(member, now + self.setup.period);
+            self.suspicions.extend(member, now + self.config.period);
             return;
         }
         if self.faults.has(Mutant::NeverDeclares) {
             return;
         }
-        self.counts.declared += 1;
-        let dead = Record { state: State::Dead, by: self.setup.number, ..record };
+        self.counts.declared_dead += 1;
+        let dead = Record { state: State::Dead, by: self.config.number, ..record };
         self.merge(now, dead, out);
     }
 }
--- a/crates/stonevane-membership/src/machine/transmission.rs
+++ b/crates/stonevane-membership/src/machine/transmission.rs
@@ -59,13 +59,13 @@
     /// which no datagram has arrived may support only the first version.
     pub(super) fn version_for(&self, to: MemberId) -> u8 {
         let reads = self.members[to].max_version.max(FIRST_VERSION);
-        self.setup.max_version.min(reads)
+        self.config.max_version.min(reads)
     }
 
     /// Sends a datagram with as many updates as fit.
     pub(super) fn send(&mut self, envelope: Envelope, out: &mut Outputs) {
         let digests = envelope.kind.carries_digests();
-        let capacity = record_capacity(self.version_for(envelope.to), digests, self.setup.key.is_some());
+        let capacity = record_capacity(self.version_for(envelope.to), digests, self.config.key.is_some());
         let mut records = self.leading_records(envelope.to);
         self.piggyback(&mut records, capacity);
         self.transmit(envelope, records, out);
@@ -84,7 +84,7 @@
     /// Sends a datagram with these records and no others.
     pub(super) fn transmit(&mut self, envelope: Envelope, records: Vec<Record>, out: &mut Outputs) {
         let message = self.message(envelope, records);
-        let bytes = message.bytes(self.setup.key.as_ref());
+        let bytes = message.bytes(self.config.key.as_ref());
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
         if self.faults.has(Mutant::Replays) {
@@ -98,7 +98,7 @@
         let digests = self.members.digests();
         Message {
             version: self.version_for(envelope.to),
-            max_version: self.setup.max_version,
+            max_version: self.config.max_version,
             kind: envelope.kind,
             from: self.sender(),
             to: envelope.to,
@@ -117,6 +117,6 @@
     /// Returns the number under which this member sends.
     fn sender(&self) -> MemberId {
         let impersonates = self.faults.has(Mutant::ClaimsAnother);
-        if impersonates { (self.setup.number + 1) % self.setup.members } else { self.setup.number }
+        if impersonates { (self.config.number + 1) % self.config.members } else { self.config.number }
     }
 }
--- a/crates/stonevane-membership/src/status.rs
+++ b/crates/stonevane-membership/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::Micros;
 use crate::record::{Instance, MemberId, Record, State};
-use crate::wire::Refused;
+use crate::wire::RejectReason;
 
 /// Counters of datagrams and events since the start of the machine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -12,30 +12,30 @@
     /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
-    pub heard: u64,
+    pub received: u64,
     /// Bytes of the datagrams accepted.
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
     /// Datagrams rejected because they are too short or too long.
-    pub refused_length: u64,
+    pub rejected_length: u64,
     /// Datagrams rejected because of an unknown version.
-    pub refused_version: u64,
+    pub rejected_version: u64,
     /// Datagrams rejected because of a wrong checksum or keyed digest.
-    pub refused_digest: u64,
+    pub rejected_digest: u64,
     /// Datagrams rejected because their contents are malformed.
-    pub refused_form: u64,
+    pub rejected_form: u64,
     /// Datagrams rejected because the sender's number is not that of its address, or because they are for
     /// another member.
-    pub refused_address: u64,
+    pub rejected_address: u64,
     /// Datagrams rejected as replays, as too old to be checked, or as sent by an ended instance.
-    pub refused_old: u64,
+    pub rejected_old: u64,
     /// Probes that were not acknowledged within their protocol period.
     pub probes_failed: u64,
     /// Suspicions that this member started.
-    pub accused: u64,
+    pub suspicions_started: u64,
     /// Suspicions and declarations of its own death that this member refuted.
-    pub refuted: u64,
+    pub suspicions_refuted: u64,
     /// Members that this member declared dead.
-    pub declared: u64,
+    pub declared_dead: u64,
     /// Pauses of its own process that this member detected.
     pub pauses: u64,
     /// Conflicts in which another instance of this member was later than itself.
@@ -44,13 +44,13 @@
 
 impl Counts {
     /// Counts a datagram that was rejected when it was read.
-    pub(crate) fn refuse(&mut self, reason: Refused) {
+    pub(crate) fn reject(&mut self, reason: RejectReason) {
         let count = match reason {
-            Refused::Length => &mut self.refused_length,
-            Refused::Version => &mut self.refused_version,
-            Refused::Digest => &mut self.refused_digest,
-            Refused::Form => &mut self.refused_form,
-            Refused::Address => &mut self.refused_address,
+            RejectReason::Length => &mut self.rejected_length,
+            RejectReason::Version => &mut self.rejected_version,
+            RejectReason::Digest => &mut self.rejected_digest,
+            RejectReason::Malformed => &mut self.rejected_form,
+            RejectReason::Address => &mut self.rejected_address,
         };
         *count += 1;
     }
@@ -66,36 +66,36 @@
     /// State of the member as this member sees it, local suspicions included; `None` if unknown.
     pub state: Option<State>,
     /// Time of the last change of its state or instance.
-    pub since: Micros,
+    pub changed_at: Micros,
     /// Arrival time of its newest datagram.
-    pub heard: Option<Micros>,
+    pub last_received: Option<Micros>,
     /// Time of its last ack to a direct probe.
-    pub answered: Option<Micros>,
+    pub last_answered: Option<Micros>,
     /// Time at which a direct probe of the member last timed out.
-    pub unanswered: Option<Micros>,
+    pub last_unanswered: Option<Micros>,
     /// Local health score that its newest datagram carried, 0 (healthy) to 8.
     pub health: u8,
     /// Number of members known to suspect it.
-    pub accusers: u8,
+    pub reporters: u8,
 }
 
 impl MemberStatus {
     /// Returns whether the member answered the last direct probe.
     pub fn answers(&self) -> bool {
-        self.answered.is_some() && self.answered >= self.unanswered
+        self.last_answered.is_some() && self.last_answered >= self.last_unanswered
     }
 
     /// Returns whether the path to the member is cut: its datagrams arrive although it does not answer
     /// probes.
     pub fn outbound_cut(&self) -> bool {
-        self.unanswered > self.answered && self.heard >= self.unanswered
+        self.last_unanswered > self.last_answered && self.last_received >= self.last_unanswered
     }
 
     /// Returns whether the path from the member is cut: others report it alive although neither acks nor
     /// other datagrams arrive from it.
     pub fn inbound_cut(&self) -> bool {
         let alive = self.state == Some(State::Alive);
-        alive && self.unanswered > self.answered && self.heard < self.unanswered
+        alive && self.last_unanswered > self.last_answered && self.last_received < self.last_unanswered
     }
 }
 
--- a/crates/stonevane-membership/src/wire/mod.rs
+++ b/crates/stonevane-membership/src/wire/mod.rs
@@ -100,7 +100,7 @@
 
 /// Reason for which a datagram is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum RejectReason {
     /// Too short or too long.
     Length,
     /// Unknown version.
@@ -108,7 +108,7 @@
     /// Wrong checksum or keyed digest.
     Digest,
     /// Malformed contents, or a member number outside the fleet.
-    Form,
+    Malformed,
     /// Sender number that does not belong to the source address, or another receiver than this member.
     Address,
 }
@@ -185,22 +185,22 @@
     ///
     /// # Errors
     /// Returns the reason for which the datagram is rejected.
-    pub fn read(bytes: &[u8], key: Option<&[u8; 32]>, members: MemberId) -> Result<Message, Refused> {
+    pub fn read(bytes: &[u8], key: Option<&[u8; 32]>, members: MemberId) -> Result<Message, RejectReason> {
         if bytes.len() > MAX_DATAGRAM || bytes.len() < overhead_bytes(1, false, key.is_some()) {
-            return Err(Refused::Length);
+            return Err(RejectReason::Length);
         }
         let version = bytes[0];
         if !(1..=VERSION).contains(&version) {
-            return Err(Refused::Version);
+            return Err(RejectReason::Version);
         }
-        let mut reader = Reader::new(tag::verify(bytes, key).ok_or(Refused::Digest)?);
+        let mut reader = Reader::new(tag::verify(bytes, key).ok_or(RejectReason::Digest)?);
         let mut message = Message::read_header(&mut reader)?;
         if message.kind.carries_digests() {
             message.digests = Some(reader.digests()?);
         }
         let count = reader.u8()?;
         if reader.remaining() != usize::from(count) * record_bytes(version) {
-            return Err(Refused::Form);
+            return Err(RejectReason::Malformed);
         }
         for _ in 0..count {
             let record = reader.record(version, message.from)?;
@@ -211,14 +211,14 @@
     }
 
     /// Decodes all fields before the digests and records.
-    fn read_header(reader: &mut Reader<'_>) -> Result<Message, Refused> {
+    fn read_header(reader: &mut Reader<'_>) -> Result<Message, RejectReason> {
         let version = reader.u8()?;
         let max_version = reader.u8()?.max(version);
         let kind = usize::from(reader.u8()?);
         Ok(Message {
             version,
             max_version,
-            kind: *KINDS.get(kind).ok_or(Refused::Form)?,
+            kind: *KINDS.get(kind).ok_or(RejectReason::Malformed)?,
             from: reader.u16()?,
             to: reader.u16()?,
             instance: reader.instance()?,
@@ -235,10 +235,10 @@
 
     /// Drops records of members that are not in this node's list of peers, which may be older than the
     /// sender's. A record reported by such a member counts as reported by the sender.
-    fn restrict_to(&mut self, members: MemberId) -> Result<(), Refused> {
+    fn restrict_to(&mut self, members: MemberId) -> Result<(), RejectReason> {
         let known = |number: MemberId| number < members;
         if !known(self.from) || !known(self.to) || !known(self.about) {
-            return Err(Refused::Form);
+            return Err(RejectReason::Malformed);
         }
         self.records.retain(|record| known(record.member));
         for record in &mut self.records {
--- a/crates/stonevane-membership/tests/machine.rs
+++ b/crates/stonevane-membership/tests/machine.rs
@@ -5,7 +5,7 @@
 
 use proptest::prelude::*;
 use stonevane_membership::wire::{Kind, Message};
-use stonevane_membership::{Input, Instance, Machine, NoFaults, Outputs, Record, Setup, State};
+use stonevane_membership::{Input, Instance, Machine, MemberConfig, NoFaults, Outputs, Record, State};
 
 const SECOND: u64 = 1_000_000;
 
@@ -25,14 +25,20 @@
     sent: Vec<(u16, u16, Vec<u8>)>,
 }
 
-fn setup(me: u16, members: u16) -> Setup {
-    Setup { number: me, members, seed: 40 + u64::from(me), nonce: 1_000 + u32::from(me), ..Setup::default() }
+fn config(me: u16, members: u16) -> MemberConfig {
+    MemberConfig {
+        number: me,
+        members,
+        seed: 40 + u64::from(me),
+        nonce: 1_000 + u32::from(me),
+        ..MemberConfig::default()
+    }
 }
 
 impl Fleet {
-    fn new(setups: Vec<Setup>) -> Fleet {
-        let count = setups.len();
-        let members = setups.into_iter().map(|setup| Some(Machine::new(0, setup))).collect();
+    fn new(configs: Vec<MemberConfig>) -> Fleet {
+        let count = configs.len();
+        let members = configs.into_iter().map(|config| Some(Machine::new(0, config))).collect();
         Fleet {
             now: 0,
             members,
@@ -46,7 +52,7 @@
     }
 
     fn of(count: u16) -> Fleet {
-        Fleet::new((0..count).map(|me| setup(me, count)).collect())
+        Fleet::new((0..count).map(|me| config(me, count)).collect())
     }
 
     fn handle(&mut self, member: u16, input: Input<'_>) {
@@ -66,7 +72,7 @@
     fn run_until(&mut self, until: u64) {
         loop {
             let running = |at: usize| self.members[at].as_ref().filter(|_| !self.paused[at]);
-            let wake_times = (0..self.members.len()).filter_map(|at| Some((running(at)?.next(), at)));
+            let wake_times = (0..self.members.len()).filter_map(|at| Some((running(at)?.next_wake_at(), at)));
             let wake = wake_times.min();
             let arrival = self.in_flight.first_key_value().map(|((at, _), _)| *at);
             let next = wake.map(|(at, _)| at).into_iter().chain(arrival).min().unwrap_or(until);
@@ -113,13 +119,13 @@
 #[test]
 fn a_member_with_an_older_peer_list_takes_part_and_learns_the_rest_from_a_newer_list() {
     // Member 3 has an older list with four members only.
-    let listed = |me: u16| setup(me, if me == 3 { 4 } else { 6 });
+    let listed = |me: u16| config(me, if me == 3 { 4 } else { 6 });
     let mut fleet = Fleet::new((0..6).map(listed).collect());
     // Member 3 has no addresses of members 4 and 5, so datagrams between it and them are lost in both
     // directions.
     fleet.cut = Box::new(|from, to| (from == 3 && to > 3) || (from > 3 && to == 3));
     fleet.run_until(30 * SECOND);
-    let rejected = |fleet: &Fleet| fleet.machine(3).status().counts.refused_form;
+    let rejected = |fleet: &Fleet| fleet.machine(3).status().counts.rejected_form;
     assert_eq!(
         rejected(&fleet),
         0,
@@ -169,7 +175,11 @@
         fleet.run_until((9 + pause) * SECOND);
         assert_eq!(fleet.views(), ["aaaaaa"; 6], "after {pause} s");
         let status = fleet.machine(2).status();
-        assert!(status.counts.pauses == 1 && status.counts.accused == 0 && status.counts.declared == 0);
+        assert!(
+            status.counts.pauses == 1
+                && status.counts.suspicions_started == 0
+                && status.counts.declared_dead == 0
+        );
         let after: Vec<_> = (0..6).map(|m| fleet.machine(m).status().incarnation).collect();
         assert!(after[2] > before[2], "{before:?} {after:?}");
         assert!(
@@ -209,7 +219,7 @@
     fleet.cut = Box::new(|_, _| false);
     fleet.run_until(46 * SECOND);
     assert_eq!(fleet.views(), ["aaaaa"; 5]);
-    let refutations = |m: u16| fleet.machine(m).status().counts.refuted;
+    let refutations = |m: u16| fleet.machine(m).status().counts.suspicions_refuted;
     assert_eq!(
         [0, 1, 2, 4].map(refutations),
         [0; 4],
@@ -223,7 +233,7 @@
     fleet.run_until(5 * SECOND);
     let old = fleet.machine(1).status().instance;
     let recorded: Vec<_> = fleet.sent.iter().filter(|(from, ..)| *from == 1).cloned().collect();
-    fleet.members[1] = Some(Machine::new(fleet.now, Setup { nonce: 77, seed: 9, ..setup(1, 4) }));
+    fleet.members[1] = Some(Machine::new(fleet.now, MemberConfig { nonce: 77, seed: 9, ..config(1, 4) }));
     fleet.run_until(8 * SECOND);
     assert_eq!(fleet.views(), ["aaaa"; 4]);
     let known = |of: u16| fleet.machine(of).status().members[1].record.unwrap().instance;
@@ -233,13 +243,13 @@
         known(0)
     );
     // Replays all datagrams of the old instance, to members that knew it and to one that did not.
-    fleet.members[3] = Some(Machine::new(fleet.now, Setup { nonce: 78, seed: 10, ..setup(3, 4) }));
+    fleet.members[3] = Some(Machine::new(fleet.now, MemberConfig { nonce: 78, seed: 10, ..config(3, 4) }));
     fleet.run_until(9 * SECOND);
-    let rejected = fleet.machine(0).status().counts.refused_old;
+    let rejected = fleet.machine(0).status().counts.rejected_old;
     for (_, to, bytes) in recorded {
         fleet.handle(to, Input::Datagram(1, &bytes));
     }
-    assert!(fleet.machine(0).status().counts.refused_old > rejected);
+    assert!(fleet.machine(0).status().counts.rejected_old > rejected);
     fleet.run_until(12 * SECOND);
     let known = |of: u16| fleet.machine(of).status().members[1].record.unwrap().instance.nonce;
     assert_eq!([0, 1, 2, 3].map(known), [77; 4]);
@@ -255,15 +265,16 @@
     fleet.members[4] = None;
     fleet.run_until(8 * SECOND);
     assert_eq!(fleet.views(), ["aaaal"; 4]);
-    assert!((0..4).all(|m| fleet.machine(m).status().counts.accused == 0 && fleet.machine(m).known() == 4));
-    fleet.members[4] = Some(Machine::new(fleet.now, Setup { nonce: 5, ..setup(4, 5) }));
+    assert!((0..4).all(|m| fleet.machine(m).status().counts.suspicions_started == 0
+        && fleet.machine(m).not_left_count() == 4));
+    fleet.members[4] = Some(Machine::new(fleet.now, MemberConfig { nonce: 5, ..config(4, 5) }));
     fleet.run_until(12 * SECOND);
     assert_eq!(fleet.views(), ["aaaaa"; 5]);
 }
 
 #[test]
 fn both_versions_interoperate_and_fleets_with_different_keys_stay_separate() {
-    let with_version = |me: u16| Setup { max_version: if me < 2 { 1 } else { 2 }, ..setup(me, 5) };
+    let with_version = |me: u16| MemberConfig { max_version: if me < 2 { 1 } else { 2 }, ..config(me, 5) };
     let mut fleet = Fleet::new((0..5).map(with_version).collect());
     fleet.run_until(6 * SECOND);
     fleet.members[4] = None;
@@ -273,11 +284,11 @@
         fleet.sent.iter().rev().find(|(f, t, _)| (*f, *t) == (from, to)).map(|(_, _, bytes)| bytes[0])
     };
     assert_eq!((version(2, 3), version(2, 0), version(0, 2)), (Some(2), Some(1), Some(1)));
-    let keyed = |me: u16| Setup { key: Some([u8::from(me >= 3); 32]), ..setup(me, 5) };
+    let keyed = |me: u16| MemberConfig { key: Some([u8::from(me >= 3); 32]), ..config(me, 5) };
     let mut fleet = Fleet::new((0..5).map(keyed).collect());
     fleet.run_until(10 * SECOND);
     assert_eq!(fleet.views(), ["aaa??", "aaa??", "aaa??", "???aa", "???aa"]);
-    assert!(fleet.machine(0).status().counts.refused_digest > 0);
+    assert!(fleet.machine(0).status().counts.rejected_digest > 0);
 }
 
 #[test]
@@ -333,7 +344,7 @@
         const KINDS: [Kind; 7] =
             [Kind::Ping, Kind::Ack, Kind::PingReq, Kind::Nack, Kind::Gossip, Kind::Digests, Kind::DigestsReply];
         let merged_records = |order: &mut dyn Iterator<Item = usize>| {
-            let mut machine: Machine = Machine::new(0, setup(0, 6));
+            let mut machine: Machine = Machine::new(0, config(0, 6));
             let mut out = Outputs::default();
             for at in order {
                 let (kind, records, probe, from, health) = &datagrams[at];
--- a/crates/stonevane-membership/tests/wire.rs
+++ b/crates/stonevane-membership/tests/wire.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use stonevane_membership::wire::{
-    Kind, MAX_DATAGRAM, Message, PARTITIONS, Refused, VERSION, record_capacity,
+    Kind, MAX_DATAGRAM, Message, PARTITIONS, RejectReason, VERSION, record_capacity,
 };
 use stonevane_membership::{Instance, Record, State};
 
@@ -82,7 +82,7 @@
         let known = |number: u16| number < listed;
         let read = Message::read(&message.bytes(None), None, listed);
         if !known(message.from) || !known(message.to) || !known(message.about) {
-            prop_assert_eq!(read, Err(Refused::Form));
+            prop_assert_eq!(read, Err(RejectReason::Malformed));
         } else {
             let mut expected = message.clone();
             expected.records.retain(|record| known(record.member));
--- a/crates/stonevane-node/src/membership/config.rs
+++ b/crates/stonevane-node/src/membership/config.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 use stonevane_config::operator;
-use stonevane_membership::Setup;
+use stonevane_membership::MemberConfig;
 
 use crate::clock::to_micros;
 use crate::config::Config;
@@ -62,7 +62,7 @@
 /// Configuration of membership, checked.
 #[derive(Debug)]
 pub struct MembershipConfig {
-    pub(super) setup: Setup,
+    pub(super) member_config: MemberConfig,
     pub(super) listen: SocketAddr,
     pub(super) peers: Vec<SocketAddr>,
 }
@@ -81,7 +81,7 @@
                 return Err(listen.err().into_iter().chain(peers.err().into_iter().flatten()).collect());
             }
         };
-        let setup = Setup {
+        let member_config = MemberConfig {
             number: config.deployment.settings.node_index as u16,
             members: peers.len() as u16,
             period: to_micros(fleet.period),
@@ -94,7 +94,7 @@
             seed: config.seed,
             nonce: instance_nonce(),
         };
-        Ok(MembershipConfig { setup, listen, peers })
+        Ok(MembershipConfig { member_config, listen, peers })
     }
 }
 
--- a/crates/stonevane-node/src/membership/mod.rs
+++ b/crates/stonevane-node/src/membership/mod.rs
@@ -51,19 +51,19 @@
     /// # Errors
     /// The address cannot be bound.
     pub async fn start(config: MembershipConfig, clock: Clock) -> Result<Arc<Membership>> {
-        let MembershipConfig { setup, listen, peers } = config;
+        let MembershipConfig { member_config, listen, peers } = config;
         let socket = UdpSocket::bind(listen).await;
         let socket = socket.map_err(|e| Error::new(e.kind(), format!("peer_listen {listen}: {e}")))?;
         let _ = tracing_subscriber::fmt().with_writer(std::io::stderr).with_ansi(false).try_init();
         tracing::info!(
-            me = setup.number,
-            members = setup.members,
+            me = member_config.number,
+            members = member_config.members,
             %listen,
-            keyed = setup.key.is_some(),
+            keyed = member_config.key.is_some(),
             "membership started"
         );
-        let period = setup.period;
-        let machine = Machine::new(clock.now(), setup);
+        let period = member_config.period;
+        let machine = Machine::new(clock.now(), member_config);
         let inner = Inner { machine, outputs: Outputs::default(), peers: PeerTable::new(peers) };
         Ok(Arc::new(Membership {
             inner: Mutex::new(inner),
@@ -87,7 +87,7 @@
         let mut node_count = 0;
         let mut reader = DatagramReader::new(&self.socket);
         loop {
-            let next = self.lock().machine.next();
+            let next = self.lock().machine.next_wake_at();
             tokio::select! {
                 ready = reader.ready() => {
                     reader.read(ready, |from, bytes| self.receive(from, bytes)).await;
@@ -95,7 +95,7 @@
                 () = sleep_until(self.clock.instant(next)) => self.handle(Input::Wake),
                 () = self.rescheduled.notified() => {}
             }
-            let known = self.lock().machine.known() as u32;
+            let known = self.lock().machine.not_left_count() as u32;
             if known != node_count {
                 node_count = known;
                 on_node_count(known);
--- a/crates/stonevane-node/src/membership/report.rs
+++ b/crates/stonevane-node/src/membership/report.rs
@@ -41,20 +41,21 @@
         "period_ms": period / MICROS_PER_MS, "alone_ms": milliseconds_since(status.isolated_since, now),
         "members": members.collect::<Vec<_>>(),
         "datagrams": datagrams(counts, socket_counts),
-        "probes_failed": counts.probes_failed, "accused": counts.accused, "declared": counts.declared,
-        "refuted": counts.refuted, "stood_still": counts.pauses, "claimed": counts.identity_conflicts,
+        "probes_failed": counts.probes_failed, "accused": counts.suspicions_started,
+        "declared": counts.declared_dead, "refuted": counts.suspicions_refuted,
+        "stood_still": counts.pauses, "claimed": counts.identity_conflicts,
     })
     .to_string()
 }
 
 fn datagrams(counts: &Counts, socket_counts: &SocketCounts) -> Value {
     json!({
-        "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
-        "heard_bytes": counts.heard_bytes, "unsent": socket_counts.unsent,
+        "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.received,
+        "heard_bytes": counts.received_bytes, "unsent": socket_counts.unsent,
         "refused": {
-            "stranger": socket_counts.unknown_peer, "length": counts.refused_length,
-            "version": counts.refused_version, "digest": counts.refused_digest, "form": counts.refused_form,
-            "address": counts.refused_address, "old": counts.refused_old,
+            "stranger": socket_counts.unknown_peer, "length": counts.rejected_length,
+            "version": counts.rejected_version, "digest": counts.rejected_digest,
+            "form": counts.rejected_form, "address": counts.rejected_address, "old": counts.rejected_old,
         },
     })
 }
@@ -64,12 +65,13 @@
     let since = |at| milliseconds_since(at, now);
     json!({
         "member": entry.member, "address": address.to_string(),
-        "state": entry.state.map_or("unknown", State::name), "for_ms": since(record.map(|_| entry.since)),
+        "state": entry.state.map_or("unknown", State::name),
+        "for_ms": since(record.map(|_| entry.changed_at)),
         "by": record.map(|record| record.by), "generation": record.map(|record| record.instance.generation),
         "life": record.map(|record| record.instance.nonce),
         "incarnation": record.map(|record| record.incarnation),
-        "accusers": entry.accusers, "health": entry.health, "heard_ms": since(entry.heard),
-        "answered_ms": since(entry.answered), "unanswered_ms": since(entry.unanswered),
+        "accusers": entry.reporters, "health": entry.health, "heard_ms": since(entry.last_received),
+        "answered_ms": since(entry.last_answered), "unanswered_ms": since(entry.last_unanswered),
         "link": link(status, entry),
     })
 }
--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -96,7 +96,7 @@
     /// Creates a node that knows no other member. It produces no output before its first input.
     pub fn new(now: Micros, setup: Setup) -> StubNode {
         let Setup { number, domain, membership, machine_seed, .. } = setup;
-        let machine = stonevane_membership::Setup {
+        let machine = stonevane_membership::MemberConfig {
             number: (number - domain.start) as MemberId,
             members: (domain.end - domain.start) as MemberId,
             period: membership.period,
@@ -148,7 +148,9 @@
 
     /// Time at which the node needs the next [`Input::Wake`].
     pub fn next(&self) -> Micros {
-        self.core.next_timeout().map_or(self.machine.next(), |next| next.min(self.machine.next()))
+        self.core
+            .next_timeout()
+            .map_or(self.machine.next_wake_at(), |next| next.min(self.machine.next_wake_at()))
     }
 
     /// Handles an input and appends the resulting actions to `outputs`. `now` must not decrease between
@@ -163,7 +165,7 @@
             }
             Input::Discovery(input) => self.handle_core(now, input, outputs),
             Input::Wake => {
-                if self.machine.next() <= now {
+                if self.machine.next_wake_at() <= now {
                     self.handle_machine(now, MachineInput::Wake, outputs);
                 }
                 if self.core.next_timeout().is_some_and(|next| next <= now) {
@@ -207,7 +209,7 @@
 
     fn handle_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
         // The membership state machine treats such a delay as a stall of its own process.
-        if now.saturating_sub(self.machine.next()) > self.period / 2 {
+        if now.saturating_sub(self.machine.next_wake_at()) > self.period / 2 {
             self.stalls += 1;
         }
         self.machine.handle(now, input, &mut self.machine_outputs);
@@ -217,7 +219,7 @@
         for event in std::mem::take(&mut self.machine_outputs.events) {
             self.observe(event);
         }
-        let node_count = self.machine.known();
+        let node_count = self.machine.not_left_count();
         if node_count != std::mem::replace(&mut self.node_count, node_count) {
             self.handle_core(now, CoreInput::NodeCount(node_count as u32), outputs);
         }
--- a/crates/stonevane-sim/src/members/simulation/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use stonevane_membership::{Counts, Input, Machine, Mutant, Setup};
+use stonevane_membership::{Counts, Input, Machine, MemberConfig, Mutant};
 
 use super::{Event, PERIOD_US, Simulation};
 
@@ -60,9 +60,9 @@
 fn is_single_member_fault(mutant: Mutant) -> bool {
     matches!(
         mutant,
-        Mutant::AccusesAll
+        Mutant::DeclaresAllDead
             | Mutant::NeverRefutes
-            | Mutant::LiesOfIncarnations
+            | Mutant::ForgesIncarnations
             | Mutant::Replays
             | Mutant::ClaimsAnother
     )
@@ -76,7 +76,7 @@
         }
         let nonce = self.rng.rand_u64() as u32;
         let seed = self.rng.rand_u64();
-        let setup = Setup {
+        let config = MemberConfig {
             number: member as u16,
             members: self.plan.members as u16,
             period: PERIOD_US,
@@ -86,14 +86,14 @@
             max_version: if member < self.plan.first_version_members { 1 } else { 2 },
             seed,
             nonce,
-            ..Setup::default()
+            ..MemberConfig::default()
         };
         let is_faulty = |mutant: &Mutant| !is_single_member_fault(*mutant) || member == 0;
         let mutant = self.options.mutant.filter(is_faulty);
         let now = self.now();
         let process = &mut self.processes[member];
         process.incarnation += 1;
-        process.machine = Some(Machine::with(now, setup, mutant));
+        process.machine = Some(Machine::with(now, config, mutant));
         process.inbox.clear();
         process.wake_at = u64::MAX;
         let is_paused = process.pauses > 0;
@@ -213,7 +213,7 @@
         }
         let process = &mut self.processes[member];
         let incarnation = process.incarnation;
-        let next = process.machine.as_ref().map_or(u64::MAX, Machine::next);
+        let next = process.machine.as_ref().map_or(u64::MAX, Machine::next_wake_at);
         if next < process.wake_at {
             process.wake_at = next;
             self.schedule(next, Event::Wake { member, incarnation });
