--- a/crates/stonevane-experiment/src/runner.rs
+++ b/crates/stonevane-experiment/src/runner.rs
@@ -14,14 +14,14 @@
 
 pub use self::builds::{BuildError, BuildFile, Builds};
 pub use self::error::ExperimentError;
-pub use self::folder::{Folder, operator_path, scenario_path, text};
+pub use self::folder::{Folder, experiment_text, operator_path, scenario_path};
 
 /// Executes the runs of an experiment that have no result in the folder yet, and returns the contents of the
 /// folder. `report` receives one line per finished run or search.
 ///
 /// # Errors
 /// [`ExperimentError`]; the results so far stay in the folder.
-pub fn play(
+pub fn run(
     experiment: &Experiment,
     text: &str,
     builds: &Builds,
@@ -29,7 +29,7 @@
     report: &mut dyn FnMut(&str),
 ) -> Result<Folder, ExperimentError> {
     let (folder, results) = folder::prepare(experiment, text, builds, folder)?;
-    player::Player::new(experiment, folder, results, report).play()
+    player::Player::new(experiment, folder, results, report).run()
 }
 
 /// Whether a run meets the expectations of a search and violates no rule.
--- a/crates/stonevane-experiment/src/runner/builds.rs
+++ b/crates/stonevane-experiment/src/runner/builds.rs
@@ -48,7 +48,7 @@
     ///
     /// # Errors
     /// [`BuildError`] if a program can't be read.
-    pub fn of(a: &Path, b: Option<&Path>) -> Result<Builds, BuildError> {
+    pub fn read(a: &Path, b: Option<&Path>) -> Result<Builds, BuildError> {
         Ok(Builds { a: BuildFile::read(a)?, b: b.map(BuildFile::read).transpose()? })
     }
 
--- a/crates/stonevane-experiment/src/runner/folder.rs
+++ b/crates/stonevane-experiment/src/runner/folder.rs
@@ -48,7 +48,7 @@
 ///
 /// # Errors
 /// The folder has no experiment file, or it can't be read.
-pub fn text(folder: &Path) -> Result<String, ExperimentError> {
+pub fn experiment_text(folder: &Path) -> Result<String, ExperimentError> {
     let path = folder.join(EXPERIMENT_FILE);
     with_path(&path, std::fs::read_to_string(&path))
 }
--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -56,7 +56,7 @@
     }
 
     /// Executes all missing runs, or the search, and returns the folder with the results.
-    pub(super) fn play(mut self) -> Result<Folder, ExperimentError> {
+    pub(super) fn run(mut self) -> Result<Folder, ExperimentError> {
         let builds: Vec<(Build, PathBuf)> =
             self.folder.builds.all().into_iter().map(|(build, file)| (build, file.path.clone())).collect();
         let cells = self.experiment.cells();
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -34,9 +34,9 @@
     /// Program of a worker, and its arguments: it must call [`crate::worker::run`].
     pub worker: (PathBuf, Vec<String>),
     /// Limit on the resident memory of all processes of the run together, in bytes.
-    pub memory_limit: u64,
+    pub memory_limit_bytes: u64,
     /// Limit on the file descriptors of a process.
-    pub descriptors: u64,
+    pub max_descriptors: u64,
     /// Memory costs for the estimate that is checked before the fleet starts.
     pub costs: MemoryCosts,
     /// Set by SIGINT and SIGTERM; interrupts the run.
@@ -54,7 +54,7 @@
     LimitExceeded(LimitError),
     /// The run exceeded its memory limit and was ended.
     #[error("{0}")]
-    TookTooMuch(LimitError),
+    MemoryLimitExceeded(LimitError),
     /// A worker has failed or its process has ended.
     #[error("the worker with process number {process} has ended ({how})")]
     WorkerEnded {
@@ -87,7 +87,7 @@
 
 impl RunError {
     /// Whether the input is invalid; nothing was started then.
-    pub fn is_input(&self) -> bool {
+    pub fn is_invalid_input(&self) -> bool {
         matches!(self, RunError::Layout(_) | RunError::LimitExceeded(_))
     }
 }
@@ -98,7 +98,7 @@
 /// The fleet cannot be laid out or would exceed the limits.
 pub fn check(plan: &Plan, environment: &Environment) -> Result<Layout, RunError> {
     let layout = plan.layout().map_err(RunError::Layout)?;
-    limits::check(&layout, &environment.costs, environment.memory_limit, environment.descriptors)
+    limits::check(&layout, &environment.costs, environment.memory_limit_bytes, environment.max_descriptors)
         .map_err(RunError::LimitExceeded)?;
     Ok(layout)
 }
@@ -329,7 +329,7 @@
         }
         let used = self.processes.resident_bytes() + host::resident_bytes(std::process::id());
         self.peak_memory_bytes = self.peak_memory_bytes.max(used);
-        limits::check_used(used, self.environment.memory_limit).map_err(RunError::TookTooMuch)
+        limits::check_used(used, self.environment.memory_limit_bytes).map_err(RunError::MemoryLimitExceeded)
     }
 
     /// Handles an event that is not the awaited answer: stores progress and turns any other event into an
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -30,16 +30,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemoryCosts {
     /// A process without nodes.
-    pub process: u64,
+    pub process_bytes: u64,
     /// A node without its member table, including its connection to discovery.
-    pub node: u64,
+    pub node_bytes: u64,
     /// An entry of the member table of a node: one per member of its domain.
-    pub member: u64,
+    pub member_bytes: u64,
 }
 
 impl Default for MemoryCosts {
     fn default() -> Self {
-        MemoryCosts { process: 16 * MIB, node: 80 << 10, member: 288 }
+        MemoryCosts { process_bytes: 16 * MIB, node_bytes: 80 << 10, member_bytes: 288 }
     }
 }
 
@@ -47,8 +47,8 @@
     /// Estimated memory of a fleet, all processes together, in bytes.
     pub fn estimate(&self, layout: &Layout) -> u64 {
         let processes = u64::from(layout.workers()) + 1;
-        let per_node = self.node + self.member * u64::from(layout.largest_domain());
-        processes * self.process + u64::from(layout.nodes()) * per_node
+        let per_node = self.node_bytes + self.member_bytes * u64::from(layout.largest_domain());
+        processes * self.process_bytes + u64::from(layout.nodes()) * per_node
     }
 }
 
--- a/crates/stonevane-scale/tests/limits.rs
+++ b/crates/stonevane-scale/tests/limits.rs
@@ -5,7 +5,7 @@
 use stonevane_scale::limits::{Host, LimitError, MIB, MemoryCosts, check, check_used, memory_limit};
 
 const HOST: Host = Host { memory_bytes: 1_000 * MIB, descriptors: 1_024, processors: 8 };
-const COSTS: MemoryCosts = MemoryCosts { process: 10 * MIB, node: MIB, member: 1_024 };
+const COSTS: MemoryCosts = MemoryCosts { process_bytes: 10 * MIB, node_bytes: MIB, member_bytes: 1_024 };
 
 #[test]
 fn the_memory_limit_is_half_of_the_memory_or_a_smaller_requested_one() {
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_fleet_is_rejected_if_a_worker_or_the_coordinator_needs_too_many_descriptors() {
-    let free = MemoryCosts { process: 0, node: 0, member: 0 };
+    let free = MemoryCosts { process_bytes: 0, node_bytes: 0, member_bytes: 0 };
     let one = Layout::new(500, 1, 1, false).unwrap();
     let error = check(&one, &free, 0, 1_024).unwrap_err();
     assert!(matches!(error, LimitError::DescriptorsNeeded { process: "a worker", needed: 1_064, .. }));
--- a/crates/stonevane/src/lab/experiment.rs
+++ b/crates/stonevane/src/lab/experiment.rs
@@ -36,9 +36,10 @@
         let text = read_file(&self.file)?;
         let matrix = parse(&self.file, &text)?;
         let program = node_program::find(self.node_program.as_deref()).map_err(CommandError::unusable)?;
-        let builds = runner::Builds::of(&program, self.against.as_deref()).map_err(CommandError::unusable)?;
+        let builds =
+            runner::Builds::read(&program, self.against.as_deref()).map_err(CommandError::unusable)?;
         let folder = self.out.unwrap_or_else(|| PathBuf::from(&matrix.name));
-        let played = runner::play(&matrix, &text, &builds, &folder, &mut |line| warn!("  {line}"));
+        let played = runner::run(&matrix, &text, &builds, &folder, &mut |line| warn!("  {line}"));
         let played = played.map_err(|error| match error {
             ExperimentError::Unusable(_) => CommandError::unusable(error),
             ExperimentError::Io { .. } | ExperimentError::Interrupted { .. } => CommandError::not_run(error),
@@ -62,7 +63,7 @@
 
 /// Makes the report of a folder.
 pub(super) fn report(folder: &Path, json: bool) -> Result<(), CommandError> {
-    let text = runner::text(folder).map_err(CommandError::unusable)?;
+    let text = runner::experiment_text(folder).map_err(CommandError::unusable)?;
     let played = runner::Folder::read(folder).map_err(CommandError::unusable)?;
     let matrix = parse(&folder.join("experiment.toml"), &text)?;
     show(&matrix, &played, json)
--- a/crates/stonevane/src/scale/run.rs
+++ b/crates/stonevane/src/scale/run.rs
@@ -106,7 +106,7 @@
 }
 
 fn run_error(error: &RunError) -> CommandError {
-    if error.is_input() { CommandError::unusable(error) } else { CommandError::not_run(error) }
+    if error.is_invalid_input() { CommandError::unusable(error) } else { CommandError::not_run(error) }
 }
 
 impl Run {
@@ -119,9 +119,9 @@
             self.nodes.iter().map(|nodes| self.plan(*nodes, host.processors)).collect::<Result<_, _>>()?;
         let environment = Environment {
             worker: worker_command().map_err(CommandError::not_run)?,
-            memory_limit: memory_limit(&host, self.memory_mb.map(|mb| mb.saturating_mul(MIB)))
+            memory_limit_bytes: memory_limit(&host, self.memory_mb.map(|mb| mb.saturating_mul(MIB)))
                 .map_err(CommandError::unusable)?,
-            descriptors: host.descriptors,
+            max_descriptors: host.descriptors,
             costs: MemoryCosts::default(),
             interrupt: Interrupt::default(),
         };
--- a/crates/stonevane/tests/scale_run.rs
+++ b/crates/stonevane/tests/scale_run.rs
@@ -229,9 +229,9 @@
 fn environment(program: &str, arguments: &[&str], memory_limit: u64) -> Environment {
     Environment {
         worker: (PathBuf::from(program), arguments.iter().map(ToString::to_string).collect()),
-        memory_limit,
-        descriptors: 1_024,
-        costs: MemoryCosts { process: 0, node: 0, member: 0 },
+        memory_limit_bytes: memory_limit,
+        max_descriptors: 1_024,
+        costs: MemoryCosts { process_bytes: 0, node_bytes: 0, member_bytes: 0 },
         interrupt: Interrupt::default(),
     }
 }
@@ -249,10 +249,10 @@
         let mut told = String::new();
         let ended = run(&plan(36_000), &environment, &mut |step| told.push_str(&(step + "\n"))).unwrap_err();
         assert!(
-            matches!(&ended, RunError::TookTooMuch(LimitError::MemoryUsed { limit: MIB, .. })),
+            matches!(&ended, RunError::MemoryLimitExceeded(LimitError::MemoryUsed { limit: MIB, .. })),
             "{program}: {ended}"
         );
-        assert!(!ended.is_input());
+        assert!(!ended.is_invalid_input());
         let workers = workers(&told);
         assert!(workers.len() == 2 && !workers.into_iter().any(runs), "{told}");
     }
@@ -269,7 +269,7 @@
     ];
     for (program, script, expected) in cases {
         let ended = run(&plan(1), &environment(program, &["-c", script], u64::MAX), &mut |_| ()).unwrap_err();
-        assert!(ended.to_string().contains(expected) && !ended.is_input(), "{script}: {ended}");
+        assert!(ended.to_string().contains(expected) && !ended.is_invalid_input(), "{script}: {ended}");
     }
 }
 
