--- a/crates/stonevane-capacity/src/csv.rs
+++ b/crates/stonevane-capacity/src/csv.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::roles::{Basis, Figure, Measurement, Role};
+use crate::roles::{Basis, Measurement, MetricValue, Role};
 
 /// A CSV line: one metric value of one role at one size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -37,7 +37,7 @@
 
 /// Returns one line for each metric of a measurement.
 pub fn lines(measurement: &Measurement) -> Vec<Line> {
-    let line = |figure: &Figure| Line {
+    let line = |figure: &MetricValue| Line {
         role: measurement.role.name().to_owned(),
         size: measurement.size,
         seed: measurement.seed,
@@ -46,7 +46,7 @@
         basis: figure.basis,
         value: figure.value,
     };
-    measurement.figures.iter().map(line).collect()
+    measurement.values.iter().map(line).collect()
 }
 
 /// Rebuilds a measurement from its lines.
@@ -55,19 +55,20 @@
 /// If there are no lines, the role is unknown, or the lines differ in role, size or seed.
 pub fn measurement(lines: &[Line]) -> Result<Measurement, CsvError> {
     let first = lines.first().ok_or_else(|| CsvError("the measurements hold no lines".into()))?;
-    let role = Role::named(&first.role).ok_or_else(|| CsvError(format!("unknown role {:?}", first.role)))?;
+    let role =
+        Role::from_name(&first.role).ok_or_else(|| CsvError(format!("unknown role {:?}", first.role)))?;
     let same_measurement =
         |line: &Line| (&line.role, line.size, line.seed) == (&first.role, first.size, first.seed);
     if !lines.iter().all(same_measurement) {
         return Err(CsvError("all lines must have the same role, size and seed".into()));
     }
-    let figure = |line: &Line| Figure {
+    let figure = |line: &Line| MetricValue {
         metric: line.metric.clone().into(),
         unit: line.unit.clone().into(),
         basis: line.basis,
         value: line.value,
     };
-    Ok(Measurement { role, size: first.size, seed: first.seed, figures: lines.iter().map(figure).collect() })
+    Ok(Measurement { role, size: first.size, seed: first.seed, values: lines.iter().map(figure).collect() })
 }
 
 /// Writes lines as CSV text with a header.
--- a/crates/stonevane-capacity/src/limits.rs
+++ b/crates/stonevane-capacity/src/limits.rs
@@ -14,7 +14,7 @@
 
 impl MachineMemory {
     /// Memory that a measurement may use, in bytes: half of the total, and at most what is available.
-    pub fn allowed(self) -> u64 {
+    pub fn allowed_bytes(self) -> u64 {
         (self.total / 2).min(self.available)
     }
 
--- a/crates/stonevane-capacity/src/model/control_machine.rs
+++ b/crates/stonevane-capacity/src/model/control_machine.rs
@@ -1,7 +1,7 @@
 //! Load on one control machine if the control machines delivered to every node themselves. Nothing runs on
 //! them yet, so processor time and memory were not measured.
 
-use super::figures::{Figures, MissingMetric};
+use super::figures::{Measurements, MissingMetric};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::{Budget, TARGET};
 use crate::roles::Role;
@@ -13,9 +13,9 @@
 ///
 /// # Errors
 /// If a metric was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
-    let settings = figures.at(Role::Reload, "text_bytes", TARGET.tenants)?;
+    let settings = measurements.at(Role::Reload, "text_bytes", TARGET.tenants)?;
     let nodes = TARGET.nodes / Budget::OPERATORS.machines;
     let mut rows = Rows::new(Component::ControlMachine);
 
--- a/crates/stonevane-capacity/src/model/discovery.rs
+++ b/crates/stonevane-capacity/src/model/discovery.rs
@@ -1,7 +1,7 @@
 //! Load on the discovery service. Its processor time and memory depend on its own software and were not
 //! measured.
 
-use super::figures::{Figures, MissingMetric, Value};
+use super::figures::{Measurements, MissingMetric, Value};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::TARGET;
 use crate::roles::Role;
@@ -20,10 +20,10 @@
 /// # Errors
 /// If a metric was not measured.
 #[expect(clippy::too_many_lines, reason = "one table: a few lines for each row of the page")]
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
-    let list = |metric| figures.at(Role::ServerList, metric, TARGET.servers);
-    let calls = |metric, nodes| figures.at(Role::Discovery, metric, nodes);
+    let list = |metric| measurements.at(Role::ServerList, metric, TARGET.servers);
+    let calls = |metric, nodes| measurements.at(Role::Discovery, metric, nodes);
     let (full_list, change, heartbeat) = (list("whole_bytes")?, list("change_bytes")?, list("watch_bytes")?);
     let start = calls("start_busiest", TARGET.nodes)?;
     let lost = calls("lost_busiest", TARGET.nodes)?;
--- a/crates/stonevane-capacity/src/model/figures.rs
+++ b/crates/stonevane-capacity/src/model/figures.rs
@@ -33,14 +33,14 @@
 
 /// Measurements of all roles, the input of the model.
 #[derive(Debug, Clone, Default)]
-pub struct Figures {
+pub struct Measurements {
     lines: Vec<Line>,
 }
 
-impl Figures {
+impl Measurements {
     /// Creates it from the lines of the CSV files.
-    pub fn new(lines: Vec<Line>) -> Figures {
-        Figures { lines }
+    pub fn new(lines: Vec<Line>) -> Measurements {
+        Measurements { lines }
     }
 
     /// Lines of a metric whose value is finite.
--- a/crates/stonevane-capacity/src/model/link.rs
+++ b/crates/stonevane-capacity/src/model/link.rs
@@ -1,6 +1,6 @@
 //! Load on the link from one region to another, in that direction.
 
-use super::figures::{Figures, MissingMetric};
+use super::figures::{Measurements, MissingMetric};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::TARGET;
 use crate::roles::Role;
@@ -17,12 +17,12 @@
 ///
 /// # Errors
 /// If a metric was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
-    let members = |metric| figures.at(Role::Membership, metric, TARGET.nodes);
+    let members = |metric| measurements.at(Role::Membership, metric, TARGET.nodes);
     let (datagrams, steady) = (members("steady_datagrams")?, members("steady_bytes")?);
     let (start, restart) = (members("start_bytes")?, members("restart_bytes")?);
-    let full_list = figures.at(Role::ServerList, "whole_bytes", TARGET.servers)?;
+    let full_list = measurements.at(Role::ServerList, "whole_bytes", TARGET.servers)?;
     let across = TARGET.region_nodes * TARGET.region_nodes / TARGET.nodes;
     let purges = TARGET.purges * TARGET.purge_bytes;
     let changes = TARGET.changes() * TARGET.change_bytes;
--- a/crates/stonevane-capacity/src/model/mod.rs
+++ b/crates/stonevane-capacity/src/model/mod.rs
@@ -12,7 +12,7 @@
 mod server;
 mod target;
 
-pub use figures::{Figures, MissingMetric, Value};
+pub use figures::{Measurements, MissingMetric, Value};
 pub use page::{Mismatch, compare, tables};
 pub use row::{Component, Mechanism, Quantity, Row, Situation};
 pub use target::{Budget, TARGET, Target};
@@ -21,14 +21,14 @@
 ///
 /// # Errors
 /// If a metric that a formula needs was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     let parts = [
-        node::rows(figures)?,
-        server::rows(figures)?,
-        discovery::rows(figures)?,
-        control_machine::rows(figures)?,
-        link::rows(figures)?,
-        reckonings::rows(figures)?,
+        node::rows(measurements)?,
+        server::rows(measurements)?,
+        discovery::rows(measurements)?,
+        control_machine::rows(measurements)?,
+        link::rows(measurements)?,
+        reckonings::rows(measurements)?,
     ];
     Ok(parts.into_iter().flatten().collect())
 }
--- a/crates/stonevane-capacity/src/model/node.rs
+++ b/crates/stonevane-capacity/src/model/node.rs
@@ -1,6 +1,6 @@
 //! Load on one node.
 
-use super::figures::{Figures, MissingMetric, Value};
+use super::figures::{Measurements, MissingMetric, Value};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::{Budget, TARGET};
 use crate::roles::Role;
@@ -60,13 +60,13 @@
 }
 
 impl Measured {
-    fn from_figures(figures: &Figures) -> Result<Measured, MissingMetric> {
-        let members = |metric| figures.at(Role::Membership, metric, TARGET.nodes);
-        let every_member = |metric| figures.at_measured(Role::Membership, metric, TARGET.nodes);
-        let list = |metric| figures.at(Role::ServerList, metric, TARGET.servers);
-        let state = |metric| figures.at(Role::NodeState, metric, TARGET.servers);
-        let settings = |metric| figures.at(Role::Reload, metric, TARGET.tenants);
-        let connections = |metric| figures.at(Role::ServerConnections, metric, TARGET.nodes);
+    fn from_measurements(measurements: &Measurements) -> Result<Measured, MissingMetric> {
+        let members = |metric| measurements.at(Role::Membership, metric, TARGET.nodes);
+        let every_member = |metric| measurements.at_measured(Role::Membership, metric, TARGET.nodes);
+        let list = |metric| measurements.at(Role::ServerList, metric, TARGET.servers);
+        let state = |metric| measurements.at(Role::NodeState, metric, TARGET.servers);
+        let settings = |metric| measurements.at(Role::Reload, metric, TARGET.tenants);
+        let connections = |metric| measurements.at(Role::ServerConnections, metric, TARGET.nodes);
         Ok(Measured {
             member_table_bytes: members("memory")?,
             steady_bytes: members("steady_bytes")?,
@@ -78,7 +78,7 @@
             start_datagrams: members("start_datagrams")?,
             start_us: every_member("start_cpu")?,
             start_quiet_s: members("start_quiet")?,
-            death_known_s: figures.at_logarithm(Role::Membership, "death_all", TARGET.nodes)?,
+            death_known_s: measurements.at_logarithm(Role::Membership, "death_all", TARGET.nodes)?,
             server_table_bytes: state("memory")?,
             full_list_bytes: list("whole_bytes")?,
             full_list_read_us: list("whole_read_cpu")?,
@@ -87,12 +87,12 @@
             change_us: list("change_cpu")?,
             watch_bytes_per_s: list("watch_bytes")?,
             placement_ns: state("placement")?,
-            region_placement_ns: figures.at(Role::NodeState, "placement", TARGET.region_servers)?,
+            region_placement_ns: measurements.at(Role::NodeState, "placement", TARGET.region_servers)?,
             outcome_ns: state("outcome")?,
             settings_bytes: settings("text_bytes")?,
             settings_read_us: settings("read_cpu")?,
             settings_apply_us: settings("take_cpu")?,
-            request_us: figures.at(Role::Passage, "request_cpu", MEASURED_RESPONSE_BYTES)?,
+            request_us: measurements.at(Role::Passage, "request_cpu", MEASURED_RESPONSE_BYTES)?,
             connections_unlimited: connections("node_wanted")?,
             connections_opened: connections("node_opened")?,
             region_connections: connections("node_region")?,
@@ -135,8 +135,8 @@
 ///
 /// # Errors
 /// If a metric was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
-    let measured = Measured::from_figures(figures)?;
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
+    let measured = Measured::from_measurements(measurements)?;
     let mut rows = Rows::new(Component::Node);
     ordinary_state(&mut rows, &measured);
     ordinary_bytes(&mut rows, &measured);
--- a/crates/stonevane-capacity/src/model/reckonings.rs
+++ b/crates/stonevane-capacity/src/model/reckonings.rs
@@ -1,6 +1,6 @@
 //! Rows that recompute the operators' estimates from the target and the measurements.
 
-use super::figures::{Figures, MissingMetric};
+use super::figures::{Measurements, MissingMetric};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::{Budget, TARGET};
 use crate::roles::Role;
@@ -11,9 +11,9 @@
 ///
 /// # Errors
 /// If a metric was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
-    let full_list = figures.at(Role::ServerList, "whole_bytes", TARGET.servers)?;
+    let full_list = measurements.at(Role::ServerList, "whole_bytes", TARGET.servers)?;
     let mut rows = Rows::new(Component::Estimates);
     let purges = TARGET.purges * TARGET.purge_bytes;
     let label = "purges at every node: 4.6 KB/s";
--- a/crates/stonevane-capacity/src/model/server.rs
+++ b/crates/stonevane-capacity/src/model/server.rs
@@ -1,6 +1,6 @@
 //! Load on one cache server. Its processor time and memory depend on its own software and were not measured.
 
-use super::figures::{Figures, MissingMetric};
+use super::figures::{Measurements, MissingMetric};
 use super::row::{Component, Mechanism, Quantity, Row, Rows, Situation, amount};
 use super::target::TARGET;
 use crate::roles::Role;
@@ -18,13 +18,13 @@
 ///
 /// # Errors
 /// If a metric was not measured.
-pub fn rows(figures: &Figures) -> Result<Vec<Row>, MissingMetric> {
+pub fn rows(measurements: &Measurements) -> Result<Vec<Row>, MissingMetric> {
     use Quantity::{Bytes, Messages, State};
-    let at = |metric| figures.at(Role::ServerConnections, metric, TARGET.nodes);
+    let at = |metric| measurements.at(Role::ServerConnections, metric, TARGET.nodes);
     let (held, unlimited, opened) = (at("server_connections")?, at("server_wanted")?, at("server_opened")?);
     let (region, region_opened) = (at("server_region")?, at("server_region_opened")?);
     let node_held = at("node_connections")?;
-    let zone = figures.at(Role::ServerConnections, "node_connections", ZONE_SIZED_NODES)?;
+    let zone = measurements.at(Role::ServerConnections, "node_connections", ZONE_SIZED_NODES)?;
     let mut rows = Rows::new(Component::Server);
 
     let label = "connections, every node to every server, nodes at 1,024 sockets";
--- a/crates/stonevane-capacity/src/report.rs
+++ b/crates/stonevane-capacity/src/report.rs
@@ -22,18 +22,18 @@
 /// Formats all metrics of a measurement on one line.
 pub fn size_line(measurement: &Measurement) -> String {
     let (role, size, unit) = (measurement.role.name(), measurement.size, measurement.role.size_unit());
-    let figures = measurement.figures.iter().map(|figure| {
+    let values = measurement.values.iter().map(|figure| {
         let mark = if figure.basis == Basis::Measured { "" } else { figure.basis.name() };
         let space = if mark.is_empty() { "" } else { " " };
         format!("{} {} {}{space}{mark}", figure.metric, number(figure.value), figure.unit)
     });
-    format!("{role} {size} {unit}: {}", figures.collect::<Vec<_>>().join(", "))
+    format!("{role} {size} {unit}: {}", values.collect::<Vec<_>>().join(", "))
 }
 
 /// Points of one metric over the sizes, without values that are not finite.
 fn points(measurements: &[Measurement], metric: &str) -> Vec<Point> {
     let value = |measurement: &Measurement| {
-        let figure = measurement.figures.iter().find(|figure| figure.metric == metric)?;
+        let figure = measurement.values.iter().find(|figure| figure.metric == metric)?;
         figure.value.is_finite().then_some((measurement.size as f64, figure.value))
     };
     measurements.iter().filter_map(value).collect()
@@ -42,7 +42,7 @@
 /// Describes how a metric was obtained, and from which size on it is sampled or counted instead of measured.
 fn basis(measurements: &[Measurement], metric: &str) -> String {
     let basis = |measurement: &Measurement| {
-        let figure = measurement.figures.iter().find(|figure| figure.metric == metric);
+        let figure = measurement.values.iter().find(|figure| figure.metric == metric);
         figure.map(|figure| (measurement.size, figure.basis))
     };
     let all: Vec<_> = measurements.iter().filter_map(basis).collect();
@@ -80,6 +80,7 @@
 /// line.
 pub fn growth_lines(measurements: &[Measurement], tolerance: f64) -> Vec<String> {
     let Some(first) = measurements.first() else { return Vec::new() };
-    let line = |figure: &crate::roles::Figure| growth(measurements, &figure.metric, &figure.unit, tolerance);
-    first.figures.iter().map(line).collect()
+    let line =
+        |figure: &crate::roles::MetricValue| growth(measurements, &figure.metric, &figure.unit, tolerance);
+    first.values.iter().map(line).collect()
 }
--- a/crates/stonevane-capacity/src/roles/discovery.rs
+++ b/crates/stonevane-capacity/src/roles/discovery.rs
@@ -4,7 +4,7 @@
 
 use stonevane_core::{Core, DiscoveryCall, DiscoveryRequest, EndpointList, Input, Output, Outputs};
 
-use super::{Figure, MeasureError, listing, node};
+use super::{MeasureError, MetricValue, listing, node};
 
 /// Most nodes: more than twice the target.
 pub const LARGEST: u64 = 40_000;
@@ -97,7 +97,7 @@
 ///
 /// # Errors
 /// If the generated list cannot be parsed.
-pub fn measure(nodes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(nodes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let mut fleet = Fleet::new(nodes, seed)?;
     fleet.run_phase(node::START, START_S, false);
     let (start_calls, start_busiest) = (fleet.total(), fleet.peak_per_s());
@@ -106,13 +106,13 @@
     let list_bytes = listing::full_list(TARGET_SERVERS).len() as f64;
     let change_bytes = listing::server_change(2, 0, true).len() as f64;
     Ok(vec![
-        Figure::measured("start_calls", "1", start_calls),
-        Figure::measured("start_busiest", "1/s", start_busiest),
-        Figure::measured("lost_calls", "1", lost_calls),
-        Figure::measured("lost_busiest", "1/s", lost_busiest),
-        Figure::measured("lost_whole", "1", lost_full_lists as f64),
-        Figure::counted("whole_lists", "B", nodes as f64 * list_bytes),
-        Figure::counted("change_told", "B", nodes as f64 * change_bytes),
-        Figure::counted("change_lines", "1", nodes as f64),
+        MetricValue::measured("start_calls", "1", start_calls),
+        MetricValue::measured("start_busiest", "1/s", start_busiest),
+        MetricValue::measured("lost_calls", "1", lost_calls),
+        MetricValue::measured("lost_busiest", "1/s", lost_busiest),
+        MetricValue::measured("lost_whole", "1", lost_full_lists as f64),
+        MetricValue::counted("whole_lists", "B", nodes as f64 * list_bytes),
+        MetricValue::counted("change_told", "B", nodes as f64 * change_bytes),
+        MetricValue::counted("change_lines", "1", nodes as f64),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -8,7 +8,7 @@
 
 use crate::cpu::CpuMeter;
 use crate::limits;
-use crate::roles::{Conditions, Figure, MeasureError};
+use crate::roles::{Conditions, MeasureError, MetricValue};
 
 /// One second, in microseconds.
 const SECOND: Micros = 1_000_000;
@@ -139,7 +139,7 @@
             fully_informed: (0, 0),
             deaths: Vec::new(),
             false_deaths: 0,
-            memory_limit: conditions.memory,
+            memory_limit: conditions.memory_limit_bytes,
             memory_checked_at: 0,
         };
         for member in 0..members {
@@ -337,39 +337,39 @@
 ///
 /// # Errors
 /// If the memory limit is exceeded during the measurement.
-pub fn measure(members: MemberId, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: MemberId, conditions: &Conditions) -> Result<Vec<MetricValue>, MeasureError> {
     let before = limits::resident_bytes();
     let mut fleet = Fleet::new(members, conditions);
-    let mut figures = Vec::new();
+    let mut values = Vec::new();
     let per = |total: f64, duration: Micros| per_member_second(total, members, duration);
 
     let start = fleet.run_window(START_WINDOW)?;
-    figures.push(Figure::measured("start_bytes", "B/member/s", per(start.bytes as f64, START_WINDOW)));
-    figures.push(Figure::measured(
+    values.push(MetricValue::measured("start_bytes", "B/member/s", per(start.bytes as f64, START_WINDOW)));
+    values.push(MetricValue::measured(
         "start_datagrams",
         "1/member/s",
         per(start.datagrams as f64, START_WINDOW),
     ));
-    figures.push(Figure::measured("start_most_bytes", "B/s", start.peak_bytes_per_s as f64));
-    figures.push(Figure::measured("start_cpu", "us/member/s", per(start.cpu.micros(), START_WINDOW)));
+    values.push(MetricValue::measured("start_most_bytes", "B/s", start.peak_bytes_per_s as f64));
+    values.push(MetricValue::measured("start_cpu", "us/member/s", per(start.cpu.micros(), START_WINDOW)));
     let quiet = fleet.run_until_quiet()?;
     let known =
         if fleet.fully_informed.0 == u32::from(members) { seconds(fleet.fully_informed.1) } else { f64::NAN };
-    figures.push(Figure::measured("start_known", "s", known));
-    figures.push(Figure::measured("start_quiet", "s", quiet.map_or(f64::NAN, seconds)));
+    values.push(MetricValue::measured("start_known", "s", known));
+    values.push(MetricValue::measured("start_quiet", "s", quiet.map_or(f64::NAN, seconds)));
 
     let steady = fleet.run_window(STEADY_WINDOW)?;
     let steady_bytes = per(steady.bytes as f64, STEADY_WINDOW);
     let steady_cpu = per(steady.cpu.micros(), STEADY_WINDOW);
-    figures.push(Figure::measured("steady_bytes", "B/member/s", steady_bytes));
-    figures.push(Figure::measured(
+    values.push(MetricValue::measured("steady_bytes", "B/member/s", steady_bytes));
+    values.push(MetricValue::measured(
         "steady_datagrams",
         "1/member/s",
         per(steady.datagrams as f64, STEADY_WINDOW),
     ));
-    figures.push(Figure::measured("steady_cpu", "us/member/s", steady_cpu));
+    values.push(MetricValue::measured("steady_cpu", "us/member/s", steady_cpu));
     let memory = limits::resident_bytes().saturating_sub(before) as f64 / f64::from(members);
-    figures.push(Figure::measured("memory", "B/member", memory));
+    values.push(MetricValue::measured("memory", "B/member", memory));
 
     fleet.restart_some();
     let count = f64::from(RESTART_COUNT.min(members / 4));
@@ -378,8 +378,12 @@
         let window = seconds(RESTART_WINDOW);
         (per(total, RESTART_WINDOW) - steady) * window / count
     };
-    figures.push(Figure::measured("restart_bytes", "B/member", added(restarts.bytes as f64, steady_bytes)));
-    figures.push(Figure::measured("restart_cpu", "us/member", added(restarts.cpu.micros(), steady_cpu)));
+    values.push(MetricValue::measured(
+        "restart_bytes",
+        "B/member",
+        added(restarts.bytes as f64, steady_bytes),
+    ));
+    values.push(MetricValue::measured("restart_cpu", "us/member", added(restarts.cpu.micros(), steady_cpu)));
 
     fleet.kill_some();
     fleet.traffic = Traffic::default();
@@ -389,10 +393,10 @@
     let first = fleet.deaths.iter().filter_map(|death| Some(death.first_known? - death.at)).min();
     let all_know = fleet.deaths.iter().all(|death| death.unaware.is_empty());
     let last = fleet.deaths.iter().map(|death| death.last_known - death.at).max().filter(|_| all_know);
-    figures.push(Figure::measured("death_first", "s", first.map_or(f64::NAN, seconds)));
-    figures.push(Figure::measured("death_all", "s", last.map_or(f64::NAN, seconds)));
-    figures.push(Figure::measured("death_bytes", "B/member/s", per(fleet.traffic.bytes as f64, lasted)));
-    figures.push(Figure::measured("death_cpu", "us/member/s", per(fleet.traffic.cpu.micros(), lasted)));
-    figures.push(Figure::measured("false_deaths", "1", fleet.false_deaths as f64));
-    Ok(figures)
+    values.push(MetricValue::measured("death_first", "s", first.map_or(f64::NAN, seconds)));
+    values.push(MetricValue::measured("death_all", "s", last.map_or(f64::NAN, seconds)));
+    values.push(MetricValue::measured("death_bytes", "B/member/s", per(fleet.traffic.bytes as f64, lasted)));
+    values.push(MetricValue::measured("death_cpu", "us/member/s", per(fleet.traffic.cpu.micros(), lasted)));
+    values.push(MetricValue::measured("false_deaths", "1", fleet.false_deaths as f64));
+    Ok(values)
 }
--- a/crates/stonevane-capacity/src/roles/membership/mod.rs
+++ b/crates/stonevane-capacity/src/roles/membership/mod.rs
@@ -6,7 +6,7 @@
 mod full;
 mod sampled;
 
-use crate::roles::{Conditions, Figure, MeasureError};
+use crate::roles::{Conditions, MeasureError, MetricValue};
 
 /// Most members: a member number has 16 bits.
 pub const LARGEST: u64 = u16::MAX as u64;
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// If the memory limit is exceeded during the measurement, or a member sends a malformed datagram.
-pub fn measure(members: u64, conditions: &Conditions) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: u64, conditions: &Conditions) -> Result<Vec<MetricValue>, MeasureError> {
     let members = members as u16;
     if u64::from(members) <= conditions.full_up_to {
         full::measure(members, conditions)
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -17,7 +17,7 @@
 
 use crate::cpu::CpuMeter;
 use crate::limits;
-use crate::roles::{Figure, MeasureError};
+use crate::roles::{MeasureError, MetricValue};
 
 /// Number of real members.
 pub const REAL_MEMBERS: u16 = 4;
@@ -329,7 +329,7 @@
 ///
 /// # Errors
 /// If a real member sends a malformed datagram.
-pub fn measure(members: MemberId, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: MemberId, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let before = limits::resident_bytes();
     let mut sums = Sums::default();
     let mut simulations = Vec::new();
@@ -345,15 +345,15 @@
         (rate(sums.restarts[index], RESTART_WINDOW) - steady[index]) * seconds(RESTART_WINDOW) / restarts
     };
     Ok(vec![
-        Figure::sampled("start_bytes", "B/member/s", rate(sums.start[1], START_WINDOW)),
-        Figure::sampled("start_datagrams", "1/member/s", rate(sums.start[0], START_WINDOW)),
-        Figure::sampled("start_cpu", "us/member/s", rate(sums.start[2], START_WINDOW)),
-        Figure::sampled("start_quiet", "s", sums.quiet / count),
-        Figure::sampled("steady_bytes", "B/member/s", steady[1]),
-        Figure::sampled("steady_datagrams", "1/member/s", steady[0]),
-        Figure::sampled("steady_cpu", "us/member/s", steady[2]),
-        Figure::sampled("memory", "B/member", memory),
-        Figure::sampled("restart_bytes", "B/member", added(1)),
-        Figure::sampled("restart_cpu", "us/member", added(2)),
+        MetricValue::sampled("start_bytes", "B/member/s", rate(sums.start[1], START_WINDOW)),
+        MetricValue::sampled("start_datagrams", "1/member/s", rate(sums.start[0], START_WINDOW)),
+        MetricValue::sampled("start_cpu", "us/member/s", rate(sums.start[2], START_WINDOW)),
+        MetricValue::sampled("start_quiet", "s", sums.quiet / count),
+        MetricValue::sampled("steady_bytes", "B/member/s", steady[1]),
+        MetricValue::sampled("steady_datagrams", "1/member/s", steady[0]),
+        MetricValue::sampled("steady_cpu", "us/member/s", steady[2]),
+        MetricValue::sampled("memory", "B/member", memory),
+        MetricValue::sampled("restart_bytes", "B/member", added(1)),
+        MetricValue::sampled("restart_cpu", "us/member", added(2)),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/mod.rs
+++ b/crates/stonevane-capacity/src/roles/mod.rs
@@ -42,7 +42,7 @@
 
 /// Value of one metric of a role at a size.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Figure {
+pub struct MetricValue {
     /// Name of the metric.
     pub metric: Cow<'static, str>,
     /// Unit of `value`.
@@ -53,20 +53,20 @@
     pub value: f64,
 }
 
-impl Figure {
+impl MetricValue {
     /// Creates a value that was measured with every participant running.
-    pub fn measured(metric: &'static str, unit: &'static str, value: f64) -> Figure {
-        Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Measured, value }
+    pub fn measured(metric: &'static str, unit: &'static str, value: f64) -> MetricValue {
+        MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Measured, value }
     }
 
     /// Creates a value that was measured at some participants among modelled ones.
-    pub fn sampled(metric: &'static str, unit: &'static str, value: f64) -> Figure {
-        Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Sampled, value }
+    pub fn sampled(metric: &'static str, unit: &'static str, value: f64) -> MetricValue {
+        MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Sampled, value }
     }
 
     /// Creates a value that was computed.
-    pub fn counted(metric: &'static str, unit: &'static str, value: f64) -> Figure {
-        Figure { metric: metric.into(), unit: unit.into(), basis: Basis::Counted, value }
+    pub fn counted(metric: &'static str, unit: &'static str, value: f64) -> MetricValue {
+        MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Counted, value }
     }
 }
 
@@ -80,7 +80,7 @@
     /// Seed of all random choices.
     pub seed: u64,
     /// Values of the metrics, in the order in which reports print them.
-    pub figures: Vec<Figure>,
+    pub values: Vec<MetricValue>,
 }
 
 /// Error of a measurement.
@@ -129,7 +129,7 @@
     /// Seed of all random choices.
     pub seed: u64,
     /// Memory limit of a measurement, in bytes.
-    pub memory: u64,
+    pub memory_limit_bytes: u64,
     /// Largest fleet, in members, in which every member runs the real membership machine.
     pub full_up_to: u64,
 }
@@ -180,7 +180,7 @@
     }
 
     /// Looks up a role by its name.
-    pub fn named(name: &str) -> Option<Role> {
+    pub fn from_name(name: &str) -> Option<Role> {
         Role::ALL.into_iter().find(|role| role.name() == name)
     }
 
@@ -234,7 +234,7 @@
         if !(smallest..=largest).contains(&size) {
             return Err(MeasureError::Size { role: self, size, smallest, largest });
         }
-        limits::check(size, self.required_memory(size, conditions), conditions.memory)?;
+        limits::check(size, self.required_memory(size, conditions), conditions.memory_limit_bytes)?;
         Ok(())
     }
 
@@ -246,7 +246,7 @@
     pub fn measure(self, size: u64, conditions: &Conditions) -> Result<Measurement, MeasureError> {
         self.check(size, conditions)?;
         let seed = conditions.seed;
-        let figures = match self {
+        let values = match self {
             Role::Membership => membership::measure(size, conditions)?,
             Role::ServerList => server_list::measure(size)?,
             Role::NodeState => node_state::measure(size, seed)?,
@@ -255,6 +255,6 @@
             Role::Reload => reload::measure(size, seed)?,
             Role::Passage => passage::measure(size, seed)?,
         };
-        Ok(Measurement { role: self, size, seed, figures })
+        Ok(Measurement { role: self, size, seed, values })
     }
 }
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -5,7 +5,7 @@
 use stonevane_core::Core;
 use stonevane_policy::{Action, AttemptStatus, Event, LoadReport, Outcome, Policy, Request, ServerId};
 
-use super::{Figure, MeasureError, listing, node};
+use super::{MeasureError, MetricValue, listing, node};
 use crate::cpu;
 use crate::limits;
 
@@ -118,15 +118,15 @@
 ///
 /// # Errors
 /// If a request is not placed.
-pub fn measure(servers: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(servers: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let memory = core_memory(servers)?;
     let [placement_ns, outcome_ns] = placements(servers, false, seed)?;
     let [placement_by_size_ns, _] = placements(servers, true, seed)?;
     Ok(vec![
-        Figure::measured("memory", "B", memory),
-        Figure::measured("placement", "ns", placement_ns),
-        Figure::measured("placement_by_size", "ns", placement_by_size_ns),
-        Figure::measured("outcome", "ns", outcome_ns),
-        Figure::counted("core_share", "%", (placement_ns + outcome_ns) * REQUESTS_PER_S / 1e9 * 100.0),
+        MetricValue::measured("memory", "B", memory),
+        MetricValue::measured("placement", "ns", placement_ns),
+        MetricValue::measured("placement_by_size", "ns", placement_by_size_ns),
+        MetricValue::measured("outcome", "ns", outcome_ns),
+        MetricValue::counted("core_share", "%", (placement_ns + outcome_ns) * REQUESTS_PER_S / 1e9 * 100.0),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/passage.rs
+++ b/crates/stonevane-capacity/src/roles/passage.rs
@@ -3,7 +3,7 @@
 //! the kernel or the driver's tasks.
 
 use super::node::{self, DrivenNode, SECOND};
-use super::{Figure, MeasureError, listing};
+use super::{MeasureError, MetricValue, listing};
 
 /// Longest value that the node forwards, in bytes.
 pub const LARGEST: u64 = 4 * 1024 * 1024;
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 /// If fewer than 90 % of the response bytes arrive.
-pub fn measure(bytes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(bytes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let known = serde_json::from_str(&listing::full_list(REGION_SERVERS));
     let known = known.map_err(|e| {
         MeasureError::UnexpectedBehavior(format!("the generated server list cannot be parsed: {e}"))
@@ -52,8 +52,8 @@
     }
     let cpu = node.cpu.micros() - cpu_before;
     Ok(vec![
-        Figure::measured("request_cpu", "us", cpu / requests),
-        Figure::measured("answered", "B", response_bytes / requests),
-        Figure::measured("attempts", "1", (node.counters.attempts - before.attempts) as f64 / requests),
+        MetricValue::measured("request_cpu", "us", cpu / requests),
+        MetricValue::measured("answered", "B", response_bytes / requests),
+        MetricValue::measured("attempts", "1", (node.counters.attempts - before.attempts) as f64 / requests),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/reload.rs
+++ b/crates/stonevane-capacity/src/roles/reload.rs
@@ -6,7 +6,7 @@
 use stonevane_core::{Core, Input, Outputs};
 use stonevane_policy::settings;
 
-use super::{Figure, MeasureError, listing, node};
+use super::{MeasureError, MetricValue, listing, node};
 use crate::cpu;
 
 /// Most tenants: settings of a few megabytes.
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 /// If the settings cannot be read or a reload is not applied.
-pub fn measure(tenants: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(tenants: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let unexpected = |e: String| MeasureError::UnexpectedBehavior(e);
     let known = serde_json::from_str(&listing::full_list(SERVERS)).map_err(|e| unexpected(e.to_string()))?;
     let first =
@@ -73,8 +73,8 @@
         return Err(unexpected(format!("the core applied {reloads} of {REPETITIONS} reloads")));
     }
     Ok(vec![
-        Figure::measured("text_bytes", "B", settings_json(tenants, 500).len() as f64),
-        Figure::measured("read_cpu", "us", median(read_us)),
-        Figure::measured("take_cpu", "us", median(apply_us)),
+        MetricValue::measured("text_bytes", "B", settings_json(tenants, 500).len() as f64),
+        MetricValue::measured("read_cpu", "us", median(read_us)),
+        MetricValue::measured("take_cpu", "us", median(apply_us)),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -3,7 +3,7 @@
 //! proportional to the number of nodes, as at the target.
 
 use super::node::{self, DrivenNode, SECOND};
-use super::{Figure, MeasureError, listing};
+use super::{MeasureError, MetricValue, listing};
 
 /// Most nodes: more than twice the target.
 pub const LARGEST: u64 = 40_000;
@@ -85,7 +85,7 @@
 ///
 /// # Errors
 /// If fewer than 90 % of its requests reach a server.
-pub fn measure(nodes: u64, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(nodes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let server_count = servers(nodes);
     let all = count_connections(nodes, server_count, DAEMON_SOCKETS, seed)?;
     let unlimited = count_connections(nodes, server_count, UNLIMITED_SOCKETS, seed)?;
@@ -94,15 +94,19 @@
     let (nodes, server_count) = (nodes as f64, server_count as f64);
     let region_nodes = nodes.min(REGION_NODES as f64);
     Ok(vec![
-        Figure::measured("node_connections", "1/node", all.connections),
-        Figure::measured("node_opened", "1/node/s", all.opened),
-        Figure::measured("node_wanted", "1/node", unlimited.connections),
-        Figure::measured("node_region", "1/node", region.connections),
-        Figure::measured("node_region_opened", "1/node/s", region.opened),
-        Figure::counted("server_connections", "1/server", all.connections * nodes / server_count),
-        Figure::counted("server_opened", "1/server/s", all.opened * nodes / server_count),
-        Figure::counted("server_wanted", "1/server", unlimited.connections * nodes / server_count),
-        Figure::counted("server_region", "1/server", region.connections * region_nodes / subset as f64),
-        Figure::counted("server_region_opened", "1/server/s", region.opened * region_nodes / subset as f64),
+        MetricValue::measured("node_connections", "1/node", all.connections),
+        MetricValue::measured("node_opened", "1/node/s", all.opened),
+        MetricValue::measured("node_wanted", "1/node", unlimited.connections),
+        MetricValue::measured("node_region", "1/node", region.connections),
+        MetricValue::measured("node_region_opened", "1/node/s", region.opened),
+        MetricValue::counted("server_connections", "1/server", all.connections * nodes / server_count),
+        MetricValue::counted("server_opened", "1/server/s", all.opened * nodes / server_count),
+        MetricValue::counted("server_wanted", "1/server", unlimited.connections * nodes / server_count),
+        MetricValue::counted("server_region", "1/server", region.connections * region_nodes / subset as f64),
+        MetricValue::counted(
+            "server_region_opened",
+            "1/server/s",
+            region.opened * region_nodes / subset as f64,
+        ),
     ])
 }
--- a/crates/stonevane-capacity/src/roles/server_list.rs
+++ b/crates/stonevane-capacity/src/roles/server_list.rs
@@ -9,7 +9,7 @@
 use stonevane_codec::lines::ObjectReader;
 use stonevane_core::{Core, EndpointList, Input, Outputs};
 
-use super::{Figure, MeasureError, listing, node};
+use super::{MeasureError, MetricValue, listing, node};
 use crate::cpu;
 
 /// Most servers: the daemon rejects a list longer than 4 MB.
@@ -96,7 +96,7 @@
 ///
 /// # Errors
 /// If the daemon's functions cannot read the list or the core does not know all its servers.
-pub fn measure(servers: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(servers: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let full_list = watch_response(&listing::full_list(servers));
     let (mut read, mut applied, mut change) = (Vec::new(), Vec::new(), Vec::new());
     let mut change_bytes = 0;
@@ -118,11 +118,11 @@
         change.push(reading_change + applying_change);
     }
     Ok(vec![
-        Figure::measured("whole_bytes", "B", full_list.len() as f64),
-        Figure::measured("whole_read_cpu", "us", median(read)),
-        Figure::measured("whole_take_cpu", "us", median(applied)),
-        Figure::measured("change_bytes", "B", change_bytes as f64),
-        Figure::measured("change_cpu", "us", median(change)),
-        Figure::counted("watch_bytes", "B/s", chunk("\n").len() as f64 / HEARTBEAT_INTERVAL_S),
+        MetricValue::measured("whole_bytes", "B", full_list.len() as f64),
+        MetricValue::measured("whole_read_cpu", "us", median(read)),
+        MetricValue::measured("whole_take_cpu", "us", median(applied)),
+        MetricValue::measured("change_bytes", "B", change_bytes as f64),
+        MetricValue::measured("change_cpu", "us", median(change)),
+        MetricValue::counted("watch_bytes", "B/s", chunk("\n").len() as f64 / HEARTBEAT_INTERVAL_S),
     ])
 }
--- a/crates/stonevane-capacity/tests/page.rs
+++ b/crates/stonevane-capacity/tests/page.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use stonevane_capacity::csv;
-use stonevane_capacity::model::{Component, Figures, Row, Situation, compare, rows, tables};
+use stonevane_capacity::model::{Component, Measurements, Row, Situation, compare, rows, tables};
 use stonevane_capacity::roles::Role;
 
 fn docs() -> PathBuf {
@@ -22,7 +22,7 @@
 }
 
 fn current_rows() -> Vec<Row> {
-    rows(&Figures::new(lines())).unwrap()
+    rows(&Measurements::new(lines())).unwrap()
 }
 
 fn row<'r>(rows: &'r [Row], component: Component, label: &str) -> &'r Row {
@@ -76,7 +76,7 @@
     let steady =
         changed_lines.iter_mut().filter(|line| line.role == "membership" && line.metric == "steady_bytes");
     steady.for_each(|line| line.value *= 1.5);
-    let changed_rows = rows(&Figures::new(changed_lines)).unwrap();
+    let changed_rows = rows(&Measurements::new(changed_lines)).unwrap();
     let mismatches = compare(&tables(&current_rows()), &changed_rows);
     let tables: Vec<_> = mismatches.iter().map(|mismatch| mismatch.table).collect();
     assert_eq!(tables, ["over the budget", "node", "link between two regions"]);
@@ -156,6 +156,6 @@
 #[test]
 fn a_missing_metric_is_named_in_the_error() {
     let without = lines().into_iter().filter(|line| line.metric != "placement").collect();
-    let missing = rows(&Figures::new(without)).unwrap_err();
+    let missing = rows(&Measurements::new(without)).unwrap_err();
     assert_eq!(missing.to_string(), "the measurements lack placement of node-state");
 }
--- a/crates/stonevane-capacity/tests/roles.rs
+++ b/crates/stonevane-capacity/tests/roles.rs
@@ -7,7 +7,7 @@
 use stonevane_capacity::roles::{Basis, Conditions, Measurement, Role};
 
 fn conditions(seed: u64) -> Conditions {
-    Conditions { seed, memory: u64::MAX, full_up_to: 40 }
+    Conditions { seed, memory_limit_bytes: u64::MAX, full_up_to: 40 }
 }
 
 fn measure(role: Role, size: u64, seed: u64) -> Measurement {
@@ -15,22 +15,21 @@
 }
 
 fn value(measurement: &Measurement, metric: &str) -> f64 {
-    let figure = measurement.figures.iter().find(|figure| figure.metric == metric);
+    let figure = measurement.values.iter().find(|figure| figure.metric == metric);
     figure.unwrap_or_else(|| panic!("no {metric} in {measurement:?}")).value
 }
 
 /// Metrics that the seed determines: all except processor time and resident memory.
 fn counts(measurement: &Measurement) -> Vec<(String, f64)> {
     let timed = |unit: &str| unit.starts_with("us") || unit.starts_with("ns") || unit == "%";
-    let figures =
-        measurement.figures.iter().filter(|figure| !timed(&figure.unit) && figure.metric != "memory");
-    figures.map(|figure| (figure.metric.to_string(), figure.value)).collect()
+    let values = measurement.values.iter().filter(|figure| !timed(&figure.unit) && figure.metric != "memory");
+    values.map(|figure| (figure.metric.to_string(), figure.value)).collect()
 }
 
 #[test]
 fn a_small_fleet_converges_reaches_a_steady_state_and_detects_deaths() {
     let fleet = measure(Role::Membership, 24, 3);
-    assert!(fleet.figures.iter().all(|figure| figure.basis == Basis::Measured));
+    assert!(fleet.values.iter().all(|figure| figure.basis == Basis::Measured));
     // Each member sends one probe and one acknowledgement per period.
     let datagrams = value(&fleet, "steady_datagrams");
     assert!((1.9..2.3).contains(&datagrams), "{datagrams}");
@@ -56,7 +55,7 @@
 #[test]
 fn a_sampled_member_sends_about_as_much_as_a_member_of_a_full_fleet() {
     let sampled = measure(Role::Membership, 60, 3);
-    assert!(sampled.figures.iter().all(|figure| figure.basis == Basis::Sampled));
+    assert!(sampled.values.iter().all(|figure| figure.basis == Basis::Sampled));
     let full = Role::Membership.measure(60, &Conditions { full_up_to: 60, ..conditions(3) }).unwrap();
     for metric in ["steady_bytes", "steady_datagrams"] {
         let (sampled, full) = (value(&sampled, metric), value(&full, metric));
@@ -87,9 +86,9 @@
 fn requests_are_placed_among_one_and_among_many_servers() {
     for servers in [1, 40] {
         let node = measure(Role::NodeState, servers, 1);
-        let metrics: Vec<_> = node.figures.iter().map(|figure| &figure.metric[..]).collect();
+        let metrics: Vec<_> = node.values.iter().map(|figure| &figure.metric[..]).collect();
         assert_eq!(metrics, ["memory", "placement", "placement_by_size", "outcome", "core_share"]);
-        assert!(node.figures.iter().all(|figure| figure.value.is_finite() && figure.value >= 0.0));
+        assert!(node.values.iter().all(|figure| figure.value.is_finite() && figure.value >= 0.0));
     }
 }
 
@@ -103,7 +102,7 @@
     assert!((4.0..200.0).contains(&connections), "{connections}");
     assert_eq!(connections, value(&small_fleet, "node_wanted"));
     assert_eq!(value(&small_fleet, "server_connections"), connections * 20.0 / 4.0);
-    let counted = small_fleet.figures.iter().filter(|figure| figure.metric.starts_with("server_"));
+    let counted = small_fleet.values.iter().filter(|figure| figure.metric.starts_with("server_"));
     assert!(counted.into_iter().all(|figure| figure.basis == Basis::Counted));
 }
 
@@ -150,7 +149,7 @@
 fn csv_lines_are_read_back_as_written() {
     let measured = measure(Role::Discovery, 20, 1);
     let lines = csv::lines(&measured);
-    assert_eq!(lines.len(), measured.figures.len());
+    assert_eq!(lines.len(), measured.values.len());
     let text = csv::write(&lines);
     assert_eq!(text.lines().next(), Some("role,size,seed,metric,unit,basis,value"));
     assert_eq!(csv::read(&text).unwrap(), lines);
@@ -176,7 +175,7 @@
         "{calls}"
     );
     let mut nonlinear = measured;
-    nonlinear[2].figures[0].value *= 3.0;
+    nonlinear[2].values[0].value *= 3.0;
     let growth = report::growth_lines(&nonlinear, 0.1);
     assert!(growth[0].contains("leaves its line at 80: 240 where 80 was expected"), "{}", growth[0]);
     let mixed = [Role::Membership.measure(24, &conditions(1)).unwrap(), measure(Role::Membership, 60, 1)];
--- a/crates/stonevane/src/scale/measure.rs
+++ b/crates/stonevane/src/scale/measure.rs
@@ -8,7 +8,7 @@
 
 use clap::Args;
 use stonevane_capacity::limits::MachineMemory;
-use stonevane_capacity::roles::{Conditions, Figure, Measurement, Role};
+use stonevane_capacity::roles::{Conditions, Measurement, MetricValue, Role};
 use stonevane_capacity::{csv, report};
 use stonevane_lab::plot::{COLOURS, Curve, Panel, picture};
 
@@ -108,15 +108,18 @@
 
 impl Measure {
     fn order(&self) -> Result<Order, OrderError> {
-        let role = Role::named(&self.role).ok_or_else(|| {
+        let role = Role::from_name(&self.role).ok_or_else(|| {
             let known = Role::ALL.map(Role::name).join(", ");
             OrderError::UnknownRole { role: self.role.clone(), known }
         })?;
         let sizes = sizes(&self.sizes)?;
         let tolerance = tolerance(&self.tolerance)?;
         let memory = MachineMemory::read().ok_or(OrderError::UnknownMemory)?;
-        let conditions =
-            Conditions { seed: self.seed, memory: memory.allowed(), full_up_to: self.full_up_to };
+        let conditions = Conditions {
+            seed: self.seed,
+            memory_limit_bytes: memory.allowed_bytes(),
+            full_up_to: self.full_up_to,
+        };
         for size in &sizes {
             role.check(*size, &conditions).map_err(|error| OrderError::Size(error.to_string()))?;
         }
@@ -203,14 +206,14 @@
 
 /// A panel for each figure.
 fn chart(role: Role, measured: &[Measurement]) -> String {
-    let metrics = measured.first().map_or(&[][..], |first| &first.figures);
+    let metrics = measured.first().map_or(&[][..], |first| &first.values);
     let panels: Vec<Panel> = metrics.iter().map(|figure| panel(role, figure, measured)).collect();
     picture(&format!("What {} costs", role.name()), &panels, &[], 0.0)
 }
 
-fn panel(role: Role, figure: &Figure, measured: &[Measurement]) -> Panel {
+fn panel(role: Role, figure: &MetricValue, measured: &[Measurement]) -> Panel {
     let point = |measurement: &Measurement| {
-        let same = measurement.figures.iter().find(|other| other.metric == figure.metric)?;
+        let same = measurement.values.iter().find(|other| other.metric == figure.metric)?;
         Some((measurement.size as f64, same.value))
     };
     let points = measured.iter().filter_map(point).collect();
--- a/crates/stonevane/src/scale/table.rs
+++ b/crates/stonevane/src/scale/table.rs
@@ -31,7 +31,7 @@
 
 impl Table {
     pub fn run(self) -> Result<(), CommandError> {
-        let figures = model::Figures::new(read_lines(&self.measurements)?);
+        let figures = model::Measurements::new(read_lines(&self.measurements)?);
         let rows = model::rows(&figures).map_err(CommandError::unusable)?;
         say!("{}", model::tables(&rows));
         Ok(())
