--- a/crates/stonevane-lab/src/fleet/config.rs
+++ b/crates/stonevane-lab/src/fleet/config.rs
@@ -39,7 +39,7 @@
         "balancers": scenario.nodes, "me": node, "zone": node % scenario.zones.len().max(1),
         "zones": scenario.all_zones(), "classes": classes, "realms": tenant_settings(scenario),
         "machineTypes": [cache.kind, scenario.origin.kind],
-        "discovery": if scenario.pushed { "push" } else { "ask" },
+        "discovery": if scenario.watches_discovery { "push" } else { "ask" },
         "specifics": {"mode": "aside", "originKind": 1},
         "limits": {"maxAttempts": attempts, "peers": scenario.membership.is_some(), "mayCancel": true,
             "mayDuplicate": scenario.hedging, "connectTimeoutUs": 100_000,
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -137,7 +137,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A process, a port or a file is not available, or a node did not become ready.
-    #[error("the scenario run failed: {0}")]
+    #[error("{0}")]
     Io(#[from] io::Error),
     /// The history is malformed or can't be read.
     #[error("history file: {0}")]
@@ -182,7 +182,7 @@
         seed,
         broken = report.finding_count,
         events = report.events,
-        "judged"
+        "history audited"
     );
     let check = |expectation| CheckedExpectation::new(expectation, &summary, &report);
     let expects: Vec<_> = scenario.expects.iter().map(check).collect();
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -56,7 +56,7 @@
     /// Capacity and behaviour of discovery.
     pub discovery: DiscoverySpec,
     /// Whether nodes watch the endpoint list instead of polling it.
-    pub pushed: bool,
+    pub watches_discovery: bool,
     /// Largest number of attempts of a request; 0 for no limit.
     pub max_attempts: u32,
     /// Whether hedged requests may be sent.
--- a/crates/stonevane-lab/src/scenario/read.rs
+++ b/crates/stonevane-lab/src/scenario/read.rs
@@ -77,7 +77,7 @@
         max_zone_delay_us: 2_600,
         discovery_delay: Duration::from_millis(300),
         discovery: DiscoverySpec::default(),
-        pushed: false,
+        watches_discovery: false,
         max_attempts: 4,
         hedging: true,
         sockets: 256,
@@ -104,7 +104,7 @@
         line: Duration::from_micros(table.integer("line_us", 0, 0..=1_000_000)),
         most_ahead: Duration::from_millis(table.integer("overbooked_ms", 8_000, 0..=600_000)),
     };
-    scenario.pushed = table.flag("pushed", false);
+    scenario.watches_discovery = table.flag("pushed", false);
     scenario.zones = table.texts("sites").into_iter().map(|(name, _)| name).collect();
     let delay_us = |key, default| table.integer(key, default, 0..=1_000_000);
     scenario.min_zone_delay_us = delay_us("between_least_us", scenario.min_zone_delay_us);
--- a/crates/stonevane/tests/cli.rs
+++ b/crates/stonevane/tests/cli.rs
@@ -85,7 +85,10 @@
         said.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
     let ready = logs.iter().filter(|l| l["fields"]["state"] == "ready").count();
     assert_eq!(ready, 2, "{said}");
-    assert!(logs.iter().any(|l| l["fields"]["message"] == "judged" && l["fields"]["broken"] == 0), "{said}");
+    assert!(
+        logs.iter().any(|l| l["fields"]["message"] == "history audited" && l["fields"]["broken"] == 0),
+        "{said}"
+    );
     assert_eq!(stonevane(&["--log", "x=loud", "lab", "list"]).status.code(), Some(2));
 }
 
