--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -154,18 +154,24 @@
 
     /// Returns the start of the process and the length of its warm-up; zeros for one that started warm.
     fn warm_up(&self, spec: &CacheSpec) -> (u64, u64) {
-        self.started_us.map_or((0, 0), |started_us| (started_us, spec.warm_us))
+        self.started_us.map_or((0, 0), |started_us| (started_us, spec.warm_up_us))
     }
 
     /// Adds an attempt's work to the window and returns whether that overloads a process that warms up.
     fn becomes_overloaded(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> bool {
         let (started_us, warm_us) = self.warm_up(spec);
-        let window_us = self.recent_work.add(now, work_us, spec.fall_us);
-        let window_start = now.saturating_sub(spec.fall_us).max(started_us);
-        let capacity_us =
-            work_capacity(spec.capacity(), spec.cold_share, started_us, warm_us, window_start, spec.fall_us);
+        let window_us = self.recent_work.add(now, work_us, spec.overload_window_us);
+        let window_start = now.saturating_sub(spec.overload_window_us).max(started_us);
+        let capacity_us = work_capacity(
+            spec.capacity(),
+            spec.slow_start_share,
+            started_us,
+            warm_us,
+            window_start,
+            spec.overload_window_us,
+        );
         let warming_up = warm_us > 0 && now < started_us + warm_us;
-        warming_up && window_us as f64 > spec.fall_multiple * capacity_us && !self.overloaded
+        warming_up && window_us as f64 > spec.overload_multiple * capacity_us && !self.overloaded
     }
 
     /// Schedules the work of an attempt and returns the time at which it is done; `None` if it is rejected.
@@ -174,7 +180,8 @@
             return None;
         }
         let (started_us, warm_us) = self.warm_up(spec);
-        let share = work_capacity(1e6, spec.cold_share, started_us, warm_us, now, 1).max(MIN_WARM_UP_SHARE);
+        let share =
+            work_capacity(1e6, spec.slow_start_share, started_us, warm_us, now, 1).max(MIN_WARM_UP_SHARE);
         self.cores.take(now, (work_us as f64 / share) as u64, spec.queue_us)
     }
 
@@ -285,7 +292,7 @@
     pub fn set_fault(&self, node: Option<&str>, fault: Fault) {
         if fault == Fault::Dead && node.is_none() {
             let (moment, name) = (MonotonicClock::moment(), self.spec.name.clone());
-            self.recorder.line(HistoryRecord {
+            self.recorder.record(HistoryRecord {
                 time: moment,
                 recorder: name,
                 event: Event::Down,
@@ -306,7 +313,7 @@
     pub fn restart(&self) -> u64 {
         let moment = MonotonicClock::moment();
         *lock(&self.state) = State::new(&self.spec, Some(moment.earliest));
-        self.record_start(moment, self.spec.warm_us);
+        self.record_start(moment, self.spec.warm_up_us);
         self.set_listener_faults(None, Fault::None);
         moment.earliest
     }
@@ -393,21 +400,21 @@
         let work = Work { request, now, number };
         state.apply(spec, &work, effect, &mut counts);
         let attempt = Attempt { number, effect, work_us };
-        self.recorder.line(request.attempt_line(&spec.name, node, arrival, attempt));
+        self.recorder.record(request.attempt_line(&spec.name, node, arrival, attempt));
         let bytes = state.answer(spec, &work, &lookup, effect);
-        let far_us = spec.far_us.get(node).copied().unwrap_or(0);
-        Reply { due_us: done_at_us.unwrap_or(now) + far_us, bytes, number }
+        let cross_zone_rtt_us = spec.cross_zone_rtt_us.get(node).copied().unwrap_or(0);
+        Reply { due_us: done_at_us.unwrap_or(now) + cross_zone_rtt_us, bytes, number }
     }
 
     fn record_start(&self, interval: TimeInterval, warm_us: u64) {
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: interval,
             recorder: self.spec.name.clone(),
             event: Event::Start,
             zone: self.spec.zone.clone(),
             cell: self.spec.cell.into(),
             capacity_us_per_s: self.spec.capacity(),
-            cold_share: self.spec.cold_share,
+            cold_share: self.spec.slow_start_share,
             warm_us,
             started_at: if warm_us == 0 { 0 } else { interval.earliest },
             ..HistoryRecord::default()
@@ -417,7 +424,7 @@
     fn record_overload(&self, interval: TimeInterval) {
         tracing::warn!(server = self.spec.name, "cache server became overloaded");
         let (name, state) = (self.spec.name.clone(), "fell over".to_owned());
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: interval,
             recorder: name,
             event: Event::Fault,
@@ -432,13 +439,13 @@
             return;
         };
         let line = self.answer_line(Event::Reply, request, number);
-        self.recorder.line(HistoryRecord { value, version, ..line });
+        self.recorder.record(HistoryRecord { value, version, ..line });
     }
 
     /// Records that an attempt ended without a complete answer.
     fn record_attempt_ended(&self, number: u64) {
         let Some(answer) = lock(&self.state).answers.remove(number) else { return };
-        self.recorder.line(self.answer_line(Event::AttemptEnded, answer.request, number));
+        self.recorder.record(self.answer_line(Event::AttemptEnded, answer.request, number));
     }
 
     fn answer_line(&self, event: Event, request: String, number: u64) -> HistoryRecord {
--- a/crates/stonevane-emulators/src/cache/spec.rs
+++ b/crates/stonevane-emulators/src/cache/spec.rs
@@ -20,18 +20,18 @@
     /// Coefficient of variation of the work.
     pub work_cv: f64,
     /// Round-trip time to each node in another zone, by the node's name.
-    pub far_us: BTreeMap<String, u64>,
+    pub cross_zone_rtt_us: BTreeMap<String, u64>,
     /// Longest wait in the queue; an attempt that would wait longer is rejected.
     pub queue_us: u64,
     /// Share of the capacity that is available directly after a restart (slow start).
-    pub cold_share: f64,
+    pub slow_start_share: f64,
     /// Length of the warm-up after a restart.
-    pub warm_us: u64,
+    pub warm_up_us: u64,
     /// Multiple of its capacity above which a server that warms up becomes overloaded, over a window of
-    /// `fall_us`.
-    pub fall_multiple: f64,
-    /// Length of the window over which `fall_multiple` is measured.
-    pub fall_us: u64,
+    /// `overload_window_us`.
+    pub overload_multiple: f64,
+    /// Length of the window over which `overload_multiple` is measured.
+    pub overload_window_us: u64,
     /// Number of copies that the server can hold.
     pub objects: usize,
     /// Maximum number of open connections, from all nodes together.
@@ -61,12 +61,12 @@
             cores: 8,
             work_us: 4_000,
             work_cv: 0.0,
-            far_us: BTreeMap::new(),
+            cross_zone_rtt_us: BTreeMap::new(),
             queue_us: 500_000,
-            cold_share: 0.35,
-            warm_us: 7_500_000,
-            fall_multiple: 3.0,
-            fall_us: 2_000_000,
+            slow_start_share: 0.35,
+            warm_up_us: 7_500_000,
+            overload_multiple: 3.0,
+            overload_window_us: 2_000_000,
             objects: 10_000,
             connections: 1_000,
             idle_us: 15_000_000,
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -22,7 +22,7 @@
 use crate::record::{MonotonicClock, Recorder};
 use crate::server::lock;
 
-pub use self::load::{Crowd, Load, LoadClass, Tenant};
+pub use self::load::{Load, LoadClass, LoadPeak, Tenant};
 pub use self::plan::{Planned, key, plan};
 
 /// Time past the deadline for which a client waits, to distinguish a late answer from none, in microseconds.
@@ -60,7 +60,7 @@
     seed: u64,
     clock: MonotonicClock,
     recorder: Recorder,
-    requests_sent: AtomicU64,
+    attempts_sent: AtomicU64,
 }
 
 /// Outcome of one attempt for its client.
@@ -98,7 +98,7 @@
             seed,
             clock: clock.clone(),
             recorder,
-            requests_sent: AtomicU64::new(0),
+            attempts_sent: AtomicU64::new(0),
         })
     }
 
@@ -114,13 +114,13 @@
 
     /// Returns the number of attempts sent so far. A message that is sent again on a new connection counts
     /// once.
-    pub fn asked(&self) -> u64 {
-        self.requests_sent.load(Ordering::Relaxed)
+    pub fn attempts_sent(&self) -> u64 {
+        self.attempts_sent.load(Ordering::Relaxed)
     }
 
     /// Sends the planned requests, each at its time after `start` (in microseconds of the monotonic clock),
     /// and waits until all are answered or given up.
-    pub async fn play(self: &Arc<Self>, planned: Vec<Planned>, start: u64) {
+    pub async fn run_planned(self: &Arc<Self>, planned: Vec<Planned>, start: u64) {
         let mut tasks = JoinSet::new();
         for (number, planned) in planned.into_iter().enumerate() {
             let wait_us = (start + planned.at_us).saturating_sub(MonotonicClock::now());
@@ -137,7 +137,7 @@
 
     /// Sends the planned requests in a loop on `connections` connections until the time `until`, each
     /// connection's next one when the previous one has ended.
-    pub async fn hammer(self: &Arc<Self>, planned: &[Planned], connections: usize, until: u64) {
+    pub async fn run_closed_loop(self: &Arc<Self>, planned: &[Planned], connections: usize, until: u64) {
         let next = Arc::new(AtomicU64::new(0));
         let mut tasks = JoinSet::new();
         let planned: Arc<[Planned]> = planned.into();
@@ -293,10 +293,10 @@
         let sent_us = MonotonicClock::now();
         if !message.resent {
             message.deadline_us = sent_us + remaining_ms * 1_000;
-            self.requests_sent.fetch_add(1, Ordering::Relaxed);
+            self.attempts_sent.fetch_add(1, Ordering::Relaxed);
         }
         let reused = connection.is_reused();
-        self.recorder.line(message.request_line(
+        self.recorder.record(message.request_line(
             &target.name,
             TimeInterval { earliest: started_us, latest: sent_us },
             reused,
@@ -312,16 +312,20 @@
         match read {
             Ok(Some(value)) => {
                 let answer = Answer::from(value);
-                self.recorder.line(answer.history_line(line));
+                self.recorder.record(answer.history_line(line));
                 self.return_to_pool(connection, target, message.id);
                 AttemptOutcome::Answered(answer)
             }
             Ok(None) => {
-                self.recorder.line(HistoryRecord { event: Event::Closed, reused_connection: reused, ..line });
+                self.recorder.record(HistoryRecord {
+                    event: Event::Closed,
+                    reused_connection: reused,
+                    ..line
+                });
                 AttemptOutcome::Lost
             }
             Err(_) if message.planned.impatient => {
-                self.recorder.line(HistoryRecord {
+                self.recorder.record(HistoryRecord {
                     time: MonotonicClock::moment(),
                     event: Event::ClientLeft,
                     ..line
@@ -347,7 +351,7 @@
         let (interval, recorder, event) =
             (self.clock.arrival(), "client".to_owned(), Event::UnsolicitedResponse);
         let (node, request) = (target.name.clone(), connection.last_request.clone());
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: interval,
             recorder,
             event,
--- a/crates/stonevane-emulators/src/client/load.rs
+++ b/crates/stonevane-emulators/src/client/load.rs
@@ -21,19 +21,19 @@
 
 /// A period of increased load.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Crowd {
+pub struct LoadPeak {
     /// Start of the period, in milliseconds from the start of the load.
     pub at_ms: u64,
     /// Length of the period, in milliseconds.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// Multiple of the base rate during the period.
     pub times: f64,
 }
 
-impl Crowd {
+impl LoadPeak {
     /// Whether the period contains a time, in microseconds from the start of the load.
     pub(super) fn contains(&self, at_us: f64) -> bool {
-        (self.at_ms as f64..(self.at_ms + self.for_ms) as f64).contains(&(at_us / 1e3))
+        (self.at_ms as f64..(self.at_ms + self.duration_ms) as f64).contains(&(at_us / 1e3))
     }
 }
 
@@ -50,11 +50,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Load {
     /// Mean rate of a Poisson process of requests, per second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Length of the load, in milliseconds.
-    pub for_ms: u64,
+    pub duration_ms: u64,
     /// Periods of increased load.
-    pub crowds: Vec<Crowd>,
+    pub peaks: Vec<LoadPeak>,
     /// Number of keys. The weight of the n-th key is 1 / (n + offset) ^ zipf.
     pub keys: usize,
     /// Exponent of the key popularity.
@@ -78,9 +78,9 @@
 impl Default for Load {
     fn default() -> Self {
         Load {
-            per_s: 100.0,
-            for_ms: 3_000,
-            crowds: Vec::new(),
+            requests_per_s: 100.0,
+            duration_ms: 3_000,
+            peaks: Vec::new(),
             keys: 500,
             zipf: 0.9,
             offset: 10.0,
--- a/crates/stonevane-emulators/src/client/plan.rs
+++ b/crates/stonevane-emulators/src/client/plan.rs
@@ -39,7 +39,7 @@
 /// Draws the requests of a load for a number of nodes. The same seed gives the same requests.
 pub fn plan(load: &Load, nodes: usize, seed: u64) -> Vec<Planned> {
     let mut planned = Vec::new();
-    if load.per_s <= 0.0 {
+    if load.requests_per_s <= 0.0 {
         return planned;
     }
     let mut rng = Rand64::new(u128::from(seed) ^ SEED_MASK);
@@ -73,10 +73,10 @@
     /// Returns the next arrival time, in microseconds; `None` at the end of the load.
     fn next(&mut self, rng: &mut Rand64) -> Option<u64> {
         let load = self.load;
-        let highest_multiple = load.crowds.iter().map(|crowd| crowd.times).fold(1.0, f64::max);
+        let highest_multiple = load.peaks.iter().map(|peak| peak.times).fold(1.0, f64::max);
         loop {
-            self.at_us += -(1.0 - rng.rand_float()).ln() / (load.per_s * highest_multiple) * 1e6;
-            if self.at_us >= load.for_ms as f64 * 1e3 {
+            self.at_us += -(1.0 - rng.rand_float()).ln() / (load.requests_per_s * highest_multiple) * 1e6;
+            if self.at_us >= load.duration_ms as f64 * 1e3 {
                 return None;
             }
             if highest_multiple > 1.0 && rng.rand_float() * highest_multiple >= self.rate_multiple() {
@@ -88,8 +88,8 @@
 
     /// Returns the multiple of the base rate at the current time.
     fn rate_multiple(&self) -> f64 {
-        let crowd = self.load.crowds.iter().find(|crowd| crowd.contains(self.at_us));
-        crowd.map_or(1.0, |crowd| crowd.times)
+        let peak = self.load.peaks.iter().find(|peak| peak.contains(self.at_us));
+        peak.map_or(1.0, |peak| peak.times)
     }
 }
 
--- a/crates/stonevane-emulators/src/client/plan/tests.rs
+++ b/crates/stonevane-emulators/src/client/plan/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::client::{Crowd, LoadClass, Tenant};
+use crate::client::{LoadClass, LoadPeak, Tenant};
 
 fn load() -> Load {
     let class = |name: &str, share, write| LoadClass {
@@ -13,7 +13,12 @@
     };
     let tenant = |name: &str, share| Tenant { name: name.into(), share };
     let classes = vec![class("read", 0.9, false), class("edit", 0.1, true)];
-    Load { per_s: 2_000.0, classes, tenants: vec![tenant("a", 0.75), tenant("b", 0.25)], ..Load::default() }
+    Load {
+        requests_per_s: 2_000.0,
+        classes,
+        tenants: vec![tenant("a", 0.75), tenant("b", 0.25)],
+        ..Load::default()
+    }
 }
 
 #[test]
@@ -23,7 +28,7 @@
 }
 
 #[test]
-fn a_load_matches_its_rate_shares_popularity_and_crowds() {
+fn a_load_matches_its_rate_shares_popularity_and_peaks() {
     let planned = plan(&load(), 4, 7);
     let share_of = |matches: &dyn Fn(&Planned) -> bool| {
         planned.iter().filter(|p| matches(p)).count() as f64 / planned.len() as f64
@@ -34,11 +39,11 @@
     let (first, last) = (share_of(&|p| p.key == key(0)), share_of(&|p| p.key == key(499)));
     assert!(first > 5.0 * last, "{first} against {last}");
     assert!(planned.windows(2).all(|p| p[0].at_us <= p[1].at_us));
-    assert!(plan(&Load { per_s: 0.0, ..load() }, 4, 7).is_empty());
+    assert!(plan(&Load { requests_per_s: 0.0, ..load() }, 4, 7).is_empty());
     // Twice the rate during one third of the load.
-    let crowd = Crowd { at_ms: 1_000, for_ms: 1_000, times: 2.0 };
-    let crowded = plan(&Load { crowds: vec![crowd], ..load() }, 4, 7);
-    let within = crowded.iter().filter(|p| (1_000_000..2_000_000).contains(&p.at_us)).count();
+    let peak = LoadPeak { at_ms: 1_000, duration_ms: 1_000, times: 2.0 };
+    let with_peak = plan(&Load { peaks: vec![peak], ..load() }, 4, 7);
+    let within = with_peak.iter().filter(|p| (1_000_000..2_000_000).contains(&p.at_us)).count();
     assert!((3_600..4_400).contains(&within), "{within} of about 4000");
-    assert!((7_400..8_600).contains(&crowded.len()), "{} of about 8000", crowded.len());
+    assert!((7_400..8_600).contains(&with_peak.len()), "{} of about 8000", with_peak.len());
 }
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -42,16 +42,20 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoverySpec {
     /// Work of each call.
-    pub call: Duration,
+    pub work_per_call: Duration,
     /// Additional work of a call for each entry in its first answer.
-    pub line: Duration,
+    pub work_per_entry: Duration,
     /// Maximum work queued ahead of a call; a call with more ahead of it is rejected with 503.
-    pub most_ahead: Duration,
+    pub max_queued_work: Duration,
 }
 
 impl Default for DiscoverySpec {
     fn default() -> Self {
-        DiscoverySpec { call: Duration::ZERO, line: Duration::ZERO, most_ahead: Duration::from_secs(8) }
+        DiscoverySpec {
+            work_per_call: Duration::ZERO,
+            work_per_entry: Duration::ZERO,
+            max_queued_work: Duration::from_secs(8),
+        }
     }
 }
 
@@ -170,7 +174,7 @@
             let (moment, recorder, server) =
                 (MonotonicClock::moment(), "discovery".to_owned(), name.to_owned());
             let event = Event::Change;
-            self.recorder.line(HistoryRecord {
+            self.recorder.record(HistoryRecord {
                 time: moment,
                 recorder,
                 event,
@@ -235,7 +239,7 @@
     fn record_call(&self, node: &str, accepted: bool) {
         let (moment, recorder, node) = (MonotonicClock::moment(), "discovery".into(), node.to_owned());
         let state = if accepted { "taken" } else { "turned-away" }.into();
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: moment,
             recorder,
             event: Event::Call,
@@ -260,11 +264,11 @@
         if update.is_snapshot {
             // A server that is missing from a snapshot has left.
             for (name, since) in lock(&self.endpoints).missing_from(&update.entries) {
-                self.recorder.line(line(name, "left".into(), since));
+                self.recorder.record(line(name, "left".into(), since));
             }
         }
         for entry in update.entries {
-            self.recorder.line(line(entry.name, entry.status, entry.since));
+            self.recorder.record(line(entry.name, entry.status, entry.since));
         }
     }
 }
--- a/crates/stonevane-emulators/src/discovery/connection.rs
+++ b/crates/stonevane-emulators/src/discovery/connection.rs
@@ -59,9 +59,9 @@
     async fn wait_for_turn(&self, node: &str, target: &str) -> bool {
         let held_index = held_index(target).filter(|_| is_watch(target));
         let entries = lock(&self.endpoints).update_entries(held_index);
-        let work_us = (self.spec.call + self.spec.line * entries).as_micros() as u64;
-        let most_ahead_us = self.spec.most_ahead.as_micros() as u64;
-        let done = lock(&self.calls).enqueue(MonotonicClock::now(), work_us, most_ahead_us);
+        let work_us = (self.spec.work_per_call + self.spec.work_per_entry * entries).as_micros() as u64;
+        let max_queued_us = self.spec.max_queued_work.as_micros() as u64;
+        let done = lock(&self.calls).enqueue(MonotonicClock::now(), work_us, max_queued_us);
         self.record_call(node, done.is_some());
         let Some(done) = done else { return false };
         tokio::time::sleep(Duration::from_micros(done.saturating_sub(MonotonicClock::now()))).await;
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -114,10 +114,11 @@
 
     /// Adds work to the window and returns whether it overloads the origin, which then stops for a time.
     fn overloads(&mut self, spec: &OriginSpec, now: u64, work_us: u64) -> bool {
-        let window_us = self.recent_work.add(now, work_us, spec.fall_us) as f64;
-        let overloaded = window_us > spec.fall_multiple * spec.capacity() / 1e6 * spec.fall_us as f64;
+        let window_us = self.recent_work.add(now, work_us, spec.overload_window_us) as f64;
+        let overloaded =
+            window_us > spec.overload_multiple * spec.capacity() / 1e6 * spec.overload_window_us as f64;
         if overloaded {
-            self.stop_until(now + spec.stop_us);
+            self.stop_until(now + spec.overload_stop_us);
             self.recent_work.clear();
             self.falls += 1;
         }
@@ -193,7 +194,7 @@
     /// Returns the event counts so far.
     pub fn counts(&self) -> Counts {
         let state = lock(&self.state);
-        let window_capacity_us = self.spec.capacity() / 1e6 * self.spec.fall_us as f64;
+        let window_capacity_us = self.spec.capacity() / 1e6 * self.spec.overload_window_us as f64;
         let peak = state.recent_work.peak_us as f64 / window_capacity_us;
         Counts { reads: state.reads, writes: state.writes, falls: state.falls, peak }
     }
@@ -233,10 +234,10 @@
         }
         let attempt = Attempt { number, effect, work_us };
         let line = request.attempt_line(&spec.name, node, arrival, attempt);
-        self.recorder.line(HistoryRecord { origin: true, ..line });
+        self.recorder.record(HistoryRecord { origin: true, ..line });
         state.answers.insert(number, Answer { request, version, effect });
-        let far_us = spec.far_us.get(node).copied().unwrap_or(0);
-        let due_us = done_at_us.unwrap_or(now.max(state.stopped_until)) + far_us;
+        let cross_zone_rtt_us = spec.cross_zone_rtt_us.get(node).copied().unwrap_or(0);
+        let due_us = done_at_us.unwrap_or(now.max(state.stopped_until)) + cross_zone_rtt_us;
         Reply { due_us, bytes: Bytes::new(), number }
     }
 
@@ -285,7 +286,7 @@
     fn record_stop(&self, interval: TimeInterval) {
         tracing::warn!(server = self.spec.name, "origin overloaded, work stopped");
         let (name, state) = (self.spec.name.clone(), "stopped".to_owned());
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: interval,
             recorder: name,
             event: Event::Fault,
@@ -304,7 +305,7 @@
             event: Event::AttemptEnded,
             ..HistoryRecord::default()
         };
-        self.recorder.line(match delivery {
+        self.recorder.record(match delivery {
             Delivery::Complete => HistoryRecord { event: Event::Reply, value, version, ..line },
             Delivery::Failed => line,
         });
--- a/crates/stonevane-emulators/src/origin/spec.rs
+++ b/crates/stonevane-emulators/src/origin/spec.rs
@@ -18,15 +18,16 @@
     /// Coefficient of variation of the work of reads and writes.
     pub work_cv: f64,
     /// Round-trip time to each node in another zone, by the node's name.
-    pub far_us: BTreeMap<String, u64>,
+    pub cross_zone_rtt_us: BTreeMap<String, u64>,
     /// Longest wait in the queue; an attempt that would wait longer is rejected.
     pub queue_us: u64,
-    /// Multiple of its capacity above which the origin is overloaded and stops, over a window of `fall_us`.
-    pub fall_multiple: f64,
-    /// Length of the window over which `fall_multiple` is measured.
-    pub fall_us: u64,
+    /// Multiple of its capacity above which the origin is overloaded and stops, over a window of
+    /// `overload_window_us`.
+    pub overload_multiple: f64,
+    /// Length of the window over which `overload_multiple` is measured.
+    pub overload_window_us: u64,
     /// Time for which an overloaded origin stops all work.
-    pub stop_us: u64,
+    pub overload_stop_us: u64,
     /// Time for which repeats of an idempotency key are dropped.
     pub dedup_us: u64,
     /// Length of the values, in bytes.
@@ -49,11 +50,11 @@
             read_us: 60_000,
             write_us: 15_000,
             work_cv: 0.0,
-            far_us: BTreeMap::new(),
+            cross_zone_rtt_us: BTreeMap::new(),
             queue_us: 2_000_000,
-            fall_multiple: 2.5,
-            fall_us: 3_000_000,
-            stop_us: 3_000_000,
+            overload_multiple: 2.5,
+            overload_window_us: 3_000_000,
+            overload_stop_us: 3_000_000,
             dedup_us: 200_000,
             value_len: 64,
         }
--- a/crates/stonevane-emulators/src/postgres.rs
+++ b/crates/stonevane-emulators/src/postgres.rs
@@ -149,7 +149,7 @@
         let _ = self.commit_observer.set(Box::new(move |connection, commit_begun| {
             let Ok(lines) = committed_versions(connection, &newest, commit_begun) else { return };
             for line in lines {
-                recorder.line(line);
+                recorder.record(line);
             }
         }));
     }
--- a/crates/stonevane-emulators/src/record.rs
+++ b/crates/stonevane-emulators/src/record.rs
@@ -106,7 +106,7 @@
     }
 
     /// Queues the history line of an event.
-    pub fn line(&self, line: HistoryRecord) {
+    pub fn record(&self, line: HistoryRecord) {
         if let Some(lines) = &self.lines {
             let _ = lines.send(line);
         }
--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -271,8 +271,8 @@
         slots: 1,
         read_us: 100_000,
         queue_us: 0,
-        fall_us: 1_000_000,
-        stop_us: 400_000,
+        overload_window_us: 1_000_000,
+        overload_stop_us: 400_000,
         ..OriginSpec::default()
     };
     let origin = origin(spec).await;
@@ -491,7 +491,8 @@
         retries_failures: true,
         value_len,
     };
-    let load = Load { per_s: 8.0, for_ms: 500, classes: vec![class], retries: 0, ..Load::default() };
+    let load =
+        Load { requests_per_s: 8.0, duration_ms: 500, classes: vec![class], retries: 0, ..Load::default() };
     let path = std::env::temp_dir().join(format!("stonevane-reset-{}-{value_len}", std::process::id()));
     let (recorder, writer) = Recorder::to(std::fs::File::create(&path).unwrap());
     let clock = MonotonicClock::default();
@@ -499,7 +500,7 @@
     let planned = plan(&load, 1, 3);
     assert!(!planned.is_empty());
     let clients = Clients::new(&targets, load, 3, &clock, recorder);
-    clients.play(planned, MonotonicClock::now()).await;
+    clients.run_planned(planned, MonotonicClock::now()).await;
     heartbeat.abort();
     drop(clients);
     tokio::task::spawn_blocking(move || writer.finish()).await.unwrap().unwrap();
--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -195,5 +195,5 @@
 
 /// Length of the load of a scenario.
 fn load_length(scenario: &Scenario, short: bool) -> Duration {
-    Duration::from_millis(scenario.load.for_ms).mul_f64(if short { scenario.short } else { 1.0 })
+    Duration::from_millis(scenario.load.duration_ms).mul_f64(if short { scenario.short } else { 1.0 })
 }
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -110,7 +110,7 @@
 
     /// Records an event of which the lab is the recorder.
     fn record(&self, event: Event, state: &str) {
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time: MonotonicClock::moment(),
             recorder: "lab".into(),
             event,
--- a/crates/stonevane-lab/src/fleet/config.rs
+++ b/crates/stonevane-lab/src/fleet/config.rs
@@ -44,8 +44,9 @@
         "limits": {"maxAttempts": attempts, "peers": scenario.membership.is_some(), "mayCancel": true,
             "mayDuplicate": scenario.hedging, "connectTimeoutUs": 100_000,
             "idleCloseUs": cache.idle_us, "retryAfter": true, "maxRetryAfterUs": 1_500_000},
-        "guarantees": {"askWithinUs": 6_000_000, "coldShare": cache.cold_share, "coldUs": cache.warm_us,
-            "drainGraceUs": 500_000, "fallMultiple": cache.fall_multiple, "tipAfterUs": cache.fall_us},
+        "guarantees": {"askWithinUs": 6_000_000, "coldShare": cache.slow_start_share,
+            "coldUs": cache.warm_up_us, "drainGraceUs": 500_000,
+            "fallMultiple": cache.overload_multiple, "tipAfterUs": cache.overload_window_us},
         "periodUs": 2_000,
     })
 }
@@ -64,7 +65,7 @@
 fn tenant_settings(scenario: &Scenario) -> Vec<serde_json::Value> {
     let tenants = scenario.load.tenants.iter().zip(&scenario.tenant_shares);
     let settings = tenants.map(|(tenant, share)| {
-        let quota = (scenario.quota * share * scenario.load.per_s).max(MIN_QUOTA_PER_S);
+        let quota = (scenario.quota * share * scenario.load.requests_per_s).max(MIN_QUOTA_PER_S);
         serde_json::json!({"name": tenant.name, "quotaPerS": quota, "fraction": share})
     });
     settings.collect()
--- a/crates/stonevane-lab/src/fleet/cuts.rs
+++ b/crates/stonevane-lab/src/fleet/cuts.rs
@@ -102,7 +102,7 @@
     pub(super) fn record_cut(&self, from: &[usize], to: &[usize], state: &str) {
         for (from, to) in from.iter().flat_map(|from| to.iter().map(move |to| (*from, *to))) {
             if from != to {
-                self.recorder.line(HistoryRecord {
+                self.recorder.record(HistoryRecord {
                     time: MonotonicClock::moment(),
                     recorder: "lab".into(),
                     event: Event::Partition,
--- a/crates/stonevane-lab/src/fleet/membership.rs
+++ b/crates/stonevane-lab/src/fleet/membership.rs
@@ -78,7 +78,7 @@
             // Record only a view of one incarnation that was ready throughout the read.
             let still_ready = lock(&self.nodes).is(node, incarnation, State::Ready);
             if let (Ok(Ok(view)), true, true) = (view, was_ready, still_ready) {
-                self.recorder.line(HistoryRecord {
+                self.recorder.record(HistoryRecord {
                     time: TimeInterval { earliest, latest: MonotonicClock::now() },
                     recorder: "lab".into(),
                     event: Event::View,
--- a/crates/stonevane-lab/src/fleet/rules.rs
+++ b/crates/stonevane-lab/src/fleet/rules.rs
@@ -19,8 +19,8 @@
     let origin = &scenario.origin;
     let early_receipt = scenario.store.as_ref().filter(|store| !store.waits_for_placement);
     Rules {
-        overload_multiple: scenario.cache.fall_multiple,
-        overload_window_us: scenario.cache.fall_us,
+        overload_multiple: scenario.cache.overload_multiple,
+        overload_window_us: scenario.cache.overload_window_us,
         classes: vec![
             class("zone-lookup", Idempotency::Idempotent),
             class("zone-edit", Idempotency::WithKey),
@@ -28,8 +28,8 @@
         ],
         origin: OriginRule {
             capacity_us_per_s: origin.slots as f64 * 1e6,
-            overload_multiple: origin.fall_multiple,
-            overload_window_us: origin.fall_us,
+            overload_multiple: origin.overload_multiple,
+            overload_window_us: origin.overload_window_us,
             ..OriginRule::default()
         },
         store: scenario.store.is_some(),
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -165,8 +165,8 @@
             caches.push(cache);
         }
         let zone = scenario.zone(0);
-        let far_us = scenario.round_trips(&zone, &self.names);
-        let spec = OriginSpec { far_us, ..scenario.origin.clone() };
+        let cross_zone_rtt_us = scenario.round_trips(&zone, &self.names);
+        let spec = OriginSpec { cross_zone_rtt_us, ..scenario.origin.clone() };
         let origin = Origin::start(spec, &listens, self.clock, self.recorder.clone()).await?;
         origin.attach(&caches);
         let addresses = self.addresses(|node| origin.address(node));
@@ -183,9 +183,9 @@
         listens: &[(String, SocketAddr)],
     ) -> io::Result<Arc<Cache>> {
         let zone = self.scenario.zone(number);
-        let far_us = self.scenario.round_trips(&zone, &self.names);
+        let cross_zone_rtt_us = self.scenario.round_trips(&zone, &self.names);
         let cell = (number / CELL_SIZE) as u16;
-        let spec = CacheSpec { name, zone, far_us, cell, ..self.scenario.cache.clone() };
+        let spec = CacheSpec { name, zone, cross_zone_rtt_us, cell, ..self.scenario.cache.clone() };
         Cache::start(spec, listens, self.clock, self.recorder.clone()).await
     }
 
--- a/crates/stonevane-lab/src/node.rs
+++ b/crates/stonevane-lab/src/node.rs
@@ -110,7 +110,7 @@
 
     fn record(&self, time: TimeInterval, state: &str) {
         tracing::info!(node = self.stub.name, state, pid = self.pid(), "node state changed");
-        self.recorder.line(HistoryRecord {
+        self.recorder.record(HistoryRecord {
             time,
             recorder: "lab".into(),
             event: Event::Node,
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -77,7 +77,7 @@
         if let Some(nodes) = self.nodes {
             scenario.nodes = nodes;
         }
-        scenario.load.per_s *= self.load.unwrap_or(1.0);
+        scenario.load.requests_per_s *= self.load.unwrap_or(1.0);
         scenario.startup_limit &= !self.without_ramp;
         if self.without_fleet {
             scenario.membership = None;
@@ -89,7 +89,7 @@
             let bounds = spec.bounds_for(scenario.nodes + spec.absent_members);
             let periods = bounds.convergence + MEMBERSHIP_TAIL_PERIODS;
             let needed = end + spec.period * periods as u32;
-            scenario.load.for_ms = scenario.load.for_ms.max(needed.as_millis() as u64);
+            scenario.load.duration_ms = scenario.load.duration_ms.max(needed.as_millis() as u64);
         }
         scenario
     }
@@ -205,7 +205,7 @@
     planned: Vec<Planned>,
 ) -> Result<Option<u64>, RunError> {
     let (recorder, writer) = Recorder::to(File::create(path)?);
-    recorder.line(first_record(rules(scenario)));
+    recorder.record(first_record(rules(scenario)));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let played = runtime.block_on(async {
         tokio::select! {
@@ -254,9 +254,9 @@
     fleet.record_fault_event("load");
     let mut steps = spawn_steps(scenario, &fleet, &clients, start);
     let views = tokio::spawn(fleet.clone().watch_views());
-    let progress = options.progress.then_some(scenario.load.for_ms);
+    let progress = options.progress.then_some(scenario.load.duration_ms);
     let watch = tokio::spawn(watch_nodes(fleet.clone(), clients.clone(), start, progress));
-    clients.play(planned, start).await;
+    clients.run_planned(planned, start).await;
     fleet.record_fault_event("load ended");
     // Don't wait for steps without an end: they are aborted below.
     let endless = scenario.steps.iter().any(|step| step.duration.is_zero());
@@ -266,7 +266,7 @@
     steps.shutdown().await;
     watch.abort();
     views.abort();
-    recorder.line(HistoryRecord {
+    recorder.record(HistoryRecord {
         time: MonotonicClock::moment(),
         recorder: "lab".into(),
         event: Event::End,
@@ -301,6 +301,6 @@
         let Some(load_ms) = progress.filter(|_| check % CHECKS_PER_PROGRESS_LINE == 0) else { continue };
         let now_s = (MonotonicClock::now().saturating_sub(start) / 1_000) as f64 / 1e3;
         let load_s = load_ms as f64 / 1e3;
-        let _ = writeln!(io::stderr(), "  {now_s:.0} of {load_s:.0} s, {} asked", clients.asked());
+        let _ = writeln!(io::stderr(), "  {now_s:.0} of {load_s:.0} s, {} asked", clients.attempts_sent());
     }
 }
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -129,10 +129,10 @@
         let scale = |time: Duration| time.mul_f64(self.short);
         let scale_ms = |ms: u64| (ms as f64 * self.short) as u64;
         let mut short = self.clone();
-        short.load.for_ms = scale_ms(self.load.for_ms);
-        for crowd in &mut short.load.crowds {
-            crowd.at_ms = scale_ms(crowd.at_ms);
-            crowd.for_ms = scale_ms(crowd.for_ms);
+        short.load.duration_ms = scale_ms(self.load.duration_ms);
+        for peak in &mut short.load.peaks {
+            peak.at_ms = scale_ms(peak.at_ms);
+            peak.duration_ms = scale_ms(peak.duration_ms);
         }
         for step in &mut short.steps {
             step.at = scale(step.at);
--- a/crates/stonevane-lab/src/scenario/read.rs
+++ b/crates/stonevane-lab/src/scenario/read.rs
@@ -4,7 +4,7 @@
 
 use stonevane_config::{ConfigError, Document, Table};
 use stonevane_emulators::cache::CacheSpec;
-use stonevane_emulators::client::{Crowd, Load, LoadClass, Tenant};
+use stonevane_emulators::client::{Load, LoadClass, LoadPeak, Tenant};
 use stonevane_emulators::discovery::DiscoverySpec;
 use stonevane_emulators::origin::OriginSpec;
 use stonevane_membership::Mutant;
@@ -35,7 +35,7 @@
         load.as_ref().map_or(scenario.quota, |table| table.number("quota", scenario.quota, 0.0..=100.0));
     scenario.load = read_load(load.as_ref());
     read_tenants(&mut scenario, root.tables("tenant"));
-    scenario.load.crowds = root.tables("crowd").into_iter().map(read_crowd).collect();
+    scenario.load.peaks = root.tables("crowd").into_iter().map(read_peak).collect();
     if let Some(table) = load {
         table.finish();
     }
@@ -100,9 +100,9 @@
     scenario.warm_keys = table.number("warm_keys", scenario.warm_keys, 0.0..=1.0);
     scenario.discovery_delay = Duration::from_millis(table.integer("late_ms", 300, 0..=60_000));
     scenario.discovery = DiscoverySpec {
-        call: Duration::from_millis(table.integer("call_ms", 2, 0..=5_000)),
-        line: Duration::from_micros(table.integer("line_us", 0, 0..=1_000_000)),
-        most_ahead: Duration::from_millis(table.integer("overbooked_ms", 8_000, 0..=600_000)),
+        work_per_call: Duration::from_millis(table.integer("call_ms", 2, 0..=5_000)),
+        work_per_entry: Duration::from_micros(table.integer("line_us", 0, 0..=1_000_000)),
+        max_queued_work: Duration::from_millis(table.integer("overbooked_ms", 8_000, 0..=600_000)),
     };
     scenario.watches_discovery = table.flag("pushed", false);
     scenario.zones = table.texts("sites").into_iter().map(|(name, _)| name).collect();
@@ -128,10 +128,10 @@
     spec.work_us = time_us(table, "work_ms", spec.work_us);
     spec.work_cv = table.number("work_cv", spec.work_cv, 0.0..=4.0);
     spec.queue_us = time_us(table, "queue_ms", spec.queue_us);
-    spec.cold_share = table.number("cold_share", spec.cold_share, 0.01..=1.0);
-    spec.warm_us = time_us(table, "warm_ms", spec.warm_us);
-    spec.fall_multiple = table.number("fall_multiple", spec.fall_multiple, 1.0..=100.0);
-    spec.fall_us = time_us(table, "fall_ms", spec.fall_us);
+    spec.slow_start_share = table.number("cold_share", spec.slow_start_share, 0.01..=1.0);
+    spec.warm_up_us = time_us(table, "warm_ms", spec.warm_up_us);
+    spec.overload_multiple = table.number("fall_multiple", spec.overload_multiple, 1.0..=100.0);
+    spec.overload_window_us = time_us(table, "fall_ms", spec.overload_window_us);
     spec.objects = integer("objects", spec.objects, 1..=1_000_000);
     spec.connections = integer("connections", spec.connections, 1..=10_000);
     spec.idle_us = time_us(table, "idle_ms", spec.idle_us);
@@ -144,9 +144,9 @@
     spec.write_us = time_us(table, "write_ms", spec.write_us);
     spec.work_cv = table.number("work_cv", spec.work_cv, 0.0..=4.0);
     spec.queue_us = time_us(table, "queue_ms", spec.queue_us);
-    spec.fall_multiple = table.number("fall_multiple", spec.fall_multiple, 1.0..=100.0);
-    spec.fall_us = time_us(table, "fall_ms", spec.fall_us);
-    spec.stop_us = time_us(table, "stop_ms", spec.stop_us);
+    spec.overload_multiple = table.number("fall_multiple", spec.overload_multiple, 1.0..=100.0);
+    spec.overload_window_us = time_us(table, "fall_ms", spec.overload_window_us);
+    spec.overload_stop_us = time_us(table, "stop_ms", spec.overload_stop_us);
 }
 
 fn read_store(table: &Table<'_, '_>) -> StoreSpec {
@@ -210,9 +210,9 @@
     let tenant = |name: &str, share| Tenant { name: name.to_owned(), share };
     Load {
         classes: read_classes(table),
-        per_s: number("per_s", base.per_s, 0.0..=50_000.0),
-        for_ms: integer("for_ms", base.for_ms, 100..=MAX_DURATION_MS),
-        crowds: Vec::new(),
+        requests_per_s: number("per_s", base.requests_per_s, 0.0..=50_000.0),
+        duration_ms: integer("for_ms", base.duration_ms, 100..=MAX_DURATION_MS),
+        peaks: Vec::new(),
         keys: integer("keys", base.keys as u64, 1..=1_000_000) as usize,
         zipf: number("zipf", base.zipf, 0.0..=3.0),
         offset: number("offset", base.offset, 0.0..=1_000.0),
@@ -266,12 +266,15 @@
     }
 }
 
-fn read_crowd(table: Table<'_, '_>) -> Crowd {
+fn read_peak(table: Table<'_, '_>) -> LoadPeak {
     let ms = |key| table.integer(key, 1_000, 0..=MAX_DURATION_MS);
-    let crowd =
-        Crowd { at_ms: ms("at_ms"), for_ms: ms("for_ms"), times: table.number("times", 1.5, 1.0..=20.0) };
+    let peak = LoadPeak {
+        at_ms: ms("at_ms"),
+        duration_ms: ms("for_ms"),
+        times: table.number("times", 1.5, 1.0..=20.0),
+    };
     table.finish();
-    crowd
+    peak
 }
 
 fn read_expectations(root: &Table<'_, '_>, key: &str) -> Vec<Expectation> {
--- a/crates/stonevane/src/bench/history.rs
+++ b/crates/stonevane/src/bench/history.rs
@@ -81,7 +81,7 @@
     make_up(events, |record| records.push(record));
     let begun = Instant::now();
     for record in records {
-        recorder.line(record);
+        recorder.record(record);
     }
     let recorded_s = begun.elapsed().as_secs_f64().max(1e-9);
     drop(recorder);
--- a/crates/stonevane/src/bench/nodes.rs
+++ b/crates/stonevane/src/bench/nodes.rs
@@ -143,7 +143,7 @@
     fn turn(&self, scenario: &Scenario, name: &str, program: Option<&Path>) -> BenchResult<Figures> {
         let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
         let (recorder, writer) = Recorder::to(File::create(&path)?);
-        recorder.line(HistoryRecord {
+        recorder.record(HistoryRecord {
             time: MonotonicClock::moment(),
             recorder: "bench".into(),
             event: Event::Begin,
@@ -194,11 +194,11 @@
         };
         let clients = Clients::new(&targets, scenario.load.clone(), SEED, &clock, recorder.clone());
         let planned = plan(&scenario.load, 1, SEED);
-        clients.hammer(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
-        let (asked, begun) = (clients.asked(), CpuTimes::read(pid));
+        clients.run_closed_loop(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
+        let (asked, begun) = (clients.attempts_sent(), CpuTimes::read(pid));
         let end = MonotonicClock::now() + self.for_s * 1_000_000;
-        clients.hammer(&planned, self.connections, end).await;
-        let requests = (clients.asked() - asked).max(1) as f64;
+        clients.run_closed_loop(&planned, self.connections, end).await;
+        let requests = (clients.attempts_sent() - asked).max(1) as f64;
         let ended = CpuTimes::read(pid);
         fleet.end().await;
         let measured = (ended.measured - begun.measured) as f64 / requests;
--- a/crates/stonevane/src/stand_in.rs
+++ b/crates/stonevane/src/stand_in.rs
@@ -117,7 +117,7 @@
 /// A recorder of a history that begins with the default rules.
 fn recorder(path: &Path) -> io::Result<(Recorder, Writer)> {
     let (recorder, writer) = Recorder::to(File::create(path)?);
-    recorder.line(HistoryRecord {
+    recorder.record(HistoryRecord {
         time: MonotonicClock::moment(),
         recorder: "stand-in".into(),
         event: Event::Begin,
--- a/crates/stonevane/src/stand_in/client.rs
+++ b/crates/stonevane/src/stand_in/client.rs
@@ -71,7 +71,7 @@
             let clients = Clients::new(&targets, scenario.load.clone(), self.seed, &clock, recorder);
             let planned = plan(&scenario.load, targets.len(), self.seed);
             warn!("{} requests in {} s ...", planned.len(), self.for_s);
-            clients.play(planned, MonotonicClock::now()).await;
+            clients.run_planned(planned, MonotonicClock::now()).await;
         });
         finish(writer)
     }
