--- a/crates/stonevane-store/src/sqlite/mod.rs
+++ b/crates/stonevane-store/src/sqlite/mod.rs
@@ -211,9 +211,9 @@
     /// Imports zones. The same transaction records `lines`, the number of lines of the source that are
     /// imported so far, these zones included.
     ///
+    /// # Errors
     /// [`StoreError`]; [`StoreError::is_certainly_not_applied`] states whether certainly none of the zones
     /// was imported.
-    /// imported.
     pub async fn import(
         &self,
         source: &str,
