--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -121,7 +121,7 @@
     pub simulated_us: u64,
     /// Digest of the history.
     pub digest: u64,
-    /// Text of the history, one JSON record per line; empty unless [`Options::history`] is set.
+    /// Text of the history, one JSON record per line; empty unless [`Options::keeps_history`] is set.
     pub history: String,
 }
 
