--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -11,11 +11,13 @@
 
 use oorandom::Rand64;
 use stonevane_membership::wire::{self, Kind, Message};
-use stonevane_membership::{Input, Instance, Machine, MemberId, Micros, Outputs, Record, Setup, State};
+use stonevane_membership::{
+    Input, Instance, Machine, MemberConfig, MemberId, Micros, Outputs, Record, State,
+};
 
 use crate::cpu::CpuMeter;
 use crate::limits;
-use crate::roles::{Figure, MeasureError};
+use crate::roles::{MeasureError, MetricValue};
 
 /// Number of real members.
 pub const REAL_MEMBERS: u16 = 4;
@@ -82,7 +84,13 @@
     fn new(members: MemberId, seed: u64) -> Simulation {
         let mut rng = Rand64::new(u128::from(seed) << 16 | 0x5a);
         let nonce = rng.rand_u64() as u32;
-        let setup = Setup { number: REAL_MEMBER, members, seed: rng.rand_u64(), nonce, ..Setup::default() };
+        let config = MemberConfig {
+            number: REAL_MEMBER,
+            members,
+            seed: rng.rand_u64(),
+            nonce,
+            ..MemberConfig::default()
+        };
         let record = |member: MemberId| Record {
             member,
             instance: Instance { generation: 1, nonce: u32::from(member) + 7 },
@@ -94,7 +102,7 @@
             members,
             now: 0,
             rng,
-            machine: Machine::new(0, setup),
+            machine: Machine::new(0, config),
             outputs: Outputs::default(),
             queue: BinaryHeap::new(),
             actions: Vec::new(),
@@ -158,7 +166,7 @@
     fn handle_input(&mut self, input: Input<'_>) -> Result<(), MeasureError> {
         let (machine, outputs, now) = (&mut self.machine, &mut self.outputs, self.now);
         self.cpu.run(|| machine.handle(now, input, outputs));
-        let next = self.machine.next();
+        let next = self.machine.next_wake_at();
         if next < self.next_wake {
             self.next_wake = next;
             self.schedule(next.max(now), Action::Wake);
@@ -321,7 +329,7 @@
 ///
 /// # Errors
 /// If a real member sends a malformed datagram.
-pub fn measure(members: MemberId, seed: u64) -> Result<Vec<Figure>, MeasureError> {
+pub fn measure(members: MemberId, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let before = limits::resident_bytes();
     let mut sums = Sums::default();
     let mut simulations = Vec::new();
@@ -337,15 +345,15 @@
         (rate(sums.restarts[index], RESTART_WINDOW) - steady[index]) * seconds(RESTART_WINDOW) / restarts
     };
     Ok(vec![
-        Figure::sampled("start_bytes", "B/member/s", rate(sums.start[1], START_WINDOW)),
-        Figure::sampled("start_datagrams", "1/member/s", rate(sums.start[0], START_WINDOW)),
-        Figure::sampled("start_cpu", "us/member/s", rate(sums.start[2], START_WINDOW)),
-        Figure::sampled("start_quiet", "s", sums.quiet / count),
-        Figure::sampled("steady_bytes", "B/member/s", steady[1]),
-        Figure::sampled("steady_datagrams", "1/member/s", steady[0]),
-        Figure::sampled("steady_cpu", "us/member/s", steady[2]),
-        Figure::sampled("memory", "B/member", memory),
-        Figure::sampled("restart_bytes", "B/member", added(1)),
-        Figure::sampled("restart_cpu", "us/member", added(2)),
+        MetricValue::sampled("start_bytes", "B/member/s", rate(sums.start[1], START_WINDOW)),
+        MetricValue::sampled("start_datagrams", "1/member/s", rate(sums.start[0], START_WINDOW)),
+        MetricValue::sampled("start_cpu", "us/member/s", rate(sums.start[2], START_WINDOW)),
+        MetricValue::sampled("start_quiet", "s", sums.quiet / count),
+        MetricValue::sampled("steady_bytes", "B/member/s", steady[1]),
+        MetricValue::sampled("steady_datagrams", "1/member/s", steady[0]),
+        MetricValue::sampled("steady_cpu", "us/member/s", steady[2]),
+        MetricValue::sampled("memory", "B/member", memory),
+        MetricValue::sampled("restart_bytes", "B/member", added(1)),
+        MetricValue::sampled("restart_cpu", "us/member", added(2)),
     ])
 }
--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -56,7 +56,7 @@
     }
 
     /// Executes all missing runs, or the search, and returns the folder with the results.
-    pub(super) fn play(mut self) -> Result<Folder, ExperimentError> {
+    pub(super) fn run(mut self) -> Result<Folder, ExperimentError> {
         let builds: Vec<(Build, PathBuf)> =
             self.folder.builds.all().into_iter().map(|(build, file)| (build, file.path.clone())).collect();
         let cells = self.experiment.cells();
@@ -195,5 +195,5 @@
 
 /// Length of the load of a scenario.
 fn load_length(scenario: &Scenario, short: bool) -> Duration {
-    Duration::from_millis(scenario.load.for_ms).mul_f64(if short { scenario.short } else { 1.0 })
+    Duration::from_millis(scenario.load.duration_ms).mul_f64(if short { scenario.short } else { 1.0 })
 }
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -12,7 +12,7 @@
 use stonevane_emulators::origin::{Origin, OriginSpec};
 use stonevane_emulators::peers::PeerNetwork;
 use stonevane_emulators::{MonotonicClock, Recorder, lock};
-use stonevane_membership::Setup;
+use stonevane_membership::MemberConfig;
 use tokio::net::{TcpListener, UdpSocket};
 
 use super::config::{KEY_BYTE, KEY_LEN_BYTES, membership_section, settings};
@@ -165,8 +165,8 @@
             caches.push(cache);
         }
         let zone = scenario.zone(0);
-        let far_us = scenario.round_trips(&zone, &self.names);
-        let spec = OriginSpec { far_us, ..scenario.origin.clone() };
+        let cross_zone_rtt_us = scenario.round_trips(&zone, &self.names);
+        let spec = OriginSpec { cross_zone_rtt_us, ..scenario.origin.clone() };
         let origin = Origin::start(spec, &listens, self.clock, self.recorder.clone()).await?;
         origin.attach(&caches);
         let addresses = self.addresses(|node| origin.address(node));
@@ -183,9 +183,9 @@
         listens: &[(String, SocketAddr)],
     ) -> io::Result<Arc<Cache>> {
         let zone = self.scenario.zone(number);
-        let far_us = self.scenario.round_trips(&zone, &self.names);
+        let cross_zone_rtt_us = self.scenario.round_trips(&zone, &self.names);
         let cell = (number / CELL_SIZE) as u16;
-        let spec = CacheSpec { name, zone, far_us, cell, ..self.scenario.cache.clone() };
+        let spec = CacheSpec { name, zone, cross_zone_rtt_us, cell, ..self.scenario.cache.clone() };
         Cache::start(spec, listens, self.clock, self.recorder.clone()).await
     }
 
@@ -349,7 +349,7 @@
         let spec = self.scenario.membership.as_ref()?;
         let faulty = spec.faulty_member.filter(|faulty| faulty.node == number)?;
         let period_us = spec.period.as_micros() as u64;
-        let setup = Setup {
+        let config = MemberConfig {
             number: number as u16,
             members: addresses.peers.len() as u16,
             period: period_us,
@@ -357,10 +357,10 @@
             key: spec.authenticated.then_some([KEY_BYTE; KEY_LEN_BYTES]),
             seed: self.seed,
             nonce: 1 + number as u32,
-            ..Setup::default()
+            ..MemberConfig::default()
         };
         let listen = addresses.peers[number].1;
-        Some(FaultyMember { setup, listen, peers: peers.peers(number).to_vec(), mutant: faulty.mutant })
+        Some(FaultyMember { config, listen, peers: peers.peers(number).to_vec(), mutant: faulty.mutant })
     }
 }
 
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -56,7 +56,7 @@
     /// Capacity and behaviour of discovery.
     pub discovery: DiscoverySpec,
     /// Whether nodes watch the endpoint list instead of polling it.
-    pub pushed: bool,
+    pub watches_discovery: bool,
     /// Largest number of attempts of a request; 0 for no limit.
     pub max_attempts: u32,
     /// Whether hedged requests may be sent.
@@ -129,10 +129,10 @@
         let scale = |time: Duration| time.mul_f64(self.short);
         let scale_ms = |ms: u64| (ms as f64 * self.short) as u64;
         let mut short = self.clone();
-        short.load.for_ms = scale_ms(self.load.for_ms);
-        for crowd in &mut short.load.crowds {
-            crowd.at_ms = scale_ms(crowd.at_ms);
-            crowd.for_ms = scale_ms(crowd.for_ms);
+        short.load.duration_ms = scale_ms(self.load.duration_ms);
+        for peak in &mut short.load.peaks {
+            peak.at_ms = scale_ms(peak.at_ms);
+            peak.duration_ms = scale_ms(peak.duration_ms);
         }
         for step in &mut short.steps {
             step.at = scale(step.at);
--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -12,7 +12,7 @@
     /// A deliberate bug of the core (mutation testing).
     pub mutant: Option<Mutant>,
     /// Whether the history is kept as text.
-    pub history: bool,
+    pub keeps_history: bool,
 }
 
 /// Counters over the whole fleet and run.
@@ -121,14 +121,14 @@
     pub simulated_us: u64,
     /// Digest of the history.
     pub digest: u64,
-    /// Text of the history, one JSON record per line; empty unless [`Options::history`] is set.
+    /// Text of the history, one JSON record per line; empty unless [`Options::keeps_history`] is set.
     pub history: String,
 }
 
 impl Verdict {
     /// Whether the auditor found no violation and no server fault, and all invariants held.
     pub fn holds(&self) -> bool {
-        self.report.holds() && self.report.faulty == 0 && self.violations.is_empty()
+        self.report.holds() && self.report.fault_count == 0 && self.violations.is_empty()
     }
 
     /// Returns the failure's code: the auditor's code of the first finding or server fault, or the name of
--- a/crates/stonevane/src/bench/history.rs
+++ b/crates/stonevane/src/bench/history.rs
@@ -82,7 +82,7 @@
     generate_history(events, |record| records.push(record));
     let begun = Instant::now();
     for record in records {
-        recorder.line(record);
+        recorder.record(record);
     }
     let recorded_s = begun.elapsed().as_secs_f64().max(1e-9);
     drop(recorder);
@@ -125,7 +125,7 @@
         bytes as f64 / 1e6,
         report.events as f64 / took_s,
         report.peak_requests,
-        report.broken
+        report.finding_count
     );
     Ok(())
 }
--- a/crates/stonevane/src/bench/nodes.rs
+++ b/crates/stonevane/src/bench/nodes.rs
@@ -145,7 +145,7 @@
     fn measure(&self, scenario: &Scenario, name: &str, program: Option<&Path>) -> BenchResult<Figures> {
         let path = std::env::temp_dir().join(format!("stonevane-bench-{}.jsonl", std::process::id()));
         let (recorder, writer) = Recorder::to(File::create(&path)?);
-        recorder.line(HistoryRecord {
+        recorder.record(HistoryRecord {
             time: MonotonicClock::moment(),
             recorder: "bench".into(),
             event: Event::Begin,
@@ -197,11 +197,11 @@
         };
         let clients = Clients::new(&targets, scenario.load.clone(), SEED, &clock, recorder.clone());
         let planned = plan(&scenario.load, 1, SEED);
-        clients.hammer(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
-        let (requests_before, begun) = (clients.asked(), CpuTimes::read(pid));
+        clients.run_closed_loop(&planned, self.connections, MonotonicClock::now() + WARM_UP_US).await;
+        let (requests_before, begun) = (clients.attempts_sent(), CpuTimes::read(pid));
         let end = MonotonicClock::now() + self.for_s * 1_000_000;
-        clients.hammer(&planned, self.connections, end).await;
-        let requests = (clients.asked() - requests_before).max(1) as f64;
+        clients.run_closed_loop(&planned, self.connections, end).await;
+        let requests = (clients.attempts_sent() - requests_before).max(1) as f64;
         let ended = CpuTimes::read(pid);
         fleet.end().await;
         let measured = (ended.measured - begun.measured) as f64 / requests;
--- a/crates/stonevane/src/lab/experiment.rs
+++ b/crates/stonevane/src/lab/experiment.rs
@@ -38,9 +38,10 @@
         let text = read_file(&self.file)?;
         let matrix = parse(&self.file, &text)?;
         let program = node_program::find(self.node_program.as_deref()).map_err(CommandError::unusable)?;
-        let builds = runner::Builds::of(&program, self.against.as_deref()).map_err(CommandError::unusable)?;
+        let builds =
+            runner::Builds::read(&program, self.against.as_deref()).map_err(CommandError::unusable)?;
         let folder = self.out.unwrap_or_else(|| PathBuf::from(&matrix.name));
-        let results = runner::play(&matrix, &text, &builds, &folder, &mut |line| errln!("  {line}"));
+        let results = runner::run(&matrix, &text, &builds, &folder, &mut |line| errln!("  {line}"));
         let results = results.map_err(|error| match error {
             ExperimentError::Unusable(_) => CommandError::unusable(error),
             ExperimentError::Io { .. } | ExperimentError::Interrupted { .. } => CommandError::not_run(error),
@@ -64,7 +65,7 @@
 
 /// Prints the report of a results folder.
 pub(super) fn report(folder: &Path, json: bool) -> Result<(), CommandError> {
-    let text = runner::text(folder).map_err(CommandError::unusable)?;
+    let text = runner::experiment_text(folder).map_err(CommandError::unusable)?;
     let results = runner::Folder::read(folder).map_err(CommandError::unusable)?;
     let matrix = parse(&folder.join("experiment.toml"), &text)?;
     print_report(&matrix, &results, json)
--- a/crates/stonevane/src/store/put.rs
+++ b/crates/stonevane/src/store/put.rs
@@ -51,5 +51,5 @@
 
 /// Describes whether a failed edit may have been applied.
 fn effect(error: &StoreError) -> &'static str {
-    if error.proves_not_done() { "not done" } else { "may be done" }
+    if error.is_certainly_not_applied() { "not done" } else { "may be done" }
 }
--- a/crates/stonevane/src/store/top.rs
+++ b/crates/stonevane/src/store/top.rs
@@ -8,7 +8,7 @@
 use clap::Args;
 use stonevane_store::postgres::Options as PoolOptions;
 use stonevane_store::sqlite::Options;
-use stonevane_store::{Change, Figures, Postgres, Sqlite, Store, StoreError};
+use stonevane_store::{Change, Postgres, Sqlite, Store, StoreError, StoreStats};
 use tokio::time::timeout;
 
 use crate::error::CommandError;
@@ -43,7 +43,7 @@
 
 /// Result of one poll.
 struct Sample {
-    figures: Result<Figures, StoreError>,
+    figures: Result<StoreStats, StoreError>,
     /// Response time of the store.
     took: Duration,
     /// Changes since the previous poll, the oldest first.
@@ -86,7 +86,7 @@
 impl Sampler<'_> {
     async fn poll(&mut self) -> Sample {
         let begun = Instant::now();
-        let answer = timeout(self.timeout, self.store.figures()).await;
+        let answer = timeout(self.timeout, self.store.stats()).await;
         let figures = answer.unwrap_or(Err(StoreError::TimedOut));
         let took = begun.elapsed();
         let changes = self.changes(&figures).await;
@@ -109,7 +109,7 @@
     }
 
     /// Returns the changes since the last successful poll.
-    async fn changes(&self, figures: &Result<Figures, StoreError>) -> Vec<Change> {
+    async fn changes(&self, figures: &Result<StoreStats, StoreError>) -> Vec<Change> {
         match (self.previous, figures) {
             (Some((version, _)), Ok(now)) if now.version > version => {
                 let read = timeout(self.timeout, self.store.changes(version, MAX_CHANGES)).await;
--- a/crates/stonevane/tests/cli.rs
+++ b/crates/stonevane/tests/cli.rs
@@ -86,7 +86,7 @@
     let ready = logs.iter().filter(|l| l["fields"]["state"] == "ready").count();
     assert_eq!(ready, 2, "{printed}");
     assert!(
-        logs.iter().any(|l| l["fields"]["message"] == "judged" && l["fields"]["broken"] == 0),
+        logs.iter().any(|l| l["fields"]["message"] == "history audited" && l["fields"]["broken"] == 0),
         "{printed}"
     );
     assert_eq!(stonevane(&["--log", "x=loud", "lab", "list"]).status.code(), Some(2));
--- a/crates/stonevane/tests/scale_run.rs
+++ b/crates/stonevane/tests/scale_run.rs
@@ -233,9 +233,9 @@
 fn environment(program: &str, arguments: &[&str], memory_limit: u64) -> Environment {
     Environment {
         worker: (PathBuf::from(program), arguments.iter().map(ToString::to_string).collect()),
-        memory_limit,
-        descriptors: 1_024,
-        costs: MemoryCosts { process: 0, node: 0, member: 0 },
+        memory_limit_bytes: memory_limit,
+        max_descriptors: 1_024,
+        costs: MemoryCosts { process_bytes: 0, node_bytes: 0, member_bytes: 0 },
         interrupt: Interrupt::default(),
     }
 }
@@ -254,10 +254,10 @@
         let mut steps = String::new();
         let ended = run(&plan(36_000), &environment, &mut |step| steps.push_str(&(step + "\n"))).unwrap_err();
         assert!(
-            matches!(&ended, RunError::TookTooMuch(LimitError::MemoryUsed { limit: MIB, .. })),
+            matches!(&ended, RunError::MemoryLimitExceeded(LimitError::MemoryUsed { limit: MIB, .. })),
             "{program}: {ended}"
         );
-        assert!(!ended.is_input());
+        assert!(!ended.is_invalid_input());
         let workers = workers(&steps);
         assert!(workers.len() == 2 && !workers.into_iter().any(is_running), "{steps}");
     }
@@ -274,7 +274,7 @@
     ];
     for (program, script, expected) in cases {
         let ended = run(&plan(1), &environment(program, &["-c", script], u64::MAX), &mut |_| ()).unwrap_err();
-        assert!(ended.to_string().contains(expected) && !ended.is_input(), "{script}: {ended}");
+        assert!(ended.to_string().contains(expected) && !ended.is_invalid_input(), "{script}: {ended}");
     }
 }
 
