--- a/crates/stonevane-codec/src/http.rs
+++ b/crates/stonevane-codec/src/http.rs
@@ -10,7 +10,6 @@
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Maximum number of headers in a head.
 const MAX_HEADERS: usize = 48;
-/// Line terminator.
 const CRLF: &[u8] = b"\r\n";
 
 /// The head of a response.
--- a/crates/stonevane-codec/src/resp.rs
+++ b/crates/stonevane-codec/src/resp.rs
@@ -12,7 +12,7 @@
 pub const MAX_ARG_BYTES: usize = 64 * 1024;
 /// Maximum number of arguments of a command, and of elements of an array in a reply.
 const MAX_ARRAY_ITEMS: usize = 16;
-/// Length up to which the arguments of a command are copied into one shared allocation, in bytes.
+/// Maximum length, in bytes, of an encoded command whose arguments are copied into one shared allocation.
 const SHORT_COMMAND_BYTES: usize = 1024;
 /// Maximum length of a line that states a length, in bytes.
 const MAX_LENGTH_LINE_BYTES: usize = 24;
@@ -24,7 +24,8 @@
 const SERVED_REPLY_ITEMS: usize = 3;
 /// Maximum initial capacity of an array, in elements.
 const MAX_INITIAL_CAPACITY: usize = 4;
-/// Space reserved for the framing of an argument or of the array around them, in bytes.
+/// Space reserved for the framing of one argument, and for the framing of the array that contains the
+/// arguments, in bytes.
 const ARG_FRAMING_BYTES: usize = 16;
 
 /// Error of invalid input, with its cause. The framing is lost, so the connection is unusable.
@@ -38,16 +39,16 @@
     Bulk(Option<Bytes>),
     /// An array; a null array is decoded as an empty one.
     Array(Vec<Reply>),
-    /// A simple string.
+    /// A simple string, without the type byte `+`.
     SimpleString(Bytes),
-    /// An error.
+    /// An error message, without the type byte `-`.
     Error(Bytes),
-    /// An integer.
+    /// A signed 64-bit integer.
     Integer(i64),
 }
 
-/// Removes one complete command, an array of bulk strings, from the front of the buffer. Returns its
-/// arguments, or `None` while it is incomplete.
+/// Removes one complete command, an array of bulk strings, from the front of the buffer. Returns the
+/// command's arguments, or `None` while the command is incomplete.
 ///
 /// # Errors
 /// [`Malformed`] if the input is not a command or exceeds a limit.
@@ -82,7 +83,7 @@
 }
 
 /// Returns the length, in bytes, that a reply states for the bulk string at the start of its array; `None` if
-/// that is incomplete, null or of another type.
+/// the lines that state the lengths are incomplete, or if the first element is null or of another type.
 pub fn value_length(buffer: &[u8]) -> Option<usize> {
     let mut scanner = Scanner::new(buffer, usize::MAX);
     scanner.length(b'*', MAX_ARRAY_ITEMS).ok()??;
@@ -92,9 +93,9 @@
 /// Position of the value of a served reply in a buffer.
 #[derive(Debug, PartialEq, Eq, Clone, Copy)]
 pub struct ValuePosition {
-    /// Offset of its first byte.
+    /// Offset of the value's first byte in the buffer.
     pub start: usize,
-    /// Stated length, in bytes; the buffer may hold less.
+    /// Stated length of the value, in bytes; the buffer may hold less.
     pub length: usize,
 }
 
@@ -108,7 +109,8 @@
 }
 
 /// Returns the length, in bytes, of the rest of a served reply, where `buffer` starts directly after the
-/// value; `None` while it is incomplete. `max_bulk_bytes` is the maximum length of a bulk string, in bytes.
+/// value; `None` while the rest is incomplete. `max_bulk_bytes` is the maximum length of a bulk string, in
+/// bytes.
 ///
 /// # Errors
 /// [`Malformed`] if the input is not the rest of a served reply.
--- a/crates/stonevane-policy/src/action.rs
+++ b/crates/stonevane-policy/src/action.rs
@@ -12,7 +12,7 @@
         request: RequestId,
         /// Destination of the attempt: a cache server or the origin.
         server: ServerId,
-        /// Timeout of the attempt, in microseconds from sending; 0 for the client's own limit.
+        /// Timeout of the attempt, in microseconds from sending; 0 if only the client's deadline applies.
         give_up_after: Micros,
     },
     /// Gives the client its final answer: rejected. A retry by the client is safe, because the request is
@@ -54,13 +54,13 @@
         /// Message body.
         bytes: Vec<u8>,
     },
-    /// Reports why a request is answered, delayed or resent by the action beside this one, for logs and
+    /// Reports why another action of the same event answers, delays or resends a request, for logs and
     /// metrics. A request may have several reports: one for each backoff, retry and hedged request, and one
     /// for its final answer.
     Explain {
         /// Request that the reason applies to.
         request: RequestId,
-        /// Reason for the action beside this one.
+        /// Reason for the answer, the delay or the further attempt.
         reason: Reason,
     },
     /// Writes a line to the log.
--- a/crates/stonevane-policy/src/admission.rs
+++ b/crates/stonevane-policy/src/admission.rs
@@ -3,9 +3,9 @@
 //!
 //! Inputs: the tenants' quotas (requests per second over all nodes), the overload signal of the attempts at
 //! cache servers. Each tenant's token bucket fills with this node's share of the quota, multiplied by the
-//! admission level, so that the tenants furthest over their quotas are rejected first. At the highest level
-//! no request is rejected. Measured request rates cannot replace the quotas: one of many nodes sees only a
-//! handful of requests, and such a limit would also reject tenants within their quotas.
+//! admission level, so that the tenants furthest over their quotas are rejected first. At the highest
+//! admission level no request is rejected. Measured request rates cannot replace the quotas: one of many
+//! nodes sees only a handful of requests, and such a limit would also reject tenants within their quotas.
 
 use crate::ids::Micros;
 use crate::log_message::{LogMessage, ValueChange};
@@ -23,30 +23,31 @@
 const MIN_LEVEL: f64 = 0.25;
 /// Highest admission level, at which no request is rejected.
 const MAX_LEVEL: f64 = 4.0;
-/// Factor on the level for a full step down.
+/// Factor on the admission level for a full step down in one review.
 const LEVEL_DECREASE_FACTOR: f64 = 0.92;
-/// Factor on the level for a full step up.
+/// Factor on the admission level for a full step up in one review.
 const LEVEL_INCREASE_FACTOR: f64 = 1.04;
-/// Number of attempts since the last review from which a review takes a full step. One of many nodes sees few
-/// attempts, and a smaller number gives a smaller step.
+/// Number of attempts since the last review from which a review changes the admission level by a full step.
+/// One of many nodes sees few attempts, and a smaller number gives a smaller step.
 const FULL_STEP_ATTEMPTS: f64 = 5.0;
 /// Tokens that a bucket holds in addition to those earned during one latency objective, because requests
 /// reach the nodes at random.
 const BURST_TOKENS: f64 = 5.0;
-/// Smallest burst at a low level.
+/// Smallest burst, in tokens, at a low admission level.
 const MIN_BURST_TOKENS: f64 = 1.0;
 /// Fraction of all quotas that fills the shared bucket: tenants within their quotas leave about the rest
 /// unused.
 const SHARED_QUOTA_FRACTION: f64 = 0.8;
 
-/// Overload signal of a rejected attempt.
+/// Contribution of a rejected attempt to the overload signal.
 pub const REJECTED_ATTEMPT_SIGNAL: f64 = 1.0;
-/// Overload signal of a slow attempt. An attempt that becomes nearly late adds it a second time.
+/// Contribution of a slow attempt to the overload signal, added a second time if the attempt becomes nearly
+/// late.
 pub const SLOW_ATTEMPT_SIGNAL: f64 = 0.5;
 
 /// Admission state of one node.
 pub struct Admission {
-    /// Multiple of the quotas with which the buckets fill.
+    /// Admission level: multiple of the quotas at which the buckets fill.
     level: f64,
     overload: DecayingRatio,
     tenant_buckets: Vec<TokenBucket>,
@@ -92,8 +93,9 @@
         self.tenant_buckets = (0..settings.tenants.len().max(1)).map(bucket).collect();
     }
 
-    /// Decides on a request that has arrived, and charges it to its tenant if it is admitted. It is admitted
-    /// if its tenant's bucket or the shared bucket has a token, or at the highest level.
+    /// Decides on a request that has arrived, and charges it to its tenant if it is admitted. The request is
+    /// admitted if its tenant's bucket or the shared bucket has a token, or if the admission level is the
+    /// highest.
     pub fn admit(
         &mut self,
         tenant: usize,
@@ -104,7 +106,8 @@
         let Some(bucket) = self.tenant_buckets.get_mut(tenant) else {
             return AdmissionDecision::Admitted { charged_tenant: None };
         };
-        // The burst shrinks with the level, since tokens saved at many nodes would prolong an overload.
+        // The burst shrinks with the admission level, since tokens saved at many nodes would prolong an
+        // overload.
         let burst = (BURST_TOKENS * self.level).clamp(MIN_BURST_TOKENS, BURST_TOKENS);
         // While all tenants together are within their quotas, chance fluctuations in a tenant's small bucket
         // reject nothing.
@@ -122,13 +125,13 @@
         AdmissionDecision::Admitted { charged_tenant: Some(tenant) }
     }
 
-    /// Counts a request that will be served.
+    /// Counts a request that is not rejected on arrival, for [`request_rate`](Self::request_rate).
     pub fn count_admitted(&mut self) {
         self.admitted.count();
     }
 
-    /// Returns the token of a request that was not served, because quotas count answers. Below the quota
-    /// level nothing is returned, otherwise the overload would last.
+    /// Gives the tenant back the token of a request that was not served, because quotas count answers. At an
+    /// admission level below `QUOTA_LEVEL` no token is given back, otherwise the overload would last.
     pub fn refund(&mut self, tenant: usize) {
         if self.level >= QUOTA_LEVEL
             && let Some(bucket) = self.tenant_buckets.get_mut(tenant)
@@ -148,7 +151,8 @@
         self.level < MAX_LEVEL
     }
 
-    /// Adds to the overload signal: `signal` among `attempts` judged attempts.
+    /// Adds `signal` to the sum of signals and `attempts` to the number of judged attempts. The overload
+    /// signal is the ratio of the two.
     pub fn record_overload(&mut self, signal: f64, attempts: f64) {
         self.overload.add(signal, attempts);
     }
--- a/crates/stonevane-policy/src/attempt.rs
+++ b/crates/stonevane-policy/src/attempt.rs
@@ -32,7 +32,7 @@
     pub sent_at: Micros,
     /// Latency objective of the request's class.
     pub latency_objective: Micros,
-    /// Time in flight from which the attempt is slow.
+    /// Time since sending, in microseconds, from which the attempt is slow.
     pub slow_after: Micros,
 }
 
--- a/crates/stonevane-policy/src/balancing.rs
+++ b/crates/stonevane-policy/src/balancing.rs
@@ -18,21 +18,23 @@
 use crate::settings::Settings;
 use crate::slow_start::{SlowStart, SlowStartRead};
 
-/// Load bound while the origin has capacity for the fetch that skipping a server costs: multiple of the
-/// server's share of this node's attempts in flight from which it is skipped.
+/// Load bound while the origin has capacity for the fetch that skipping a server costs. A server is skipped
+/// if its attempts in flight reach this multiple of its share of the node's attempts in flight.
 const LOAD_BOUND: f64 = 1.25;
-/// Load bound, as the same multiple, while the origin limits are saturated.
+/// Load bound while the origin limits are saturated, as a multiple of the server's share of the node's
+/// attempts in flight.
 const LOAD_BOUND_SATURATED: f64 = 3.0;
 /// Fraction of the origin calls blocked by a limit from which the origin limits count as saturated.
 const SATURATED_FRACTION: f64 = 0.05;
-/// Attempts at one server that are within the bound at any load, summed over the nodes that share the server.
-/// Without this floor a node with few requests would scatter its keys.
+/// Floor of the load bound: number of attempts in flight at one server that are within the bound at any load,
+/// summed over the nodes that share the server. Without this floor a node with few requests would scatter its
+/// keys.
 const MIN_SHARED_LOAD_BOUND: f64 = 8.0;
 /// Smallest number of nodes among which the floor is divided, so that a single node does not use all of it.
 const MIN_SHARING_NODES: u32 = 2;
 /// Largest multiple of the floor for a server that responds faster than the others.
 const MAX_FLOOR_MULTIPLE: f64 = 2.0;
-/// Fraction of a request's time left from which the wait at a server is too long.
+/// Maximum wait at a server, as a fraction of the request's time left.
 const MAX_WAIT_FRACTION: f64 = 0.5;
 /// Time in microseconds after which a reinstated server without an attempt gets the next read, whatever its
 /// key.
@@ -51,11 +53,11 @@
 /// better.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Outlier detection prefers other servers.
+    /// Whether outlier detection ranks the server last.
     ejected: bool,
-    /// The server exceeds the load bound, or the wait there is too long.
+    /// Whether the server exceeds the load bound or the wait there is too long.
     overloaded: bool,
-    /// The server is not a reinstated one that is due for its first read.
+    /// Whether the server is not due for a first read after its reinstatement.
     not_due_for_read: bool,
 }
 
@@ -99,7 +101,7 @@
 
 impl ServerOrder<'_> {
     fn scored(&self, candidate: &Candidate, draw: f64) -> ScoredServer {
-        // With equal weights the logarithm is not needed for the same order.
+        // With equal weights the order is the same without the logarithm.
         let score = if self.weighted { -draw.ln() / candidate.weight } else { -draw };
         ScoredServer { score, server: candidate.id }
     }
@@ -129,7 +131,7 @@
     }
 }
 
-/// A read for which a server is chosen.
+/// A read for which balancing chooses a server.
 pub struct PendingRead<'a> {
     pub request: RequestId,
     /// Key and recency, which the slow-start rule uses as well.
@@ -167,8 +169,8 @@
         if !decided && order.candidates.len() > HEAD_LENGTH {
             self.evaluate(read, &order.rest(), &mut best);
         }
-        // No other server replaces one with too long a wait: the next suitable one may be far down the order,
-        // which would scatter the keys and lower the hit ratio of the caches.
+        // If the wait at the best server is too long, no other server is chosen: the next suitable one may be
+        // far down the order, which would scatter the keys and lower the hit ratio of the caches.
         best.map(|(_, server)| server).filter(|server| !self.wait_is_too_long(read, *server))
     }
 
--- a/crates/stonevane-policy/src/coalescing.rs
+++ b/crates/stonevane-policy/src/coalescing.rs
@@ -1,6 +1,6 @@
 //! Coalescing: decides whether a fetch joins the origin call of another fetch of the same key.
 //!
-//! Input: the fetches in flight by key. It applies only if the node's store shares calls (setting
+//! Input: the fetches in flight by key. The rule applies only if the node's store shares calls (setting
 //! `coalesce_fetches`). A joined fetch causes no origin call, so the origin limits do not count it.
 
 use std::collections::BTreeMap;
@@ -25,8 +25,8 @@
         self.calls.insert(key, call);
     }
 
-    /// Handles the end of a call. Nothing joins a call that has ended, and nothing joins a fetch that was
-    /// sent before a write of its key ended: it may return the value from before the write.
+    /// Removes a call that has ended, so that no fetch joins it. The end of a write also removes the fetch in
+    /// flight of the same key, because this fetch may return the value from before the write.
     pub fn on_call_ended(&mut self, id: AttemptId, call: &Attempt) {
         let shared = self.calls.get(&call.key) == Some(&id);
         if shared || call.kind == CallKind::Write {
--- a/crates/stonevane-policy/src/discovery_backoff.rs
+++ b/crates/stonevane-policy/src/discovery_backoff.rs
@@ -15,7 +15,7 @@
 }
 
 /// Delays after the first, the second and any later failure in a row. The first two calls come early, because
-/// a node soon counts as notified of changes.
+/// a node soon counts as notified of changes whether or not they arrive.
 const DELAYS: [DelayRange; 3] = [
     DelayRange { from: 0.03, to: 0.5 },
     DelayRange { from: 0.2, to: 0.4 },
--- a/crates/stonevane-policy/src/event.rs
+++ b/crates/stonevane-policy/src/event.rs
@@ -38,8 +38,8 @@
         /// For each tenant of the new settings, its position in the previous ones; `None` for a new tenant.
         previous_positions: Vec<Option<usize>>,
     },
-    /// Fraction of the node's quota of the origin and of servers in slow start that belongs to this process,
-    /// from 0 to 1. It is 1 unless another process of the same node has the rest.
+    /// Share of this process, from 0 to 1, in the node's quotas for calls to the origin and for attempts at
+    /// servers in slow start. It is 1 unless another process of the same node has the rest.
     ProcessShare(f64),
     /// The node is shutting down: the policy answers all pending requests at once.
     ShuttingDown,
@@ -53,7 +53,7 @@
     },
     /// The origin has stopped answering, so that calls to it would fail for some time.
     OriginUnavailable {
-        /// Expected time until it answers again, in microseconds from now; 0 if it answers again already.
+        /// Expected time until the origin answers again, in microseconds from now; 0 if it already does.
         duration: Micros,
     },
     /// A health check ended.
--- a/crates/stonevane-policy/src/hedging.rs
+++ b/crates/stonevane-policy/src/hedging.rs
@@ -21,7 +21,8 @@
         && budget.allows_attempt()
 }
 
-/// Returns whether a server has enough recent responses for other rules to judge it.
+/// Returns whether a server has enough recent responses that balancing and outlier detection can avoid it
+/// without hedging.
 pub fn has_enough_responses(server: &Server, now: Micros, longest_objective: Micros) -> bool {
     server.recent_responses(now, longest_objective) >= RESPONSE_CREDIT
 }
--- a/crates/stonevane-policy/src/origin_limits.rs
+++ b/crates/stonevane-policy/src/origin_limits.rs
@@ -43,10 +43,10 @@
 const LOGGED_CONCURRENCY_FRACTION: f64 = 0.25;
 /// Fetches of all nodes together that pacing leaves in flight, even if the origin is very slow.
 const MIN_SHARED_FETCHES: f64 = 8.0;
-/// Number of nodes for each multiple by which one response changes the pace of fetches: one of many nodes
-/// sees few responses.
+/// Divisor of the number of nodes that gives the factor by which one response changes the pace of fetches.
+/// The factor grows with the number of nodes, because one of many nodes sees few responses.
 const NODES_PER_PACE_STEP: f64 = 32.0;
-/// Smallest multiple by which one response changes the pace of fetches.
+/// Smallest factor by which one response changes the pace of fetches.
 const MIN_PACE_STEP: f64 = 2.0;
 /// Longest pause between paced fetches, as a multiple of the longest latency objective.
 const MAX_PAUSE_OBJECTIVES: Micros = 8;
@@ -119,7 +119,7 @@
     /// Time at which the concurrency limit was last lowered. Signs of congestion from calls sent earlier do
     /// not lower it again.
     lowered_at: Micros,
-    /// Fraction of one fetch that may be in flight; 1 if fetches are not paced.
+    /// Average number of fetches in flight that pacing allows, at most 1; 1 if fetches are not paced.
     fetch_pace: f64,
     /// Time from which the next fetch may be sent, while `fetch_pace` is less than 1.
     next_fetch_at: Micros,
@@ -226,7 +226,7 @@
         self.adjust_concurrency(call, outcome.status, slow, responded, context)
     }
 
-    /// Returns whether a slow response may be slow because of a handshake across zones: requests on reused
+    /// Returns whether a connection handshake across zones may explain a slow response: requests on reused
     /// connections have recently shown the origin's own latency.
     fn is_handshake(&self, elapsed: Micros, context: OutcomeContext) -> bool {
         let known_until =
@@ -260,7 +260,7 @@
     ) -> Option<LogMessage> {
         let ceiling = context.share.concurrency_ceiling();
         let before = self.concurrency_limit;
-        // A broken connection is no sign of congestion.
+        // A broken connection is a sign of congestion only if the call was slow.
         let congested = (status != AttemptStatus::Reset || slow) && status != AttemptStatus::NotSent;
         if responded && !slow {
             self.concurrency_limit = (before + 1.0 / before).min(ceiling);
@@ -307,7 +307,7 @@
         self.saturation.value()
     }
 
-    /// Ends a review period.
+    /// Ends a review period: reduces the weight of earlier calls in the saturation.
     pub fn review(&mut self) {
         self.saturation.decay();
     }
--- a/crates/stonevane-policy/src/outlier.rs
+++ b/crates/stonevane-policy/src/outlier.rs
@@ -3,13 +3,14 @@
 //!
 //! Inputs: the outcomes of attempts at one server, the longest latency objective (microseconds). An ejected
 //! server is still chosen if no better one is left. The first attempt after the ejection time is a trial: a
-//! response readmits the server, a failure ejects it for twice as long.
+//! response readmits the server, a failure ejects it again for twice the time, up to a maximum.
 
 use crate::ids::Micros;
 
 /// Failure count from which a server is ejected. Each failure adds one, each response subtracts one.
 const EJECTION_FAILURE_COUNT: u32 = 3;
-/// Failure count below which a broken connection or a malformed response is not attributed to the server.
+/// Failure count below which the server stays eligible for a retry of a request that ended there with a
+/// broken connection or a malformed response.
 const ISOLATED_FAILURE_LIMIT: u32 = 2;
 /// Shortest ejection time, as a multiple of the longest latency objective.
 const MIN_EJECTION_OBJECTIVES: u64 = 1;
@@ -70,7 +71,7 @@
         Some(Readmission { restarted: std::mem::take(&mut self.connect_failed) })
     }
 
-    /// Clears the failures of a process that has been replaced.
+    /// Clears the failure count and the ejection after the server's process has been replaced.
     pub fn clear_failures(&mut self) {
         self.failure_count = 0;
         self.ejection = None;
@@ -87,8 +88,8 @@
         self.ejection.is_some_and(|ejection| now < ejection.until || in_flight > 0)
     }
 
-    /// Returns whether the server has too few failures for a broken connection or a malformed response to
-    /// count against it.
+    /// Returns whether the server has so few failures that a request may be retried there after a broken
+    /// connection or a malformed response.
     pub fn failures_are_isolated(&self) -> bool {
         self.failure_count < ISOLATED_FAILURE_LIMIT && self.ejection.is_none()
     }
--- a/crates/stonevane-policy/src/pending_request.rs
+++ b/crates/stonevane-policy/src/pending_request.rs
@@ -1,4 +1,4 @@
-//! Pending requests: requests without a final answer, and the account of their attempts.
+//! Pending requests: requests without a final answer, and the state of their attempts.
 
 use crate::ids::{Key, Micros, ServerId};
 use crate::settings::{RequestClass, Settings};
@@ -8,7 +8,7 @@
 pub struct PendingRequest {
     /// Class of the request, as the settings defined it on arrival.
     pub class: RequestClass,
-    /// Limit on attempts, as the settings defined it on arrival.
+    /// Maximum number of attempts, as the settings defined it on arrival.
     pub max_attempts: u32,
     pub key: Key,
     /// Whether the key was popular at this node before this request.
@@ -19,13 +19,14 @@
     pub write: bool,
     /// Whether a cache server has answered with a miss.
     pub missed: bool,
-    /// Position of the tenant whose quota was charged; `None` if none was.
+    /// Position in the settings of the tenant that the request was charged to; `None` if no tenant was
+    /// charged.
     pub charged_tenant: Option<usize>,
     /// Lower bound of the Retry-After hint if the request is rejected, in microseconds.
     pub min_retry_after: Micros,
-    /// End of the latency objective, less a margin.
+    /// Time at which the latency objective ends, less a margin for late calls of the policy.
     pub objective_at: Micros,
-    /// Time at which the client gives up, less a margin.
+    /// Time at which the client gives up, less a margin for late calls of the policy.
     pub deadline: Micros,
     /// Number of attempts sent.
     pub attempts: u16,
@@ -33,7 +34,7 @@
     pub in_flight: u16,
     /// Attempts that are running or may have run, oldest first.
     pub may_have_run: Vec<PossibleRun>,
-    /// Cache servers that must not be tried again.
+    /// Cache servers that must not be tried again for this request.
     pub tried: Vec<ServerId>,
     /// Number of the current backoff; retry timers with a lower number are stale.
     pub backoff: u32,
@@ -62,7 +63,7 @@
         attempt
     }
 
-    /// Counts the end of an attempt. One that did not run no longer restricts retries.
+    /// Counts the end of an attempt. An attempt that is proven not to have run no longer restricts retries.
     pub fn record_end(&mut self, attempt: u16, proves_not_run: bool) {
         self.in_flight -= 1;
         if proves_not_run {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// Returns whether the request has made all its allowed attempts. The limit is the lower of the one on
-    /// arrival and the current one.
+    /// Returns whether the request has made all its allowed attempts. The limit is the lower of the maximum
+    /// on arrival and the maximum in the current settings.
     pub fn attempts_exhausted(&self, settings: &Settings) -> bool {
         u32::from(self.attempts) >= self.max_attempts.min(settings.max_attempts)
     }
--- a/crates/stonevane-policy/src/policy/attempts.rs
+++ b/crates/stonevane-policy/src/policy/attempts.rs
@@ -88,8 +88,8 @@
         let next_timeout = attempt.slow_after + 1;
         let became_slow = age < next_timeout * 3 / 2;
         let late = age >= attempt.latency_objective;
-        // A slow attempt is counted with half of the overload signal when it becomes slow and half when it is
-        // nearly late, because a slow response is not yet a lost one.
+        // An attempt adds `SLOW_ATTEMPT_SIGNAL`, half the signal of a rejected attempt, when it becomes slow
+        // and again when it is nearly late, because a slow response is not yet a lost one.
         self.admission.record_overload(
             if late || lost { 0.0 } else { SLOW_ATTEMPT_SIGNAL },
             if became_slow { 1.0 } else { 0.0 },
--- a/crates/stonevane-policy/src/policy/mod.rs
+++ b/crates/stonevane-policy/src/policy/mod.rs
@@ -41,7 +41,7 @@
 
 /// Latency objective in microseconds if the settings have no class.
 const DEFAULT_OBJECTIVE: Micros = 1_000_000;
-/// Smallest fraction of the node's quota that a process has.
+/// Lower bound of a process's share of the node's quota.
 const MIN_PROCESS_SHARE: f64 = 0.05;
 /// Number of reviews during the longest latency objective.
 const REVIEWS_PER_OBJECTIVE: Micros = 8;
@@ -68,9 +68,9 @@
     /// Fraction of the node's quota that belongs to this process.
     process_share: f64,
     shutting_down: bool,
-    /// Whether the node closes idle connections to servers.
+    /// Whether the node closes connections to servers as soon as they are idle.
     closes_idle_connections: bool,
-    /// Makes draws that depend on a request's number differ between nodes.
+    /// Salt that makes random draws differ between nodes even for the same request identifier.
     node_salt: u64,
 }
 
--- a/crates/stonevane-policy/src/policy/origin_calls.rs
+++ b/crates/stonevane-policy/src/policy/origin_calls.rs
@@ -8,7 +8,8 @@
 use crate::timers::Timer;
 
 impl Policy {
-    /// Calls the origin for a request, joins a fetch in flight, or backs off if a limit is reached.
+    /// Calls the origin for a request, joins a fetch in flight, or backs off if a limit is reached or the
+    /// origin is unavailable.
     pub(super) fn call_origin(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let available = !self.origin_limits.is_unavailable(self.now);
@@ -24,7 +25,7 @@
             // Without an origin in the list, cache servers fetch for themselves and also take writes.
             None => self.choose_server(id),
         };
-        // Reported as limited, because the origin may be listed again before the retry.
+        // A missing origin is reported as limited, because the list may contain it again before the retry.
         let Some(server) = server else { return self.back_off(id, actions) };
         let allowed = kind == CallKind::CoalescedFetch || available && self.acquire_origin_call(kind);
         if !allowed {
@@ -41,8 +42,9 @@
         self.origin_limits.try_acquire(kind, self.now, share, self.objectives.longest)
     }
 
-    /// Retries a blocked call after a random backoff, if an answer at that time still earns something. While
-    /// the origin is unavailable no request waits: the client gets a Retry-After hint at once.
+    /// Retries a blocked call after a random backoff, if an answer at that time still earns something.
+    /// Otherwise ends the request, unless an attempt is in flight. While the origin is unavailable no request
+    /// waits: the client gets a Retry-After hint at once.
     pub(super) fn back_off(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let delay = backoff(pending.class.latency_objective, &mut self.random);
--- a/crates/stonevane-policy/src/policy/outcomes.rs
+++ b/crates/stonevane-policy/src/policy/outcomes.rs
@@ -24,7 +24,7 @@
         self.continue_request(&attempt, outcome, actions);
     }
 
-    /// Updates the request's account of attempts after an outcome.
+    /// Updates the pending request of an attempt after its outcome.
     fn update_pending_request(&mut self, attempt: &Attempt, outcome: &Outcome) {
         // A single broken connection or malformed response says little about a working server. That server
         // still caches the key, whereas the next one in the key's order would have to fetch it.
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Ends a request that has its answer, and retries one that has not.
+    /// Ends a request that has its answer. Retries any other request, unless attempts in flight may still
+    /// answer it.
     fn continue_request(&mut self, attempt: &Attempt, outcome: &Outcome, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&outcome.request) else { return };
         if outcome.request_finished || outcome.status == AttemptStatus::Served {
@@ -48,7 +49,7 @@
             return;
         }
         if pending.in_flight > 0 && outcome.status != AttemptStatus::Miss {
-            return; // The outcomes of the others decide.
+            return; // The outcomes of the attempts in flight decide.
         }
         if attempt.kind != CallKind::CacheRead && outcome.status == AttemptStatus::Rejected {
             return self.back_off(outcome.request, actions);
--- a/crates/stonevane-policy/src/retry.rs
+++ b/crates/stonevane-policy/src/retry.rs
@@ -1,5 +1,5 @@
-//! Retries: decides whether a request may be sent again after an outcome, where and until when, and what it
-//! costs of the retry budget.
+//! Retries: decides whether a request may be sent again after an outcome, where and until when, and how many
+//! tokens of the retry budget the retry costs.
 //!
 //! Inputs: the idempotency of the request, the outcomes of its attempts, the tick and the send times
 //! (microseconds). Sending again what may still be running adds work just when the servers are slow, so
@@ -26,10 +26,10 @@
 /// Multiple of the server's response time after which a response counts as lost, if later attempts were
 /// served.
 pub const LOST_RESPONSE_MULTIPLE: f64 = 6.0;
-/// Part of the deduplication window (the window divided by this) that a duplicate must leave, because its
-/// last byte must arrive within the window, possibly on a new connection.
+/// Margin at the end of the deduplication window, as the window divided by this. No duplicate is sent within
+/// the margin, because its last byte must arrive within the window, possibly on a new connection.
 const WINDOW_MARGIN_DIVISOR: Micros = 8;
-/// Ticks that a duplicate must leave in addition, because the node may send late.
+/// Addition to the margin, in ticks, because the node may send late.
 const WINDOW_MARGIN_TICKS: Micros = 2;
 
 /// Budget of one node for retries and hedged requests, in tokens.
@@ -71,8 +71,8 @@
 /// Returns the tokens that a retry after this outcome costs.
 pub fn retry_cost(status: AttemptStatus, attempt: &Attempt, now: Micros) -> f64 {
     match status {
-        // These are no signs of overload, and many of them would exhaust the budget. Each request has few
-        // attempts anyway.
+        // These failures are no signs of overload, and many of them would exhaust the budget. Each request
+        // has few attempts anyway.
         AttemptStatus::Malformed | AttemptStatus::Reset => 0.0,
         // A few servers may fail half of their requests while each node sends them too few to eject them.
         AttemptStatus::Error if attempt.is_timely(now) => TIMELY_ERROR_COST,
@@ -115,8 +115,8 @@
     }
 }
 
-/// Returns whether the response to an attempt will not arrive although its server works, because the
-/// connection has stopped delivering: the attempt is overdue, and the server has served a later one.
+/// Returns whether the response to an attempt counts as lost, because the connection has stopped delivering
+/// although the server works: the attempt is overdue, and the server has served a later one.
 pub fn response_is_lost(attempt: &Attempt, server: Option<&Server>, now: Micros) -> bool {
     server.is_some_and(|server| {
         let response_time = server.response_time.value();
@@ -125,8 +125,8 @@
     })
 }
 
-/// Returns the kind of call that requests a lost response again. A joined fetch makes an origin call of its
-/// own.
+/// Returns the kind of call that requests a lost response again. A joined fetch is replaced by an origin call
+/// of its own.
 pub fn resend_kind(kind: CallKind) -> CallKind {
     if kind == CallKind::CoalescedFetch { CallKind::Fetch } else { kind }
 }
--- a/crates/stonevane-policy/src/server.rs
+++ b/crates/stonevane-policy/src/server.rs
@@ -24,14 +24,15 @@
     pub excluded: bool,
     /// Time at which an operator reinstated the server, until the next attempt is sent there; 0 otherwise.
     pub reinstated_at: Micros,
-    /// Highest weight seen. With live weights, which fall with load, it is the weight of the idle server.
+    /// With live weights, which fall with load, the highest weight seen: that of the idle server. Otherwise
+    /// the current weight.
     pub idle_weight: f32,
     pub in_flight: u32,
     pub last_response_at: Micros,
     /// Send time of the latest attempt that the server has served.
     pub latest_served_sent_at: Micros,
     pub response_time: MovingAverage,
-    /// Responses of the server, decayed to the time of the last one.
+    /// Number of responses, decayed exponentially as of `last_response_at`.
     pub responses: f64,
     pub outlier: OutlierRecord,
     /// Attempts of the slow-start budget that are spent and not yet earned back.
@@ -44,7 +45,8 @@
         self.entry.condition == Condition::Ready && !self.excluded
     }
 
-    /// Counts an attempt that is being sent. `slow_start_spent` is the spent slow-start budget after it.
+    /// Counts an attempt that is being sent. `slow_start_spent` is the spent slow-start budget after this
+    /// attempt.
     pub fn record_attempt(&mut self, slow_start_spent: SpentTokens) {
         self.in_flight += 1;
         self.slow_start_spent = slow_start_spent;
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Applies a new entry of the list. A restarted process starts without failures.
+    /// Applies a new entry of the endpoint list. If the entry shows a restart, the failures are cleared.
     pub fn apply_entry(&mut self, entry: &ServerEntry, settings: &Settings, now: Micros) {
         let restarted = entry.started > self.entry.started;
         // With unequal shares, the first attempts of all nodes together would overload a server in slow
@@ -112,7 +114,7 @@
         }
         self.idle_weight =
             if settings.weights_are_live { self.idle_weight.max(entry.weight) } else { entry.weight };
-        // A server presumed restarted keeps that start time until the list shows a later one.
+        // A server presumed restarted keeps the presumed start time until the list shows a later one, or 0.
         let started = if entry.started == 0 { 0 } else { entry.started.max(self.entry.started) };
         self.entry = ServerEntry { started, ..*entry };
     }
--- a/crates/stonevane-policy/src/server_pool.rs
+++ b/crates/stonevane-policy/src/server_pool.rs
@@ -18,7 +18,7 @@
 const SERVER_SAMPLE_WEIGHT: f64 = 0.1;
 /// Weight of one sample in the response time of all cache servers.
 const FLEET_SAMPLE_WEIGHT: f64 = 0.02;
-/// Smallest random factor on the queue estimate of a request; the largest is this plus 1.
+/// Smallest random factor on the queue wait estimate of a request; the largest is this plus 1.
 const MIN_QUEUE_WAIT_FACTOR: f64 = 0.5;
 
 /// A cache server that may get reads: an entry of the dense table that balancing scans.
@@ -66,7 +66,7 @@
         self.origin
     }
 
-    /// Returns the number of ready cache servers, each counted by this node's share of its capacity.
+    /// Returns the number of ready cache servers, each counted by this node's share of the server's capacity.
     pub fn cache_server_shares(&self) -> f64 {
         self.cache_server_shares
     }
@@ -81,7 +81,7 @@
         self.peak_weight.value()
     }
 
-    /// Returns whether there is a reinstated server that has had no attempt since.
+    /// Returns whether a reinstated server has had no attempt since its reinstatement.
     pub fn has_untried_reinstated(&self) -> bool {
         self.has_untried_reinstated
     }
@@ -123,8 +123,8 @@
     }
 
     /// Returns the estimated wait at a server in microseconds, from the number of requests that all nodes
-    /// have there. Each request gets a random estimate of its own: with the same one all nodes would reject
-    /// at the same moment, and their clients would retry at the same moment.
+    /// have there. The estimate has a random factor for each request: without the factor all nodes would
+    /// reject at the same moment, and their clients would retry at the same moment.
     pub fn queue_wait_estimate(&self, request: RequestId, server: &Server) -> f64 {
         let wait = self.service_time.value() * server.requests_per_core();
         if wait > 0.0 {
@@ -175,7 +175,7 @@
         let Some(server) = self.servers.get_mut(&id).filter(|_| changed) else { return false };
         server.excluded = excluded;
         if !excluded {
-            // The server was excluded for a restart, so its outlier state belongs to another process.
+            // The server was excluded for a restart, so its outlier state belongs to the earlier process.
             server.outlier = OutlierRecord::default();
             server.reinstated_at = now.max(1);
             server.presume_restarted(now);
--- a/crates/stonevane-policy/src/settings.rs
+++ b/crates/stonevane-policy/src/settings.rs
@@ -11,7 +11,7 @@
 pub struct Settings {
     /// Number of nodes that share the servers; at least 1.
     pub nodes: u32,
-    /// Index of this node among them, from 0.
+    /// Index of this node among the nodes that share the servers, from 0.
     pub node_index: u32,
     /// Zone of this node, as a position in [`Deployment::zones`].
     pub zone: u8,
@@ -20,10 +20,11 @@
     /// Tenants, in the order to which [`Request::tenant`](crate::Request::tenant) refers; empty if the
     /// deployment has none.
     pub tenants: Vec<Tenant>,
-    /// Whether the node must request the endpoint list (by subscription or as a full list); otherwise it
-    /// arrives unrequested.
+    /// Whether the node must request the endpoint list (by subscription or as a full list); otherwise the
+    /// list arrives unrequested.
     pub poll_discovery: bool,
-    /// Time after a change at which a node without a subscription counts as notified of it.
+    /// Time after a change of the endpoint list at which a node without a subscription counts as notified of
+    /// the change.
     pub list_staleness_limit: Micros,
     /// Machine kind of the origin in the endpoint list; `None` if cache servers fetch for themselves.
     pub origin_kind: Option<u16>,
@@ -52,13 +53,13 @@
     /// Price of one node's open connections to all servers in a fleet of 100 nodes, in the unit of the
     /// settings text's `prices`.
     pub connection_price: f64,
-    /// Price of opening a connection for each request, in the same unit.
+    /// Price of opening a connection for each request, in the unit of the settings text's `prices`.
     pub handshake_price: f64,
     /// Longest Retry-After that clients honor; 0 if they honor none.
     pub max_retry_after: Micros,
     /// Shortest time between two calls of the policy.
     pub tick: Micros,
-    /// Fraction of its capacity, from 0 to 1, that a server has at least when it starts.
+    /// Minimum capacity of a server when it starts, as a fraction of its full capacity, from 0 to 1.
     pub initial_capacity: f64,
     /// Time after its start at which a server has warmed up.
     pub slow_start_duration: Micros,
@@ -67,7 +68,8 @@
     pub overload_multiple: f64,
     /// Time for which a server in slow start withstands more than `overload_multiple` of its capacity.
     pub overload_window: Micros,
-    /// Time within which attempts to a draining or gone server must stop.
+    /// Time after the notification that a server is draining or gone, after which the node must send no
+    /// attempt to this server.
     pub drain_grace: Micros,
 }
 
--- a/crates/stonevane-policy/src/settings/wire.rs
+++ b/crates/stonevane-policy/src/settings/wire.rs
@@ -42,9 +42,9 @@
     pub classes: Vec<String>,
     /// Names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the zones; [`Settings::zone`] is a position in them.
+    /// Names of the zones; [`Settings::zone`] is a position in this list.
     pub zones: Vec<String>,
-    /// Names of the machine kinds; [`Settings::origin_kind`] is a position in them.
+    /// Names of the machine kinds; [`Settings::origin_kind`] is a position in this list.
     pub machine_types: Vec<String>,
     /// Names of the metrics in a load report, in the order of
     /// [`LoadReport::values`](crate::LoadReport::values).
--- a/crates/stonevane-policy/src/slow_start.rs
+++ b/crates/stonevane-policy/src/slow_start.rs
@@ -18,18 +18,19 @@
 use crate::settings::Settings;
 use crate::token_bucket::SpentTokens;
 
-/// Largest rate of a server in slow start, as a multiple of the equal share of the quotas that a warmed-up
-/// server has. It is scaled by the server's capacity fraction.
+/// Maximum rate of attempts at a server in slow start, as a multiple of the server's weighted share of the
+/// quotas. The result is scaled by the server's capacity fraction.
 const MAX_RATE_MULTIPLE: f64 = 1.5;
 /// Fraction of `overload_multiple` that the rate multiple may reach. With a full bucket the server then gets
 /// three quarters of `overload_multiple`, which leaves a margin of a quarter.
 const OVERLOAD_MULTIPLE_FRACTION: f64 = 0.5;
-/// Multiple of the rate with which requests for one key pass at random. Few servers have a key that is
-/// requested often enough to reach it, and rare keys pass sooner.
+/// Maximum rate at which requests for one key pass at random, as a multiple of the slow-start rate. Few
+/// servers have a key that is requested often enough to reach this rate, and rarely requested keys pass
+/// sooner.
 const KEY_RATE_MULTIPLE: f64 = 2.0;
 /// Capacity of a node's bucket: the attempts that its rate earns in this fraction of the overload window.
 const BUCKET_WINDOW_FRACTION: f64 = 0.5;
-/// Attempts that all nodes together may send in addition to their rates.
+/// Credit of all nodes together, in attempts, that is added to the attempts earned by their rates.
 const SHARED_CREDIT_ATTEMPTS: f64 = 1.0;
 /// Smallest total weight used as a divisor.
 const MIN_TOTAL_WEIGHT: f64 = 0.01;
@@ -42,14 +43,15 @@
     pub request_rate: f64,
     /// Fraction of the node's quota that belongs to this process.
     pub process_share: f64,
-    /// Weight of the ready cache servers, and the decaying maximum of that weight.
+    /// Weight of the ready cache servers.
     pub total_weight: f64,
+    /// Exponentially decaying maximum of `total_weight`.
     pub peak_weight: f64,
-    /// Makes draws that depend on a request's number differ between nodes.
+    /// Salt that makes random draws differ between nodes even for the same request identifier.
     pub node_salt: u64,
 }
 
-/// A read for which a server is chosen.
+/// Properties of a read that the slow-start rule uses.
 pub struct SlowStartRead {
     pub request: RequestId,
     pub key: Key,
@@ -81,8 +83,8 @@
 
     /// Returns whether a read may go to a server. A server in slow start gets a subset of its keys that grows
     /// with its capacity fraction and is the same at every node. It gets no key that is popular at this node,
-    /// and no more reads than the node's budget allows. With `due_for_read` an operator has reinstated the
-    /// server, and one read goes there whatever its key.
+    /// and no more reads than the node's budget allows. `due_for_read` means that an operator has reinstated
+    /// the server: one read goes there even if its key is not in the subset.
     pub fn allows_read(&self, read: &SlowStartRead, server: &Server, due_for_read: bool) -> bool {
         let capacity_fraction = self.capacity_fraction(server);
         if capacity_fraction >= 1.0 {
@@ -111,10 +113,11 @@
         SpentTokens::new(self.node_budget(server).spent + 1.0, self.now)
     }
 
-    /// Returns whether a request passes where the budget is less than one attempt. The probability of one
-    /// request for a key is what the rate has earned since the key was last requested here. Requests for one
-    /// key at all nodes together then get no more than a multiple of the combined rate. If other servers
-    /// leave, their keys also come to this one and fewer requests pass.
+    /// Returns whether a read passes the random draw, which applies if the node's budget is less than one
+    /// attempt. The read passes with a probability equal to the attempts that the rate has earned since the
+    /// key was last requested at this node. The attempts of all nodes for one key then stay within a multiple
+    /// of their combined rate. If other servers leave, the remaining servers also get their keys, and fewer
+    /// reads pass.
     fn passes_at_random(&self, read: &SlowStartRead, server: &Server) -> bool {
         let budget = self.node_budget(server);
         let credit = SHARED_CREDIT_ATTEMPTS / f64::from(server.sharing_nodes(self.settings).max(1));
@@ -126,8 +129,8 @@
 
     fn node_budget(&self, server: &Server) -> NodeBudget {
         let quota = self.request_rate * server.node_share(self.settings);
-        // The weight of the servers that are left does not count: the capacity of a server does not grow when
-        // others leave.
+        // The divisor is the weight of the whole fleet and not that of the remaining servers, because the
+        // capacity of a server does not grow when others leave.
         let fleet_weight = self.peak_weight.max(self.settings.total_cache_weight).max(MIN_TOTAL_WEIGHT);
         let multiple =
             MAX_RATE_MULTIPLE.min(OVERLOAD_MULTIPLE_FRACTION * self.settings.overload_multiple).max(0.0);
@@ -139,9 +142,9 @@
         NodeBudget { rate, capacity, spent: server.slow_start_spent.remaining(self.now, rate) }
     }
 
-    /// Returns the weight of the ready servers as a fraction of its decaying maximum. The keys of servers
-    /// that have left come to the remaining ones, and a server in slow start must not get more attempts for
-    /// that.
+    /// Returns the weight of the ready servers as a fraction of its decaying maximum. The remaining servers
+    /// get the keys of those that have left, but a server in slow start must not get more attempts as a
+    /// result.
     fn remaining_weight_fraction(&self) -> f64 {
         (self.total_weight / self.peak_weight.max(MIN_TOTAL_WEIGHT)).min(1.0)
     }
--- a/crates/stonevane-policy/src/startup.rs
+++ b/crates/stonevane-policy/src/startup.rs
@@ -3,9 +3,10 @@
 //!
 //! Inputs: the attempts per server that all nodes together may have in flight at their start (setting
 //! `startup_attempts_per_server`), the cache servers, the age of the process (in longest latency objectives),
-//! and the timely responses so far. Nodes that all start at once know nothing of the load, so their windows
-//! add up to what the servers can take, whatever the number of nodes. The window doubles in each latency
-//! objective: a share below one attempt grows to a whole one, and a node without requests is soon unlimited.
+//! and the timely responses so far. Each node limits its attempts in flight to a window. Nodes that all start
+//! at once know nothing of the load, so their windows add up to what the servers can take, whatever the
+//! number of nodes. The window doubles in each latency objective: a share below one attempt grows to a whole
+//! one, and a node without requests is soon unlimited.
 
 use crate::hash::{self, unit_hash};
 use crate::ids::Micros;
@@ -13,16 +14,16 @@
 
 /// Attempts that each timely response adds to the window.
 const ATTEMPTS_PER_TIMELY_RESPONSE: f64 = 0.25;
-/// Upper bound of a rejected client's Retry-After hint, as a fraction of the time left. The hint is random
-/// below it, since many clients are rejected at once.
+/// Upper bound of a rejected client's Retry-After hint, as a fraction of the request's time left. The hint is
+/// random below this bound, since many clients are rejected at once.
 const MAX_RETRY_AFTER_FRACTION: f64 = 0.5;
 
 /// State of the start-up limit of one process.
 pub struct StartupLimit {
-    /// Time of the first event, at which the process started; 0 before it.
+    /// Time of the first event, which counts as the start of the process; 0 before the first event.
     started_at: Micros,
-    /// Offset of the window between 0 and 1 attempt, fixed for the node. If shares are below one attempt, it
-    /// gives some of the nodes a whole one.
+    /// Offset of the window between 0 and 1 attempt, fixed for the node. If shares are below one attempt, the
+    /// offset gives some of the nodes a whole attempt.
     phase: f64,
     timely_responses: f64,
 }
@@ -32,7 +33,7 @@
     pub settings: &'a Settings,
     pub now: Micros,
     pub longest_objective: Micros,
-    /// Number of cache servers, each counted by this node's share of its capacity.
+    /// Number of cache servers, each counted by this node's share of the server's capacity.
     pub cache_server_shares: f64,
     /// Attempts of this node in flight at cache servers.
     pub in_flight: u32,
--- a/crates/stonevane-policy/src/timers.rs
+++ b/crates/stonevane-policy/src/timers.rs
@@ -1,4 +1,4 @@
-//! Timers of the policy. A single timer of the node, set for the earliest one, serves all of them.
+//! Timers of the policy. A single timer of the node, set for the earliest due time, serves all of them.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -36,9 +36,9 @@
         self.queue.push(Reverse((at, timer)));
     }
 
-    /// Records that the node's timer has fired, which was set for a time up to `by`. If a timer for a later
-    /// time is armed it stays so: the fired one had been replaced, and arming another for each of them would
-    /// multiply timers.
+    /// Records that a timer of the node has fired that was set for time `by` or earlier. A timer armed for a
+    /// later time stays armed: the fired timer was an earlier one, and arming another after each of them
+    /// would multiply timers.
     pub fn on_node_timer_fired(&mut self, by: Micros) {
         self.armed_at = self.armed_at.filter(|armed_at| *armed_at > by);
     }
--- a/crates/stonevane-policy/src/token_bucket.rs
+++ b/crates/stonevane-policy/src/token_bucket.rs
@@ -24,7 +24,7 @@
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 
-    /// Returns a token.
+    /// Puts one token back.
     pub fn refund(&mut self) {
         self.tokens += 1.0;
     }
--- a/crates/stonevane-wire-adapter/src/codec.rs
+++ b/crates/stonevane-wire-adapter/src/codec.rs
@@ -17,7 +17,7 @@
     /// The records of a batch need more bytes than its header states.
     #[error("batch {batch}: records exceed the frame's length")]
     RecordsExceedFrame {
-        /// Number of the batch.
+        /// Identifier of the batch, from its header.
         batch: u32,
     },
     /// Unknown code of an event record.
--- a/crates/stonevane-wire-adapter/src/codec/actions.rs
+++ b/crates/stonevane-wire-adapter/src/codec/actions.rs
@@ -50,7 +50,8 @@
 }
 
 impl Reply {
-    /// Appends the record of an action of instance `node`. Skips actions that the protocol lacks.
+    /// Appends the record of an action of instance `node`. Skips actions for which the protocol has no
+    /// record.
     pub fn push(&mut self, node: u16, action: &Action) {
         let new_record = |code| ActionRecord::new(code, node);
         let record = match action {
--- a/crates/stonevane-wire-adapter/src/codec/events.rs
+++ b/crates/stonevane-wire-adapter/src/codec/events.rs
@@ -49,7 +49,7 @@
     pub length: usize,
     /// Number of event records at the start of the body; the tail follows them.
     pub records: usize,
-    /// Number of the batch, repeated in its reply.
+    /// Identifier of the batch, repeated in its reply.
     pub number: u32,
 }
 
@@ -74,29 +74,29 @@
 pub enum Record<'a> {
     /// Start of an instance.
     Start {
-        /// Number of the instance.
+        /// Identifier of the instance, chosen by the simulator.
         node: u16,
-        /// Seed of its random generator.
+        /// Seed of the instance's random generator.
         seed: u64,
         /// Settings text in JSON.
         settings: &'a [u8],
     },
     /// Definition of a numbered server list that later records refer to.
     List {
-        /// Number of the list.
+        /// Identifier of the list; the host accepts 0 to 15.
         number: u16,
-        /// Entries of the list.
+        /// Servers in the list, with their condition and weight.
         entries: Vec<ServerEntry>,
     },
     /// Stop of an instance, without a graceful shutdown.
     Stop(u16),
-    /// Notification of an instance that refers to a list by its number.
+    /// Update of an instance's server list. The record refers to a defined list by number.
     ListUpdate {
-        /// Number of the instance.
+        /// Identifier of the instance, chosen by the simulator.
         node: u16,
         /// Kind of the update: how the list relates to the one in use.
         kind: ListUpdate,
-        /// Number of the list.
+        /// Identifier of a list that an earlier record defines; ignored if the update reports a failure.
         number: u16,
     },
     /// Any other event, with the number of its instance.
@@ -183,7 +183,7 @@
         status: attempt_status(u16_at(record, 22))?,
         server: u32_at(record, 24),
         load: load_report(record, 28),
-        // The simulator's protocol does not state it.
+        // The simulator's protocol does not state whether a request is the first on its connection.
         first_on_connection: false,
     })
 }
--- a/crates/stonevane-wire-adapter/src/host.rs
+++ b/crates/stonevane-wire-adapter/src/host.rs
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Returns the list that an update refers to; an empty one for a failure.
+    /// Returns the list that an update refers to, or an empty list if the update reports a failure.
     fn list(&self, kind: ListUpdate, number: u16) -> Result<Vec<ServerEntry>, StateError> {
         match kind {
             ListUpdate::Failed | ListUpdate::TimedOut { .. } => Ok(Vec::new()),
--- a/crates/stonevane-wire-adapter/src/main.rs
+++ b/crates/stonevane-wire-adapter/src/main.rs
@@ -27,7 +27,7 @@
     Batch(#[from] BatchError),
 }
 
-/// Fills `buffer` from the input. Returns `false` if the input ended before its first byte.
+/// Fills `buffer` from the input. Returns `false` if the input ended before the first byte was read.
 fn fill(input: &mut impl Read, buffer: &mut [u8]) -> Result<bool, RunError> {
     let mut filled = 0;
     while filled < buffer.len() {
