--- a/crates/stonevane-config/src/operator/clients.rs
+++ b/crates/stonevane-config/src/operator/clients.rs
@@ -7,15 +7,16 @@
 /// Timeouts of client connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Clients {
-    /// Time from the accept by which the first command must be complete; otherwise the connection is closed.
+    /// Longest time from accepting a connection to its first complete command. After this time the client
+    /// gets an error and the connection is closed.
     pub first_command: Duration,
-    /// Time from a command's first byte by which the command must be complete.
+    /// Longest time from a command's first byte to its last.
     pub command: Duration,
-    /// Time by which an answer must be written, from when it is the next to be written.
+    /// Longest time from the start of an answer's write to its completion.
     pub write: Duration,
     /// Idle time after which a connection may be evicted if the connection table is full.
     pub evictable_idle: Duration,
-    /// Idle time after which a connection is closed in any case.
+    /// Idle time after which a connection is closed even if the connection table is not full.
     pub idle: Duration,
 }
 
--- a/crates/stonevane-config/src/operator/membership.rs
+++ b/crates/stonevane-config/src/operator/membership.rs
@@ -16,8 +16,8 @@
     pub probe_timeout: Duration,
     /// Number of members that probe an unresponsive member on this node's behalf.
     pub indirect: usize,
-    /// Minimum time in which a suspicion can be refuted, in periods per power of ten of the number of
-    /// members.
+    /// Minimum time in which a suspicion can be refuted: this many periods, multiplied by the decimal logarithm
+    /// of the number of members if that logarithm exceeds 1.
     pub suspicion: f64,
     /// Whether a node that detects that it is slow itself waits longer before it suspects others.
     pub uses_local_health: bool,
--- a/crates/stonevane-config/src/operator/start.rs
+++ b/crates/stonevane-config/src/operator/start.rs
@@ -5,7 +5,7 @@
 /// Limits while nodes start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Start {
-    /// Limit of attempts in flight that all nodes together have at each cache server when they start; 0: no
+    /// Maximum number of attempts in flight at each cache server, of all starting nodes together; 0: no
     /// limit.
     pub attempts_per_server: f64,
 }
--- a/crates/stonevane-config/src/operator/store.rs
+++ b/crates/stonevane-config/src/operator/store.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Options of copies in caches that accept fills and invalidations from nodes.
+/// Options of the copies that nodes send to caches. The caches must accept fills and invalidations from
+/// nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Copies {
     /// The longest time for which a cache keeps a copy.
@@ -56,7 +57,7 @@
 pub struct Store {
     /// Location of the store.
     pub place: StoreLocation,
-    /// The most calls that may wait for the store; further calls are rejected at once.
+    /// Maximum number of calls that wait for the store; further calls are rejected at once.
     pub queue: usize,
     /// Timeout of a call.
     pub call_timeout: Duration,
--- a/crates/stonevane-core/src/clients/mod.rs
+++ b/crates/stonevane-core/src/clients/mod.rs
@@ -82,8 +82,8 @@
         self.sessions.len()
     }
 
-    /// Updates a connection's position in the order of eviction. Must be called after every change of its
-    /// state.
+    /// Updates a connection's position in the order of eviction. Must be called after every change of the
+    /// session's state.
     pub fn update_eviction_order(&mut self, client: ConnId) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let current = session.evictability();
--- a/crates/stonevane-core/src/clients/session.rs
+++ b/crates/stonevane-core/src/clients/session.rs
@@ -12,12 +12,12 @@
 use crate::reply::ConnId;
 use crate::timers::ConnectionTimer;
 
-/// Most pending requests of one connection before its first answer, while the size of its answers is unknown.
-/// Further requests stay unread.
+/// Maximum number of pending requests of one connection before its first answer, while the size of its
+/// answers is unknown. Further requests stay unread.
 const INITIAL_PIPELINE_LIMIT: usize = 16;
-/// Most pending requests of one connection.
+/// Maximum number of pending requests of one connection.
 const MAX_PIPELINE_LIMIT: usize = 64;
-/// Divisor of the memory budget: the quotient is the most that all answers of one connection together take.
+/// Divisor of the memory budget: all pending answers of one connection together take at most the quotient.
 const PIPELINE_MEMORY_DIVISOR: usize = 16;
 /// Chunk size of reads, in bytes. A longer command waits for memory.
 pub const READ_CHUNK_BYTES: usize = 4096;
@@ -71,18 +71,18 @@
     input: BytesMut,
     /// Memory for a long command.
     command_memory: Option<MemoryReservation>,
-    /// Whether the session is queued for that memory.
+    /// Whether the session is queued for the memory of a long command.
     awaits_memory: bool,
     pending_write: Option<PendingWrite>,
     /// Slots for answers, in the order of the commands.
     pub slots: VecDeque<Slot>,
     /// Sequence number of the first slot.
     pub first_slot: u64,
-    /// Whether no more input is read: its framing is invalid, a time limit has expired, or the connection
-    /// table is full.
+    /// Whether no more input is read, because the framing of the input is invalid, a time limit has expired,
+    /// or the connection table is full.
     pub input_closed: bool,
-    /// Whether only the connections reserved for rejections were left when this one was accepted. Cleared by
-    /// the first request that is not rejected for this reason.
+    /// Whether only the connections reserved for rejections were left when this connection was accepted.
+    /// Cleared by the first request that is not rejected because of the full table.
     pub over_capacity: bool,
     /// Size of the longest answer so far, in bytes.
     longest_answer_bytes: usize,
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Most requests that may be pending at once: a client that does not read its answers must not fill the
-    /// memory budget.
+    /// Maximum number of requests that may be pending at once: a client that does not read its answers must
+    /// not fill the memory budget.
     fn pipeline_limit(&self, memory: usize) -> usize {
         match self.longest_answer_bytes {
             0 => INITIAL_PIPELINE_LIMIT,
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Returns whether the session needs memory for a long command and is not queued for it yet. It counts as
-    /// queued from then on.
+    /// Returns whether the session needs memory for a long command and is not queued for it yet. After `true`
+    /// the session counts as queued.
     pub fn must_queue_for_memory(&mut self, memory: usize) -> bool {
         let must_queue = self.accepts_request(memory)
             && self.command_memory.is_none()
@@ -177,7 +177,7 @@
         must_queue
     }
 
-    /// Takes the memory for a long command if the command is still incomplete.
+    /// Keeps the granted memory if input still waits for it; otherwise the memory is released.
     pub fn on_memory_granted(&mut self, reservation: MemoryReservation) {
         self.awaits_memory = false;
         if !self.input.is_empty() && !self.input_closed {
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Replaces a streamed answer of which nothing has been handed out for writing. Returns the replaced
-    /// answer.
+    /// Replaces a streamed answer if nothing of it has been handed out for writing, and returns the replaced
+    /// one. Otherwise changes nothing and returns `None`.
     pub fn replace_unstarted_stream(&mut self, slot: u64, answer: Bytes) -> Option<StreamedAnswer> {
         let index = self.slot_index(slot)?;
         let entry = self.slots.get_mut(index)?;
@@ -382,7 +382,8 @@
         self.streamed_bytes_in_write = 0;
     }
 
-    /// Handles the completion of the pending write.
+    /// Releases the memory of the completed write, restarts the idle time, and frees the written part of a
+    /// streamed answer's buffer.
     pub fn on_write_complete(&mut self, now: Micros) {
         self.pending_write = None;
         self.idle_since = now;
@@ -439,7 +440,8 @@
         [command, write, idle].into_iter().flatten().min()
     }
 
-    /// Handles the expiry of the earliest time limit.
+    /// Returns which time limit has expired. If it is that of a command, input ends and an error reply is
+    /// queued.
     pub fn on_timeout(&mut self, now: Micros, memory: usize) -> SessionTimeout {
         if self.pending_write.as_ref().is_some_and(|write| write.deadline <= now) {
             return SessionTimeout::Write;
--- a/crates/stonevane-core/src/clients/slot.rs
+++ b/crates/stonevane-core/src/clients/slot.rs
@@ -108,7 +108,7 @@
         self.buffered_bytes -= bytes.min(self.buffered_bytes);
     }
 
-    /// Returns whether there is space for another piece.
+    /// Returns whether less than half of [`STREAM_BUFFER`] is in use, so that another piece may be read.
     pub fn has_space(&self) -> bool {
         self.buffered_bytes < STREAM_BUFFER / 2
     }
--- a/crates/stonevane-core/src/discovery_timeouts.rs
+++ b/crates/stonevane-core/src/discovery_timeouts.rs
@@ -11,14 +11,15 @@
 const SHARED_CONNECT_TIMEOUT: Micros = 1_000_000;
 /// Allowed delay of a line from a shared service after the heartbeat is due.
 const SHARED_HEARTBEAT_SLACK: Micros = 500_000;
-/// Bounds of the answer timeout of a shared service. It answers calls in turn, one per node in about the
-/// staleness limit of the list, so the timeout is that limit within these bounds.
+/// Bounds of the answer timeout of a shared service. The service answers calls one after another, and each
+/// node calls about once in the staleness limit of the list. The timeout is therefore the staleness limit,
+/// within these bounds.
 const MIN_SHARED_ANSWER_TIMEOUT: Micros = 1_000_000;
 const MAX_SHARED_ANSWER_TIMEOUT: Micros = 4_000_000;
 
 /// The answer timeout of an agent, which runs on this machine and answers at once, is the drain grace divided
-/// by this. Together with the reconnect delay it is within the grace: a drain counts as notified even without
-/// an open call.
+/// by this. The answer timeout and the reconnect delay together are within the drain grace, because the drain
+/// of a server counts as notified even while no call to the agent is open.
 const AGENT_ANSWER_DIVISOR: Micros = 2;
 /// The delay before the agent is called again is the drain grace divided by this.
 const AGENT_RECONNECT_DIVISOR: Micros = 8;
@@ -30,13 +31,13 @@
 /// First calls of processes that start together are spread over the staleness limit of the list divided by
 /// this.
 const FIRST_CALL_DIVISOR: Micros = 4;
-/// The longest delay of the first call. A change counts as notified six seconds after discovery has it, and
-/// the call must also wait for its turn within that time.
+/// The longest delay of the first call. A change counts as notified six seconds after it reaches discovery,
+/// and within that time the call must also wait until the shared service answers it.
 const MAX_FIRST_CALL_DELAY: Micros = 2_500_000;
 
 /// Returns the delay before the first call to a shared discovery service by a process that has a cached list.
-/// It is drawn from the seed, so that processes that start together spread their calls. A deployment's only
-/// node calls at once.
+/// The delay is drawn from the seed, so that processes that start together spread their calls. A deployment's
+/// only node calls at once.
 pub fn first_call_delay(settings: &Settings, seed: u64) -> Micros {
     let nodes = Micros::from(settings.nodes.max(1));
     let window = (settings.list_staleness_limit / FIRST_CALL_DIVISOR).min(MAX_FIRST_CALL_DELAY);
@@ -48,12 +49,12 @@
 /// Timeouts of calls to one discovery service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DiscoveryTimeouts {
-    /// Limit until the connection is open.
+    /// Longest time until the connection is open.
     pub connect: Micros,
-    /// Limit for each part of the answer's beginning.
+    /// Longest wait for further bytes until the beginning of the answer is complete.
     pub answer: Micros,
-    /// Limit until the next line of a watch. Changes that a silent watch misses count as notified six seconds
-    /// after its last line.
+    /// Longest wait for the next line of a watch. Changes that a silent watch misses count as notified six
+    /// seconds after its last line.
     pub silence: Micros,
     /// Delay before a watch on an agent's pushed lists is reopened.
     pub reconnect_delay: Micros,
--- a/crates/stonevane-core/src/faults.rs
+++ b/crates/stonevane-core/src/faults.rs
@@ -14,13 +14,14 @@
     ResetNotRun,
     /// Server connections of abandoned attempts stay open.
     LeakConnection,
-    /// The idempotency window counts as far longer than it is.
+    /// The idempotency window counts as 100 times as long as it is.
     LongWindow,
     /// SIGTERM closes client connections with pending answers.
     LoseAtTerm,
     /// Deltas that are older than the current list are applied.
     OldList,
-    /// Answers are written in the order of their arrival.
+    /// Each answer goes to the first pending request of its connection, not to the request that it belongs
+    /// to.
     SwapAnswers,
     /// Memory reserved for a request is never released.
     LeakMemory,
--- a/crates/stonevane-core/src/handover.rs
+++ b/crates/stonevane-core/src/handover.rs
@@ -64,14 +64,14 @@
 /// Status that a process announces to the node's other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProcessStatus {
-    /// Start time and process number; the newest process is the greatest in this order.
+    /// Start time, in Unix microseconds, and process id. The newest process is the greatest in this order.
     pub started: (Micros, u32),
-    /// Lifecycle stage.
+    /// Whether the process is starting, serving or draining.
     pub stage: ProcessStage,
     /// The capacity that the process may use.
     pub capacity: Capacity,
-    /// Requests in flight. The origin limits and those of servers in slow start are divided in proportion to
-    /// them.
+    /// Requests in flight. The origin limits and the limits of servers in slow start are divided between the
+    /// processes in proportion to their requests in flight.
     pub in_flight: usize,
 }
 
@@ -100,7 +100,8 @@
         Some(ProcessStatus { started, stage, capacity, in_flight: in_flight.parse().ok()? })
     }
 
-    /// Weight in the division of limits; positive even without requests.
+    /// Weight of the process in the division of the origin limits and of the limits of servers in slow start;
+    /// positive even without requests.
     fn weight(&self) -> f64 {
         self.in_flight as f64 + 1.0
     }
@@ -109,7 +110,7 @@
 /// The part of the node's limits that this process may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CapacityGrant {
-    /// Connections and memory.
+    /// Number of connections and bytes of memory that this process may use.
     pub capacity: Capacity,
     /// Share of the node's quota at the origin and at servers in slow start, from 0 to 1.
     pub share: f64,
@@ -153,7 +154,8 @@
     needed.at_most(own.capacity)
 }
 
-/// Capacity that the others leave, at most all but the spare for a starting process, and at least that spare.
+/// Returns the capacity that the other processes leave, but at least the spare for a starting process, and at
+/// most the node's capacity without that spare.
 fn capacity_of_newest(node_capacity: Capacity, others: &[ProcessStatus]) -> Capacity {
     let spare = node_capacity.divided_by(SPARE_DIVISOR);
     let announced = others.iter().fold(Capacity::default(), |sum, other| sum.plus(other.capacity));
--- a/crates/stonevane-core/src/io.rs
+++ b/crates/stonevane-core/src/io.rs
@@ -32,7 +32,7 @@
     CallReplied(ConnId, Reply),
     /// Discovery has sent a full list or a delta.
     List(DiscoveryEpoch, EndpointList),
-    /// A call to discovery failed, or the watch broke. It is not known how long nothing had arrived before.
+    /// A call to discovery failed, or the watch broke. The time without received bytes is unknown.
     ListFailed(DiscoveryEpoch),
     /// A call to discovery failed, or the watch broke, after a known time without received bytes.
     ListTimedOut {
@@ -43,7 +43,8 @@
         /// Whether the call timed out after it had received at least one line.
         was_established: bool,
     },
-    /// The store of record has failed: calls to it are pointless for this long. 0: it answers again.
+    /// The store of record has failed and is not expected to answer calls for this time. 0: the store answers
+    /// again.
     OriginUnavailable(Micros),
     /// The address of discovery has changed.
     DiscoveryMoved(SocketAddr),
@@ -53,8 +54,8 @@
     ReloadFailed,
     /// An operator excludes (`true`) or reinstates (`false`) the cache server of this name.
     Exclude(String, bool),
-    /// Number of nodes that share the deployment's limits, from gossip. The number in the settings is used if
-    /// larger.
+    /// Number of nodes that share the deployment's limits, from gossip. The number in the settings applies if
+    /// it is larger.
     NodeCount(u32),
     /// This process's part of the node's capacity, which all processes of the node share.
     Handover(CapacityGrant),
@@ -82,17 +83,18 @@
     pub time_left_ms: u64,
     /// Caches that reported a miss for this request.
     pub missed_caches: Vec<SocketAddr>,
-    /// The newest version of the key that one of these caches has been notified of. An older version must not
-    /// be served.
+    /// The newest version of the key that one of the caches in `missed_caches` has been notified of. An older
+    /// version must not be served.
     pub min_version: u64,
 }
 
-/// A request to discovery. Every input that results from it names its epoch.
+/// A request to discovery. Every input that results from the request carries the epoch of its
+/// [`DiscoveryCall`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryRequest {
-    /// Begin the watch and replace an earlier one. The end of the watch is an input.
+    /// Begin the watch, and end an earlier one. When the new watch ends, an input reports it.
     Watch {
-        /// The version of the current list, if there is one.
+        /// Version of the current list, after which changes are reported; `None` without a list.
         after: Option<u64>,
     },
     /// End the watch.
@@ -112,7 +114,7 @@
     pub request: DiscoveryRequest,
     /// Address of the discovery service.
     pub address: SocketAddr,
-    /// Distinguishes the current discovery service from earlier ones.
+    /// Epoch of the called discovery service. Results of earlier epochs are ignored.
     pub epoch: DiscoveryEpoch,
     /// Timeouts of the call.
     pub timeouts: DiscoveryTimeouts,
@@ -136,15 +138,16 @@
     /// [`Input::WriteClosed`] follows. If input has arrived on the connection, it is passed to the core
     /// first, and this acts as an [`Output::Write`].
     WriteAndClose(ConnId, Bytes),
-    /// Write a request to a server connection. The server may have closed it in the meantime: if input or a
-    /// close has arrived on it, that is passed to the core and nothing is written. [`Input::Flushed`]
-    /// follows.
+    /// Write a request to a server connection. The server may have closed the connection in the meantime: if
+    /// input or a close has arrived on the connection, the driver passes it to the core and writes nothing.
+    /// Otherwise [`Input::Flushed`] follows.
     WriteRequest {
         /// The server connection.
         id: ConnId,
         /// The encoded request.
         bytes: Bytes,
-        /// Whether to check the socket itself first, because the request is not idempotent.
+        /// Whether the driver first checks the socket itself for input or a close, because the request is not
+        /// idempotent.
         check_socket: bool,
     },
     /// Open a connection.
--- a/crates/stonevane-core/src/list.rs
+++ b/crates/stonevane-core/src/list.rs
@@ -2,8 +2,8 @@
 
 use serde::Deserialize;
 
-/// Number of the discovery service in use, raised when its address changes. List versions of different epochs
-/// are not comparable.
+/// Identifier of the discovery service in use, incremented when the address of discovery changes. List
+/// versions of different epochs are not comparable.
 pub type DiscoveryEpoch = u64;
 
 /// A full endpoint list or a delta.
@@ -12,7 +12,7 @@
     /// Version of the list.
     #[serde(default, rename = "index")]
     pub version: u64,
-    /// Whether it is the full list, not a delta.
+    /// Whether this is the full list; `false` for a delta.
     #[serde(default)]
     pub snapshot: bool,
     /// The listed servers; in a delta, those that have changed.
@@ -27,13 +27,13 @@
     /// Socket address; empty if it is unchanged.
     #[serde(default)]
     pub address: String,
-    /// Name of its zone.
+    /// Name of the server's zone.
     #[serde(default)]
     pub zone: String,
-    /// Name of its machine type.
+    /// Name of the server's machine type.
     #[serde(default, rename = "type")]
     pub kind: String,
-    /// Number of the server's cell.
+    /// Identifier of the server's cell.
     #[serde(default)]
     pub group: u16,
     /// `active`, `leaving` or `left`.
--- a/crates/stonevane-core/src/management.rs
+++ b/crates/stonevane-core/src/management.rs
@@ -4,11 +4,12 @@
 
 use stonevane_codec::http::{self, Malformed};
 
-/// The longest request head, in bytes. The request target may have half of that.
+/// The longest request head, in bytes. The request target may take half of this length.
 pub const MAX_HEAD: usize = 4096;
-/// The longest request body. Bodies are ignored; a longer one is rejected before it is read.
+/// The longest request body, in bytes. Bodies are ignored; a call with a longer body is rejected before the
+/// body is read.
 const MAX_BODY_BYTES: usize = 1024;
-/// The longest name of a cache server.
+/// The longest name of a cache server in a call, in bytes.
 const MAX_NAME_BYTES: usize = 120;
 
 /// A call from an operator or the platform.
@@ -52,7 +53,7 @@
         Answer { status: 200, allow: None, json: true, body }
     }
 
-    /// HTTP status code.
+    /// Returns the HTTP status code of the answer.
     pub fn status(&self) -> u16 {
         self.status
     }
--- a/crates/stonevane-core/src/memory.rs
+++ b/crates/stonevane-core/src/memory.rs
@@ -49,7 +49,8 @@
         MemoryBudget { reserved: Arc::default(), capacity: units, limit: units, waiting: VecDeque::new() }
     }
 
-    /// Limits new reservations to a total of this many bytes. Existing reservations stay.
+    /// Sets how many bytes may be reserved in total. Existing reservations stay even if they exceed the new
+    /// limit.
     pub fn set_limit(&mut self, bytes: usize) {
         self.limit = (bytes / UNIT_BYTES).min(self.capacity as usize) as u32;
     }
@@ -102,7 +103,7 @@
         Some((conn, reservation))
     }
 
-    /// Removes a connection from the queue.
+    /// Removes a connection from the queue of connections that wait for memory.
     pub fn cancel(&mut self, conn: ConnId) {
         self.waiting.retain(|(waiting, _)| *waiting != conn);
     }
--- a/crates/stonevane-core/src/metrics.rs
+++ b/crates/stonevane-core/src/metrics.rs
@@ -5,7 +5,7 @@
 
 use serde::Serialize;
 
-/// The most classes that are counted, including removed ones.
+/// Maximum number of classes that are counted, including removed ones.
 const MAX_CLASSES: usize = 1024;
 
 /// Request counters of one class.
@@ -99,7 +99,7 @@
     pub failed: BTreeMap<&'a str, u64>,
     /// Attempts written completely to servers, the origin included.
     pub attempts: u64,
-    /// Requests in flight.
+    /// Requests that have no final answer yet.
     pub in_flight: usize,
     /// Cache servers in the list.
     pub cache_servers_known: usize,
--- a/crates/stonevane-core/src/node/attempts.rs
+++ b/crates/stonevane-core/src/node/attempts.rs
@@ -12,7 +12,8 @@
 use crate::timers::TimerKind;
 use crate::trace::CloseReason;
 
-/// Smallest remaining time that is sent to a server, in milliseconds: 0 would mean that none is stated.
+/// Smallest remaining time that is sent to a server, in milliseconds: 0 would mean that no remaining time is
+/// stated.
 const MIN_TIME_LEFT_MS: u64 = 1;
 /// Connection id of an attempt without a connection.
 const NO_CONNECTION: ConnId = 0;
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Withdraws an attempt whose request is not completely written: the server has not run it and cannot do
-    /// so.
+    /// Withdraws an attempt if its request is still being written: the server cannot have run an incomplete
+    /// request.
     pub(super) fn withdraw_attempt(&mut self, key: AttemptKey) {
         let Some(conn) = self.attempts.get(&key).map(|attempt| attempt.conn) else { return };
         let state = self.connections.pool.get(conn).map(|conn| conn.state);
@@ -145,7 +146,7 @@
         self.end_attempt(key, status);
     }
 
-    /// Records that an attempt's server has responded, and so is up.
+    /// Records the time of a response from an attempt's server, as evidence that the server is up.
     pub(super) fn record_server_response(&mut self, key: AttemptKey) {
         if let Some(attempt) = self.attempts.get(&key) {
             self.endpoints.set_last_response_at(attempt.server, self.now);
@@ -214,8 +215,8 @@
     }
 
     /// Opens a new connection, once, for an attempt whose connection was lost before its request was written.
-    /// Only after the loss of a reused connection, which the server may have closed unnoticed: if a
-    /// connection without an earlier request is lost, the attempt fails.
+    /// Applies only if the lost connection had carried an earlier request, because the server may have closed
+    /// it while it was idle. If a new connection is lost, the attempt fails.
     pub(super) fn retry_on_new_connection(&mut self, key: AttemptKey, was_used: bool) {
         let server = self.attempts.get(&key).map(|attempt| attempt.server).filter(|_| was_used);
         let target = server.and_then(|server| self.endpoints.target(server));
--- a/crates/stonevane-core/src/node/client_io.rs
+++ b/crates/stonevane-core/src/node/client_io.rs
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Handles the timer of a connection. Its time limit may have moved since the timer was set.
+    /// Handles the timer of a client or server connection. The connection's time limit may have moved since
+    /// the timer was set.
     pub(super) fn on_connection_limit(&mut self, id: ConnId) {
         let memory = self.connections.memory.capacity();
         let clients = &mut self.connections.clients;
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Writes the answers that are ready, and queues the session for memory if it needs some.
+    /// Writes the answers that are ready, and queues the session for memory if a long command needs it.
     fn write_answers(&mut self, id: ConnId) {
         let clients = &mut self.connections.clients;
         let Some(session) = clients.sessions.get_mut(&id) else { return };
--- a/crates/stonevane-core/src/node/config.rs
+++ b/crates/stonevane-core/src/node/config.rs
@@ -30,9 +30,10 @@
     pub clients: operator::Clients,
     /// Settings for connections to servers.
     pub servers: operator::Servers,
-    /// Whether a store of record replaces the origin. The driver makes the calls to it.
+    /// Whether a store of record replaces the origin. The driver makes the calls to the store.
     pub has_store: bool,
-    /// Whether the driver notifies caches of writes. It needs their addresses for that.
+    /// Whether the driver notifies caches of writes. The core then sends the driver the addresses of the
+    /// caches.
     pub notifies_caches: bool,
     /// Sockets reserved for purposes other than clients, servers and discovery.
     pub other_sockets: usize,
--- a/crates/stonevane-core/src/node/connections.rs
+++ b/crates/stonevane-core/src/node/connections.rs
@@ -24,14 +24,14 @@
 const CLOSING_SOCKETS_DIVISOR: usize = 32;
 /// Memory reserved for a second process of the node, in megabytes.
 const SECOND_PROCESS_MB: usize = 6;
-/// Divisor of the node's memory: the quotient is the most that is reserved for a second process.
+/// Divisor of the node's memory: at most the quotient is reserved for a second process.
 const SECOND_PROCESS_MEMORY_DIVISOR: usize = 4;
 /// Divisor of the client connections: the quotient is reserved for connections whose first request is
 /// rejected.
 const REJECTION_CAPACITY_DIVISOR: usize = 8;
-/// Upper bound of the longest value in a server's reply that is buffered, in bytes.
+/// Upper bound of [`Connections::max_reply_value`], in bytes, for any memory budget.
 const MAX_REPLY_VALUE: usize = 4 * 1024 * 1024;
-/// Divisor of the memory budget: the quotient is the most that one buffered value takes.
+/// Divisor of the memory budget: one buffered value is at most as long as the quotient.
 const REPLY_VALUE_MEMORY_DIVISOR: usize = 4;
 /// Divisor of the longest latency objective: the quotient, clamped to the bounds below, is the stall timeout.
 const STALL_TIMEOUT_DIVISOR: Micros = 8;
@@ -42,11 +42,11 @@
 /// more than two thirds of them.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ConnectionLimits {
-    /// Most client and server connections together.
+    /// Maximum number of client and server connections together.
     pub total: usize,
-    /// Most connections of clients, and most connections of servers.
+    /// Maximum number of client connections, and also of server connections.
     pub per_side: usize,
-    /// Client connections that are reserved for rejections.
+    /// Number of client connections reserved for clients whose first request is rejected.
     pub reserved_for_rejections: usize,
 }
 
@@ -69,10 +69,10 @@
     }
 }
 
-/// Eviction on behalf of clients that have not been accepted yet.
+/// State of the eviction that makes capacity for clients that have connected but are not accepted yet.
 #[derive(Debug, Default)]
 pub(super) struct Eviction {
-    /// The connection that is being closed for this.
+    /// The client connection that is being evicted.
     closing: Option<ConnId>,
     /// Time of the eviction timer, if it is set.
     pub timer_at: Option<Micros>,
@@ -88,8 +88,8 @@
     pub memory: MemoryBudget,
     /// Clients with answers that have not been written yet.
     pub answered_clients: VecDeque<ConnId>,
-    /// Longest value in a server's reply that is buffered, in bytes. Memory bounds it, not the length of values
-    /// that clients may write through this node: stored values may be longer.
+    /// Longest value in a server's reply that is buffered, in bytes. The memory budget determines this limit,
+    /// not the longest value that clients may write through this node: stored values may be longer than that.
     pub max_reply_value: usize,
     /// A reply that has begun and makes no progress for this time counts as malformed.
     pub stall_timeout: Micros,
@@ -123,7 +123,8 @@
         self.stall_timeout = timeout.clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT);
     }
 
-    /// Returns the capacity of the whole node: of all its processes together.
+    /// Returns the capacity of all processes of the node together. Only valid before a capacity grant lowers
+    /// the connection limit of this process.
     pub fn capacity(&self) -> Capacity {
         Capacity { connections: self.limits.total, memory: self.memory.capacity() }
     }
@@ -157,9 +158,10 @@
         self.pool.len() >= self.limits.per_side || self.free() <= 1
     }
 
-    /// Returns an idle server connection to close in favor of connecting clients. Server connections beyond
-    /// the third that clients cannot take are closed as soon as few connections are free, the others once
-    /// none is free.
+    /// Returns an idle server connection to close in favor of connecting clients. Clients cannot take one
+    /// third of the connections. If servers hold more than that third, idle server connections are closed
+    /// once fewer connections are free than are reserved for rejections; otherwise only once no connection is
+    /// free.
     fn surplus_idle(&self) -> Option<ConnId> {
         let free = self.free();
         let server_share = self.limits.total - self.limits.per_side;
@@ -193,8 +195,8 @@
         has_capacity || self.faults.injects(Mutant::ExceedConnectionLimit)
     }
 
-    /// Returns how many bytes may be read from a connection now. After 0, nothing may be read until
-    /// [`Output::Resume`].
+    /// Returns how many bytes may be read from a connection now. After a result of 0, nothing may be read
+    /// until [`Output::Resume`].
     pub fn read_budget(&mut self, id: ConnId) -> usize {
         let memory = self.connections.memory.capacity();
         if let Some(session) = self.connections.clients.sessions.get_mut(&id) {
@@ -209,8 +211,8 @@
         budget
     }
 
-    /// Returns whether a client connection is still to be closed: input that arrived in the same turn cancels
-    /// an [`Output::CloseIfIdle`].
+    /// Returns whether a client connection is still to be closed: input that arrives before the driver
+    /// executes an [`Output::CloseIfIdle`] cancels it.
     pub fn is_closing(&self, id: ConnId) -> bool {
         self.connections.clients.sessions.get(&id).is_some_and(|session| session.closing)
     }
@@ -221,9 +223,10 @@
         }
     }
 
-    /// Evicts clients in favor of one that was accepted, since its request may already be in flight. This
-    /// applies when the client table is nearly full, and from half full on, so that the idle connections of
-    /// this node do not fill the connection table of a load balancer in front of it.
+    /// Evicts clients in favor of one that was just accepted, since the new client's request may already be
+    /// in flight. Eviction begins when clients hold more than half of the connections that they may take, so
+    /// that idle connections to this node do not fill the connection table of a load balancer in front of it,
+    /// or when only the connections reserved for rejections are left.
     pub(super) fn evict_for_accepted(&mut self, accepted: ConnId) {
         let is_half_full = self.connections.clients.len() > self.connections.limits.per_side / 2;
         if !self.connections.only_reserved_left() && !is_half_full {
@@ -284,7 +287,7 @@
         }
     }
 
-    /// Tells the driver to close a connection.
+    /// Counts and traces the reason for closing a connection, and instructs the driver to close it.
     pub(super) fn close_connection(&mut self, id: ConnId, reason: CloseReason) {
         self.note_close(id, reason);
         self.out.push_back(Output::Close(id));
--- a/crates/stonevane-core/src/node/discovery.rs
+++ b/crates/stonevane-core/src/node/discovery.rs
@@ -17,9 +17,9 @@
     pub epoch: DiscoveryEpoch,
     /// Version of the current list; `None` without a list from this service.
     pub list_version: Option<u64>,
-    /// Earliest time of the first watch; `None` once it is open.
+    /// Earliest time of the process's first watch; `None` if that watch need not wait or has been opened.
     pub first_watch_at: Option<Micros>,
-    /// Whether no more calls are made since one has failed: an injected fault.
+    /// Whether no more calls are made because one has failed; only set by [`Mutant::NoDiscoveryRetry`].
     pub calls_stopped: bool,
 }
 
@@ -45,7 +45,7 @@
         }));
     }
 
-    /// Opens a watch; the process's first watch is delayed until its start time.
+    /// Opens a watch; the process's first watch is delayed until `first_watch_at`.
     pub(super) fn open_watch(&mut self) {
         match self.discovery.first_watch_at {
             Some(at) if at > self.now => self.timers.push(at, TimerKind::FirstWatch),
@@ -69,8 +69,9 @@
         self.notify_policy(Event::ServerList { kind: ListUpdate::Failed, servers: Vec::new() });
     }
 
-    /// Switches to another discovery service and fetches its full list. Its list versions are independent of
-    /// those of the previous service, so that a watch from the old version on might never return an update.
+    /// Switches to another discovery service and fetches its full list. The list versions of two services are
+    /// independent: a watch at the new service that starts from a version of the previous one might never
+    /// return an update.
     pub(super) fn move_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery.address {
             return;
--- a/crates/stonevane-core/src/node/drain.rs
+++ b/crates/stonevane-core/src/node/drain.rs
@@ -22,9 +22,10 @@
 const MAX_DRAIN_DEADLINE: Micros = 3_000_000;
 /// Time before the drain's end at which pending requests are ended with a final answer.
 const ANSWER_BEFORE_END: Micros = 60_000;
-/// Delay from the end of accepting to the first check whether the drain is complete.
+/// Delay of the first check whether the drain is complete, counted from [`ACCEPT_AFTER_TERMINATE`] after
+/// SIGTERM.
 const FIRST_CHECK_DELAY: Micros = 20_000;
-/// Interval of further checks.
+/// Interval between later checks whether the drain is complete.
 const CHECK_INTERVAL: Micros = 10_000;
 
 /// Lifecycle phase of a node.
@@ -41,7 +42,7 @@
 /// State of the graceful shutdown.
 pub(super) struct Drain {
     pub phase: Phase,
-    /// Latest end of the process; `None` before SIGTERM.
+    /// Time at which the process ends even if the drain is not complete; `None` before SIGTERM.
     pub ends_at: Option<Micros>,
 }
 
@@ -57,7 +58,7 @@
     node_capacity: Capacity,
     /// Whether a newer process accepts clients.
     pub replaced: bool,
-    /// Whether another process accepts from the same listener.
+    /// Whether another process of the node accepts clients from this process's listener.
     pub listener_shared: bool,
 }
 
--- a/crates/stonevane-core/src/node/endpoints.rs
+++ b/crates/stonevane-core/src/node/endpoints.rs
@@ -179,7 +179,7 @@
 /// Context for applying the entries of one list.
 #[derive(Clone, Copy)]
 struct ListContext {
-    /// Whether a full list is older than the current one.
+    /// Whether this is a full list that is older than the current list.
     is_older: bool,
     /// Start times of the listed servers, if this is the first list of the process.
     first_list: Option<FirstList>,
--- a/crates/stonevane-core/src/node/mod.rs
+++ b/crates/stonevane-core/src/node/mod.rs
@@ -55,9 +55,10 @@
 /// After a process pause, time for which only inputs are handled before timers fire and requests are sent: a
 /// client's request may be read before the list that drains its server, though both arrived during the pause.
 const CATCH_UP_DURATION: Micros = 5_000;
-/// Stale timers are pruned once there are more timers than this ...
+/// All stale timers are dropped once there are more timers than this number plus [`PRUNE_TIMERS_PER_ENTRY`]
+/// for each request, attempt and connection.
 const PRUNE_MIN_TIMERS: usize = 512;
-/// ... plus this many for each request, attempt and connection.
+/// Number of timers allowed for each request, attempt and connection; see [`PRUNE_MIN_TIMERS`].
 const PRUNE_TIMERS_PER_ENTRY: usize = 8;
 
 /// A node without I/O: takes inputs with their time, returns outputs and the time of the next timer.
@@ -146,8 +147,8 @@
         next.map(|next| next.max(self.catching_up_until.unwrap_or(0)))
     }
 
-    /// Handles an input and appends the resulting outputs. A `now` earlier than that of a previous call
-    /// counts as the latter.
+    /// Handles an input and appends the resulting outputs. Time never runs backwards: an earlier `now` than
+    /// that of a previous call counts as the time of that call.
     pub fn handle(&mut self, now: Micros, input: Input<'_>, outputs: &mut Outputs) {
         self.now = self.now.max(now);
         self.detect_pause();
@@ -230,7 +231,8 @@
         }
     }
 
-    /// Runs after every input: distributes memory and connections that became free.
+    /// Runs after every input: distributes memory and connections that became free, and enters the ready
+    /// phase once a server is ready.
     fn settle(&mut self) {
         self.process_ready_connections();
         self.prune_timers();
@@ -254,8 +256,8 @@
         }
     }
 
-    /// Drops stale timers, of finished requests and attempts and of closed connections: always those that are
-    /// the next to fire, and all of them once there are too many timers.
+    /// Drops stale timers: those of finished requests, finished attempts and closed connections. Stale timers
+    /// that would fire next are always dropped, the others only once there are too many timers.
     fn prune_timers(&mut self) {
         let requests = &self.requests;
         let attempts = &self.attempts;
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Returns whether a connection is a client connection.
+    /// Returns whether `id` is an open client connection; `false` for server connections and closed ones.
     pub fn is_client(&self, id: ConnId) -> bool {
         self.connections.clients.sessions.contains_key(&id)
     }
--- a/crates/stonevane-core/src/node/policy.rs
+++ b/crates/stonevane-core/src/node/policy.rs
@@ -12,7 +12,8 @@
 use crate::request::FinalAnswer;
 use crate::timers::TimerKind;
 
-/// Shortest delay of a policy timer.
+/// Shortest delay of a policy timer. A timer without delay that re-arms itself would be due again within the
+/// same call of [`Core::handle`], without end.
 const MIN_TIMER_DELAY: Micros = 1;
 
 /// The policy and the queue of its events.
--- a/crates/stonevane-core/src/node/reload.rs
+++ b/crates/stonevane-core/src/node/reload.rs
@@ -17,13 +17,13 @@
 /// on sockets.
 const TRANSITION_DURATION: Micros = 1_250_000;
 
-/// New settings in transition.
+/// New settings that apply fully once the transition has ended.
 struct PendingReload {
     complete_at: Micros,
     deployment: Box<Deployment>,
 }
 
-/// State that modifies the current settings.
+/// Changes to the settings at run time: a reload in transition, and the number of nodes.
 #[derive(Default)]
 pub(super) struct Reload {
     pending: Option<PendingReload>,
@@ -33,7 +33,8 @@
 }
 
 impl<F: Faults> Core<F> {
-    /// Applies new settings, combined with the previous ones until the transition ends.
+    /// Applies new settings, combined with the previous ones until the transition ends. Settings that would
+    /// exceed the number of request classes that can be counted are rejected.
     pub(super) fn begin_reload(&mut self, deployment: Box<Deployment>) {
         if self.reporter.metrics.register_classes(&deployment.classes).is_none() {
             self.log("reload: rejected, too many request classes since the process started".into());
@@ -123,7 +124,7 @@
         Settings { total_cache_weight, ..self.settings_without_subset() }
     }
 
-    /// The settings with the number of nodes from gossip.
+    /// The settings with the number of nodes from gossip, and with 0 as the weight of all cache servers.
     pub(super) fn settings_without_subset(&self) -> Settings {
         let mut settings = self.deployment.settings.clone();
         settings.nodes = settings.nodes.max(self.reload.node_count);
@@ -131,7 +132,7 @@
         settings
     }
 
-    /// The tenants' previous positions if no tenant has changed.
+    /// The previous position of each tenant, for [`Core::notify_settings`], if no tenant has changed.
     pub(super) fn unchanged_tenants(&self) -> Vec<Option<usize>> {
         (0..self.deployment.tenants.len()).map(Some).collect()
     }
--- a/crates/stonevane-core/src/node/reports.rs
+++ b/crates/stonevane-core/src/node/reports.rs
@@ -27,7 +27,7 @@
         Reporter { metrics, trace: Trace::default(), class_slots }
     }
 
-    /// Uses these classes for counting from now on.
+    /// Sets the classes of the current settings. The counters of earlier classes stay.
     pub fn set_classes(&mut self, classes: &[String]) {
         self.class_slots = self.metrics.register_classes(classes).unwrap_or_default();
     }
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Traces a step of a request with the client's id of the request and the core's.
+    /// Traces a step of a request. The line names both ids of the request: the one that the client chose and
+    /// the core's own.
     pub(super) fn trace_request(&mut self, request: RequestId, text: Arguments<'_>) {
         if !self.reporter.trace.is_on() {
             return;
--- a/crates/stonevane-core/src/node/requests.rs
+++ b/crates/stonevane-core/src/node/requests.rs
@@ -15,7 +15,8 @@
 
 /// Upper bound of requests without an answer, even if the settings allow more.
 const MAX_UNANSWERED: usize = 1024;
-/// Copies of a value that a request may hold: its own and the one that is written to a server.
+/// Number of copies of a value that a request may hold: the received one and the one that is written to a
+/// server.
 const VALUE_COPIES: usize = 2;
 
 /// A request without an answer, or with attempts in flight.
@@ -35,7 +36,7 @@
     pub class_slot: usize,
     /// Caches that did not have the key.
     pub missed_caches: Vec<ServerId>,
-    /// Newest version of the key that any of these caches was notified of.
+    /// Newest version of the key that any of the caches in `missed_caches` was notified of; 0 if unknown.
     pub min_version: u64,
 }
 
@@ -91,9 +92,9 @@
     /// Only the connections reserved for rejections are left: the request is rejected and its connection
     /// closed.
     ConnectionTableFull,
-    /// A request with the same id is pending.
+    /// A request with the same client-chosen id is pending.
     DuplicateId,
-    /// Too many requests are pending, or no memory is left for another.
+    /// Too many requests are pending, or no memory is left for another request.
     TooManyPending,
 }
 
@@ -140,7 +141,8 @@
         }
     }
 
-    /// Checks the limits that are not part of the policy, and reserves memory for a request.
+    /// Checks a new request against the limits that are not part of the policy (connections, unique ids,
+    /// pending requests), and reserves memory for it.
     fn check_arrival(
         &mut self,
         client: ConnId,
--- a/crates/stonevane-core/src/node/server_io.rs
+++ b/crates/stonevane-core/src/node/server_io.rs
@@ -13,8 +13,8 @@
 use crate::timers::TimerKind;
 use crate::trace::CloseReason;
 
-/// Longest wait of an attempt for a resting connection when the table is full: about the time to open a
-/// connection.
+/// Longest wait of an attempt for a resting connection (one within its reuse delay) when the connection table
+/// is full: about the time that opening a connection takes.
 const MAX_REST_WAIT: Micros = 3_000;
 /// Shortest connect timeout. There must be one, because an unreachable machine does not respond at all.
 const MIN_CONNECT_TIMEOUT: Micros = 1_000;
@@ -27,7 +27,8 @@
 }
 
 impl<F: Faults> Core<F> {
-    /// Finds or opens a connection for an attempt. Returns `None` if the connection limit leaves none.
+    /// Finds or opens a connection for an attempt. Returns `None` if none is idle and the connection limit
+    /// allows no further one.
     pub(super) fn acquire_connection(
         &mut self,
         target: ServerTarget,
@@ -48,8 +49,9 @@
         Some(AcquiredConnection { id, is_open: target.protocol == Protocol::Store })
     }
 
-    /// If the table is full, reserves a resting connection. Without this, under a load that keeps all
-    /// connections resting, most requests would close one connection and open another.
+    /// If the connection table is full, reserves a connection that is still within its reuse delay (resting).
+    /// Without this reservation, under a load that keeps all idle connections resting, most requests would
+    /// close one connection to open another.
     fn reserve_resting_connection(&mut self, server: ServerId, key: AttemptKey) -> Option<ConnId> {
         if !self.connections.is_full_for_servers() {
             return None;
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Handles a complete reply. Ignored if its connection has been closed.
+    /// Handles a complete reply. A reply on a connection that has been closed is ignored.
     pub(super) fn on_reply(&mut self, id: ConnId, reply: Reply) {
         let Some(key) = self.connections.pool.get(id).and_then(|conn| conn.attempt) else { return };
         self.record_server_response(key);
@@ -210,7 +212,7 @@
         let Some(conn) = self.connections.pool.get(id) else { return };
         let was_written = conn.state == ConnState::Reading;
         let attempt = conn.attempt;
-        // The request that waits for a resting connection is not counted yet.
+        // `requests_carried` does not include the request that waits for a resting connection.
         let was_used = conn.requests_carried + u64::from(conn.state == ConnState::Resting) > 1;
         let stream_target = conn.stream_target;
         let partial_value =
--- a/crates/stonevane-core/src/node/streaming.rs
+++ b/crates/stonevane-core/src/node/streaming.rs
@@ -16,8 +16,8 @@
 const STREAM_STALL_TIMEOUT: Micros = 4_000_000;
 
 impl<F: Faults> Core<F> {
-    /// Whether the client's buffer has space for the streamed value of a server connection. `true` if the
-    /// connection does not stream a value.
+    /// Whether the client's buffer has space for more of the value that a server connection streams. `true`
+    /// if the connection does not stream a value.
     pub(super) fn has_stream_space(&mut self, id: ConnId) -> bool {
         let target = self.connections.pool.get(id).and_then(|conn| conn.stream_target);
         let Some(StreamTarget { client, slot }) = target else { return true };
--- a/crates/stonevane-core/src/reply.rs
+++ b/crates/stonevane-core/src/reply.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use stonevane_policy::{AttemptStatus, CacheStatus, LoadReport, RequestId};
 
-/// Number of a connection to a client or a server; never reused.
+/// Identifier of a connection to a client or a server; never reused.
 pub type ConnId = u64;
 
 /// Identifies an attempt. Keys are ordered by request, then by attempt number.
@@ -30,8 +30,8 @@
     pub load: LoadReport,
     /// The value of a read or the receipt of a write.
     pub value: Option<Bytes>,
-    /// For a miss: the newest version of the key that the cache has been notified of, or 0 if it names none.
-    /// Any older version was overwritten before the request was sent.
+    /// For a miss: the newest version of the key that the cache has been notified of, or 0 if the reply names
+    /// none. Any older version was overwritten before the request was sent.
     pub min_version: u64,
     /// Whether the connection can carry another request.
     pub reusable: bool,
--- a/crates/stonevane-core/src/request.rs
+++ b/crates/stonevane-core/src/request.rs
@@ -9,11 +9,11 @@
 use stonevane_policy::{Key, Micros, RequestClass};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Decimal digits of the largest remaining time.
+/// Decimal digits of the largest `u64`, for a remaining time in milliseconds.
 const MAX_TIME_LEFT_DIGITS: usize = 20;
 /// Digits of a key that is the hexadecimal form of its own hash.
 const HASHED_KEY_DIGITS: usize = 16;
-/// Memory that an answer takes in addition to its value.
+/// Memory that an answer takes in addition to its value, in bytes.
 const ANSWER_OVERHEAD_BYTES: usize = 16;
 
 /// A client's command.
@@ -33,13 +33,13 @@
     pub class: usize,
     /// The class as it was when the request arrived. Later settings do not change it for this request.
     pub rules: RequestClass,
-    /// The most attempts that may be made.
+    /// Maximum number of attempts for the request.
     pub max_attempts: u32,
     /// Index of the request's tenant in the settings.
     pub tenant: usize,
     /// Time that the client waits for the answer, counted from the arrival.
     pub time_left: Micros,
-    /// Whether it is a retry by the client.
+    /// Whether the client states that the request is a retry.
     pub is_retry: bool,
     /// Expected service time in microseconds, if the client states it.
     pub cost: Option<Micros>,
--- a/crates/stonevane-core/src/servers/conn.rs
+++ b/crates/stonevane-core/src/servers/conn.rs
@@ -20,7 +20,7 @@
 const LONG_READ_CHUNK_BYTES: usize = 64 * 1024;
 /// Buffer size of a streamed value, in bytes: one chunk that is being written and one that is arriving.
 pub const STREAM_BUFFER: usize = 2 * LONG_READ_CHUNK_BYTES;
-/// The longest value that is streamed.
+/// The longest value that is streamed, in bytes. A reply with a longer one is malformed.
 const MAX_STREAMED_VALUE_BYTES: usize = 64 * 1024 * 1024;
 
 /// The protocol spoken with a server.
@@ -76,7 +76,7 @@
     pub bytes: Bytes,
     /// Whether it is the last piece of the value.
     pub is_last: bool,
-    /// Once the complete reply has arrived: whether the connection can be used again.
+    /// Whether the connection can be used again; `None` until the complete reply has arrived.
     pub reply_end: Option<bool>,
 }
 
@@ -90,7 +90,8 @@
     Malformed,
     /// The bytes belong to no request.
     Unsolicited,
-    /// The head of a value of this many bytes, which must be streamed. Its memory is reserved.
+    /// The head of a reply whose value, of this many bytes, must be streamed. Memory for the stream's buffer
+    /// is reserved.
     StreamBegins(usize),
     /// A piece of a streamed value.
     Piece(StreamPiece),
@@ -131,7 +132,7 @@
     pub idle_since: Micros,
     /// Number of requests written to the connection.
     pub requests_carried: u64,
-    /// Time by which the current state must have ended.
+    /// Time by which the current state must have ended; `None`: no limit.
     pub deadline: Option<Micros>,
     pub timer: ConnectionTimer,
     /// Whether the driver does not read the connection until [`crate::Output::Resume`].
@@ -198,7 +199,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Handles received bytes.
+    /// Decodes received bytes. In a state in which no reply is expected, they count as unsolicited.
     pub fn on_bytes(&mut self, now: Micros, bytes: &[u8], options: &DecodeOptions<'_>) -> ReadOutcome {
         match self.state {
             ConnState::Streaming => {
@@ -209,7 +210,7 @@
                 self.buffer.extend_from_slice(bytes);
                 self.decode(now, options)
             }
-            // A duplicate or stray bytes behind a reply could be mistaken for the next request's reply.
+            // A duplicate reply or stray bytes behind a reply could be mistaken for the next request's reply.
             ConnState::Connecting | ConnState::Idle | ConnState::Resting | ConnState::Writing => {
                 ReadOutcome::Unsolicited
             }
@@ -265,7 +266,8 @@
         position.filter(|position| position.length > MAX_ARG_BYTES)
     }
 
-    /// Begins to stream the value to a client, and returns the memory reservation of its buffer there.
+    /// Begins to stream the value to a client, and returns the memory reservation for the client's buffer of
+    /// the value.
     pub fn begin_stream(&mut self, target: StreamTarget) -> Option<MemoryReservation> {
         let position = self.long_value_position()?;
         let _ = self.buffer.split_to(position.start);
@@ -306,8 +308,8 @@
     }
 
     /// Returns the memory, in bytes, that must be reserved before more of the reply is read, so that long
-    /// replies together stay within the memory budget. The caller queues the connection for it; from then on
-    /// it counts as queued.
+    /// replies together stay within the memory budget. The caller must queue the connection for that memory:
+    /// from now on the connection counts as queued.
     pub fn must_queue_for_memory(&mut self, max_value: usize) -> Option<usize> {
         let streams = self.long_value_position().is_some();
         let fits_chunk = self.buffer.len() <= READ_CHUNK_BYTES && !streams;
@@ -331,7 +333,8 @@
         self.buffer.reserve(length.saturating_sub(self.buffer.len()));
     }
 
-    /// Returns the number of bytes to buffer for a reply, from its stated length.
+    /// Returns the number of bytes to buffer for a reply: the stated length of its value, between
+    /// `MAX_ARG_BYTES` and `max_value`.
     fn buffered_length(&self, max_value: usize) -> usize {
         let stated = match self.protocol {
             Protocol::Origin => origin::value_length(&self.buffer),
--- a/crates/stonevane-core/src/servers/origin.rs
+++ b/crates/stonevane-core/src/servers/origin.rs
@@ -9,7 +9,7 @@
 use crate::reply::{MalformedReply, Reply};
 use crate::request::Command;
 
-/// The most interim responses (1xx) that are accepted ahead of the final one.
+/// Maximum number of interim responses (1xx) that are accepted ahead of the final one.
 const MAX_INTERIM_RESPONSES: usize = 8;
 /// Initial buffer capacity of an encoded request.
 const REQUEST_CAPACITY_BYTES: usize = 512;
@@ -60,9 +60,9 @@
     }))
 }
 
-/// Finds the head of the final response, and the length of the interim responses ahead of it. These stay in
-/// the buffer until the final head has arrived, so that each call counts all of them: a server could send
-/// them endlessly.
+/// Finds the head of the final response, and the length of the interim responses ahead of it. The interim
+/// responses stay in the buffer until the final head has arrived, so that each call counts all of them.
+/// Without that count a server could send them endlessly.
 fn final_head(buffer: &[u8]) -> Result<Option<(usize, ResponseHead)>, MalformedReply> {
     let mut interim_length = 0;
     for _ in 0..=MAX_INTERIM_RESPONSES {
@@ -80,7 +80,7 @@
 
 struct Body {
     value: Bytes,
-    /// Whether the body leaves the connection usable.
+    /// Whether the connection can carry another request after the body.
     reusable: bool,
 }
 
--- a/crates/stonevane-core/src/servers/pool.rs
+++ b/crates/stonevane-core/src/servers/pool.rs
@@ -32,8 +32,9 @@
     idle_limit: Micros,
     /// Keep-alive of each server for which it is below the maximum.
     keep_alive: HashMap<ServerId, Micros>,
-    /// Time after a reply during which the connection is not reused. A duplicate or stray bytes behind the
-    /// reply must be detected before the next request is written, or they would be read as its reply.
+    /// Time after a reply during which the connection is not reused. A duplicate reply or stray bytes behind
+    /// a reply must be detected before the next request is written, or they would be read as the reply to
+    /// that request.
     reuse_delay: Micros,
 }
 
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Drops the adapted keep-alive of a server.
+    /// Resets the keep-alive of a server to the maximum.
     pub fn forget_server(&mut self, server: ServerId) {
         self.keep_alive.remove(&server);
     }
@@ -139,11 +140,11 @@
         }
     }
 
-    /// Reserves a connection whose reuse delay ends before `by` for an attempt, which waits until the
-    /// connection's deadline. With a full connection table this is cheaper than closing a connection and
-    /// opening another.
+    /// Reserves for an attempt a connection whose reuse delay ends at `by` or earlier. The attempt waits
+    /// until that delay has passed. With a full connection table this is cheaper than closing a connection
+    /// and opening another.
     pub fn reserve_resting(&mut self, server: ServerId, attempt: AttemptKey, by: Micros) -> Option<ConnId> {
-        // If servers close idle connections within the reuse delay, none is reused.
+        // If a reuse delay as long as the idle limit is configured, no connection is ever reused.
         if self.reuse_delay >= self.idle_limit {
             return None;
         }
@@ -157,7 +158,9 @@
         Some(id)
     }
 
-    /// Marks a connection without a request in flight as idle; `false` if its server's address has changed.
+    /// Marks a connection without a request in flight as idle. Returns `false`, and changes nothing, if
+    /// `address`, at which connections to the server may be reused, is `None` or differs from the
+    /// connection's address.
     pub fn release(&mut self, id: ConnId, address: Option<SocketAddr>, now: Micros) -> bool {
         let Some(conn) = self.conns.get(&id) else { return true };
         if address != Some(conn.address) {
--- a/crates/stonevane-core/src/start_times.rs
+++ b/crates/stonevane-core/src/start_times.rs
@@ -6,8 +6,9 @@
 
 use stonevane_policy::Micros;
 
-/// Discovery reports a start within this time. During a release, the first list of a process contains a start
-/// that recent; if the newest start is older, the wall clock may be ahead by that start's whole age.
+/// Discovery reports the start of a server's process within this time. During a release, the first list that
+/// a process receives contains a start within this time; if the newest start in the list is older, this
+/// machine's wall clock may be ahead by the whole age of that start.
 const NOTIFIED_WITHIN: Micros = 5_000_000;
 
 /// Returns the start time of a process that discovery has just reported. If the stated start is older, it was
@@ -20,14 +21,14 @@
 /// Converts the start times in the first list that this process receives.
 #[derive(Debug, Clone, Copy)]
 pub struct FirstList {
-    /// Assumed error of the wall clock: how far it is ahead.
+    /// Assumed time by which this machine's wall clock is ahead; 0 if it is assumed to be right.
     clock_error: Micros,
 }
 
 impl FirstList {
-    /// Estimates the clock error from a list of `servers` servers with these start times. An old newest start
-    /// counts as an error of the wall clock, unless most of the servers started together with it: then all
-    /// were started at once.
+    /// Estimates the clock error from a list of `servers` servers with these start times. If even the newest
+    /// start is old, this counts as an error of the wall clock, unless at least half of the servers started
+    /// within `warm_up` before it: then the servers were started together a while ago.
     pub fn new(now: Micros, warm_up: Micros, servers: usize, starts: &[Micros]) -> FirstList {
         let newest = starts.iter().copied().max().unwrap_or(now);
         let started_with_newest = starts.iter().filter(|start| newest - **start < warm_up).count();
--- a/crates/stonevane-core/src/subset.rs
+++ b/crates/stonevane-core/src/subset.rs
@@ -11,19 +11,19 @@
 
 use crate::metrics::RegionMetrics;
 
-/// Half of the budget of a server in slow start is for the nodes of its region and half for all nodes, so
-/// that the sum stays within the budget whichever nodes fall back on the server.
+/// Half of the request budget of a server in slow start is shared by the nodes of its region, the other half
+/// by all nodes. The sum therefore stays within the budget, whichever nodes fall back on the server.
 const BUDGET_HALVES: u32 = 2;
 
 /// A listed server with the properties that decide on its membership in the subset.
 pub struct ListedServer<'a> {
     /// Entry of the server for the policy.
     pub entry: &'a ServerEntry,
-    /// Name of its zone.
+    /// Name of the server's zone.
     pub zone: &'a str,
-    /// Whether it is a cache server.
+    /// Whether the server is a cache server; otherwise it is the origin.
     pub is_cache: bool,
-    /// Whether an operator has excluded it.
+    /// Whether an operator has excluded the server.
     pub excluded: bool,
 }
 
@@ -34,7 +34,7 @@
 }
 
 /// Returns the latest time at which a server's slow start ends. `reinstated` is the time at which an operator
-/// reinstated it, if any.
+/// reinstated the server, if one did.
 fn warm_at(entry: &ServerEntry, reinstated: Option<&Micros>, warm_up: Micros) -> Micros {
     match entry.started.max(reinstated.copied().unwrap_or(0)) {
         0 => 0,
@@ -78,7 +78,8 @@
 }
 
 impl EndpointSubset {
-    /// Creates the subset of a node; `node` is the node's number.
+    /// Creates the subset of a node. `node` is the node's index, which determines its order of the other
+    /// regions.
     pub fn new(regions: operator::Regions, node: u32, now: Micros) -> EndpointSubset {
         let region = |region: operator::Region| Region { name: region.name, zones: region.zones };
         let others = regions.others.into_iter().map(region).collect();
--- a/crates/stonevane-core/src/timers.rs
+++ b/crates/stonevane-core/src/timers.rs
@@ -1,5 +1,6 @@
-//! The core's timers. Each connection has at most one entry, so the number of open connections bounds the
-//! entries.
+//! The core's timers. A connection reuses its timer entry: a later time limit adds no entry until the
+//! existing one fires. Only an earlier limit adds an entry, and the replaced entry has no effect when it
+//! fires.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -19,9 +20,9 @@
     RequestDeadline(RequestId),
     /// A time limit of a connection.
     ConnectionLimit(ConnId),
-    /// A client of a full table may be evicted.
+    /// A client connection may be evicted from a full connection table.
     Eviction,
-    /// Idle connections to servers that have expired are closed.
+    /// Expired idle server connections are closed.
     IdleSweep,
     /// The first watch on the endpoint list is opened.
     FirstWatch,
@@ -76,8 +77,8 @@
     }
 }
 
-/// The single timer entry of a connection. An earlier limit adds an entry at once, a later one when the
-/// existing entry fires.
+/// Time of a connection's current timer entry. An earlier time limit adds an entry at once, a later limit
+/// only when the existing entry fires.
 #[derive(Default, Clone, Copy, Debug)]
 pub struct ConnectionTimer(Option<Micros>);
 
--- a/crates/stonevane-core/src/trace.rs
+++ b/crates/stonevane-core/src/trace.rs
@@ -7,16 +7,17 @@
 pub enum CloseReason {
     /// A client: evicted from a full table.
     Evicted,
-    /// A client: one of its time limits has passed.
+    /// A client: one of the connection's time limits has passed. A server: the connection was not opened in
+    /// time.
     TimeLimit,
-    /// A client: it has its last answer, and this process drains.
+    /// A client: this process drains, and the connection is between requests.
     Drain,
     /// A client: its last answer was an error that ends the connection, because of a malformed command or a
     /// full table.
     AfterError,
     /// A client: a streamed value broke off after a part of it was sent. A server: a streamed value stalled.
     StreamBroken,
-    /// A server: its idle connection was closed to make capacity for another one.
+    /// A server: its idle connection was closed to make capacity for another connection.
     CapacityNeeded,
     /// A server: its connection was idle for too long.
     Idle,
--- a/crates/stonevane-subset/src/lib.rs
+++ b/crates/stonevane-subset/src/lib.rs
@@ -21,7 +21,8 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A fallback ends when the usable servers exceed the minimum by one plus the minimum divided by this.
+/// A fallback ends when the number of warm servers exceeds the minimum number of usable servers by one plus
+/// that minimum divided by this.
 const RETURN_MARGIN_DIVISOR: usize = 4;
 
 /// A region and its zones.
@@ -38,7 +39,7 @@
 pub struct Server<'a> {
     /// Name of the server's zone.
     pub zone: &'a str,
-    /// Whether new requests may be sent to it: it is ready, and no operator has excluded it.
+    /// Whether new requests may be sent to the server: it is ready, and no operator has excluded it.
     pub usable: bool,
     /// Whether the server's slow start is over.
     pub warm: bool,
@@ -78,10 +79,10 @@
     in_use: usize,
     /// Number of usable servers of each region.
     usable: Vec<usize>,
-    /// Number of these that are warm.
+    /// Number of usable servers of each region whose slow start is over.
     warm: Vec<usize>,
-    /// For each position in the order, the highest number of usable servers that the regions up to there had
-    /// together.
+    /// For each position in the order, the highest total of usable servers so far in the regions up to and
+    /// including that position.
     peaks: Vec<usize>,
     /// Whether servers outside all regions are used, because no region has a usable server.
     last_resort: bool,
@@ -158,15 +159,16 @@
     }
 
     /// Returns whether a fallback may end with the regions up to a position: enough of their servers are
-    /// warm, and at least half of the usable ones. Servers that have just started could not take the
-    /// returning load.
+    /// warm, and these are at least half of their usable servers. Servers that have just started could not
+    /// take the returning load.
     fn may_return(&self, position: usize, usable: &[usize], warm: &[usize]) -> bool {
         warm[position] >= self.enough_to_return(position) && 2 * warm[position] >= usable[position]
     }
 
     /// Returns the number of warm servers at which a fallback may end with the regions up to a position. The
-    /// margin prevents a single flapping server from moving the whole node each time. Regions that never had
-    /// that many servers need the highest number that they had.
+    /// margin prevents a single flapping server from moving the whole node each time. If the regions never
+    /// had that many usable servers, the highest number that they had is enough, but never fewer than the
+    /// minimum.
     fn enough_to_return(&self, position: usize) -> usize {
         let margin = 1 + self.min_usable / RETURN_MARGIN_DIVISOR;
         (self.min_usable + margin).min(self.peaks[position]).max(self.min_usable)
