--- a/crates/stonevane-membership/src/faults.rs
+++ b/crates/stonevane-membership/src/faults.rs
@@ -1,5 +1,6 @@
-//! Mutants: deliberate faults that the simulator and the lab have to detect. The type parameter of a machine
-//! decides whether it can have any: the daemon uses [`NoFaults`], with which the compiler removes them.
+//! Mutants: deliberate faults that the simulator and the lab have to detect. The type parameter `F` of
+//! `Machine` decides whether a member can have faults: the daemon uses [`NoFaults`], for which the compiler
+//! removes all fault branches.
 
 /// Deliberate fault of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -23,7 +24,8 @@
     NoIndirect,
     /// Runs neither anti-entropy nor, while another member is live, reconnection.
     NoRepair,
-    /// Never takes a generation after that of its earlier instance.
+    /// Never takes the generation after that of its own earlier instance, so it cannot supersede the records
+    /// of that instance.
     StaleGeneration,
     /// Never declares a suspected member dead.
     NeverDeclares,
@@ -73,7 +75,7 @@
     }
 }
 
-/// Faults of a machine.
+/// Set of the deliberate faults that a machine has.
 pub trait Faults: Default {
     /// Returns whether the machine has this fault.
     fn has(&self, mutant: Mutant) -> bool;
--- a/crates/stonevane-membership/src/machine/anti_entropy.rs
+++ b/crates/stonevane-membership/src/machine/anti_entropy.rs
@@ -9,7 +9,7 @@
 use crate::record::{MemberId, Record};
 use crate::wire::{Kind, Message, PARTITIONS, record_capacity};
 
-/// Maximum number of datagrams that answer one exchange.
+/// Maximum number of datagrams with records that are sent in answer to one datagram with digests.
 const MAX_ANSWER_DATAGRAMS: usize = 32;
 /// Maximum number of exchanges answered per protocol period.
 const MAX_ANSWERS_PER_PERIOD: u32 = 4;
@@ -56,8 +56,8 @@
 }
 
 impl<F: Faults> Machine<F> {
-    /// Starts an exchange with the sender of an ack if its table differs from this one and the rate limit
-    /// allows it.
+    /// Starts an exchange with the sender of an ack if the sender's table differs from this member's table
+    /// and the rate limit allows an exchange.
     pub(super) fn compare_tables(&mut self, now: Micros, ack: &Message, out: &mut Outputs) {
         let equal = ack.digest == self.members.digests().overall();
         if equal || !self.anti_entropy.may_request(now) || self.faults.has(Mutant::NoRepair) {
@@ -70,7 +70,9 @@
         self.send(Envelope::new(ack.from, Kind::Digests, ack.probe, self.config.number), out);
     }
 
-    /// Answers the digests of another table with the records of all partitions that differ.
+    /// Answers a member's partition digests with this table's records of all partitions whose digests differ.
+    /// If the member started the exchange and any records were sent, also sends this table's digests, so that
+    /// the member answers with its own records.
     pub(super) fn handle_digests(&mut self, now: Micros, message: &Message, out: &mut Outputs) {
         let Some(digests) = &message.digests else { return };
         if self.faults.has(Mutant::ForwardsNothing) {
--- a/crates/stonevane-membership/src/machine/digests.rs
+++ b/crates/stonevane-membership/src/machine/digests.rs
@@ -25,7 +25,8 @@
         self.0.iter().fold(0u32, |overall, digest| overall.rotate_left(3) ^ digest)
     }
 
-    /// Returns the partitions whose digests differ from those of another table, in order from `first` on.
+    /// Returns the partitions whose digests differ from those of another table, in order from the partition
+    /// `first` on, wrapping around at the last one.
     pub fn differing(&self, other: &[u32; PARTITIONS], first: usize) -> Vec<usize> {
         let rotated = (0..PARTITIONS).map(|partition| (partition + first) % PARTITIONS);
         rotated.filter(|partition| self.0[*partition] != other[*partition]).collect()
--- a/crates/stonevane-membership/src/machine/gossip.rs
+++ b/crates/stonevane-membership/src/machine/gossip.rs
@@ -15,7 +15,8 @@
 const MAX_FANOUT: usize = 6;
 /// Rounds of gossip per protocol period.
 const ROUNDS_PER_PERIOD: Micros = 4;
-/// A new update waits for the protocol period divided by this, so that other updates can share its datagram.
+/// Divisor of the protocol period: a new update waits at most the quotient for its round of gossip, so that
+/// other updates can share the datagram.
 const FIRST_ROUND_DIVISOR: Micros = 8;
 /// Transmissions of an update for each decimal digit of the number of live members.
 const RETRANSMIT_MULTIPLIER: u32 = 4;
@@ -43,7 +44,7 @@
         self.queue.is_empty()
     }
 
-    /// Returns the time of the next round.
+    /// Returns the time of the next round of gossip; [`Micros::MAX`] if none is scheduled.
     pub fn next_deadline(&self) -> Micros {
         self.next_round_at
     }
--- a/crates/stonevane-membership/src/machine/isolation.rs
+++ b/crates/stonevane-membership/src/machine/isolation.rs
@@ -25,7 +25,8 @@
         self.locally_suspected.clear();
     }
 
-    /// Measures the silence from `now` on. Local suspicions stay until a datagram is accepted.
+    /// Restarts the measurement of the silence at `now`, after a pause of this member's process. Local
+    /// suspicions stay until a datagram is accepted.
     pub fn restart_silence(&mut self, now: Micros) {
         self.silent_since = now;
     }
--- a/crates/stonevane-membership/src/machine/members.rs
+++ b/crates/stonevane-membership/src/machine/members.rs
@@ -13,19 +13,19 @@
 pub(super) struct Member {
     /// Latest record; only [`MemberTable::replace`] changes it, which keeps the digests up to date.
     record: Option<Record>,
-    /// Time of the last change of its state or instance.
+    /// Time of the last change of the member's state or instance.
     pub changed_at: Micros,
-    /// Protection against replays of its datagrams.
+    /// Protection against replays of the member's datagrams.
     pub replay: ReplayGuard,
-    /// Instance and incarnation that its newest datagram carried.
+    /// Instance and incarnation that the member's newest datagram carried.
     pub advertised: Option<(Instance, u32)>,
     /// Highest datagram version that the member is known to read; 0 if unknown.
     pub max_version: u8,
-    /// Local health score that its newest datagram carried, 0 (healthy) to 8.
+    /// Local health score that the member's newest datagram carried, 0 (healthy) to 8.
     pub health: u8,
-    /// Arrival time of its newest datagram.
+    /// Arrival time of the member's newest datagram.
     pub last_received: Option<Micros>,
-    /// Time of its last ack to a direct probe.
+    /// Time of the member's last ack to a direct probe.
     pub last_answered: Option<Micros>,
     /// Time at which a direct probe of the member last timed out.
     pub last_unanswered: Option<Micros>,
--- a/crates/stonevane-membership/src/machine/merge.rs
+++ b/crates/stonevane-membership/src/machine/merge.rs
@@ -6,8 +6,8 @@
 use crate::record::{Record, State};
 
 impl<F: Faults> Machine<F> {
-    /// Merges a record: a later record replaces the known one, and a record of the same suspicion confirms
-    /// it.
+    /// Merges a record: a record that supersedes the known one replaces it, and a record that reports the
+    /// suspicion already known confirms that suspicion.
     pub(super) fn merge(&mut self, now: Micros, record: Record, out: &mut Outputs) {
         if record.member == self.config.number {
             return self.merge_own(now, record, out);
@@ -19,7 +19,7 @@
     }
 
     /// Counts the reporter of a record as one more member that confirms a suspicion, and disseminates the
-    /// suspicion again under that member's number.
+    /// suspicion again with that reporter's number.
     fn confirm_suspicion(&mut self, now: Micros, record: Record, known: &Record) {
         let same_suspicion = record.precedence() == known.precedence() && record.state == State::Suspect;
         if !same_suspicion {
--- a/crates/stonevane-membership/src/machine/probing.rs
+++ b/crates/stonevane-membership/src/machine/probing.rs
@@ -67,7 +67,7 @@
         timeout.map_or(self.period_ends_at, |timeout| timeout.min(self.period_ends_at))
     }
 
-    /// Abandons the current probe without a conclusion.
+    /// Abandons the current probe: it neither succeeds nor fails.
     pub fn abandon(&mut self) {
         self.current = None;
     }
@@ -92,7 +92,8 @@
         if !direct && message.about != probe.member {
             return AckOutcome::Mismatched;
         }
-        // Relays have no reason to send further nacks, so missing ones do not count.
+        // The probed member has answered: relays that receive its ack send no nack, so missing nacks no
+        // longer count.
         probe.missing_nacks = 0;
         let first = !std::mem::replace(&mut probe.answered, true);
         AckOutcome::Answered { direct, first }
@@ -138,7 +139,8 @@
 }
 
 impl<F: Faults> Machine<F> {
-    /// Runs what is due: indirect probes, the conclusion of a period, and the probe of the next one.
+    /// Runs what is due: indirect probes, the conclusion of the current period, and the probe of the next
+    /// period.
     pub(super) fn run_probing(&mut self, now: Micros, out: &mut Outputs) {
         if let Some(probe) = self.probing.take_timed_out(now) {
             self.probe_indirectly(now, probe, out);
--- a/crates/stonevane-membership/src/machine/reception.rs
+++ b/crates/stonevane-membership/src/machine/reception.rs
@@ -10,7 +10,7 @@
 use crate::wire::{Kind, Message, RejectReason};
 
 impl<F: Faults> Machine<F> {
-    /// Handles a datagram that arrived from the address of a member.
+    /// Handles a datagram that arrived from the address of the member `from`.
     pub(super) fn receive(&mut self, now: Micros, from: MemberId, bytes: &[u8], out: &mut Outputs) {
         let message = match self.read(from, bytes) {
             Ok(message) => message,
@@ -48,7 +48,8 @@
         let known = sender.record().map(|record| record.instance);
         let acceptance = sender.replay.accept(message.instance, message.sequence, known);
         if acceptance == Acceptance::EndedInstance {
-            // If the instance is running after all, it is sent the record that it has to supersede.
+            // If the sender's instance is running after all, datagrams to it carry the record that it has to
+            // supersede.
             sender.advertised = None;
         }
         acceptance
--- a/crates/stonevane-membership/src/machine/reconnection.rs
+++ b/crates/stonevane-membership/src/machine/reconnection.rs
@@ -11,7 +11,7 @@
 use crate::record::MemberId;
 use crate::wire::Kind;
 
-/// Maximum number of pings whose answers are awaited; beyond it the oldest is forgotten.
+/// Maximum number of pings whose answers are awaited; a further ping replaces the oldest one.
 const MAX_OUTSTANDING_PINGS: usize = 16;
 /// Pace while another member is live: a small, steady cost.
 const CONNECTED: Pace = Pace { pings: 1, attempts_per_period: 1 };
@@ -25,7 +25,8 @@
     attempts_per_period: Micros,
 }
 
-/// Pings outside the failure detector's rounds.
+/// Pings that are independent of the failure detector: to members that are not live, and to a few live
+/// members after a pause of this member's process.
 #[derive(Debug)]
 pub(super) struct Reconnection {
     next_attempt_at: Micros,
@@ -44,7 +45,7 @@
         self.next_attempt_at
     }
 
-    /// Returns whether an ack with this probe number from this member answers a ping.
+    /// Returns whether an ack with this probe number from `member` answers one of these pings.
     pub fn is_outstanding(&self, number: u32, member: MemberId) -> bool {
         self.outstanding.contains(&(number, member))
     }
@@ -82,7 +83,8 @@
         }
     }
 
-    /// Pings a member outside the failure detector's rounds. A missing answer has no consequences.
+    /// Pings a member independently of the failure detector, to learn what it knows. A missing answer does
+    /// not lead to a suspicion.
     pub(super) fn ping_outside_round(&mut self, member: MemberId, out: &mut Outputs) {
         let number = self.probing.next_number();
         self.reconnection.remember(number, member);
--- a/crates/stonevane-membership/src/machine/relays.rs
+++ b/crates/stonevane-membership/src/machine/relays.rs
@@ -23,7 +23,7 @@
     target: MemberId,
     number: u32,
     requester: MemberId,
-    /// Probe number of the requester.
+    /// Probe number of the ping-req, which the ack or nack to the requester carries.
     requester_probe: u32,
     nack_at: Option<Micros>,
     expires_at: Micros,
--- a/crates/stonevane-membership/src/machine/replay.rs
+++ b/crates/stonevane-membership/src/machine/replay.rs
@@ -13,13 +13,13 @@
 /// Decision on a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Acceptance {
-    /// Accepted: the newest of its instance.
+    /// Accepted: the datagram has the highest sequence number of the sender's instance so far.
     Newest,
-    /// Accepted: a later one arrived before it.
+    /// Accepted: a datagram with a higher sequence number arrived earlier.
     OutOfOrder,
-    /// Rejected: accepted before, or too old to be checked.
+    /// Rejected: the sequence number was accepted before, or is too low for the replay window.
     Duplicate,
-    /// Rejected: its instance has ended.
+    /// Rejected: the sender's instance has ended.
     EndedInstance,
 }
 
@@ -71,8 +71,9 @@
 }
 
 impl ReplayGuard {
-    /// Decides on a datagram of an instance. `known` is the instance in the member table: a datagram of an
-    /// instance that had ended is accepted only if that instance is the known one or later.
+    /// Decides whether a datagram of `instance` is accepted. `known` is the sender's instance in the member
+    /// table: if `instance` is remembered as ended, its datagrams are accepted only if it is the known one or
+    /// later.
     pub fn accept(&mut self, instance: Instance, sequence: u64, known: Option<Instance>) -> Acceptance {
         if self.has_ended(instance, known) {
             return Acceptance::EndedInstance;
--- a/crates/stonevane-membership/src/machine/setup.rs
+++ b/crates/stonevane-membership/src/machine/setup.rs
@@ -8,7 +8,7 @@
 /// Parameters of a member, set at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberConfig {
-    /// Number of this member.
+    /// Number of this member: its index in the list of peers.
     pub number: MemberId,
     /// Number of members in the fleet, this one included.
     pub members: MemberId,
@@ -18,8 +18,8 @@
     pub probe_timeout: Micros,
     /// Number of other members from which indirect probes are requested.
     pub indirect_probes: usize,
-    /// Suspicion multiplier: the shortest suspicion timeout, in protocol periods, is this times the decimal
-    /// logarithm of the number of live members, or this alone if the logarithm is below 1.
+    /// Suspicion multiplier: the shortest suspicion timeout, in protocol periods, is the multiplier times the
+    /// decimal logarithm of the number of live members, or the multiplier itself if the logarithm is below 1.
     pub suspicion_multiplier: f64,
     /// Whether the Lifeguard extensions lengthen timeouts: the local health multiplier, and the longer
     /// timeout of a suspicion that few members have confirmed.
@@ -59,7 +59,7 @@
     Datagram(MemberId, &'b [u8]),
     /// Wake-up, due at the time that `Machine::next_wake_at` returned.
     Wake,
-    /// Newer list of peers with this many members. Members keep their numbers, so a shorter list changes
+    /// Number of members in a newer list of peers. Members keep their numbers, so a shorter list changes
     /// nothing.
     Members(MemberId),
     /// The process is about to end: the member announces that it leaves.
--- a/crates/stonevane-membership/src/machine/suspicion.rs
+++ b/crates/stonevane-membership/src/machine/suspicion.rs
@@ -10,9 +10,10 @@
 
 /// Maximum number of confirmations, by members other than the first reporter, that shorten a suspicion.
 const MAX_CONFIRMATIONS: usize = 3;
-/// Timeout of an unconfirmed suspicion, as a multiple of that of a fully confirmed one.
+/// Ratio of the timeout of an unconfirmed suspicion to the timeout of a fully confirmed one.
 const UNCONFIRMED_FACTOR: f64 = 4.0;
-/// Protocol periods without any datagram, after which a refutation could not have arrived either.
+/// Number of protocol periods without any datagram after which this member assumes that a refutation could
+/// not have arrived either.
 const SILENT_PERIODS: u64 = 3;
 
 /// Suspicion of one member.
@@ -26,8 +27,8 @@
 /// Parameters of the suspicion timeouts.
 #[derive(Debug, Clone)]
 struct Timeouts {
-    /// Suspicion multiplier: the shortest timeout, in protocol periods, is this times the decimal logarithm of
-    /// the number of live members, or this alone if the logarithm is below 1.
+    /// Suspicion multiplier: the shortest timeout, in protocol periods, is the multiplier times the decimal
+    /// logarithm of the number of live members, or the multiplier itself if the logarithm is below 1.
     multiplier: f64,
     /// Protocol period, in microseconds.
     period: f64,
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Postpones all suspicions that have a deadline by `by`, to make up for time in which this member did
-    /// not run.
+    /// Adds `by` to the start and deadline of all suspicions that have a deadline, to make up for time in
+    /// which this member did not run.
     pub fn postpone(&mut self, by: Micros) {
         let deadlines = std::mem::take(&mut self.deadlines);
         for (deadline, member) in deadlines {
@@ -151,7 +152,8 @@
         }
     }
 
-    /// Declares a member dead that has not refuted its suspicion in time.
+    /// Declares a member dead because it has not refuted its suspicion in time. Extends the suspicion instead
+    /// while no datagrams reach this member.
     fn suspicion_expired(&mut self, now: Micros, member: MemberId, out: &mut Outputs) {
         let Some(record) = self.members.record(member) else { return };
         let silent = self.isolation.silent_since() + SILENT_PERIODS * self.config.period < now;
--- a/crates/stonevane-membership/src/machine/transmission.rs
+++ b/crates/stonevane-membership/src/machine/transmission.rs
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Returns the number under which this member sends.
+    /// Returns the sender number of this member's datagrams: its own, or a wrong one with
+    /// [`Mutant::ClaimsAnother`].
     fn sender(&self) -> MemberId {
         let impersonates = self.faults.has(Mutant::ClaimsAnother);
         if impersonates { (self.config.number + 1) % self.config.members } else { self.config.number }
--- a/crates/stonevane-membership/src/record.rs
+++ b/crates/stonevane-membership/src/record.rs
@@ -8,12 +8,13 @@
 ///
 /// Instances are ordered without persistent storage and without trust in any clock. A process draws a nonce
 /// at its start, which distinguishes it from all other instances; the generation orders them. A process that
-/// learns of another instance of its own member that is later than itself takes the generation after that
-/// one. Until then, members that know the other instance keep its record and send it with every answer, so
-/// that the process can supersede it.
+/// learns of another instance under its own member number, ordered after its own instance, takes the
+/// generation after that one. Until then, members that know the other instance keep its record and send it
+/// with every answer, so that the process can supersede it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct Instance {
-    /// Lower bound on the number of instances so far, this one included.
+    /// Position in the order of the member's instances, from 1: a lower bound on the number of instances so
+    /// far, this one included.
     pub generation: u32,
     /// Random number drawn at the start of the process.
     pub nonce: u32,
@@ -60,7 +61,7 @@
     pub incarnation: u32,
     /// State of that instance at that incarnation.
     pub state: State,
-    /// Member that reported the state; for a suspicion, a member that suspects.
+    /// Member that reported the state; for a suspicion, a member that suspects `member`.
     pub by: MemberId,
 }
 
--- a/crates/stonevane-membership/src/status.rs
+++ b/crates/stonevane-membership/src/status.rs
@@ -38,7 +38,8 @@
     pub declared_dead: u64,
     /// Pauses of its own process that this member detected.
     pub pauses: u64,
-    /// Conflicts in which another instance of this member was later than itself.
+    /// Records about this member that it can supersede only under a new generation, for instance those of
+    /// another process with its number.
     pub identity_conflicts: u64,
 }
 
@@ -65,17 +66,17 @@
     pub record: Option<Record>,
     /// State of the member as this member sees it, local suspicions included; `None` if unknown.
     pub state: Option<State>,
-    /// Time of the last change of its state or instance.
+    /// Time of the last change of the member's state or instance.
     pub changed_at: Micros,
-    /// Arrival time of its newest datagram.
+    /// Arrival time of the member's newest datagram.
     pub last_received: Option<Micros>,
-    /// Time of its last ack to a direct probe.
+    /// Time of the member's last ack to a direct probe.
     pub last_answered: Option<Micros>,
     /// Time at which a direct probe of the member last timed out.
     pub last_unanswered: Option<Micros>,
-    /// Local health score that its newest datagram carried, 0 (healthy) to 8.
+    /// Local health score that the member's newest datagram carried, 0 (healthy) to 8.
     pub health: u8,
-    /// Number of members known to suspect it.
+    /// Number of members known to suspect the member.
     pub reporters: u8,
 }
 
@@ -113,7 +114,7 @@
     /// Start of the isolation of this member: no datagram has arrived since, and a probe has failed
     /// meanwhile. `None` if it is not isolated.
     pub isolated_since: Option<Micros>,
-    /// Digest of its member table; equal at members whose tables agree.
+    /// Digest of this member's table; equal at members whose tables agree.
     pub digest: u32,
     /// All members by number, this one included.
     pub members: Vec<MemberStatus>,
--- a/crates/stonevane-membership/src/wire/mod.rs
+++ b/crates/stonevane-membership/src/wire/mod.rs
@@ -234,7 +234,8 @@
     }
 
     /// Drops records of members that are not in this node's list of peers, which may be older than the
-    /// sender's. A record reported by such a member counts as reported by the sender.
+    /// sender's. A record whose reporter is not in the list counts as reported by the sender. Returns an
+    /// error if the sender, the receiver or the subject of the datagram is not in the list.
     fn restrict_to(&mut self, members: MemberId) -> Result<(), RejectReason> {
         let known = |number: MemberId| number < members;
         if !known(self.from) || !known(self.to) || !known(self.about) {
--- a/crates/stonevane-node/src/cache_updates/connection.rs
+++ b/crates/stonevane-node/src/cache_updates/connection.rs
@@ -29,7 +29,8 @@
     pub acknowledged: Option<(String, u64)>,
 }
 
-/// Sends a cache its commands, and reports acknowledgements and the end of the cache to the dispatcher.
+/// Sends a cache its commands, and reports to the dispatcher each acknowledged invalidation, and the end of
+/// the cache's process.
 pub(super) async fn run_connection(
     cache: SocketAddr,
     mut commands: mpsc::Receiver<CacheCommand>,
@@ -71,8 +72,8 @@
     cache: SocketAddr,
     command: &[u8],
 ) -> Result<bool> {
-    // Taken out while in use: if this call is abandoned, its answer must not be read as that of another
-    // command.
+    // The connection is taken out of `stream` while in use: if this call times out, the connection is closed,
+    // so that a late answer is not read as the answer to the next command.
     let mut open = match stream.take().filter(has_no_input) {
         Some(open) => open,
         None => connect(cache).await?,
--- a/crates/stonevane-node/src/cache_updates/dispatcher.rs
+++ b/crates/stonevane-node/src/cache_updates/dispatcher.rs
@@ -16,16 +16,16 @@
 use super::{Command, QUEUE_CAPACITY};
 use crate::clock::to_micros;
 
-/// Tracks copies and the connections to the caches.
+/// Tracks which caches may hold copies, and owns the connections to the caches.
 pub(super) struct Dispatcher {
-    /// Cloned for each connection, which reports to the dispatcher.
+    /// Sender to this dispatcher, cloned for each connection's reports.
     commands: mpsc::Sender<Command>,
     caches: watch::Receiver<Vec<SocketAddr>>,
     /// Lifetime of a copy in milliseconds, as text for the commands.
     lifetime_ms: String,
     epoch: Instant,
     copies: Copies<SocketAddr>,
-    /// Notified when the invalidation of an edit is complete.
+    /// Senders that are notified when the invalidation of an edit is complete.
     waiters: HashMap<EditId, oneshot::Sender<()>>,
     connections: HashMap<SocketAddr, mpsc::Sender<CacheCommand>>,
 }
@@ -101,8 +101,8 @@
             Command::Fill { caches, key, version, value } => self.fill(caches, &key, version, &value),
             Command::Invalidate { edit, key, version, done } => {
                 let caches = self.caches.borrow().clone();
-                // Without capacity to track the edit, `done` is dropped, so that its receipt does not wait
-                // for an event that cannot occur.
+                // If there is no capacity to track the edit, `done` is dropped, so that the edit's receipt
+                // does not wait for an event that cannot occur.
                 if self.copies.edited(self.now(), edit, &key, version, &caches) {
                     self.waiters.insert(edit, done);
                 }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Waits until a time; `None`: forever.
+/// Waits until the time `due`, or forever if `due` is `None`.
 async fn sleep_until_due(due: Option<Instant>) {
     match due {
         Some(at) => sleep_until(at.into()).await,
--- a/crates/stonevane-node/src/cache_updates/mod.rs
+++ b/crates/stonevane-node/src/cache_updates/mod.rs
@@ -20,7 +20,7 @@
 
 use dispatcher::Dispatcher;
 
-/// Capacity of the command queue of the dispatcher, and of that of each cache.
+/// Capacity of the dispatcher's command queue, and of each cache's command queue, in commands.
 const QUEUE_CAPACITY: usize = 1_024;
 
 /// Command or report to the dispatcher.
@@ -57,8 +57,8 @@
 }
 
 impl CacheUpdater {
-    /// Starts the dispatcher. `caches` has the caches of discovery's list; `lifetime` is the maximum lifetime
-    /// of a copy.
+    /// Starts the dispatcher. `caches` holds the addresses of the cache servers in discovery's list;
+    /// `lifetime` is the maximum lifetime of a copy.
     pub fn start(caches: watch::Receiver<Vec<SocketAddr>>, lifetime: Duration) -> CacheUpdater {
         let (commands, received) = mpsc::channel(QUEUE_CAPACITY);
         tokio::spawn(Dispatcher::new(commands.clone(), caches, lifetime).run(received));
@@ -79,8 +79,8 @@
     }
 }
 
-/// Invalidation whose completion can be awaited. Dropping it ends the interest in its completion; the caches
-/// are still sent the invalidation.
+/// Invalidation whose completion can be awaited. Dropping it only gives up the wait: the caches are still
+/// sent the invalidation.
 pub struct PendingInvalidation {
     edit: EditId,
     completed: oneshot::Receiver<()>,
--- a/crates/stonevane-node/src/config.rs
+++ b/crates/stonevane-node/src/config.rs
@@ -16,11 +16,12 @@
 use crate::inherited_listener;
 use file::{File, first_missing_key};
 
-/// Fewer sockets leave no capacity for clients and servers besides the node's own.
+/// Minimum of `limits.sockets`: fewer leave no capacity for clients and servers besides the node's own
+/// sockets.
 const MIN_SOCKETS: usize = 32;
-/// The node never uses more sockets than this.
+/// Maximum number of sockets that the node uses; a larger `limits.sockets` is reduced to it.
 const MAX_SOCKETS: usize = 1024;
-/// Less memory, in megabytes, leaves no capacity besides the program itself.
+/// Minimum of `limits.memory_mb`: less memory leaves no capacity besides the program itself.
 const MIN_MEMORY_MB: usize = 16;
 
 /// Configuration of a process, checked except for `peer_listen`, `peers` and the regions of `operator`.
@@ -28,7 +29,7 @@
 pub struct Config {
     /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Listening socket for clients that the platform passed on through `$ROUTER_LISTEN_FD`.
+    /// Clients' listening socket, if the platform passed one on through `$ROUTER_LISTEN_FD`.
     pub inherited: Option<TcpListener>,
     /// Management address; `None`: the node has none.
     pub mgmt: Option<SocketAddr>,
@@ -63,8 +64,8 @@
         Self::read(None)
     }
 
-    /// Reads the configuration again. `previous` is the file in force; a new file that lacks one of its keys
-    /// is rejected as a whole.
+    /// Reads the configuration again. `previous` is the file in force; a new file that lacks a key of
+    /// `previous` is rejected as a whole.
     ///
     /// # Errors
     /// The configuration cannot be used.
@@ -83,7 +84,8 @@
         let settings = file.settings.as_deref();
         let deployment = read_settings(settings.map(serde_json::value::RawValue::get))?;
         check_limits(&file.limits)?;
-        // The environment is that of the start, so at a reload the file's discovery takes precedence.
+        // The environment keeps its values from the start of the process, so at a reload the file's discovery
+        // takes precedence.
         let discovery = match variable("ROUTER_DISCOVERY") {
             Some(at_start) if previous.is_none() || file.discovery.is_empty() => at_start,
             _ => file.discovery,
--- a/crates/stonevane-node/src/config/file.rs
+++ b/crates/stonevane-node/src/config/file.rs
@@ -5,7 +5,8 @@
 use serde_json::value::RawValue;
 use stonevane_core::EndpointList;
 
-/// Keys that a later file may omit: the endpoint list known before a start and the peers are not settings.
+/// Keys that a reloaded file may omit, because they are not settings: the endpoint list known before the
+/// start, and the peers.
 const TRANSIENT_KEYS: [&str; 2] = ["known", "peers"];
 
 /// The configuration file.
--- a/crates/stonevane-node/src/discovery/call.rs
+++ b/crates/stonevane-node/src/discovery/call.rs
@@ -50,7 +50,7 @@
 /// Deadline for the head of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum HeadDeadline {
-    /// The time limit of the context for an answer, from the last read on.
+    /// The call fails if nothing arrives within the context's answer timeout, which each read restarts.
     Timeout,
     /// No deadline: the wait ends with the connection.
     None,
@@ -68,8 +68,8 @@
     call.lists(head, context, &mut last_received).await
 }
 
-/// A call whose request was sent, with the part of its response that has arrived. The `last_received` of its
-/// functions is the time at which discovery last sent anything; accepting a connection counts.
+/// A call whose request was sent, with the part of its response that has arrived. Its functions set
+/// `last_received` to the time at which discovery last sent bytes or accepted a connection.
 pub(super) struct PendingCall {
     stream: TcpStream,
     received: BytesMut,
--- a/crates/stonevane-node/src/discovery/error.rs
+++ b/crates/stonevane-node/src/discovery/error.rs
@@ -15,7 +15,7 @@
     /// an empty one, had arrived before.
     #[error("silent for too long")]
     Silent { established: bool },
-    /// Discovery rejected the call.
+    /// Discovery answered with a status other than 200.
     #[error("answered with status {0}")]
     Status(u16),
     /// The response is not a complete endpoint list; the list in use stays.
--- a/crates/stonevane-node/src/discovery/mod.rs
+++ b/crates/stonevane-node/src/discovery/mod.rs
@@ -22,7 +22,7 @@
 /// Path of the whole endpoint list.
 const LIST_PATH: &str = "/v1/servers";
 
-/// Passes to the core what discovery has sent.
+/// Callback that passes endpoint lists, and the ends of calls, to the core.
 pub type InputSink = Arc<dyn Fn(Input<'static>) + Send + Sync>;
 
 /// Byte counts of calls to discovery, without the headers of IP and TCP.
--- a/crates/stonevane-node/src/discovery/watch.rs
+++ b/crates/stonevane-node/src/discovery/watch.rs
@@ -25,18 +25,19 @@
 pub(super) struct UnansweredWatch(Arc<Mutex<Option<(DiscoveryEpoch, PendingCall)>>>);
 
 impl UnansweredWatch {
-    /// Stores a call in place of an older one.
+    /// Replaces the stored call; `None` removes it.
     fn keep(&self, epoch: DiscoveryEpoch, call: Option<PendingCall>) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = call.map(|call| (epoch, call));
     }
 
-    /// Takes the call if it was made in this epoch of discovery.
+    /// Takes the stored call, and returns it if it was made in this epoch of discovery. A call of another
+    /// epoch is dropped.
     fn take(&self, epoch: DiscoveryEpoch) -> Option<PendingCall> {
         let stored = self.0.lock().unwrap_or_else(PoisonError::into_inner).take();
         stored.filter(|(of, _)| *of == epoch).map(|(_, call)| call)
     }
 
-    /// Ends the call.
+    /// Drops the stored call, which closes its connection.
     pub fn cancel(&self) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = None;
     }
--- a/crates/stonevane-node/src/driver/mod.rs
+++ b/crates/stonevane-node/src/driver/mod.rs
@@ -50,7 +50,7 @@
     reader: Option<AbortHandle>,
     /// Task that writes the bytes that the kernel did not take at once.
     writer: Option<AbortHandle>,
-    /// Wakes the reader after the core has paused reading.
+    /// Notified when the core, which had paused reading, resumes it.
     resume: Arc<Notify>,
 }
 
@@ -90,7 +90,7 @@
     state: Mutex<State>,
     clock: Clock,
     exclusions: Exclusions,
-    /// Store in place of the origin.
+    /// Store of record that replaces the origin, if the operator configures one.
     store: Option<Arc<OriginStore>>,
     membership: Option<Arc<Membership>>,
     /// Version of the endpoint list in use; 0 without a list.
--- a/crates/stonevane-node/src/driver/reading.rs
+++ b/crates/stonevane-node/src/driver/reading.rs
@@ -38,7 +38,7 @@
     Closed,
 }
 
-/// When the reader of a connection reads next.
+/// Condition under which the reader of a connection reads next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextRead {
     WhenReadable,
--- a/crates/stonevane-node/src/driver/server_sockets.rs
+++ b/crates/stonevane-node/src/driver/server_sockets.rs
@@ -17,8 +17,8 @@
         state.connections.insert(id, Connection::new(None, task, Arc::default()));
     }
 
-    /// Connects and then reads until the connection ends. It has no timeout of its own: the core's connect
-    /// timeout closes a connection that is not opened in time.
+    /// Connects and then reads until the connection ends. The attempt to connect has no timeout here: the
+    /// core's connect timeout closes a connection that is not opened in time.
     async fn connect_and_read(self: Arc<Self>, id: ConnId, address: SocketAddr) {
         let Ok(stream) = TcpStream::connect(address).await else { return self.connection_ended(id) };
         let _ = stream.set_nodelay(true);
@@ -36,8 +36,8 @@
     }
 
     /// Writes the first bytes of a request, unless the connection has input or has ended. A request is never
-    /// written to a connection that the server is known to have closed, so such a request has certainly not
-    /// run.
+    /// written to a connection that the server is known to have closed: a request that is not written has
+    /// certainly not run.
     pub(super) fn write_request(
         self: &Arc<Self>,
         state: &mut State,
--- a/crates/stonevane-node/src/driver/timers.rs
+++ b/crates/stonevane-node/src/driver/timers.rs
@@ -28,7 +28,7 @@
 }
 
 impl WakeTimer {
-    /// Makes sure that the core is woken no later than this time.
+    /// Makes sure that the core is woken no later than the time `at`.
     pub fn wake_by(&self, at: Micros) {
         if at < self.wake_at.load(Ordering::Relaxed) {
             self.wake_at.store(at, Ordering::Relaxed);
--- a/crates/stonevane-node/src/driver/writing.rs
+++ b/crates/stonevane-node/src/driver/writing.rs
@@ -27,9 +27,9 @@
         connection.writer = Some(writer.abort_handle());
     }
 
-    /// Writes the rest as the kernel takes it. The state is locked during each write, so that no bytes are
-    /// written after the core has closed the connection and the core is notified immediately of the completed
-    /// write.
+    /// Writes the remaining bytes as the kernel takes them. The state is locked during each write, so that no
+    /// bytes are written after the core has closed the connection and the core is notified immediately of the
+    /// completed write.
     async fn write_rest(self: Arc<Self>, id: ConnId, stream: Arc<TcpStream>, mut bytes: Bytes) {
         while stream.writable().await.is_ok() {
             let mut state = self.lock();
--- a/crates/stonevane-node/src/handover.rs
+++ b/crates/stonevane-node/src/handover.rs
@@ -85,8 +85,8 @@
         Ok(Handover { folder, own, _lock: lock, published: String::new() })
     }
 
-    /// Reads the status of the other processes once and makes the driver observe the capacity that they
-    /// leave. Returns whether there are any.
+    /// Reads the status of the other processes once and limits the driver to the capacity that they leave.
+    /// Returns whether there are other processes.
     pub fn poll(&mut self, driver: &Arc<Driver>) -> bool {
         let status = driver.handover_status();
         self.own.stage = status.stage;
@@ -156,7 +156,7 @@
             .collect()
     }
 
-    /// Returns the status of another process, by its lock; `None` if the process has ended.
+    /// Returns the status of another process, given its open lock file; `None` if the process has ended.
     fn status_of(&self, process: ProcessId, lock: &File, total: Capacity) -> Option<ProcessStatus> {
         let status_path = self.folder.join(status_file_name(process));
         let lock_path = self.folder.join(lock_file_name(process));
@@ -202,7 +202,7 @@
     }
 }
 
-/// Task that polls for other processes.
+/// Handle of the task that polls for other processes of this node.
 pub struct HandoverTask {
     task: JoinHandle<()>,
     poller: HandoverPoller,
--- a/crates/stonevane-node/src/management.rs
+++ b/crates/stonevane-node/src/management.rs
@@ -17,8 +17,8 @@
 
 /// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 8;
-/// Maximum number of descriptors of the management address: the listener, the connections, and two that are
-/// being accepted or closed.
+/// Maximum number of descriptors of the management address: the listener, the connections, and two further
+/// connections that are being accepted or closed.
 pub const SOCKETS: usize = MAX_CONNECTIONS + 3;
 /// A call must be complete within this time after its connection is accepted.
 const READ_TIMEOUT: Duration = Duration::from_secs(4);
@@ -45,7 +45,7 @@
     Complete,
 }
 
-/// Stage of a connection, shared with its task.
+/// Stage of a connection's call, shared between the connection's task and the list of open connections.
 #[derive(Clone)]
 struct SharedStage(Arc<AtomicU8>);
 
--- a/crates/stonevane-node/src/process.rs
+++ b/crates/stonevane-node/src/process.rs
@@ -132,8 +132,8 @@
     }
 }
 
-/// Joins the processes of this node. The first poll precedes the first accepted connection: the capacity that
-/// the process to be replaced holds counts against both.
+/// Joins the processes of this node. The first poll precedes the first accepted connection, because the
+/// process to be replaced still holds a part of the node's capacity.
 fn join_handover(tmpdir: &Path, clock: Clock, driver: &Arc<Driver>) -> Option<HandoverTask> {
     match Handover::join(tmpdir, (clock.now(), std::process::id())) {
         Ok(mut handover) => {
--- a/crates/stonevane-node/src/signals.rs
+++ b/crates/stonevane-node/src/signals.rs
@@ -59,7 +59,8 @@
 
 impl Termination {
     /// Begins the drain. The first poll finds out whether a newer process takes over before anything is
-    /// closed; the second tells that process at once that it is the only one that accepts connections.
+    /// closed; the second informs the newer process at once that no other process accepts connections any
+    /// more.
     async fn begin(self) {
         self.poll_handover().await;
         if let Some(membership) = &self.membership {
--- a/crates/stonevane-node/src/store/circuit_breaker.rs
+++ b/crates/stonevane-node/src/store/circuit_breaker.rs
@@ -15,7 +15,7 @@
 
 const MICROS_PER_MS: Micros = 1_000;
 
-/// The breaker with its clock and random numbers.
+/// Circuit breaker with the clock and the random numbers that determine for how long it stays open.
 pub(super) struct CircuitBreaker(Mutex<BreakerState>);
 
 struct BreakerState {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Permission for one call. If it is dropped without an outcome, the call was abandoned; a probe then has no
-/// result.
+/// Permission for one call to the store. Dropping it without [`Permit::complete`] marks the call as
+/// abandoned; if the call is the breaker's probe, the probe ends without a result.
 pub(super) struct Permit {
     inner: Arc<Inner>,
     is_probe: bool,
@@ -128,7 +128,7 @@
     }
 
     /// Returns whether an error shows that the store does not answer. A call that timed out waiting for a row
-    /// lock or a pooled connection does not show it if the store has answered other calls meanwhile.
+    /// lock or a pooled connection is no sign of an outage if the store has answered other calls meanwhile.
     fn is_outage(&self, error: &StoreError) -> bool {
         let none_answered = self.inner.store.answered() == self.answered_before;
         error.is_unresponsive() && (none_answered || *error == StoreError::Behind)
--- a/crates/stonevane-node/src/store/edits.rs
+++ b/crates/stonevane-node/src/store/edits.rs
@@ -17,7 +17,7 @@
 /// Minimum time for which the store remembers idempotency keys, in milliseconds.
 const MIN_IDEMPOTENCY_WINDOW_MS: u64 = 60_000;
 const MICROS_PER_MS: u64 = 1_000;
-/// Prefix of the parameter of a command that holds its idempotency key.
+/// Prefix that marks the idempotency key among a command's comma-separated parameters.
 const IDEMPOTENCY_KEY_PREFIX: &str = "k=";
 
 /// Fence of a key: while it exists, fetches of the key that began before it do not count as current.
@@ -68,8 +68,8 @@
     let fence = FetchFence::raise(inner, edit.key.clone())?;
     inner.counters.edits.increment();
     let (sender, outcome) = oneshot::channel();
-    // A task of its own: if the node abandons the call the edit still runs, so its fence and its invalidation
-    // have to continue too.
+    // The edit has a separate task: if the node abandons the call, the edit still runs at the store, so the
+    // fence and the invalidation have to continue too.
     tokio::spawn(async move {
         let outcome = run_edit(fence, edit).await;
         let _ = sender.send(outcome);
--- a/crates/stonevane-node/src/store/fetches.rs
+++ b/crates/stonevane-node/src/store/fetches.rs
@@ -96,7 +96,7 @@
         inner.counters.refetched.increment();
         fetched = fetch_shared(inner, key).await;
     }
-    // The store is a replica that lags without knowing it.
+    // A repeated fetch that is still stale was answered by a replica that lags without knowing it.
     if is_stale(&fetched) { Err(StoreError::Behind) } else { fetched }
 }
 
@@ -158,7 +158,7 @@
     let call = timeout(inner.call_timeout, inner.store.get(key));
     let fetched = call.await.unwrap_or(Err(StoreError::TimedOut));
     permit.complete(&fetched);
-    // A key that the store does not have is an empty area: a value, not an error.
+    // A key that the store does not have yields an empty value, not an error.
     Ok(match fetched? {
         Some(zone) => Value { version: zone.version, cacheable: true, bytes: zone.value.into() },
         None => Value { version: 0, cacheable: false, bytes: Bytes::new() },
--- a/crates/stonevane-node/src/store/mod.rs
+++ b/crates/stonevane-node/src/store/mod.rs
@@ -40,7 +40,7 @@
     on_unavailable: OnceLock<OnUnavailable>,
     /// Whether concurrent fetches of a key share a query.
     coalesces_fetches: bool,
-    /// Set if caches accept copies from nodes.
+    /// Set by `start` if the operator configures copies in caches.
     cache_updater: OnceLock<CacheUpdater>,
     copies: Option<operator::Copies>,
 }
@@ -185,7 +185,6 @@
     }
 }
 
-/// Kind of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CallKind {
     Fetch,
--- a/crates/stonevane-node/src/store/own_edits.rs
+++ b/crates/stonevane-node/src/store/own_edits.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Origin of a change.
+/// Edit to which a change that the store announced is attributed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ChangeOrigin {
     /// An edit of this node whose receipt has been processed.
--- a/crates/stonevane-server-model/src/work.rs
+++ b/crates/stonevane-server-model/src/work.rs
@@ -6,9 +6,9 @@
 pub use stonevane_audit::work_capacity;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Returns the work of one request, in microseconds: log-normal with this mean and coefficient of variation,
-/// drawn from the request's id alone, so that the same request is the same work at every server. Without
-/// variation it is the mean.
+/// Returns the work of one request, in microseconds: log-normal with the mean `mean_us` and the given
+/// coefficient of variation. It depends on the request's id `request` alone, so that the same request is the
+/// same work at every server. If the coefficient is 0 or less, the work is `mean_us`.
 pub fn request_work_us(mean_us: u64, coefficient_of_variation: f64, request: &str) -> u64 {
     if coefficient_of_variation <= 0.0 {
         return mean_us;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Work that arrived at one time.
+/// Amount of work that arrived at the time `at`.
 struct Arrival {
     at: u64,
     work_us: u64,
@@ -74,7 +74,8 @@
 }
 
 impl WorkWindow {
-    /// Adds work, and returns the work that has arrived within the window that ends now, in microseconds.
+    /// Adds `work_us` of work that arrives at `now`, and returns the work that has arrived within the last
+    /// `window_us`. All times are in microseconds.
     pub fn add(&mut self, now: u64, work_us: u64, window_us: u64) -> u64 {
         self.arrivals.push_back(Arrival { at: now, work_us });
         self.sum_us += work_us;
