--- a/crates/stonevane-audit/src/audit.rs
+++ b/crates/stonevane-audit/src/audit.rs
@@ -11,7 +11,8 @@
 /// Maximum distance by which records may be out of order, in microseconds.
 const REORDER_WINDOW_US: u64 = 500_000;
 
-/// A record in the reorder buffer, ordered by its latest time, then by its line.
+/// A record in the reorder buffer. Records are ordered by the latest time of their interval, then by line
+/// number.
 struct Pending {
     latest: u64,
     line: usize,
--- a/crates/stonevane-audit/src/auditor/attempt_integrity.rs
+++ b/crates/stonevane-audit/src/auditor/attempt_integrity.rs
@@ -1,12 +1,12 @@
-//! The integrity rule for attempts: an attempt is sent by a node that has received the request, with the
-//! request's key, class, idempotency key and value.
+//! The integrity rule for attempts: a node sends an attempt only if it has received the request, and with
+//! that request's key, class, idempotency key and value.
 
 use super::evidence::{NumberedRecord, Violation};
 use super::{Auditor, REQUEST_RETENTION_US, SETTLING_DELAY_US};
 use crate::report::Rule;
 
 impl Auditor {
-    /// Checks the attempts of a request, once no further record of it can follow.
+    /// Checks the attempts of a request, once no further record of the request can follow.
     pub(super) fn check_attempts(&mut self, id: &str, history_over: bool) {
         let Some(request) = self.requests.get(id) else { return };
         // The end of a truncated history may lack the record of the request.
--- a/crates/stonevane-audit/src/auditor/attempts.rs
+++ b/crates/stonevane-audit/src/auditor/attempts.rs
@@ -46,7 +46,7 @@
         self.check_blind_repeat(reply);
     }
 
-    /// Handles the end of an attempt without an answer.
+    /// Handles the end of an attempt without a complete answer, for example by the close of its connection.
     pub(super) fn attempt_ended(&mut self, end: NumberedRecord) {
         self.requests.track(&end).replies.push(end);
     }
--- a/crates/stonevane-audit/src/auditor/discovery.rs
+++ b/crates/stonevane-audit/src/auditor/discovery.rs
@@ -4,16 +4,17 @@
 
 use super::evidence::NumberedRecord;
 
-/// Maximum number of announcements of a server as active that are kept.
+/// Maximum number of announcements of an active server that are kept per server.
 const MAX_ACTIVE_ANNOUNCEMENTS: usize = 8;
 
-/// Announcements of a server.
+/// Announcements of a server's status, either registered by discovery or received by one node.
 #[derive(Default)]
 struct Announcements {
-    /// First announcement, since the server was last active, that it drains or is gone.
+    /// First announcement that the server drains or is gone since it was last announced as active.
     down: Option<NumberedRecord>,
     start: Option<AnnouncedStart>,
-    /// Earliest possible moments of its announcements as active, the newest last.
+    /// Earliest possible moments of the announcements that the server is active, the newest last, in
+    /// microseconds.
     active_at: VecDeque<u64>,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// Announcements in discovery itself, and those that each node was notified of.
+/// Announcements that discovery has registered, and those that each node has received.
 #[derive(Default)]
 pub(super) struct DiscoveryState {
     /// Changes that discovery has registered, by server.
@@ -58,13 +59,13 @@
         self.updates.entry(record.server_name().into()).or_default().add(record);
     }
 
-    /// Adds a notification of a node.
+    /// Adds a notification that a node has received.
     pub fn notified(&mut self, record: NumberedRecord) {
         let key = (record.node.clone(), record.server_name().to_owned());
         self.notifications.entry(key).or_default().add(record);
     }
 
-    /// Removes the notifications of a node whose process has ended, since they are lost with it.
+    /// Removes the notifications that a node has received, since they are lost when its process ends.
     pub fn forget_node(&mut self, node: &str) {
         self.notifications.retain(|(name, _), _| name != node);
     }
@@ -73,28 +74,32 @@
         self.notifications.get(&(node.to_owned(), server.to_owned()))
     }
 
-    /// Returns whether a node was notified, by a moment, of this start of a server or a later one.
+    /// Returns whether a node had been notified by the moment `by` that a server started at `started_at` or
+    /// later.
     pub fn start_known_to(&self, node: &str, server: &str, started_at: u64, by: u64) -> bool {
         let start = self.known_to(node, server).and_then(|known| known.start);
         start.is_some_and(|start| start.started_at >= started_at && start.announced_at <= by)
     }
 
-    /// Returns the notification of a node that a server drains or is gone.
+    /// Returns the notification to a node that a server drains or is gone; `None` if the node received none
+    /// since the server was last announced to it as active.
     pub fn drain_known_to(&self, node: &str, server: &str) -> Option<NumberedRecord> {
         self.known_to(node, server)?.down.clone()
     }
 
-    /// Returns discovery's own record that a server drains or is gone.
+    /// Returns discovery's record that a server drains or is gone; `None` if there is none since the server
+    /// was last active.
     pub fn drain_of(&self, server: &str) -> Option<NumberedRecord> {
         self.updates.get(server)?.down.clone()
     }
 
-    /// Returns whether a node may have been notified within a period that a server is active.
+    /// Returns whether a node may have received, between `from` and `until`, a notification that a server is
+    /// active.
     pub fn may_be_notified_active(&self, node: &str, server: &str, from: u64, until: u64) -> bool {
         self.known_to(node, server).is_some_and(|known| active_within(known, from, until))
     }
 
-    /// Returns whether discovery may have registered within a period that a server is active.
+    /// Returns whether discovery may have registered, between `from` and `until`, that a server is active.
     pub fn may_be_active(&self, server: &str, from: u64, until: u64) -> bool {
         self.updates.get(server).is_some_and(|known| active_within(known, from, until))
     }
--- a/crates/stonevane-audit/src/auditor/draining.rs
+++ b/crates/stonevane-audit/src/auditor/draining.rs
@@ -1,4 +1,5 @@
-//! The draining rule: no new attempts at a server that drains or is gone, after a grace period.
+//! The draining rule: once a grace period is over, nodes send no new attempts to a server that drains or is
+//! gone.
 
 use super::evidence::{NumberedRecord, Violation};
 use super::{Auditor, SETTLING_DELAY_US};
@@ -10,7 +11,8 @@
     pub due: u64,
     attempt: NumberedRecord,
     announcement: NumberedRecord,
-    /// `true` if the node was notified of the drain, `false` if it only counts as notified.
+    /// `true` if the node received a notification of the drain; `false` if it only counts as notified,
+    /// because discovery registered the drain long enough ago.
     was_notified: bool,
 }
 
@@ -26,7 +28,8 @@
         }
         let assumed_after = self.rules.assumed_notified_us;
         let Some(update) = self.discovery.drain_of(server) else { return };
-        // A node that has just started may have an old list, so it gets the same time from its start.
+        // A node that has just started may have an old server list, so the time until it counts as notified
+        // begins at its start.
         let ready = self.nodes.get(node).and_then(|node| node.ready).map_or(0, |ready| ready.latest);
         let known_at = update.time.latest.max(ready) + assumed_after;
         if assumed_after > 0 && sent > known_at + grace {
--- a/crates/stonevane-audit/src/auditor/duplicate_effects.rs
+++ b/crates/stonevane-audit/src/auditor/duplicate_effects.rs
@@ -8,14 +8,14 @@
 use crate::report::Rule;
 use crate::rules::{ClassRule, DedupScope, Idempotency};
 
-/// Time in microseconds for which an idempotency key is kept after its last execution.
+/// Time in microseconds for which the auditor keeps an idempotency key after the key's last execution.
 const KEY_RETENTION_US: u64 = 60_000_000;
 
 /// Executions of an idempotency key.
 #[derive(Default)]
 struct Execution {
     expires_at: u64,
-    /// Attempts that ran, as server name and attempt number.
+    /// Attempts that ran with the key, each as server name and attempt number.
     attempts: HashSet<String>,
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl Executions {
-    /// Adds an execution of a key; returns whether it is the second one.
+    /// Adds an execution of a key; returns whether it is the key's second execution.
     fn add(&mut self, attempt: &NumberedRecord) -> bool {
         let expires_at = attempt.time.latest + KEY_RETENTION_US;
         let execution = self.by_key.entry(attempt.idempotency_key.clone()).or_default();
@@ -50,14 +50,15 @@
 }
 
 impl Auditor {
-    /// Counts the effects that happened more than once, regardless of who sent the repeat.
+    /// Counts the idempotency keys that ran more than once, regardless of who sent the repeat.
     pub(super) fn count_execution(&mut self, attempt: &NumberedRecord) {
         if self.executions.add(attempt) {
             self.report.duplicate_effects += 1;
         }
     }
 
-    /// Checks that a request that was rejected has not run: a rejection states that a retry is safe.
+    /// Checks that a rejected request has not run if its class is not idempotent, because a rejection states
+    /// that a retry is safe.
     pub(super) fn check_rejection(&mut self, id: &str, class: &ClassRule, answer: NumberedRecord) {
         let attempts = self.requests.get(id).map_or(&[][..], |request| &request.attempts);
         let ran = attempts.iter().find(|attempt| attempt.effect == Some(Effect::Ran));
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Checks that an attempt does not run after its request was rejected.
+    /// Checks that an attempt of a class that is not idempotent does not run after its request was rejected.
     pub(super) fn check_run_after_rejection(
         &mut self,
         class: &ClassRule,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Returns whether two servers drop each other's repeats; `true` if the zone and cell of one are unknown,
-    /// as nothing is proven then.
+    /// Returns whether two servers deduplicate each other's repeats. Returns `true` if the zone and cell of
+    /// either server are unknown, because then nothing is proven.
     fn dedups_together(&self, scope: DedupScope, one: &HistoryRecord, other: &HistoryRecord) -> bool {
         let known = |record: &HistoryRecord| {
             self.servers.get(record.server_name()).filter(|server| server.start.is_some())
@@ -153,8 +154,9 @@
         }
     }
 
-    /// Checks that a request that is not idempotent was not sent again while an attempt was in flight. The
-    /// reply to that attempt proves that the node could not know whether it had run.
+    /// Checks that a request that is not idempotent was not sent again while an earlier attempt was in
+    /// flight. The reply to the earlier attempt proves that the node could not know whether that attempt had
+    /// run.
     pub(super) fn check_blind_repeat(&mut self, reply: &NumberedRecord) {
         let Some(request) = self.requests.get(&reply.request) else { return };
         if request.class(&self.rules).kind != Idempotency::NonIdempotent {
--- a/crates/stonevane-audit/src/auditor/emulator_faults.rs
+++ b/crates/stonevane-audit/src/auditor/emulator_faults.rs
@@ -1,5 +1,5 @@
-//! Faults of the emulated servers themselves. Their records are evidence for findings on nodes, so their own
-//! faults are reported apart.
+//! Faults of the emulated servers themselves. The records of emulated servers are evidence for findings on
+//! nodes, so the emulators' faults are reported apart from the findings.
 
 use super::Auditor;
 use super::evidence::{NumberedRecord, quote};
@@ -8,7 +8,7 @@
 use crate::rules::{ClassRule, Idempotency};
 
 impl Auditor {
-    /// Checks that a server that drops repeats has not run one.
+    /// Checks that a server that deduplicates repeats has not run one.
     pub(super) fn check_server_dedup(&mut self, class: &ClassRule, attempt: &NumberedRecord) {
         let before = self.server_of(attempt).record_execution(attempt);
         let Some(before) = before.filter(|_| class.kind == Idempotency::WithKey) else { return };
@@ -25,8 +25,8 @@
         let attempt = request.attempts.iter().find(|attempt| attempt.is_same_attempt(reply));
         let earlier = request.replies.iter().find(|earlier| earlier.is_same_attempt(reply));
         let earlier = earlier.filter(|earlier| earlier.event == Event::Reply).cloned();
-        // All attempts of a request are known if it was tracked since its send; otherwise the server's
-        // highest attempt number decides.
+        // If the request has been tracked since its client sent it, all its attempts are known. Otherwise the
+        // server's highest attempt number shows whether it received the attempt.
         let server = self.servers.get(reply.server_name());
         let never_received = server.is_none_or(|server| reply.number > server.highest_attempt_number);
         if attempt.is_none() && (never_received || !request.sends.is_empty()) {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds a fault of the server that the last record of the evidence names.
+    /// Reports a fault of the server that the last record of the evidence names.
     fn report_emulator_fault(
         &mut self,
         code: &'static str,
--- a/crates/stonevane-audit/src/auditor/evidence.rs
+++ b/crates/stonevane-audit/src/auditor/evidence.rs
@@ -43,7 +43,8 @@
 pub(super) struct Violation {
     pub rule: Rule,
     pub code: &'static str,
-    /// Name of the check, one of [`super::Auditor::CHECKS`]; several checks may share a code.
+    /// Name of the check that found the violation, one of [`super::Auditor::CHECKS`]; several checks may
+    /// share a code.
     pub check: &'static str,
     /// Id of the request; empty if the violation concerns no single request.
     pub request: String,
--- a/crates/stonevane-audit/src/auditor/final_answer.rs
+++ b/crates/stonevane-audit/src/auditor/final_answer.rs
@@ -9,7 +9,8 @@
 use crate::report::Rule;
 
 impl Auditor {
-    /// Handles the send of a request, or its resend after the node's close of the connection crossed it.
+    /// Handles the send of a request, or its resend after the node closed the connection while the request
+    /// was on its way.
     pub(super) fn request_sent(&mut self, record: NumberedRecord) {
         let id = record.request.clone();
         let request = self.requests.track(&record);
@@ -17,7 +18,7 @@
         request.sends.push(record.clone());
         let closed = request.closed.take();
         // An attempt before the resend proves that the node had read the request before it closed the
-        // connection.
+        // connection, so the close did not cross the request.
         let read = request.attempts.iter().find(|attempt| attempt.time.latest < record.time.earliest);
         let read = read.cloned();
         self.requests.settle_at(record.deadline + self.rules.answer_slack_us + REQUEST_RETENTION_US, &id);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Handles a client that left without waiting for its answer.
+    /// Handles the leaving of a client that did not wait for its answer.
     pub(super) fn client_left(&mut self, record: NumberedRecord) {
         let request = self.requests.track(&record);
         request.client_left = Some(record);
@@ -108,11 +109,12 @@
         }
     }
 
-    /// Settles a request whose tracking time has ended: checks its attempts and whether it was answered.
+    /// Settles a request whose tracking time has ended: checks its attempts, and that it was answered or
+    /// needs no answer.
     pub(super) fn settle_request(&mut self, id: &str, due: u64, history_over: bool) {
         let Some(request) = self.requests.get(id) else { return };
         let Some(sent) = request.sends.last().cloned() else {
-            // No client sent it in this history, so it needs no answer.
+            // No client sent the request in this history, so the request needs no answer.
             if history_over || due <= self.now {
                 self.check_attempts(id, history_over);
                 self.remove_request(id);
@@ -120,7 +122,8 @@
             return;
         };
         let answer_due = sent.deadline + self.rules.answer_slack_us;
-        // A later settling is scheduled: this one was provisional, or a resend has extended the deadline.
+        // A later settling is scheduled: the time of this one was provisional, or a resend has extended the
+        // deadline.
         let is_rescheduled = due < answer_due + REQUEST_RETENTION_US;
         if is_rescheduled && !history_over {
             return;
--- a/crates/stonevane-audit/src/auditor/limits.rs
+++ b/crates/stonevane-audit/src/auditor/limits.rs
@@ -8,7 +8,7 @@
 use crate::report::Rule;
 
 impl Auditor {
-    /// Checks the attempts of a request, node by node.
+    /// Checks the attempts that each node made for a request.
     pub(super) fn check_limits(
         &mut self,
         id: &str,
@@ -68,8 +68,8 @@
     }
 }
 
-/// Returns whether an attempt was certainly in flight when a second one was sent: it was received earlier,
-/// and ended later or never.
+/// Returns whether the first attempt was certainly in flight when the second one was sent: its server
+/// received it earlier, and it ended later or never.
 fn is_in_flight(first: &NumberedRecord, second: &NumberedRecord, replies: &[NumberedRecord]) -> bool {
     let mut ends = replies.iter().filter(|reply| reply.is_same_attempt(first));
     first.time.latest < second.first_byte_time().earliest
--- a/crates/stonevane-audit/src/auditor/load_window.rs
+++ b/crates/stonevane-audit/src/auditor/load_window.rs
@@ -1,4 +1,4 @@
-//! Work that a server received within a sliding window.
+//! Sums of the work that a server received within a sliding window.
 
 use std::collections::VecDeque;
 
@@ -7,11 +7,11 @@
 /// Arrival of an attempt at a server.
 pub(super) struct Arrival {
     pub record: NumberedRecord,
-    /// Its work counts towards the share that attributes an overload to nodes.
+    /// Whether the attempt's work counts towards the share that attributes an overload to nodes.
     pub attributable: bool,
 }
 
-/// Sums over a window that ends with the newest arrival, in microseconds.
+/// Sums of work over a window that ends with the newest arrival, in microseconds.
 #[derive(Clone, Copy)]
 pub(super) struct WindowLoad {
     /// Earliest possible moment of the first arrival in the window.
@@ -27,7 +27,7 @@
 }
 
 impl LoadWindow {
-    /// Adds an arrival and removes those that may have come more than a window before it.
+    /// Adds an arrival, and removes the arrivals that may have come more than `window_us` before it.
     pub fn add(&mut self, arrival: Arrival, window_us: u64) {
         let time = arrival.record.time;
         let is_old = |old: &Arrival| old.record.time.earliest + window_us < time.latest;
--- a/crates/stonevane-audit/src/auditor/mod.rs
+++ b/crates/stonevane-audit/src/auditor/mod.rs
@@ -37,7 +37,7 @@
 use servers::Server;
 use values::{Commits, Values};
 
-/// Time in microseconds for which a request is tracked past its deadline, because late records of it may
+/// Time in microseconds for which a request is tracked past its deadline, because records of the request may
 /// still follow.
 const REQUEST_RETENTION_US: u64 = 5_000_000;
 /// Delay in microseconds after which every record that could refute a suspected violation has been read.
@@ -49,7 +49,7 @@
     report: Report,
     /// Latest time of the records so far, in microseconds.
     now: u64,
-    /// Whether [`Event::End`] was read: the history is complete.
+    /// Whether [`Event::End`] was read, which means that the history is complete.
     ended: bool,
     requests: Requests,
     values: Values,
@@ -65,8 +65,8 @@
 }
 
 impl Auditor {
-    /// Names of all checks: the code of the finding that the check reports, a more specific name where
-    /// several checks share a code, or `excuse-` and the reason that excuses an unanswered request or an
+    /// Names of all checks. A name is the code of the finding that the check reports, a more specific name if
+    /// several checks share a code, or `excuse-` with the reason that excuses an unanswered request or an
     /// unread notification.
     pub const CHECKS: [&'static str; 37] = [
         "twice",
@@ -117,7 +117,7 @@
         self.disabled_check != Some(check)
     }
 
-    /// Creates an auditor with these rules.
+    /// Creates an auditor that has read no record and checks against `rules`.
     pub fn new(rules: Rules) -> Self {
         Auditor {
             membership: Membership::new(rules.membership.clone()),
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Takes the record of line `number`. Records must arrive in the order of their `time.latest`.
+    /// Checks the record on line `number` of the history. Records must arrive in the order of their
+    /// `time.latest`.
     pub fn handle_record(&mut self, number: usize, record: HistoryRecord) {
         self.report.events += 1;
         self.now = self.now.max(record.time.latest);
--- a/crates/stonevane-audit/src/auditor/nodes.rs
+++ b/crates/stonevane-audit/src/auditor/nodes.rs
@@ -1,4 +1,4 @@
-//! State of each node's process: kills, outages and pauses, which excuse unanswered requests.
+//! State of each node's process. Its kills, outages and pauses excuse unanswered requests.
 
 use std::collections::VecDeque;
 
@@ -7,13 +7,13 @@
 use crate::interval::TimeInterval;
 use crate::report::Rule;
 
-/// Maximum number of kills, of outages and of pauses that are kept per node.
+/// Maximum number of entries that are kept per node for each of kills, outages and pauses.
 const MAX_ENTRIES_PER_KIND: usize = 8;
-/// Time in microseconds after a pause during which a process may still be late, because it works off its
+/// Time in microseconds after a pause during which a process may still answer late, because it works off its
 /// backlog.
 const CATCH_UP_US: u64 = 500_000;
 
-/// A period of time in microseconds; `until` is `u64::MAX` while it lasts.
+/// A period of time in microseconds; `until` is `u64::MAX` if the period has not ended.
 struct Period {
     from: u64,
     until: u64,
@@ -37,15 +37,16 @@
 pub(super) struct Node {
     pub ready: Option<TimeInterval>,
     term: Option<NumberedRecord>,
-    /// Kills that excuse the requests that they leave unanswered.
+    /// Kills that excuse unanswered requests: those without SIGTERM before them, or within the kill grace
+    /// after it.
     excusing_kills: Vec<NumberedRecord>,
-    /// There is no process, so no notification from discovery is read.
+    /// Whether there is no process, so that no notification from discovery is read.
     pub is_gone: bool,
     /// Periods without a ready process.
     outages: VecDeque<Period>,
     /// Periods in which the process was stopped or limited to a small share of CPU time.
     pauses: VecDeque<Period>,
-    /// Pauses that overlap and have not ended.
+    /// Number of pauses in force; pauses may overlap.
     active_pauses: usize,
 }
 
@@ -55,8 +56,8 @@
         self.outages.iter().any(|outage| outage.overlaps(written.earliest, written.latest))
     }
 
-    /// Returns whether the process may have been paused during part of a period, and so unable to answer in
-    /// time.
+    /// Returns whether the process may have been paused at some moment between `from` and `until`, which
+    /// excuses a missing or late answer.
     pub fn may_be_paused(&self, from: u64, until: u64) -> bool {
         self.pauses.iter().any(|pause| pause.overlaps(from, until))
     }
@@ -97,7 +98,7 @@
             self.resume(time);
         }
         self.is_gone = true;
-        // A history may record the same end twice.
+        // A history may record the end of one process twice; the second record begins no new outage.
         if self.outages.back().is_none_or(|outage| outage.until < u64::MAX) {
             push_open_period(&mut self.outages, time.earliest);
         }
--- a/crates/stonevane-audit/src/auditor/requests.rs
+++ b/crates/stonevane-audit/src/auditor/requests.rs
@@ -18,9 +18,9 @@
     pub attempts: Vec<NumberedRecord>,
     /// Replies to attempts, and ends of attempts without a reply.
     pub replies: Vec<NumberedRecord>,
-    /// An attempt missed at a cold server.
+    /// Whether an attempt of the request missed at a cold server.
     pub cold_miss: bool,
-    /// Codes of its findings; each is reported once.
+    /// Codes of the findings on the request; each code is reported once.
     pub reported: Vec<&'static str>,
 }
 
@@ -53,7 +53,7 @@
     pub fn track(&mut self, record: &NumberedRecord) -> &mut Request {
         let id = &record.request;
         if !self.by_id.contains_key(id) {
-            // A provisional time; the record of the client's send sets the actual one.
+            // The due time is provisional; the record of the client's send sets the actual one.
             self.due.push(Reverse((record.time.latest + 2 * REQUEST_RETENTION_US, id.clone())));
             self.by_id.insert(id.clone(), Request::default());
             self.peak = self.peak.max(self.by_id.len());
--- a/crates/stonevane-audit/src/auditor/servers.rs
+++ b/crates/stonevane-audit/src/auditor/servers.rs
@@ -16,12 +16,12 @@
     pub duration_us: u64,
     /// Capacity of the warm server, in microseconds of work per second.
     capacity_us_per_s: f64,
-    /// Share of that capacity at the start, 0 to 1.
+    /// Capacity at the start of the warm-up, as a share of `capacity_us_per_s`, 0 to 1.
     initial_share: f64,
 }
 
 impl WarmUp {
-    /// Returns the work that the server can do within a window, in microseconds.
+    /// Returns the work that the server can do from the moment `from` on within `window_us`, in microseconds.
     pub fn capacity_within(&self, from: u64, window_us: u64) -> f64 {
         let (capacity, share) = (self.capacity_us_per_s, self.initial_share);
         work_capacity(capacity, share, self.started_at, self.duration_us, from, window_us)
@@ -43,7 +43,7 @@
     pub cell: u64,
     pub start: Option<NumberedRecord>,
     pub load: LoadWindow,
-    /// Moment of the last counted overload that is not attributed to nodes, in microseconds.
+    /// Moment of the last overload that was counted and not attributed to nodes, in microseconds.
     pub last_unattributed_overload: Option<u64>,
     pub highest_attempt_number: u64,
     /// Last execution of each idempotency key on this server since its start.
@@ -70,7 +70,7 @@
         self.warm_up().is_some_and(|warm_up| warm_up.ends_after(time))
     }
 
-    /// Records an execution of an idempotency key; returns the previous one on this server.
+    /// Records an execution of an idempotency key; returns the previous execution of the key on this server.
     pub fn record_execution(&mut self, attempt: &NumberedRecord) -> Option<NumberedRecord> {
         let key = &attempt.idempotency_key;
         let before = self.executed.insert(key.clone(), attempt.clone());
--- a/crates/stonevane-audit/src/auditor/slow_start.rs
+++ b/crates/stonevane-audit/src/auditor/slow_start.rs
@@ -1,5 +1,5 @@
-//! The slow-start rule: nodes overload neither a server that is warming up nor, through misses at such
-//! servers, the origin.
+//! The slow-start rule: nodes don't overload a server that is warming up, and don't overload the origin
+//! through misses at such servers.
 
 use std::collections::HashSet;
 
@@ -51,7 +51,8 @@
         self.report_violation(Violation::new(Rule::SlowStart, "cold-server", what, evidence));
     }
 
-    /// Returns whether the attempt's node was notified of the server's start, or counts as notified.
+    /// Returns whether the attempt's node was notified of the server's start, or counts as notified because
+    /// discovery registered the start long enough ago.
     fn node_knew_of_start(&self, attempt: &NumberedRecord) -> bool {
         let server = self.servers.get(attempt.server_name());
         let Some(start) = server.and_then(|server| server.start.as_ref()) else { return false };
@@ -78,7 +79,7 @@
             .copied();
         let Some(load) = from_cold else {
             let latest = attempt.time.latest;
-            // Counted at most once per window.
+            // An overload that is not attributed to nodes is counted at most once per window.
             if !over.is_empty()
                 && server.last_unattributed_overload.is_none_or(|since| since + window_us < latest)
             {
--- a/crates/stonevane-audit/src/auditor/values.rs
+++ b/crates/stonevane-audit/src/auditor/values.rs
@@ -1,5 +1,5 @@
-//! Checks of served values: a value was produced for its request or committed, and is not older than an edit
-//! that was acknowledged before the request.
+//! Checks of served values: a value was produced for its request or committed to the store of record, and it
+//! is not older than an edit that was acknowledged before the request.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -35,7 +35,7 @@
 /// Values that servers produced, and edits that clients have receipts for.
 #[derive(Default)]
 pub(super) struct Values {
-    /// Request for which each value was produced.
+    /// Id of the request for which each value was produced, by value.
     request_by_value: HashMap<String, String>,
     /// Acknowledged edits by key.
     acknowledged: HashMap<String, Vec<AcknowledgedEdit>>,
@@ -63,7 +63,8 @@
         *edits = needed.split_off(excess);
     }
 
-    /// Returns the newest edit of a key that is newer than `version` and was acknowledged before a moment.
+    /// Returns the newest edit of a key that is newer than `version` and was acknowledged before the moment
+    /// `before`.
     fn newer_edit(&self, key: &str, version: u64, before: u64) -> Option<AcknowledgedEdit> {
         let edits = self.acknowledged.get(key).into_iter().flatten();
         let newer = edits.filter(|edit| edit.acknowledged_at < before && edit.version > version);
@@ -83,7 +84,7 @@
 }
 
 impl Commits {
-    /// Adds a commit; returns an earlier commit of the same edit, if there is one.
+    /// Adds a commit; returns an earlier commit with the same idempotency key, if there is one.
     fn add(&mut self, commit: &NumberedRecord) -> Option<NumberedRecord> {
         let versions = self.by_key.entry(commit.key.clone()).or_default();
         versions.push_back(commit.clone());
@@ -107,7 +108,8 @@
         None
     }
 
-    /// Returns the committed version that an answer shows; `None` if it shows no version committed by then.
+    /// Returns the version that an answer shows, by its value or receipt; `None` if no such version can have
+    /// been committed by the time of the answer.
     fn version_shown(&self, class: &ClassRule, sent: &HistoryRecord, answer: &HistoryRecord) -> Option<u64> {
         let in_time = |commit: &&NumberedRecord| commit.time.earliest <= answer.time.latest;
         if class.kind != Idempotency::Idempotent {
--- a/crates/stonevane-audit/src/history.rs
+++ b/crates/stonevane-audit/src/history.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum Event {
-    /// The first line of a history; it carries the rules.
+    /// The first line of a history; its record carries the rules.
     #[default]
     Begin,
     /// A client has written the last byte of a request to a node.
@@ -122,9 +122,9 @@
     /// Name of the process that wrote the record.
     #[serde(rename = "who")]
     pub recorder: String,
-    /// Kind of event.
+    /// Kind of event, which determines the fields that the record uses.
     pub event: Event,
-    /// Id of the request; a client's retry has a new one.
+    /// Id of the request; a client's retry is a request with a new id.
     #[serde(skip_serializing_if = "is_default")]
     pub request: String,
     /// Name of the node concerned, such as `n0`.
@@ -136,7 +136,7 @@
     /// Class of the request; see [`Rules::classes`].
     #[serde(skip_serializing_if = "is_default")]
     pub class: String,
-    /// Tenant of the request.
+    /// Name of the tenant that the request belongs to.
     #[serde(skip_serializing_if = "is_default")]
     pub tenant: String,
     /// Key that the request reads or edits.
@@ -148,7 +148,7 @@
     /// Digest of the value that an edit carries.
     #[serde(skip_serializing_if = "is_default")]
     pub digest: String,
-    /// Moment until which the client waits for an answer, in microseconds.
+    /// Moment until which the client waits for the final answer, in microseconds.
     #[serde(rename = "until", skip_serializing_if = "is_default")]
     pub deadline: u64,
     /// Outcome of the final answer.
@@ -160,7 +160,8 @@
     /// Effect of an attempt at its server.
     #[serde(skip_serializing_if = "is_default")]
     pub effect: Option<Effect>,
-    /// The value or a prefix of it, unique to the request for which it was produced.
+    /// The served or written value, or a prefix of the value that is unique to the request for which it was
+    /// produced.
     #[serde(skip_serializing_if = "is_default")]
     pub value: String,
     /// Version of the key that a value belongs to or that an edit created.
@@ -184,10 +185,10 @@
     /// Duration of the warm-up, in microseconds.
     #[serde(skip_serializing_if = "is_default")]
     pub warm_us: u64,
-    /// Zone of a server.
+    /// Name of a server's zone; see [`crate::DedupScope::Zone`].
     #[serde(skip_serializing_if = "is_default")]
     pub zone: String,
-    /// Cell of a server.
+    /// Number of a server's cell; see [`crate::DedupScope::Cell`].
     #[serde(skip_serializing_if = "is_default")]
     pub cell: u64,
     /// Status of a server in discovery: `active`, `leaving` or `left`.
@@ -213,7 +214,7 @@
     /// Whether the request is a client's retry.
     #[serde(skip_serializing_if = "is_default")]
     pub retry: bool,
-    /// Rules of the run; the first record carries them.
+    /// Rules of the run; only the first record, [`Event::Begin`], carries them.
     #[serde(skip_serializing_if = "is_default")]
     pub rules: Option<Box<Rules>>,
 }
@@ -230,7 +231,7 @@
         text
     }
 
-    /// Returns the name of the server concerned: `server`, or the recorder if that is empty.
+    /// Returns `server`, the name of the server concerned; if `server` is empty, returns the recorder's name.
     pub fn server_name(&self) -> &str {
         if self.server.is_empty() { &self.recorder } else { &self.server }
     }
@@ -247,7 +248,7 @@
     Malformed {
         /// Line number, from 1.
         line: usize,
-        /// Fault of the line.
+        /// Reason why the line is not a valid record.
         reason: MalformedLine,
     },
     /// The history has no lines.
@@ -258,7 +259,7 @@
     NoRules,
 }
 
-/// Fault of a line that is not a valid record.
+/// Reason why a line is not a valid record.
 #[derive(Debug, thiserror::Error)]
 pub enum MalformedLine {
     /// The line is longer than [`MAX_LINE_BYTES`].
--- a/crates/stonevane-audit/src/membership/detection.rs
+++ b/crates/stonevane-audit/src/membership/detection.rs
@@ -13,10 +13,10 @@
     pub views: usize,
     /// Number of processes that ended without announcing that they leave.
     pub deaths: usize,
-    /// For each death that was detected: microseconds until the first healthy view showed it as dead or
-    /// suspected.
+    /// For each death that was detected: microseconds until the first healthy view showed the member as dead
+    /// or suspected.
     pub first_us: Vec<u64>,
-    /// For each death that all healthy views detected: microseconds until the last of them did.
+    /// For each death that all healthy views detected: microseconds until the last of these views showed it.
     pub last_us: Vec<u64>,
     /// Number of times that a member was declared dead in some view although it and the view's owner had been
     /// healthy for longer than [`crate::MembershipRules::false_death_limit_us`].
@@ -24,7 +24,7 @@
 }
 
 impl MembershipMeasurements {
-    /// Returns a quantile, 0 to 1, of times; `None` if there are none.
+    /// Returns the given quantile, 0 to 1, of `times`; `None` if `times` is empty.
     pub fn quantile(times: &[u64], quantile: f64) -> Option<u64> {
         let mut times = times.to_vec();
         times.sort_unstable();
@@ -39,11 +39,11 @@
     ended_at: u64,
     /// For each member, whether its view has shown the death.
     detected_by: Vec<bool>,
-    /// Microseconds until the first healthy view showed it.
+    /// Microseconds until the first healthy view showed the death.
     first_us: Option<u64>,
-    /// Microseconds until all healthy views had shown it.
+    /// Microseconds until all healthy views had shown the death.
     last_us: Option<u64>,
-    /// The member has started again.
+    /// Whether the member has started again.
     is_over: bool,
 }
 
@@ -68,7 +68,7 @@
         });
     }
 
-    /// Measures a view, if its observer is healthy.
+    /// Updates the measurements by a view, if its observer is healthy.
     pub(super) fn measure(&mut self, time: TimeInterval, observer: usize, states: &[ViewState]) {
         if self.members[observer].healthy_since.is_none() {
             return;
@@ -80,7 +80,8 @@
     }
 
     fn count_false_death(&mut self, time: TimeInterval, observer: usize, member: usize, state: ViewState) {
-        // After this time the view can't show a death from before the member became healthy.
+        // Once both members have been healthy for this long, the view can't show a death from before that
+        // time.
         let bound = self.rules.false_death_limit_us;
         let is_settled = |member: &Member| {
             member.healthy_since.is_some_and(|since| time.earliest > since.saturating_add(bound))
--- a/crates/stonevane-audit/src/membership/mod.rs
+++ b/crates/stonevane-audit/src/membership/mod.rs
@@ -1,10 +1,11 @@
 //! The membership rules: compares each member's view of the others with the recorded state of the processes
-//! and of the network between them. What members report of themselves is no evidence of who is alive.
+//! and of the network between them. A member's report about itself is no evidence that the member is alive.
 //!
 //! A member is *healthy* while its process runs, is not paused, and datagrams pass in both directions between
 //! it and most of the other running members. A member without running peers is not healthy, because it can't
-//! distinguish the end of the others from its own partition. The bounds on what a view may show count from
-//! the last moment at which its owner, the observer, or the member shown changed its state of health.
+//! distinguish the end of all others from its own partition. A bound on what a view may show counts from the
+//! last moment at which either the view's owner (the observer) or the member shown became healthy or
+//! unhealthy.
 
 mod detection;
 #[cfg(test)]
@@ -41,14 +42,16 @@
 
 #[derive(Debug, Clone, Default)]
 struct Member {
-    /// Latest possible moment at which its process ended; `None` while there is a process.
+    /// Latest possible moment at which the member's process ended, in microseconds; `None` while there is a
+    /// process.
     down_since: Option<u64>,
     ever_started: bool,
-    /// It was sent SIGTERM and may announce that it leaves.
+    /// Whether the member was sent SIGTERM and may announce that it leaves.
     terminating: bool,
-    /// Number of current reasons why it need not respond: it starts, shuts down or is paused.
+    /// Number of current reasons why the member need not respond: it is starting, shutting down or paused.
     suspensions: u32,
-    /// Latest possible moment at which it became healthy; `None` while it is unhealthy.
+    /// Latest possible moment at which the member became healthy, in microseconds; `None` while it is
+    /// unhealthy.
     healthy_since: Option<u64>,
 }
 
@@ -65,12 +68,12 @@
     rules: MembershipRules,
     members: Vec<Member>,
     deaths: Vec<Death>,
-    /// Number of views, for each member, that show it dead although it is healthy.
+    /// For each member, the number of views that show it as dead although it is healthy.
     false_death_views: Vec<usize>,
     measurements: MembershipMeasurements,
     /// Number of active partitions from one member to another: a matrix with a row per sender.
     partitions: Vec<u16>,
-    /// Number of ordered pairs with an active partition.
+    /// Number of pairs of sender and receiver with an active partition.
     partitioned_pairs: usize,
     /// Number of active degradations of the network, mild and severe.
     degradations: usize,
@@ -112,7 +115,8 @@
         &self.measurements
     }
 
-    /// Handles a change of a member's process; `state` is that of the event [`crate::Event::Node`].
+    /// Handles a change of a member's process; `state` is one of the states that [`crate::Event::Node`]
+    /// lists.
     pub fn process_state(&mut self, time: TimeInterval, member: usize, state: &str) {
         let Some(process) = self.members.get_mut(member) else { return };
         match state {
@@ -169,7 +173,7 @@
     }
 
     /// Handles the begin or end of degraded network conditions, in which datagrams are lost, duplicated or
-    /// late. Mild conditions lose no more than one datagram in ten and delay by no more than a tenth of a
+    /// late. Mild conditions lose at most one datagram in ten, and delay datagrams by at most a tenth of a
     /// probe's time, so no member may be declared dead because of them.
     pub fn network_conditions(&mut self, time: TimeInterval, begins: bool, is_mild: bool) {
         let updated = |count: usize| if begins { count + 1 } else { count.saturating_sub(1) };
@@ -208,8 +212,8 @@
             || self.partitions[one * count + other] == 0 && self.partitions[other * count + one] == 0
     }
 
-    /// Begins a new incarnation of a member: clears what views showed of the last one, and the member's own
-    /// view.
+    /// Begins a new incarnation of a member: clears the entries that showed its last incarnation in all
+    /// views, and the member's own view.
     fn begin_incarnation(&mut self, member: usize) {
         let count = self.members.len();
         self.deaths.iter_mut().filter(|death| death.member == member).for_each(Death::end);
--- a/crates/stonevane-audit/src/membership/views.rs
+++ b/crates/stonevane-audit/src/membership/views.rs
@@ -3,8 +3,8 @@
 use super::{Member, Membership, MembershipViolation};
 use crate::interval::TimeInterval;
 
-/// Number of suspicions of a healthy member, in normal or mildly degraded network conditions, that is a
-/// violation if they fall within one window; see [`FALSE_SUSPICION_WINDOW_FACTOR`].
+/// Number of suspicions that is a violation if a view suspects one healthy member so often within one window,
+/// in normal or mildly degraded network conditions; see [`FALSE_SUSPICION_WINDOW_FACTOR`].
 const MAX_FALSE_SUSPICIONS: u32 = 4;
 /// Length of the window for counting false suspicions, in multiples of the bound on the duration of one
 /// suspicion.
@@ -51,22 +51,23 @@
     }
 }
 
-/// Entry of a view: a member as the last reading showed it.
+/// Entry of a view: the state of one member in the last reading of the view.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ViewEntry {
     pub state: Option<ViewState>,
     /// Latest possible moment since which the view shows `state`.
     since: u64,
-    /// The view showed the member dead or left so long after its process ended that this refers to the ended
-    /// incarnation.
+    /// Whether the view showed the member dead or left so long after its process ended that this must refer
+    /// to the ended incarnation.
     pub was_declared_dead: bool,
-    /// The current violation is already reported; each one is reported once while it lasts.
+    /// Whether the current violation by this entry is already reported; each violation is reported once while
+    /// it lasts.
     is_reported: bool,
-    /// The entry is counted as a false death: it shows a healthy member as dead.
+    /// Whether the entry is counted as a false death: it shows a healthy member as dead.
     pub is_false_death: bool,
-    /// Suspicions without a cause within the current window.
+    /// Number of suspicions of the healthy member within the current window.
     false_suspicions: u32,
-    /// Moment of the first of them, in microseconds.
+    /// Moment of the first suspicion in the current window, in microseconds.
     false_suspicions_since: u64,
 }
 
@@ -77,16 +78,17 @@
     state: ViewState,
     /// Earliest possible moment of the reading, in microseconds.
     now: u64,
-    /// The state differs from that in the last reading.
+    /// Whether the member's state differs from the state in the last reading of the view.
     has_changed: bool,
-    /// Network conditions are normal or mild, and nothing has changed for the bound on false deaths.
+    /// Whether network conditions are normal or mild, and neither a process nor the network has changed for
+    /// longer than the bound on false deaths.
     is_quiet: bool,
-    /// All faults ended longer ago than the bound on convergence.
+    /// Whether all faults ended longer ago than the bound on convergence.
     has_converged: bool,
 }
 
 impl Observation {
-    /// Returns whether the time since a moment is certainly longer than a bound.
+    /// Returns whether certainly more than `bound_us` has passed since a moment.
     fn exceeds(&self, since: u64, bound_us: u64) -> bool {
         self.now > since.saturating_add(bound_us)
     }
@@ -96,7 +98,8 @@
     }
 }
 
-/// A violation by an entry: the code, one of [`MembershipViolation::code`], and a description.
+/// A violation that an entry of a view shows: one of the codes of [`MembershipViolation::code`], and a
+/// description.
 struct Violation {
     code: &'static str,
     description: String,
@@ -176,7 +179,8 @@
         &mut self.views[seen.observer * self.members.len() + seen.member]
     }
 
-    /// Checks a member without a process: views show its end in time, and do not show it alive again.
+    /// Checks the entry of a member without a process: the view shows the member's end in time, and does not
+    /// show the member alive again.
     fn check_gone(&mut self, seen: &Observation, down_since: u64) -> Option<Violation> {
         let detection_limit_us = self.rules.detection_limit_us;
         let healthy_since = self.members[seen.observer].healthy_since;
@@ -197,8 +201,8 @@
         is_undetected.then(|| violation("undetected", format!("shown alive {ms} ms after its process ended")))
     }
 
-    /// Checks a healthy member in a healthy view: it is not declared dead, and suspicions are refuted and
-    /// rare.
+    /// Checks the entry of a healthy member in a healthy view: the member is not declared dead, and
+    /// suspicions of it are refuted in time and rare.
     fn check_healthy(&mut self, seen: &Observation, subject: &Member) -> Option<Violation> {
         let (own, other) = self.members[seen.observer].healthy_since.zip(subject.healthy_since)?;
         let (false_death_limit_us, refutation_limit_us) =
--- a/crates/stonevane-audit/src/report.rs
+++ b/crates/stonevane-audit/src/report.rs
@@ -1,6 +1,6 @@
 //! The report of an audit: findings with their evidence, and counts.
 //!
-//! People and tools read the texts; their wording matches the operators' documentation.
+//! The texts of findings are read by people and by tools; their wording matches the operators' documentation.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -22,10 +22,12 @@
     /// A draining server receives no new attempts after the grace period.
     #[serde(rename = "drained")]
     Draining,
-    /// Nodes overload neither a server that is warming up nor, through misses at such servers, the origin.
+    /// Nodes don't overload a server that is warming up, and don't overload the origin through misses at such
+    /// servers.
     #[serde(rename = "cold")]
     SlowStart,
-    /// Each attempt matches a request that a client sent to that node: key, class, idempotency key and value.
+    /// Each attempt matches a request that a client sent to the attempt's node, in key, class, idempotency
+    /// key and value.
     #[serde(rename = "tied")]
     AttemptIntegrity,
     /// The limits of the deployment: attempts per request, hedged requests, time to exit after SIGTERM.
@@ -63,7 +65,7 @@
 pub struct Finding {
     /// The violated rule.
     pub rule: Rule,
-    /// Kind of violation.
+    /// Short name of the kind of violation, such as `late`.
     pub code: &'static str,
     /// Id of the request; empty if the finding concerns no single request.
     pub request: String,
@@ -91,7 +93,7 @@
 pub struct EmulatorFault {
     /// Name of the emulated server.
     pub server: String,
-    /// Kind of fault.
+    /// Short name of the kind of fault.
     pub code: &'static str,
     /// Description of the fault.
     #[serde(rename = "what")]
@@ -122,11 +124,11 @@
     /// Faults of emulated servers, in the order in which they were proven; at most [`Report::MAX_REPORTED`]
     /// are kept.
     pub faults: Vec<EmulatorFault>,
-    /// Total number of faults, including those that were not kept. If it is not 0, the findings and their
-    /// absence are unreliable.
+    /// Total number of faults of emulated servers, including those that were not kept. If it is not 0,
+    /// neither the findings nor their absence is reliable.
     #[serde(rename = "faulty")]
     pub fault_count: usize,
-    /// Records read, without the first one.
+    /// Records read, without the first one, which carries the rules.
     pub events: usize,
     /// Requests that clients sent; a resend of the same request does not count.
     pub requests: usize,
--- a/crates/stonevane-audit/src/rules.rs
+++ b/crates/stonevane-audit/src/rules.rs
@@ -1,4 +1,4 @@
-//! Limits of the rules, as the first record of a history states them.
+//! The rules' limits, which the first record of a history states.
 //!
 //! Stored histories fix the keys; where a field's name differs, `serde(rename)` keeps the stored key.
 
@@ -21,7 +21,8 @@
     NonIdempotent,
 }
 
-/// Set of servers that drop a repeat of an idempotency key that one of them has run.
+/// Set of servers that deduplicate together: once one of them has run an idempotency key, all of them drop
+/// its repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScope {
@@ -40,11 +41,11 @@
 pub struct ClassRule {
     /// Name of the class, as requests state it.
     pub name: String,
-    /// Effect of a repeat of its requests.
+    /// Effect of a repeated request of this class.
     pub kind: Idempotency,
     /// Servers that drop each other's repeats, for classes with an idempotency key.
     pub scope: DedupScope,
-    /// Duration for which repeats are dropped, in microseconds from the first attempt that may have run.
+    /// Duration in microseconds, from the first attempt that may have run, for which repeats are dropped.
     pub window_us: u64,
 }
 
@@ -54,14 +55,15 @@
 pub struct OriginRule {
     /// Capacity in microseconds of work per second; 0: the origin has no limit.
     pub capacity_us_per_s: f64,
-    /// The origin is overloaded if it receives more than this multiple of its capacity ...
+    /// Multiple of the origin's capacity above which the origin is overloaded, if it receives this much work
+    /// within [`OriginRule::overload_window_us`].
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... within this window, in microseconds.
+    /// Length in microseconds of the window over which the origin's load is summed.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
-    /// An overload is attributed to nodes if at least this share of the work, 0 to 1, comes from misses at
-    /// cold servers.
+    /// An overload of the origin is attributed to nodes if at least this share of the work, 0 to 1, comes
+    /// from misses at cold servers.
     #[serde(rename = "cold_part")]
     pub cold_share: f64,
 }
@@ -111,41 +113,42 @@
     /// actual notifications count.
     #[serde(rename = "deemed_told_us")]
     pub assumed_notified_us: u64,
-    /// A server that is warming up is overloaded if it receives more than this multiple of its current
-    /// capacity ...
+    /// Multiple of its current capacity above which a server that is warming up is overloaded, if it receives
+    /// this much work within [`Rules::overload_window_us`].
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... within this window, in microseconds.
+    /// Length in microseconds of the window over which a server's load is summed.
     #[serde(rename = "fall_us")]
     pub overload_window_us: u64,
-    /// Tolerance for a load that exceeds the limit by chance, as a share of the limit.
+    /// Tolerance for a server's load that exceeds the overload limit by chance, as a share of that limit.
     #[serde(rename = "cold_slack")]
     pub overload_tolerance: f64,
-    /// An overload is attributed to nodes if at least this share of its work, 0 to 1, comes from nodes that
-    /// know of the server's start.
+    /// An overload of a server that is warming up is attributed to nodes if at least this share of the work,
+    /// 0 to 1, comes from nodes that know of the server's start.
     #[serde(rename = "informed_part")]
     pub informed_share: f64,
-    /// Time in microseconds after SIGTERM; a later kill does not excuse unanswered requests.
+    /// Time in microseconds after SIGTERM within which a kill of the node excuses its unanswered requests; a
+    /// later kill does not.
     #[serde(rename = "term_us")]
     pub kill_grace_us: u64,
     /// Maximum time in microseconds from SIGTERM to the end of a node; 0: no limit.
     #[serde(rename = "exit_us")]
     pub shutdown_limit_us: u64,
-    /// Maximum number of attempts of a node per request, without those that a dead server never received; 0:
-    /// no limit.
+    /// Maximum number of attempts that one node makes for a request; attempts that a dead server never
+    /// received don't count. 0: no limit.
     pub max_attempts: u32,
-    /// Whether nodes may send a hedged request while the first attempt is in flight.
+    /// Whether nodes may send a hedged request while the first attempt for the request is in flight.
     #[serde(rename = "second_copies")]
     pub hedging: bool,
     /// Rules of the classes; a class that is not listed counts as idempotent.
     pub classes: Vec<ClassRule>,
     /// Capacity limit of the origin.
     pub origin: OriginRule,
-    /// Whether the origin is a store of record whose commits are in the history: every client may be served a
-    /// committed value, and the receipt of an edit is its version.
+    /// Whether the origin is a store of record, with its commits in the history. If so, any client may be
+    /// served any committed value, and the receipt of an edit is the version that the edit created.
     pub store: bool,
-    /// Time in microseconds after the receipt of an edit; answers to requests sent later must reflect the
-    /// edit.
+    /// Time in microseconds from the receipt of an edit until the edit must be visible: answers to requests
+    /// sent later must reflect it.
     #[serde(rename = "visible_us")]
     pub write_visible_us: u64,
     /// Bounds on the views of members; not checked if there are no members.
@@ -191,7 +194,7 @@
     }
 }
 
-/// Returns the work, in microseconds, that a server can do from the moment `from` on within `window_us`.
+/// Returns the work that a server can do from the moment `from` on within `window_us`, in microseconds.
 ///
 /// The capacity rises linearly from its cold share, so the work is the integral of
 /// `share + (1 - share) * min(1, (t - started_at) / warm_us)`. `capacity` is that of a warm server, in
--- a/crates/stonevane-sim/src/client.rs
+++ b/crates/stonevane-sim/src/client.rs
@@ -44,13 +44,15 @@
 const EDIT: usize = 1;
 const MOVE: usize = 2;
 
-/// Maximum number of attempts of a client at one request.
+/// Maximum number of attempts that a client makes for one request.
 pub const MAX_ATTEMPTS: u32 = 3;
-/// Backoff before a retry if the answer names none, microseconds.
+/// Backoff before a retry if the node's answer states no delay, microseconds.
 pub const BACKOFF_US: u64 = 60_000;
-/// Minimum time left before the request expires for an attempt to be sent, microseconds.
+/// Minimum time between the start of an attempt and the expiry of its request, microseconds; later attempts
+/// are not sent.
 const MIN_ATTEMPT_TIME_US: u64 = 20_000;
-/// Minimum time left before the attempt's deadline for it to be resent, microseconds.
+/// Minimum time between the resend of an attempt and the attempt's deadline, microseconds; later resends are
+/// not made.
 pub const MIN_RESEND_TIME_US: u64 = 5_000;
 
 /// A client's request and the state of its current attempt.
@@ -62,12 +64,13 @@
     pub key: String,
     pub node: usize,
     pub created_at: u64,
-    /// Deadline over all attempts.
+    /// Deadline of the request over all its attempts, simulated microseconds.
     pub expires_at: u64,
     pub attempts: u32,
-    /// Whether the current attempt is being resent because the node's close crossed it.
+    /// Whether the current attempt is a resend, because the node's close of the connection crossed the first
+    /// send on the network.
     pub is_resent: bool,
-    /// Deadline of the current attempt.
+    /// Deadline of the current attempt, simulated microseconds.
     pub attempt_deadline: u64,
     pub stream: Option<StreamId>,
     pub is_over: bool,
@@ -75,7 +78,7 @@
 }
 
 impl ClientRequest {
-    /// Draws a request's class, key and node.
+    /// Creates a request whose class, key and preferred node are drawn at random.
     pub fn generate(number: u64, now: u64, plan: &Plan, rng: &mut Rand64) -> ClientRequest {
         let share = rng.rand_float();
         let kind = if share < plan.edit_share {
@@ -118,7 +121,7 @@
         if self.kind().has_idempotency_key { format!("t{:x}", self.number) } else { String::new() }
     }
 
-    /// Whether too little time is left to send the current attempt.
+    /// Whether too little time is left at `now` to send the current attempt.
     pub fn is_too_late(&self, now: u64) -> bool {
         self.expires_at.saturating_sub(now) < MIN_ATTEMPT_TIME_US
             || self.is_resent && self.attempt_deadline < now + MIN_RESEND_TIME_US
--- a/crates/stonevane-sim/src/discovery.rs
+++ b/crates/stonevane-sim/src/discovery.rs
@@ -5,9 +5,10 @@
 
 use crate::server::Server;
 
-/// Time after which an unanswered call fails, microseconds.
+/// Time after which a node's call to discovery without an answer fails, microseconds.
 const CALL_TIMEOUT_US: u64 = 2_000_000;
-/// Maximum work queued ahead of a call, in call timeouts; a call with more ahead of it is rejected.
+/// Maximum work queued ahead of a call, as a multiple of [`CALL_TIMEOUT_US`]; discovery rejects a call with
+/// more work ahead of it.
 const MAX_QUEUED_TIMEOUTS: u64 = 4;
 
 /// An entry of the server list, and the list version at which it last changed.
@@ -17,12 +18,12 @@
     pub address: String,
     pub is_origin: bool,
     pub status: &'static str,
-    /// Start time in the run, microseconds; 0 if the server started long before the run.
+    /// Simulated time at which the server started, microseconds; 0 if it started long before the run.
     pub started_at: u64,
     pub version: u64,
 }
 
-/// Outcome of a call to discovery, and its time in microseconds.
+/// Outcome of a call to discovery, with the simulated time of the outcome in microseconds.
 pub enum CallOutcome {
     Answered { at: u64 },
     Failed { at: u64 },
@@ -32,15 +33,15 @@
 pub struct Discovery {
     pub entries: Vec<Entry>,
     pub version: u64,
-    /// Whether calls fail.
+    /// Whether an outage is in force, during which all calls fail.
     pub is_down: bool,
-    /// Whether a stale watch event follows each new one.
+    /// Whether discovery sends a stale watch event after each new one.
     pub sends_stale_events: bool,
     calls: CallQueue,
 }
 
 impl Discovery {
-    /// Creates a list of `servers`, all active and started long before the run.
+    /// Creates the service with a list of `servers`, all of them active and started long before the run.
     pub fn new(servers: &[Server]) -> Discovery {
         let entries = servers.iter().map(|server| Entry {
             name: server.name.clone(),
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Queues a call and returns its outcome. Earlier calls are worked on first, even if their callers timed
-    /// out.
+    /// Queues a call that takes `work_us` microseconds, and returns its outcome. The calls ahead of it are
+    /// worked on even if their callers have timed out.
     pub fn take_call(&mut self, now: u64, work_us: u64) -> CallOutcome {
         match self.calls.enqueue(now, work_us, MAX_QUEUED_TIMEOUTS * CALL_TIMEOUT_US) {
             None => CallOutcome::Failed { at: now },
@@ -84,8 +85,8 @@
         self.entries.iter().filter(is_newer).cloned().collect()
     }
 
-    /// Returns the same entries as a list for nodes. `epoch_us` is the Unix time of the run's start,
-    /// microseconds.
+    /// Returns the entries that changed after `version` in the form in which nodes read a server list.
+    /// `epoch_us` is the Unix time of the run's start, microseconds.
     pub fn list_after(&self, version: u64, epoch_us: u64) -> EndpointList {
         let endpoints = self.changed_after(version).into_iter().map(|entry| Endpoint {
             name: entry.name,
--- a/crates/stonevane-sim/src/event_queue.rs
+++ b/crates/stonevane-sim/src/event_queue.rs
@@ -21,7 +21,7 @@
         self.now
     }
 
-    /// Schedules an event. An event in the past is the next one, and sets the clock back.
+    /// Schedules an event. An event before the current time comes next, and sets the clock back to its time.
     pub fn schedule(&mut self, at: u64, event: E) {
         self.scheduled += 1;
         self.events.insert((at, self.scheduled), event);
--- a/crates/stonevane-sim/src/members/plan/generate.rs
+++ b/crates/stonevane-sim/src/members/plan/generate.rs
@@ -4,7 +4,7 @@
 
 use super::{Bounds, FOREVER_US, MemberFault, MemberFaultKind, MemberPlan, SECOND_US};
 
-/// Earliest start of a fault, and the time from there within which all faults start, microseconds.
+/// Faults start between `FIRST_FAULT_US` and `FIRST_FAULT_US + FAULT_SPAN_US` microseconds of the run.
 const FIRST_FAULT_US: u64 = 12 * SECOND_US;
 const FAULT_SPAN_US: u64 = 20 * SECOND_US;
 /// Number of fault kinds; [`draw_faults`] numbers them.
@@ -114,13 +114,14 @@
             uses_local_health: true,
             faults,
             duration_us,
-            // Only accuracy is judged.
+            // The run judges only false deaths, so the other bounds are too long to be exceeded.
             bounds: Bounds { detection: 10_000, accuracy: 15, refutation: 10_000, convergence: 10_000 },
         }
     }
 }
 
-/// Draws the faults of one kind that begin together, or within a second.
+/// Draws the faults of one kind, from 0 to [`FAULT_KINDS`] - 1. They start at the same time, or within a
+/// second of each other.
 fn draw_faults(kind: usize, starting: usize, random: &mut Random) -> Vec<MemberFault> {
     let start_us = FIRST_FAULT_US + random.between(0, FAULT_SPAN_US);
     let duration_us = random.between(2 * SECOND_US, 30 * SECOND_US);
@@ -147,8 +148,8 @@
     }
 }
 
-/// Draws a partition: datagrams from one member to another are lost, or all datagrams from or to one member,
-/// or those around a ring of three members in one direction.
+/// Draws a partition, in which datagrams are lost from one member to another, from one member to all others,
+/// from all others to one member, or in one direction around a ring of three members.
 fn partial_partition(member: usize, starting: usize, random: &mut Random) -> Vec<MemberFaultKind> {
     let others: Vec<usize> = (0..starting).filter(|other| *other != member).collect();
     let partition = |from, to| MemberFaultKind::Partition { from, to };
@@ -164,7 +165,8 @@
     }
 }
 
-/// Splits the fleet in two. With probability 0.5 a third of the fleet restarts when the partition heals.
+/// Partitions the fleet into two groups. With probability 0.5, a third of all members restart when the
+/// partition ends.
 fn split(start_us: u64, duration_us: u64, starting: usize, random: &mut Random) -> Vec<MemberFault> {
     let at = 1 + random.below(starting - 1);
     let (one, other): (Vec<usize>, Vec<usize>) = (0..starting).partition(|member| *member < at);
--- a/crates/stonevane-sim/src/members/plan/mod.rs
+++ b/crates/stonevane-sim/src/members/plan/mod.rs
@@ -1,6 +1,6 @@
 //! Plans of membership simulations, drawn from a seed or read from a JSON file.
 //!
-//! The keys of the file format are stable: a renamed field keeps its first key.
+//! The keys of the file format are stable: `serde(rename)` keeps the key of a renamed field.
 
 mod generate;
 
@@ -11,11 +11,11 @@
 const SECOND_US: u64 = 1_000_000;
 /// Duration of a fault that never ends, microseconds.
 pub const FOREVER_US: u64 = u64::MAX / 2;
-/// Maximum number of members and maximum duration of a plan, microseconds.
+/// Upper limits of a plan: number of members, and duration in microseconds.
 const MAX_MEMBERS: usize = 2_000;
 const MAX_DURATION_US: u64 = 3_600 * SECOND_US;
 
-/// A kind of fault.
+/// A kind of fault, with its targets.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum MemberFaultKind {
@@ -29,7 +29,7 @@
         /// Index of the member, from 0.
         member: usize,
     },
-    /// A process is paused.
+    /// A process is paused: it reads no datagram and its timers don't run until the fault's end.
     Pause {
         /// Index of the member, from 0.
         member: usize,
@@ -39,7 +39,7 @@
         /// Index of the member, from 0.
         member: usize,
     },
-    /// Datagrams from some members to others are lost; those in the other direction are not.
+    /// Datagrams from the members in `from` to those in `to` are lost; datagrams in the other direction pass.
     #[serde(rename = "cut")]
     Partition {
         /// Indexes of the senders.
@@ -50,16 +50,16 @@
     /// Datagrams between all members are lost, duplicated and delayed.
     #[serde(rename = "weather")]
     NetworkConditions {
-        /// Share of datagrams that are lost.
+        /// Share of datagrams that are lost, 0 to 1.
         loss: f64,
-        /// Share of datagrams that are duplicated.
+        /// Share of datagrams that are duplicated, 0 to 1.
         #[serde(rename = "doubled")]
         duplicated: f64,
         /// Longest added delay, microseconds.
         #[serde(rename = "delay")]
         delay_us: u64,
     },
-    /// Random bytes arrive at a member under another member's address.
+    /// Datagrams of random bytes arrive at a member, with another member's address as their source.
     Flood {
         /// Index of the receiver, from 0.
         member: usize,
@@ -82,8 +82,9 @@
         }
     }
 
-    /// Returns the factor by which members may detect and refute more slowly during the fault: a member that
-    /// loses half of its datagrams, or receives them late, doubts its own health.
+    /// Returns the factor by which the bounds on detection and refutation grow during the fault, since a
+    /// member that loses half of its datagrams, or receives them late, doubts its own health and lengthens
+    /// its timeouts.
     fn slowdown(&self) -> u64 {
         match self {
             MemberFaultKind::NetworkConditions { loss, delay_us, .. }
@@ -100,38 +101,38 @@
     }
 }
 
-/// A fault and its time in the run.
+/// A fault, with its start and its duration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberFault {
-    /// Start time in the run, microseconds.
+    /// Start of the fault in microseconds from the start of the run.
     #[serde(rename = "at")]
     pub start_us: u64,
-    /// Duration, microseconds; from `u64::MAX / 2` on the fault never ends.
+    /// Duration of the fault, microseconds; a fault of `u64::MAX / 2` or more never ends.
     #[serde(rename = "lasts")]
     pub duration_us: u64,
-    /// Kind and targets.
+    /// Kind of the fault, with the members it targets.
     #[serde(rename = "what")]
     pub kind: MemberFaultKind,
 }
 
 impl MemberFault {
-    /// Returns the time when the fault ends, or when it begins if it never ends.
+    /// Returns the end of the fault in microseconds of the run, or its start if it never ends.
     fn last_change_us(&self) -> u64 {
         if self.duration_us >= FOREVER_US { self.start_us } else { self.start_us + self.duration_us }
     }
 }
 
-/// Bounds of the membership rules, in protocol periods of one second.
+/// Bounds that the auditor checks members' views against, in protocol periods of one second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u64, u64)", into = "(u64, u64, u64, u64)")]
 pub struct Bounds {
-    /// Longest time for which a view may show a member alive after it is gone.
+    /// Longest time for which a view may show a member alive after its process has ended.
     pub detection: u64,
     /// Longest time for which a view may show a healthy member dead.
     pub accuracy: u64,
     /// Longest time for which a healthy member may stay suspected.
     pub refutation: u64,
-    /// Longest time after the last fault until all views are right.
+    /// Longest time after the last fault until every view matches the state of the processes.
     pub convergence: u64,
 }
 
@@ -153,18 +154,19 @@
 pub struct MemberPlan {
     /// The seed of all random numbers within the run.
     pub seed: u64,
-    /// Number of members, from 1 to 2000, including the unknown peers, which are the last ones.
+    /// Number of members, from 1 to 2000. The count includes the unknown peers, which have the highest
+    /// indexes.
     pub members: usize,
-    /// Number of members that never start.
+    /// Number of unknown peers: members that never start.
     #[serde(rename = "strangers")]
     pub unknown_peers: usize,
-    /// Time within which all members start, microseconds.
+    /// Time from the start of the run within which all members start, microseconds.
     #[serde(rename = "starts")]
     pub start_window_us: u64,
-    /// Longest network delay without faults, microseconds.
+    /// Longest network delay without the delay that faults add, microseconds.
     #[serde(rename = "delay")]
     pub delay_us: u64,
-    /// Share of datagrams lost without faults.
+    /// Share of datagrams that are lost for other reasons than faults, 0 to 1.
     pub loss: f64,
     /// Whether datagrams are authenticated with a key.
     #[serde(rename = "keyed")]
@@ -172,15 +174,16 @@
     /// Number of members, from index 0 on, that support only version 1 of the datagram format.
     #[serde(rename = "old")]
     pub first_version_members: usize,
-    /// Whether the Lifeguard extensions lengthen members' timeouts, such as the local health multiplier.
+    /// Whether members lengthen their timeouts by the Lifeguard extensions, such as the local health
+    /// multiplier.
     #[serde(rename = "heeds_health")]
     pub uses_local_health: bool,
     /// Faults, ordered by start time.
     pub faults: Vec<MemberFault>,
-    /// Duration of the run, microseconds; an hour at most.
+    /// Duration of the run, microseconds; at most an hour.
     #[serde(rename = "length")]
     pub duration_us: u64,
-    /// Bounds that the views are judged by.
+    /// Bounds that the auditor checks the members' views against.
     pub bounds: Bounds,
 }
 
@@ -207,19 +210,19 @@
 }
 
 impl MemberPlan {
-    /// Returns the number of members that start.
+    /// Returns the number of members that start, which excludes the unknown peers.
     pub fn starting_members(&self) -> usize {
         self.members.saturating_sub(self.unknown_peers)
     }
 
-    /// Sets the duration and the bounds according to the faults.
+    /// Sets the plan's duration and bounds to values that suit its faults.
     pub fn set_duration_and_bounds(&mut self) {
         let first_moment = 10 * SECOND_US;
         let last_change = self.faults.iter().map(MemberFault::last_change_us).max();
         let last_change = last_change.unwrap_or(first_moment).max(first_moment);
         let slowdown = self.faults.iter().map(|fault| fault.kind.slowdown()).max().unwrap_or(1);
-        // The more members are gone at the same time, the more probes fail and the more a member doubts its
-        // own health.
+        // If more members are gone at the same time, more probes fail, and members doubt their own health and
+        // lengthen their timeouts.
         let is_flood = |fault: &&MemberFault| matches!(fault.kind, MemberFaultKind::Flood { .. });
         let disruptive_faults = (self.faults.len() - self.faults.iter().filter(is_flood).count()) as u64;
         let slowdown = slowdown.max(1 + disruptive_faults.min(24) / 3);
--- a/crates/stonevane-sim/src/members/shrink.rs
+++ b/crates/stonevane-sim/src/members/shrink.rs
@@ -5,7 +5,7 @@
 use super::simulation::{MemberOptions, run};
 use crate::shrink::remove_by_halves;
 
-/// Smallest fleet that shrinking leaves.
+/// Minimum number of members of a shrunk plan.
 const MIN_MEMBERS: usize = 3;
 
 struct Shrinker {
@@ -16,7 +16,8 @@
 }
 
 impl Shrinker {
-    /// Replaces the plan by a candidate that still breaks the same rule; returns whether it did.
+    /// Replaces the plan by a candidate if the candidate breaks the same rule as the original plan; returns
+    /// whether it was replaced.
     fn try_change(&mut self, plan: &mut MemberPlan, candidate: MemberPlan) -> bool {
         self.runs += 1;
         let is_accepted = self.runs <= self.max_runs
--- a/crates/stonevane-sim/src/members/simulation/faults.rs
+++ b/crates/stonevane-sim/src/members/simulation/faults.rs
@@ -4,11 +4,11 @@
 use super::{Event, PERIOD_US, Simulation};
 use crate::members::plan::{FOREVER_US, MemberFaultKind};
 
-/// Largest loss (as a share) and delay (in microseconds) of mild network conditions.
+/// Upper limits of mild network conditions: share of lost datagrams, and added delay in microseconds.
 const MAX_MILD_LOSS: f64 = 0.1;
 const MAX_MILD_DELAY_US: u64 = PERIOD_US / 20;
 
-/// Whether network conditions are mild in the sense of the membership rules.
+/// Whether network conditions are mild: by the membership rules they may cause no false death.
 fn is_mild(loss: f64, delay_us: u64) -> bool {
     loss <= MAX_MILD_LOSS && delay_us <= MAX_MILD_DELAY_US
 }
--- a/crates/stonevane-sim/src/members/simulation/mod.rs
+++ b/crates/stonevane-sim/src/members/simulation/mod.rs
@@ -17,14 +17,14 @@
 const PERIOD_US: u64 = 1_000_000;
 /// Interval at which views are checked, microseconds.
 const VIEW_INTERVAL_US: u64 = PERIOD_US / 2;
-/// Maximum number of rule violations that are kept.
+/// Maximum number of rule violations that [`MemberVerdict::violations`] keeps.
 const MAX_KEPT_VIOLATIONS: usize = 20;
 
 /// Options of a run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MemberOptions {
-    /// A deliberate bug (mutation testing): in member 0 only if it models a single faulty member, else in all
-    /// members.
+    /// A deliberate bug (mutation testing). Only member 0 has it if it models a single faulty member;
+    /// otherwise all members have it.
     pub mutant: Option<Mutant>,
 }
 
@@ -48,11 +48,12 @@
     pub datagrams: u64,
     /// Number of bytes sent in datagrams.
     pub bytes: u64,
-    /// Total running time of all members, seconds.
+    /// Sum of the running times of all members, seconds.
     pub member_seconds: f64,
     /// Detection times and false suspicions, as the auditor measured them.
     pub statistics: MembershipMeasurements,
-    /// Digest of all datagrams with their senders, receivers and times.
+    /// Digest of all datagrams with their senders, receivers and times; runs with the same plan and options
+    /// have the same digest.
     pub digest: u64,
 }
 
@@ -62,7 +63,7 @@
         self.violation_count == 0
     }
 
-    /// Returns the code of the first rule that was broken.
+    /// Returns the code of the first broken rule; `None` if no rule was broken.
     pub fn code(&self) -> Option<&'static str> {
         self.violations.first().map(|first| first.violation.code)
     }
@@ -80,7 +81,7 @@
         member: usize,
         incarnation: u32,
     },
-    /// A process has drained after SIGTERM.
+    /// The drain time of a process after SIGTERM is over, so the process exits.
     Drained {
         member: usize,
         incarnation: u32,
@@ -99,8 +100,8 @@
     queue: EventQueue<Event>,
     rng: Rand64,
     processes: Vec<Process>,
-    /// Number of partitions in force from each member to each other: one row per sender, one column per
-    /// receiver.
+    /// Number of partitions in force from each member to each other member: a matrix with a row per sender
+    /// and a column per receiver.
     partitions: Vec<u16>,
     degradations: Vec<Degradation>,
     membership: Membership,
@@ -173,7 +174,7 @@
         self.queue.now()
     }
 
-    /// Returns the simulated time as the auditor takes it.
+    /// Returns the simulated time as an interval of length 0, which the auditor's rules take.
     fn time(&self) -> TimeInterval {
         TimeInterval { earliest: self.now(), latest: self.now() }
     }
@@ -187,7 +188,8 @@
         self.membership.process_state(time, member, state);
     }
 
-    /// Checks the view of each process, including slow ones; paused processes have none.
+    /// Passes the view of each process to the auditor. Slow processes are included; paused processes have no
+    /// view.
     fn check_views(&mut self) {
         let time = self.time();
         for observer in 0..self.plan.starting_members() {
@@ -203,7 +205,8 @@
         self.schedule(self.now() + VIEW_INTERVAL_US, Event::CheckViews);
     }
 
-    /// Returns an observer's view: one letter per member, `?` for a member without a known state.
+    /// Returns an observer's view with one letter per member, `?` for a member whose state it does not know;
+    /// `None` if the observer has no view.
     fn view_of(&self, observer: usize) -> Option<String> {
         let process = &self.processes[observer];
         let machine = process.machine.as_ref().filter(|_| process.pauses == 0)?;
--- a/crates/stonevane-sim/src/members/simulation/network.rs
+++ b/crates/stonevane-sim/src/members/simulation/network.rs
@@ -12,7 +12,7 @@
 /// Upper bound of a flood's datagram length (exclusive), bytes.
 const MAX_FLOOD_BYTES: u64 = 300;
 
-/// Network conditions in force, from one fault.
+/// Network conditions that a fault has brought into force.
 pub struct Degradation {
     /// Index of the fault in the plan.
     pub fault: usize,
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Adds a datagram to the run's digest. Any change here makes digests incomparable with those of earlier
-    /// versions.
+    /// Adds a datagram to the run's digest. A change to this function makes digests incomparable with those
+    /// of earlier versions.
     fn digest_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let now = self.now();
         let endpoints = (from as u64) << 32 ^ (to as u64) << 48;
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Delivers random bytes to a member under another's address, and schedules the next ones while the flood
-    /// lasts.
+    /// Delivers a datagram of random bytes to a member, with another member's address as its source, and
+    /// schedules the next one while the flood lasts.
     pub(super) fn flood(&mut self, member: usize) {
         let now = self.now();
         let is_active = |fault: &MemberFault| {
--- a/crates/stonevane-sim/src/members/simulation/process.rs
+++ b/crates/stonevane-sim/src/members/simulation/process.rs
@@ -8,13 +8,13 @@
 
 /// Maximum number of datagrams queued for a process that isn't running: the capacity of a socket's buffer.
 const MAX_INBOX: usize = 250;
-/// A slow process runs for the first of these times in each period of the second, microseconds.
+/// A slow process runs for `TIME_SLICE_US` in each `TIME_SLICE_PERIOD_US`, microseconds.
 const TIME_SLICE_US: u64 = 10_000;
 const TIME_SLICE_PERIOD_US: u64 = 100_000;
-/// Time for which a process drains after SIGTERM, microseconds.
+/// Time from SIGTERM until the process exits, microseconds.
 const DRAIN_US: u64 = PERIOD_US / 2;
 
-/// A datagram at its receiver.
+/// A datagram that has arrived at its receiver's machine.
 pub struct Datagram {
     pub from: usize,
     pub bytes: Vec<u8>,
@@ -22,17 +22,18 @@
 
 /// State of a member's process.
 pub struct Process {
-    /// `None` while there is no process.
+    /// The membership state machine; `None` while there is no process.
     pub machine: Option<Machine<Option<Mutant>>>,
     pub incarnation: u32,
-    /// Number of faults in force that keep the process down, pause it and slow it.
+    /// Numbers of faults in force on this process: those that keep it down, those that pause it and those
+    /// that slow it.
     pub kills: u32,
     pub pauses: u32,
     pub slowdowns: u32,
     /// Whether a slow process is in its time slice.
     has_time_slice: bool,
     inbox: VecDeque<Datagram>,
-    /// Time of the scheduled wake, microseconds; `u64::MAX` for none.
+    /// Simulated time of the scheduled wake, microseconds; `u64::MAX` if none is scheduled.
     wake_at: u64,
 }
 
@@ -130,7 +131,7 @@
         self.schedule(now + DRAIN_US, Event::Drained { member, incarnation });
     }
 
-    /// Ends a process that has drained after SIGTERM.
+    /// Ends a process whose drain time after SIGTERM is over.
     pub(super) fn drained(&mut self, member: usize, incarnation: u32) {
         let process = &self.processes[member];
         if process.incarnation == incarnation && process.kills > 0 {
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Handles a member's scheduled wake, unless it is obsolete.
+    /// Wakes a member at its scheduled time. Does nothing if the process has restarted or the wake was
+    /// rescheduled since.
     pub(super) fn wake(&mut self, member: usize, incarnation: u32) {
         let now = self.now();
         let process = &mut self.processes[member];
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Begins or ends a slow process's time slice, and schedules the next switch.
+    /// Begins or ends a slow process's time slice, and schedules the slice's next begin or end.
     pub(super) fn switch_time_slice(&mut self, member: usize) {
         let process = &mut self.processes[member];
         if process.slowdowns == 0 {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Performs a member's outputs, and schedules its next wake.
+    /// Performs the outputs of a member's state machine, and schedules its next wake.
     fn perform(&mut self, member: usize) {
         self.outputs.events.clear();
         while let Some((to, bytes)) = self.outputs.sends.pop_front() {
--- a/crates/stonevane-sim/src/plan/generate.rs
+++ b/crates/stonevane-sim/src/plan/generate.rs
@@ -4,7 +4,7 @@
 
 use super::{Fault, FaultKind, Plan};
 
-/// Time to recover, from the last fault's end to the end of the load, microseconds.
+/// Time between the last fault's end and the end of the load, in which the fleet recovers, microseconds.
 const RECOVERY_US: u64 = 9_000_000;
 /// Earliest start of a fault, microseconds.
 const FIRST_FAULT_US: u64 = 500_000;
@@ -14,16 +14,16 @@
 const DRAIN: u64 = 4;
 /// Probability that a plan has faults of a given kind.
 const KIND_PROBABILITY: f64 = 0.3;
-/// Duration of a long drain, microseconds, and the probability that a drain is long. It exceeds the time for
-/// which a node's server list may be out of date.
+/// Duration of a long drain in microseconds, and the probability that a drain is long. A long drain lasts
+/// longer than a node's server list may be out of date.
 const LONG_DRAIN_US: u64 = 9_000_000;
 const LONG_DRAIN_PROBABILITY: f64 = 0.3;
-/// A node with more requests per second than this gets at least this many sockets, because the retries of
-/// rejected clients keep sockets in use.
+/// A node that receives more than `BUSY_NODE_REQUESTS_PER_S` gets at least `MIN_BUSY_NODE_SOCKETS`, because
+/// the retries of rejected clients keep sockets in use.
 const BUSY_NODE_REQUESTS_PER_S: f64 = 60.0;
 const MIN_BUSY_NODE_SOCKETS: usize = 96;
-/// Longest value with which requests are pipelined, bytes. With longer answers a node reads less of a
-/// pipeline at a time, so requests are late through their client's fault.
+/// Longest value of a plan in which requests are pipelined, bytes. With longer values a node reads less of a
+/// pipeline at a time, so requests arrive late through their client's fault.
 const MAX_PIPELINED_VALUE_BYTES: usize = 400;
 
 fn pick<T: Copy>(rng: &mut Rand64, choices: &[T]) -> T {
@@ -36,7 +36,7 @@
 
 impl Plan {
     /// Draws the plan of a seed. Each plan has a random subset of the fault kinds (swarm testing; Groce et
-    /// al., 2012), and one to three faults of each.
+    /// al., 2012), with one to three faults of each kind.
     pub fn generate(seed: u64) -> Plan {
         let mut rng = Rand64::new(u128::from(seed) << 1 | 1);
         let nodes = rng.rand_range(1..5) as usize;
@@ -121,10 +121,10 @@
     }
 
     /// Draws the plan of a large fleet: 100 nodes and 60 caches, an origin whose connection table has fewer
-    /// slots than there are nodes, and a discovery service that takes 8 s to handle one call of each node.
+    /// slots than there are nodes, and a discovery service that takes 8 s to handle one call from every node.
     /// All watches are cut off while 60 nodes are killed and restart, 12 caches (a zone) are lost and return
-    /// cold, 36 more are replaced within 7 s, and 4 of the rest are faulty. The times of the faults are drawn
-    /// from the seed.
+    /// cold, 36 more caches are replaced within 7 s, and 4 of the remaining caches are faulty. The times of
+    /// the faults are drawn from the seed.
     pub fn generate_large(seed: u64) -> Plan {
         let (nodes, caches) = (100, 60);
         let mut plan = Plan {
--- a/crates/stonevane-sim/src/plan/mod.rs
+++ b/crates/stonevane-sim/src/plan/mod.rs
@@ -1,12 +1,12 @@
 //! Simulation plans: the fleet, its load and its faults, drawn from a seed or read from a JSON file.
 //!
-//! The keys of the file format are stable: a renamed field keeps its first key.
+//! The keys of the file format are stable: `serde(rename)` keeps the key of a renamed field.
 
 mod generate;
 
 use serde::{Deserialize, Serialize};
 
-/// A kind of fault. Histories and the command line show its `Debug` form.
+/// A kind of fault, with its target. Histories and the command line show its `Debug` form.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "do")]
 pub enum FaultKind {
@@ -15,7 +15,8 @@
         /// Index of the cache, from 0.
         cache: usize,
     },
-    /// A cache's process is replaced by a cold one at the same address; discovery learns of it late.
+    /// A cache's process is replaced by a cold one at the same address; discovery registers the replacement
+    /// late.
     ReplaceCache {
         /// Index of the cache, from 0.
         cache: usize,
@@ -30,7 +31,7 @@
         /// Index of the cache, from 0.
         cache: usize,
     },
-    /// Discovery lists a cache as draining, and as active again at the fault's end.
+    /// Discovery lists a cache as draining; at the fault's end it lists the cache as active again.
     DrainCache {
         /// Index of the cache, from 0.
         cache: usize,
@@ -62,12 +63,12 @@
         /// Index of the node, from 0.
         node: usize,
     },
-    /// A node's process is paused, including its timers.
+    /// A node's process is paused: it handles no event and its timers don't run until the fault's end.
     PauseNode {
         /// Index of the node, from 0.
         node: usize,
     },
-    /// The origin does no work.
+    /// The origin does no work until the fault's end.
     StallOrigin,
     /// The origin closes connections without an answer after it has run the request.
     TearOrigin {
@@ -78,7 +79,8 @@
     NoDiscovery,
     /// Discovery sends a stale watch event after each new one.
     OldNews,
-    /// Clients close their connections long before the deadline, with probability 0.5 for each attempt.
+    /// Clients close their connections long before the request's deadline, with probability 0.5 for each
+    /// attempt.
     Impatient,
     /// Clients connect and send nothing.
     Crowd {
@@ -87,16 +89,16 @@
     },
 }
 
-/// A fault and its time in the run.
+/// A fault, with its start and its duration.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Start time in the run, microseconds.
+    /// Start of the fault in microseconds from the start of the run.
     #[serde(rename = "at")]
     pub start_us: u64,
-    /// Duration, microseconds.
+    /// Time from the start of the fault to its end, microseconds.
     #[serde(rename = "lasts")]
     pub duration_us: u64,
-    /// Kind and target.
+    /// Kind of the fault, with the cache or node it targets.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
@@ -109,7 +111,7 @@
     pub seed: u64,
     /// Number of nodes, from 1 to 200.
     pub nodes: usize,
-    /// Number of caches, from 1 to 200; there is one origin beside them.
+    /// Number of caches, from 1 to 200, without the one origin that each run has.
     pub caches: usize,
     /// Time during which clients send new requests, microseconds.
     #[serde(rename = "length")]
@@ -125,10 +127,11 @@
     pub move_share: f64,
     /// Number of distinct keys.
     pub keys: u64,
-    /// Share of the keys that caches hold at the beginning.
+    /// Share of the keys that each cache holds at the beginning, 0 to 1.
     #[serde(rename = "warm")]
     pub cached_share: f64,
-    /// Probability that a request is pipelined on a connection that has requests in flight, if there is one.
+    /// Probability that a client pipelines a request on a connection with requests in flight, if there is
+    /// such a connection.
     #[serde(rename = "pipelined")]
     pub pipelined_share: f64,
     /// Shortest and longest network delay, microseconds.
@@ -137,7 +140,7 @@
     /// Share of writes that arrive in several pieces.
     #[serde(rename = "split")]
     pub fragmented_share: f64,
-    /// Share of a node's writes whose last piece its machine takes late.
+    /// Share of a node's writes whose last piece the node's machine takes up to 20 ms late, 0 to 1.
     #[serde(rename = "slow")]
     pub late_flush_share: f64,
     /// Drift of each node's clock, as a share: 0.01 runs 1 % fast, a negative value slow.
@@ -151,12 +154,12 @@
     /// Length of values, bytes.
     #[serde(rename = "value")]
     pub value_bytes: usize,
-    /// Slots of the origin's connection table; requests on connections beyond it are rejected. Unlimited if
-    /// missing.
+    /// Slots of the origin's connection table. The origin rejects requests on connections without a slot.
+    /// Unlimited if the field is missing.
     #[serde(rename = "places", default, skip_serializing_if = "Option::is_none")]
     pub origin_connections: Option<usize>,
-    /// Time that discovery, which handles one call at a time, takes for a call, microseconds. No time if
-    /// missing.
+    /// Time that discovery takes for one call, microseconds; it handles one call at a time. No time if the
+    /// field is missing.
     #[serde(rename = "call", default, skip_serializing_if = "Option::is_none")]
     pub discovery_call_us: Option<u64>,
     /// Faults, ordered by start time.
@@ -172,9 +175,9 @@
     /// A field's value is out of range.
     #[error("`{field}` is {value}, but must be from {least} to {most}")]
     OutOfRange {
-        /// The field's key in the file.
+        /// Key of the field in the plan file.
         field: &'static str,
-        /// The value in the file.
+        /// Value of the field in the plan file.
         value: f64,
         /// The least accepted value.
         least: f64,
@@ -206,7 +209,7 @@
 const MAX_CLOCK_DRIFT: f64 = 0.5;
 
 impl Plan {
-    /// Returns the time when the last fault ends, microseconds; 0 without faults.
+    /// Returns the end of the last fault in microseconds of the run; 0 without faults.
     pub fn last_fault_end_us(&self) -> u64 {
         self.faults.iter().map(|fault| fault.start_us + fault.duration_us).max().unwrap_or(0)
     }
@@ -219,7 +222,7 @@
     /// Parses the text of a plan file.
     ///
     /// # Errors
-    /// Returns the first invalid field or fault; for invalid JSON with its line.
+    /// Returns the first invalid field or fault; for invalid JSON, the error names its line.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = serde_json::from_str(text)?;
         for FieldRange { field, value, least, most } in plan.ranges() {
@@ -242,7 +245,7 @@
         Ok(plan)
     }
 
-    /// Returns the fields with a limited range.
+    /// Returns the plan's fields that have a limited range, with their values and ranges.
     fn ranges(&self) -> [FieldRange; 17] {
         let nodes = self.nodes as f64;
         let range = |field, value, least, most| FieldRange { field, value, least, most };
--- a/crates/stonevane-sim/src/server/mod.rs
+++ b/crates/stonevane-sim/src/server/mod.rs
@@ -12,7 +12,7 @@
 
 /// CPU cores of each cache and of the origin.
 const CORES: usize = 4;
-/// Mean work of a read at a cache, of a fetch at the origin and of an edit at the origin, microseconds.
+/// Mean work of a request in microseconds: a read at a cache, a read at the origin and an edit at the origin.
 const CACHE_READ_US: u64 = 8_000;
 const ORIGIN_READ_US: u64 = 12_000;
 const ORIGIN_WRITE_US: u64 = 12_000;
@@ -22,15 +22,16 @@
 const MISS_WORK_DIVISOR: u64 = 10;
 /// Longest wait for a core, microseconds; a request that would wait longer is rejected.
 const MAX_QUEUE_US: u64 = 400_000;
-/// Share of its full capacity that a server has right after a cold start.
+/// Capacity of a server right after a cold start, as a share of its warmed-up capacity.
 pub const COLD_SHARE: f64 = 0.35;
 /// Time from a cold start until the server is warmed up, microseconds.
 pub const WARM_UP_US: u64 = 4_000_000;
 /// Time for which the origin deduplicates requests with the same idempotency key, microseconds.
 pub const DEDUP_WINDOW_US: u64 = 200_000;
-/// Number of remembered idempotency keys above which the origin removes those past their window.
+/// Number of idempotency keys that the origin remembers before it removes those older than
+/// [`DEDUP_WINDOW_US`].
 const MAX_DEDUP_KEYS: usize = 1_024;
-/// Maximum number of requests whose misses a cache remembers.
+/// Maximum number of missed requests that a cache remembers, to fill itself from the origin's answers.
 const MAX_MISSES: usize = 4_096;
 
 /// Result of handling a request at a server.
@@ -38,14 +39,14 @@
 pub struct Work {
     pub effect: Effect,
     pub version: u64,
-    /// The attempt's number at this server.
+    /// Number of the attempt, by which this server distinguishes its attempts.
     pub number: u64,
-    /// Work as a warmed-up server takes for it, microseconds.
+    /// CPU time that the request takes on a warmed-up server, microseconds.
     pub cost_us: u64,
     pub answered_at: u64,
 }
 
-/// An applied edit, kept to deduplicate requests with its idempotency key.
+/// An applied edit, kept to deduplicate later requests with the same idempotency key.
 struct DedupEntry {
     expires_at: u64,
     version: u64,
@@ -62,14 +63,15 @@
     pub is_silent: bool,
     /// Whether the machine is unreachable.
     pub is_unreachable: bool,
-    /// Interval, in answers, at which one is truncated and its connection closed; `None` for never.
+    /// Number of answers after which one is truncated and its connection closed: 2 truncates each second
+    /// answer; `None` truncates no answer.
     pub truncate_every: Option<u64>,
-    /// Whether extra bytes follow each answer.
+    /// Whether the server sends extra bytes after each answer.
     pub sends_extra_bytes: bool,
     /// Whether each answer is corrupted.
     pub corrupts_answers: bool,
     pub incarnation: u64,
-    /// Time of the last cold start; `None` if the server was warm from the beginning.
+    /// Simulated time of the last cold start, microseconds; `None` if the server was warm from the beginning.
     pub started_at: Option<u64>,
     /// Version of each key that the server holds.
     pub versions: BTreeMap<String, u64>,
@@ -77,9 +79,10 @@
     dedup: BTreeMap<String, DedupEntry>,
     attempts: u64,
     answers: u64,
-    /// Keys of requests that missed, by request id; the origin's answers fill them.
+    /// Keys of the requests that missed here, by request id; the origin's answers to these requests fill the
+    /// cache.
     misses: BTreeMap<String, String>,
-    /// Ids of those requests, oldest first.
+    /// Request ids in `misses`, oldest first.
     miss_order: VecDeque<String>,
 }
 
@@ -131,12 +134,12 @@
         self.is_up && !self.is_unreachable && !self.is_silent
     }
 
-    /// Stops all work until `until`.
+    /// Stops all work until the simulated time `until`, microseconds.
     pub fn stall(&mut self, until: u64) {
         self.cores.stop_until(until);
     }
 
-    /// Rejects a request that came on a connection without a slot in the connection table.
+    /// Rejects a request whose connection has no slot in the connection table.
     pub fn reject(&mut self, now: u64) -> Work {
         self.attempts += 1;
         Work { effect: Effect::Busy, version: 0, number: self.attempts, cost_us: 0, answered_at: now }
@@ -170,13 +173,14 @@
         }
     }
 
-    /// Current speed as a share of a warmed-up server's.
+    /// Returns the server's speed at `now` as a share of its warmed-up speed.
     fn speed(&self, now: u64) -> f64 {
         let share = |started_at| work_capacity(1e6, COLD_SHARE, started_at, WARM_UP_US, now, 1).max(0.01);
         self.started_at.map_or(1.0, share)
     }
 
-    /// Returns the effect of a request if there is capacity for it, and the version that it reads or creates.
+    /// Returns the effect that a request has if the server has capacity for it, and the version that the
+    /// request reads or creates.
     fn effect_of(&self, now: u64, request: &ServerRequest, number: u64) -> (Effect, u64) {
         if request.is_write {
             let earlier = self.dedup.get(&request.idempotency_key);
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Counts an answer and returns whether it is to be truncated.
+    /// Counts an answer and returns whether the server must truncate it.
     pub fn truncates_next_answer(&mut self) -> bool {
         self.answers += 1;
         self.truncate_every.is_some_and(|every| self.answers.is_multiple_of(every))
--- a/crates/stonevane-sim/src/server/protocol.rs
+++ b/crates/stonevane-sim/src/server/protocol.rs
@@ -20,7 +20,7 @@
     pub idempotency_key: String,
     /// Digest of an edit's value; empty for reads.
     pub digest: String,
-    /// Whether the request came over HTTP, which the origin speaks, rather than RESP2.
+    /// Whether the request came over HTTP, the origin's protocol; otherwise it came over RESP2.
     pub is_http: bool,
 }
 
@@ -33,7 +33,7 @@
     /// A command that caches don't support.
     #[error("an unknown command, not OBJ.GET or OBJ.SET: {0:?}")]
     UnknownCommand(Vec<Bytes>),
-    /// A command with too many or too few arguments, its name included.
+    /// A command with the wrong number of arguments, which includes the command's name.
     #[error("a command of {0} arguments: OBJ.GET takes 4 and OBJ.SET takes 5, the name included")]
     WrongLength(usize),
     /// An invalid HTTP request line.
@@ -104,7 +104,8 @@
     }))
 }
 
-/// Returns a value of the comma-separated `name=value` pairs that a request carries; empty if it is missing.
+/// Returns the value of `name` from the comma-separated `name=value` pairs that a request carries; empty if
+/// there is no such pair.
 fn metadata_value<'a>(metadata: &'a str, name: &str) -> &'a str {
     let mut pairs = metadata.split(',').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map_or("", |(_, value)| value)
--- a/crates/stonevane-sim/src/shrink.rs
+++ b/crates/stonevane-sim/src/shrink.rs
@@ -7,11 +7,11 @@
 use crate::plan::{FaultKind, Plan};
 use crate::simulation::{Options, run};
 
-/// Faults of this duration or less aren't shortened, microseconds.
+/// Fault duration at or below which a fault is not shortened further, microseconds.
 const MIN_FAULT_US: u64 = 50_000;
-/// Loads of this rate or less aren't reduced, requests per second.
+/// Request rate at or below which the load is not reduced further, requests per second.
 const MIN_REQUESTS_PER_S: f64 = 4.0;
-/// Durations of load after the last fault's end that are tried, in this order, microseconds.
+/// Times from the last fault's end to the end of the load that shrinking tries, in this order, microseconds.
 const LOAD_TAILS_US: [u64; 3] = [200_000, 1_000_000, 3_000_000];
 
 /// Result of shrinking a failing plan.
@@ -19,9 +19,9 @@
 pub struct Shrunk {
     /// The smallest failing plan that was found.
     pub plan: Plan,
-    /// Failure code, which is the original plan's too; see [`Verdict::code`](crate::Verdict::code).
+    /// Failure code of both the original and the shrunk plan; see [`Verdict::code`](crate::Verdict::code).
     pub code: String,
-    /// Number of simulation runs.
+    /// Number of simulation runs that shrinking took.
     pub runs: usize,
 }
 
@@ -52,7 +52,7 @@
         is_accepted
     }
 
-    /// Tries each change once; returns whether any was applied.
+    /// Tries each way of shrinking once; returns whether the plan became smaller.
     fn shrink_once(&mut self, plan: &mut Plan) -> bool {
         let before = plan.clone();
         let faults = plan.faults.len();
@@ -105,7 +105,7 @@
 }
 
 /// Tries to remove items from a plan in ranges of `max_length`, then of half that length, down to single
-/// items. `remove` takes a range out if the plan still fails without it, and returns whether it did.
+/// items. `remove` removes a range if the plan still fails without it, and returns whether it did.
 pub(crate) fn remove_by_halves<P>(
     plan: &mut P,
     max_length: usize,
--- a/crates/stonevane-sim/src/simulation/clients.rs
+++ b/crates/stonevane-sim/src/simulation/clients.rs
@@ -12,21 +12,22 @@
 use crate::plan::FaultKind;
 use crate::stream::{Chunk, Peer, Stream, StreamId};
 
-/// Time after the deadline at which a client without an answer closes its connection, microseconds.
+/// Time after an attempt's deadline at which a client without an answer closes its connection, microseconds.
 const ANSWER_GRACE_US: u64 = 300_000;
 /// Time after which an impatient client closes its connection, microseconds, and the probability that a
 /// client is impatient while [`FaultKind::Impatient`] is in force.
 const IMPATIENT_TIMEOUT_US: u64 = 30_000;
 const IMPATIENT_PROBABILITY: f64 = 0.5;
-/// Time after which a connection that the node has not accepted is given up, microseconds.
+/// Time after which a client gives up a connection that the node has not accepted, microseconds.
 const CONNECT_TIMEOUT_US: u64 = 250_000;
-/// Time after the deadline within which a punctual answer may still arrive, microseconds.
+/// Time after an attempt's deadline within which an answer that the node sent in time may still arrive,
+/// microseconds.
 const ANSWER_SLACK_US: u64 = 60_000;
 /// Maximum number of pipelined requests on a connection.
 const MAX_PIPELINED: usize = 12;
 /// Longest value that clients accept, bytes.
 const MAX_VALUE_BYTES: usize = 1 << 24;
-/// Error with which a node reports that no complete command came in time; it answers no request.
+/// Error that a node sends if no complete command arrived in time; it is not the answer to a request.
 const INCOMPLETE_COMMAND: &[u8] = b"ERR no whole command";
 
 /// A node's answer to a request.
@@ -56,7 +57,7 @@
 }
 
 impl Simulation<'_> {
-    /// Generates a request, attempts it and schedules the next arrival.
+    /// Generates a request, makes its first attempt and schedules the next request.
     pub(super) fn request_arrival(&mut self) {
         if self.now() >= self.plan.load_duration_us {
             return;
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Chooses a node as a front layer does: the preferred node, or the next one that accepts connections.
+    /// Chooses a node as a load balancer in front of the nodes does: the preferred node, or else the next one
+    /// that accepts connections.
     fn node_for(&self, preferred: usize) -> Option<usize> {
         let count = self.nodes.len();
         (0..count).map(|offset| (preferred + offset) % count).find(|node| {
@@ -111,7 +113,8 @@
         self.schedule_in(CONNECT_TIMEOUT_US, Event::ConnectTimeout { request: number, attempt });
     }
 
-    /// Gives up a request. If it was to be resent after a crossing close, its client counts as having left.
+    /// Gives up a request. If the request was to be resent because a close crossed it, the history records
+    /// that its client left.
     fn give_up(&mut self, number: usize) {
         self.requests[number].is_over = true;
         if self.requests[number].is_resent {
@@ -163,7 +166,8 @@
         }
         (request.stream, request.node) = (Some(id), node);
         let command = command(&self.requests[number], left_us, &self.value);
-        // Answers come in order, so a pipelined request waits at least as long as those before it.
+        // Answers come in the order of the requests, so a pipelined request waits at least until the
+        // deadlines of the requests before it.
         let before = self.streams.get(&id).into_iter().flat_map(|stream| &stream.in_flight);
         let latest = before.map(|before| self.requests[*before].attempt_deadline).max();
         let request = &mut self.requests[number];
@@ -192,8 +196,8 @@
         self.record(sent);
     }
 
-    /// Returns an open connection to a node: one with requests in flight if the request is to be pipelined,
-    /// else an idle one.
+    /// Returns an open connection to a node. If the request is drawn to be pipelined, the connection has
+    /// requests in flight; otherwise it is idle.
     fn reusable_stream(&mut self, node: usize) -> Option<StreamId> {
         if self.draw_chance(self.plan.pipelined_share) {
             let incarnation = self.nodes[node].incarnation;
@@ -286,7 +290,7 @@
         self.retry(number, backoff_us);
     }
 
-    /// Schedules another attempt unless the maximum is reached.
+    /// Schedules another attempt after a backoff, unless the request has had [`MAX_ATTEMPTS`].
     fn retry(&mut self, number: usize, backoff_us: u64) {
         let request = &mut self.requests[number];
         request.attempts += 1;
@@ -316,7 +320,8 @@
         self.schedule_in(BACKOFF_US, Event::Attempt(number));
     }
 
-    /// Handles a close without an answer. An attempt that the close may have crossed is resent once.
+    /// Handles a node's close without an answer. If the close may have crossed the attempt on the network,
+    /// the attempt is resent, at most once.
     fn closed_without_answer(&mut self, number: usize, from: usize, may_cross: bool) {
         let request = self.requests[number].id();
         self.record(HistoryRecord {
@@ -397,7 +402,7 @@
         request.is_over = true;
         request.stream = None;
         let id = request.id();
-        // A punctual answer may still be in flight.
+        // An answer that the node sent in time may still be in flight.
         let may_be_answered = now < request.attempt_deadline + ANSWER_SLACK_US;
         // A paused node can't see that the client has left.
         if !self.nodes[node].is_paused && !self.received.contains(&id) {
@@ -408,7 +413,8 @@
         }
     }
 
-    /// Opens a connection of a crowd, which never sends a request, and schedules the next one.
+    /// Opens a connection of a crowd client, which never sends a request, and schedules the next such
+    /// connection.
     pub(super) fn crowd_arrival(&mut self, fault: usize) {
         let FaultKind::Crowd { per_s } = self.plan.faults[fault].kind else { return };
         if self.crowd_faults == 0 {
@@ -435,7 +441,7 @@
     }
 }
 
-/// Encodes a request's command, which carries the time left until its deadline.
+/// Encodes a request's command, which states the time left until the deadline, `left_us`.
 fn command(request: &ClientRequest, left_us: u64, value: &str) -> Bytes {
     let kind = request.kind();
     let mut metadata = format!("c={},t=all,d={}", kind.name, left_us / 1_000);
--- a/crates/stonevane-sim/src/simulation/discovery.rs
+++ b/crates/stonevane-sim/src/simulation/discovery.rs
@@ -9,7 +9,7 @@
 use super::{EPOCH_US, Simulation, node};
 use crate::discovery::{CallOutcome, Entry};
 
-/// Delay of a stale event after the new one, microseconds.
+/// Delay between a new watch event and the stale one that follows it, microseconds.
 const STALE_EVENT_DELAY_US: u64 = 50_000;
 
 impl Simulation<'_> {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sends a watching node the entries that changed after the version that it has.
+    /// Sends a node with an open watch the entries that changed after the list version that it has.
     fn notify_watch(&mut self, node: usize) {
         let Some(watch) = self.nodes[node].watch else { return };
         if self.discovery.is_down || watch.version >= self.discovery.version {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Returns a stale update: all entries as active, under an index below `version`.
+    /// Returns a stale server list: all entries as active, with a list version below `version`.
     fn stale_list(&self, version: u64) -> EndpointList {
         let mut list = self.discovery.list_after(0, EPOCH_US);
         list.version = version.saturating_sub(1);
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Queues a call that reaches discovery. It is done at once if discovery is down or calls take no time.
+    /// Queues a call that has reached discovery. The call is done at once if discovery is down or calls take
+    /// no time.
     pub(super) fn discovery_call_arrived(&mut self, call: DiscoveryCall, request: DiscoveryRequest) {
         let caller = &mut self.nodes[call.node];
         if !caller.runs(call.incarnation) {
--- a/crates/stonevane-sim/src/simulation/event.rs
+++ b/crates/stonevane-sim/src/simulation/event.rs
@@ -11,7 +11,7 @@
 pub struct DiscoveryCall {
     pub node: usize,
     pub incarnation: u64,
-    /// The node's number of the call.
+    /// Number by which the node identifies the call.
     pub epoch: u64,
 }
 
@@ -27,7 +27,7 @@
     },
     /// A node's machine takes the last piece of a write.
     Flushed(StreamId),
-    /// The read time of a half-closed stream is over.
+    /// The time for which a node keeps a half-closed stream open is over.
     HalfCloseExpired(StreamId),
     /// A client's connection reaches a node's machine.
     Connect(StreamId),
@@ -49,12 +49,12 @@
     RequestArrival,
     /// A client sends or retries a request.
     Attempt(usize),
-    /// The time for a request's connection to be accepted is over.
+    /// The time within which a node must accept a request's connection is over.
     ConnectTimeout {
         request: usize,
         attempt: u32,
     },
-    /// The time that a client waits for an answer is over.
+    /// The time for which a client waits for an answer is over.
     AnswerTimeout {
         request: usize,
         attempt: u32,
@@ -65,17 +65,17 @@
         begins: bool,
     },
     StartNode(usize),
-    /// Discovery learns of a change.
+    /// Discovery registers a change of a server.
     DiscoveryUpdate {
         server: String,
         status: &'static str,
         started_at: Option<u64>,
     },
-    /// A list or a watch event reaches a node; `None` if its call has failed.
+    /// A server list or a watch event reaches a node; `None` reports that the node's call has failed.
     DiscoveryAnswer(DiscoveryCall, Option<EndpointList>),
-    /// A call reaches discovery.
+    /// A node's call reaches discovery.
     DiscoveryCallArrived(DiscoveryCall, DiscoveryRequest),
-    /// Discovery has worked on a call.
+    /// Discovery has finished its work on a node's call.
     DiscoveryCallDone(DiscoveryCall, DiscoveryRequest),
     /// A client of a crowd connects; it never sends a request.
     CrowdArrival {
--- a/crates/stonevane-sim/src/simulation/faults.rs
+++ b/crates/stonevane-sim/src/simulation/faults.rs
@@ -8,10 +8,10 @@
 use super::recorder::record;
 use crate::plan::FaultKind;
 
-/// Delay with which discovery learns of a server's change, microseconds.
+/// Delay between a server's change and its registration in discovery, microseconds.
 const DISCOVERY_LAG_US: u64 = 1_000_000;
 
-/// Adjusts the number of faults in force of a kind when one begins or ends.
+/// Adds 1 to a count of faults in force if a fault begins, and subtracts 1 if it ends.
 fn count(faults: &mut u32, begins: bool) {
     *faults = faults.saturating_add_signed(if begins { 1 } else { -1 });
 }
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Closes a cache's connections at the end of a fault during which it read nothing: unread requests are
-    /// lost.
+    /// Closes a cache's connections when a fault ends during which the cache read nothing. The unread
+    /// requests are lost.
     fn drop_unread(&mut self, cache: usize, begins: bool) {
         if !begins {
             self.close_connections(cache);
@@ -111,7 +111,8 @@
         }
     }
 
-    /// Sends a node SIGTERM; the node restarts after its exit, whenever the fault ends.
+    /// Sends a node SIGTERM when the fault begins. The node restarts after it has exited, regardless of the
+    /// fault's end.
     fn terminate_node(&mut self, node: usize, begins: bool) {
         if begins && self.nodes[node].core.is_some() && !self.nodes[node].is_paused {
             self.record_node_state(node, "term");
--- a/crates/stonevane-sim/src/simulation/invariants.rs
+++ b/crates/stonevane-sim/src/simulation/invariants.rs
@@ -3,21 +3,24 @@
 use super::{Invariant, Simulation, Violation};
 use crate::client::READ;
 
-/// Last part of the load, in which clients must be served again, microseconds.
+/// Length of the window at the end of the load in which clients must be served again, microseconds.
 const PROGRESS_WINDOW_US: u64 = 3_000_000;
-/// Minimum share of reads served in that time, and the minimum number of reads for it to be checked.
+/// Minimum share of the reads in [`PROGRESS_WINDOW_US`] that must be served, and the number of reads below
+/// which the share is not checked.
 const MIN_SERVED_SHARE: f64 = 0.9;
 const MIN_JUDGED_READS: usize = 20;
 /// Descriptors that a node reserves for uses other than connections.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// Maximum number of a node's timers: its own, and those per open request, attempt or connection.
+/// A node may have `MAX_OWN_TIMERS`, and `MAX_TIMERS_PER_OPEN_ITEM` for each open request, attempt and
+/// connection.
 const MAX_OWN_TIMERS: usize = 600;
 const MAX_TIMERS_PER_OPEN_ITEM: usize = 8;
 
 impl Simulation<'_> {
-    /// Records the first violation of an invariant.
+    /// Records a violation unless the same invariant was violated before.
     pub(super) fn record_violation(&mut self, invariant: Invariant, detail: String) {
-        // Names are compared by prefix, so that `left` is not reported after `left-sent`.
+        // Names are compared by prefix, so that a violation of `left` is not recorded after one of
+        // `left-sent`.
         let is_reported = |earlier: &Violation| earlier.invariant.name().starts_with(invariant.name());
         if !self.violations.iter().any(is_reported) {
             let at_us = self.now();
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Checks that clients are served again after the last fault.
+    /// Checks that clients are served at the end of the load, after the last fault.
     pub(super) fn check_progress(&mut self) {
         let load_end = self.plan.load_duration_us;
         let from = load_end.saturating_sub(PROGRESS_WINDOW_US).max(self.plan.last_fault_end_us());
--- a/crates/stonevane-sim/src/simulation/mod.rs
+++ b/crates/stonevane-sim/src/simulation/mod.rs
@@ -38,11 +38,12 @@
 
 /// Unix time of a run's start, microseconds.
 const EPOCH_US: u64 = 1_790_000_000_000_000;
-/// Time from the end of the load to the end of the run, when nodes must hold nothing, microseconds.
+/// Time from the end of the load to the end of the run, microseconds. At the end of the run nodes must hold
+/// no requests, attempts or memory.
 const QUIET_PERIOD_US: u64 = 4_000_000;
 /// Time of the first request, microseconds.
 const FIRST_REQUEST_US: u64 = 10_000;
-/// Maximum number of events of a run; a run with more is taken for an endless loop.
+/// Maximum number of events of a run; a run with more events counts as an endless loop.
 const MAX_STEPS: u64 = 20_000_000;
 /// Port of all servers.
 const SERVER_PORT: u16 = 6_379;
@@ -70,17 +71,18 @@
     requests: Vec<ClientRequest>,
     recorder: Recorder,
     violations: Vec<Violation>,
-    /// Number of faults in force of these kinds: `Impatient`, `Crowd` and `NoDiscovery`.
+    /// Numbers of faults in force, of the kinds `Impatient`, `Crowd` and `NoDiscovery`.
     impatience_faults: u32,
     crowd_faults: u32,
     discovery_faults: u32,
     totals: FleetTotals,
-    /// Attempts whose clients left before a server received them, with the time when they left.
+    /// Ids of the attempts whose clients left before a server received them, with the simulated time of
+    /// leaving in microseconds.
     abandoned: HashMap<String, u64>,
-    /// Attempts that a server has received.
+    /// Ids of the attempts that a server has received.
     received: HashSet<String>,
     steps: u64,
-    /// Value of all edits.
+    /// Value that every edit writes.
     value: String,
     value_digest: String,
 }
@@ -211,7 +213,7 @@
         self.queue.now()
     }
 
-    /// Schedules an event; one in the past is scheduled for now.
+    /// Schedules an event; an event before the current time is scheduled for the current time.
     fn schedule(&mut self, at: u64, event: Event) {
         self.queue.schedule(at.max(self.now()), event);
     }
--- a/crates/stonevane-sim/src/simulation/network.rs
+++ b/crates/stonevane-sim/src/simulation/network.rs
@@ -8,11 +8,12 @@
 use super::event::Event;
 use crate::stream::{Chunk, Peer, Stream, StreamId};
 
-/// Maximum number of pieces that are cut off the front of a write.
+/// Maximum number of pieces that are split off before the last piece of a write.
 const MAX_PIECES: usize = 6;
-/// Upper bound of the delay with which a machine takes the last piece of a write, microseconds.
+/// Upper bound of the time that the last piece of a write stays in the process before the machine takes it,
+/// microseconds.
 const MAX_FLUSH_DELAY_US: u64 = 20_000;
-/// Maximum number of bytes that a node reads at once before it writes a request.
+/// Maximum number of unread bytes that a node reads before it writes a request to the same connection.
 const READ_BEFORE_WRITE_BYTES: usize = 4_096;
 
 impl Simulation<'_> {
@@ -39,7 +40,7 @@
         self.schedule(at, Event::DeliverToPeer(id, chunk));
     }
 
-    /// Splits bytes into the pieces in which they arrive, one or several.
+    /// Splits bytes into the one or several pieces in which they arrive.
     pub(super) fn fragment(&mut self, bytes: &[u8]) -> Vec<Vec<u8>> {
         if bytes.len() < 2 || !self.draw_chance(self.plan.fragmented_share) {
             return vec![bytes.to_vec()];
@@ -69,7 +70,7 @@
             let is_counted = |stream: &&Stream| {
                 stream.peer == peer && stream.has_server_slot && stream.is_node_open && stream.is_peer_open
             };
-            // The count includes the new stream.
+            // The count includes the new stream, which is already in `streams`.
             let has_server_slot = self.streams.values().filter(is_counted).count() <= slots;
             self.streams.entry(id).and_modify(|stream| stream.has_server_slot = has_server_slot);
         }
@@ -113,7 +114,8 @@
         }
     }
 
-    /// Writes a node's bytes to a connection. The node's machine may take the last piece late.
+    /// Writes a node's bytes to a connection. Their last piece may stay in the process for a while before the
+    /// machine takes it.
     pub(super) fn node_writes(
         &mut self,
         node: usize,
@@ -141,7 +143,7 @@
         self.feed_into(node, Input::Flushed(connection), outputs);
     }
 
-    /// Sends the last piece of a write that the node's machine took late.
+    /// Sends the last piece of a write once the node's machine has taken it.
     pub(super) fn flushed(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get_mut(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, connection) = (stream.node, stream.connection);
@@ -200,8 +202,8 @@
         }
     }
 
-    /// Returns whether a connection has nothing to read. If it has, feeds the node the unread bytes or the
-    /// end of the connection.
+    /// Returns whether a connection is open with no unread bytes and no unread end. Otherwise feeds the node
+    /// the first unread bytes, at most [`READ_BEFORE_WRITE_BYTES`], or else the end of the connection.
     pub(super) fn check_nothing_unread(
         &mut self,
         node: usize,
@@ -223,7 +225,7 @@
         true
     }
 
-    /// Closes the node's end, and reports the connection's end to the node.
+    /// Closes the node's end of a stream, and reports the end of the connection to the node.
     fn node_end_closed(&mut self, node: usize, connection: ConnId, id: StreamId, outputs: &mut Outputs) {
         self.nodes[node].streams.remove(&connection);
         self.close_node_end(id);
@@ -240,7 +242,8 @@
         }
     }
 
-    /// Closes a half-closed stream whose peer has closed too, or whose read time is over.
+    /// Closes a half-closed stream after its peer has closed its end too, or once the stream has been
+    /// half-closed for the longest time allowed.
     pub(super) fn half_close_expired(&mut self, id: StreamId) {
         let Some(stream) = self.streams.get(&id).filter(|stream| stream.is_node_open) else { return };
         let (node, connection) = (stream.node, stream.connection);
@@ -269,7 +272,7 @@
         }
     }
 
-    /// Closes the peer's end after the node's.
+    /// Closes the peer's end of a stream after the node has closed its own end.
     fn peer_end_closed(&mut self, id: StreamId, is_reset: bool) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.is_peer_open = false;
@@ -283,7 +286,7 @@
         };
         let peer = stream.peer;
         if stream.is_node_open {
-            // The node has closed only its writing side, and waits for the peer's end.
+            // The node has closed only its writing side, and waits until the peer has closed its end.
             self.send_to_node(id, Chunk::End);
         } else {
             self.streams.remove(&id);
@@ -298,11 +301,11 @@
 pub struct ClosedStream {
     pub id: StreamId,
     pub node: usize,
-    /// Requests without an answer.
+    /// Requests that were sent on the stream and have no answer.
     pub in_flight: Vec<usize>,
-    /// A request that was not yet sent.
+    /// A request that waited for the node to accept the stream, and so was not sent.
     pub waiting_request: Option<usize>,
-    /// Whether a request was answered on the stream.
+    /// Whether the node had answered a request on the stream.
     pub was_used: bool,
     pub is_reset: bool,
 }
--- a/crates/stonevane-sim/src/simulation/node.rs
+++ b/crates/stonevane-sim/src/simulation/node.rs
@@ -17,18 +17,19 @@
 
 /// Discovery's address in the nodes' settings.
 const DISCOVERY_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 4, 0, 1), 8_500);
-/// Probability that a process wakes late, and the upper bound of the delay, microseconds.
+/// Probability that a process wakes later than its timer is due, and the upper bound of the delay in
+/// microseconds.
 const LATE_WAKE_PROBABILITY: f64 = 0.2;
 const MAX_LATE_WAKE_US: u64 = 3_000;
-/// Denominator of clock drifts in parts per million.
+/// Divisor that turns a clock drift in parts per million into a share.
 const PPM: i64 = 1_000_000;
 
 /// A node's open watch at discovery.
 #[derive(Clone, Copy)]
 pub struct Watch {
-    /// The node's number of the call that opened the watch.
+    /// Number by which the node identifies the call that opened the watch.
     pub epoch: u64,
-    /// The list version that the node has, or that is on its way to it.
+    /// Version of the server list that the node has, or of a newer list that is on its way to the node.
     pub version: u64,
 }
 
@@ -37,7 +38,7 @@
     /// The process's core; `None` while there is no process.
     pub core: Option<Core<Option<Mutant>>>,
     pub incarnation: u64,
-    /// Whether any incarnation has called discovery.
+    /// Whether the node has called discovery in any of its incarnations.
     pub has_called_discovery: bool,
     pub is_paused: bool,
     /// Events that came while the process was paused, to be handled when it resumes.
@@ -46,10 +47,11 @@
     pub wake_at: u64,
     /// Accepted and opened streams, by the core's connection ids.
     pub streams: HashMap<ConnId, StreamId>,
-    /// Streams that the machine has accepted and the process has not.
+    /// Client streams that the node's machine has accepted and its process has not.
     pub backlog: VecDeque<StreamId>,
     pub is_listening: bool,
-    /// Time of the latest watch event's delivery; later events are not delivered before it.
+    /// Simulated time at which the latest watch event arrives; later events arrive no earlier, which keeps
+    /// their order.
     pub last_watch_delivery: u64,
     pub watch: Option<Watch>,
     /// Whether the process has exited by itself.
@@ -85,18 +87,18 @@
         }
     }
 
-    /// Returns the node's clock at a simulated time, Unix time in microseconds.
+    /// Returns what the node's clock shows at a simulated time: Unix time in microseconds.
     fn clock(&self, now: u64) -> u64 {
         (EPOCH_US + now).saturating_add_signed(now as i64 * self.drift_ppm / PPM)
     }
 
-    /// Returns the simulated time at which the node's clock has reached `clock`, rounded up.
+    /// Returns the simulated time at which the node's clock shows `clock`, rounded up to a microsecond.
     fn simulated_time_of(&self, clock: u64) -> u64 {
         let elapsed = u128::from(clock.saturating_sub(EPOCH_US));
         (elapsed * PPM as u128 / (PPM + self.drift_ppm).max(1) as u128) as u64 + 1
     }
 
-    /// Whether the process of this incarnation still runs.
+    /// Whether the process of the given incarnation still runs.
     pub fn runs(&self, incarnation: u64) -> bool {
         self.incarnation == incarnation && self.core.is_some()
     }
@@ -113,7 +115,7 @@
         self.record(HistoryRecord { node: name(node), state, ..record("lab", RecordedEvent::Node) });
     }
 
-    /// Starts a node's process with the server list of the run's beginning as its cached list.
+    /// Starts a node's process. Its cached server list is the list from the beginning of the run.
     pub(super) fn start_node(&mut self, node: usize) {
         let plan = self.plan;
         let config = CoreConfig {
@@ -146,7 +148,7 @@
         self.feed(node, Input::Wake);
     }
 
-    /// Ends a node's process and closes its streams; those of a killed process are reset.
+    /// Ends a node's process and closes its streams; the streams of a killed process are reset.
     pub(super) fn stop_node(&mut self, node: usize, state: &str) {
         self.record_node_state(node, state);
         let stopped = &mut self.nodes[node];
@@ -187,7 +189,8 @@
         }
     }
 
-    /// Handles a node's scheduled wake, unless it is obsolete.
+    /// Wakes a node whose scheduled wake is due, or defers the wake while the process is paused. Does nothing
+    /// if the process has ended or the next wake is later.
     pub(super) fn wake_node(&mut self, node: usize, incarnation: u64) {
         if !self.nodes[node].runs(incarnation) {
             return;
@@ -208,7 +211,7 @@
         let due = state.simulated_time_of(timer).max(now);
         let (wake_at, incarnation) = (state.wake_at, state.incarnation);
         if due < wake_at || wake_at <= now {
-            // A process that wakes late handles other events first.
+            // A process that wakes late handles other events before its due timers.
             let is_late = self.draw_chance(LATE_WAKE_PROBABILITY);
             let due = if is_late { due + self.rng.rand_range(0..MAX_LATE_WAKE_US) } else { due };
             self.nodes[node].wake_at = due;
@@ -218,7 +221,8 @@
 
     /// Pauses or resumes a node's process.
     pub(super) fn pause_node(&mut self, node: usize, begins: bool) {
-        // A server may read an attempt that was sent before the pause only after it.
+        // A server may read an attempt after the pause although the node sent it before; this does not count
+        // as a forward after the client left.
         self.abandoned.clear();
         if self.nodes[node].core.is_none() {
             return;
--- a/crates/stonevane-sim/src/simulation/outputs.rs
+++ b/crates/stonevane-sim/src/simulation/outputs.rs
@@ -8,16 +8,17 @@
 use super::{Invariant, Simulation};
 use crate::stream::Chunk;
 
-/// Time for which a node keeps a stream open after it has closed its writing side, microseconds.
+/// Time for which a node keeps a stream open after it has closed its writing side, microseconds; it discards
+/// what arrives meanwhile.
 const HALF_CLOSE_US: u64 = 200_000;
 /// Delay between a node's exit and its restart, microseconds.
 const RESTART_DELAY_US: u64 = 300_000;
-/// Time from a node's call until it reaches discovery, microseconds.
+/// Time that a node's call takes to reach discovery, microseconds.
 const DISCOVERY_CALL_US: u64 = 150_000;
 
 impl Simulation<'_> {
-    /// Performs a node's outputs until there are no more, and then checks its invariants and schedules its
-    /// next wake.
+    /// Performs a node's outputs, and those that result from them, until none are left. Then checks the
+    /// node's invariants and schedules its next wake.
     pub(super) fn perform(&mut self, node: usize, mut outputs: Outputs) {
         loop {
             if outputs.is_empty() {
@@ -36,8 +37,8 @@
 
     fn perform_output(&mut self, node: usize, output: Output, outputs: &mut Outputs) {
         match output {
-            // Performed as a plain write: the core closes the connection once the answer is flushed, so the
-            // client sees the end of the stream a moment later.
+            // `WriteAndClose` is performed as a plain write: the core closes the connection once the answer
+            // is flushed, so the client sees the end of the stream a moment after the answer.
             Output::WriteAndClose(connection, bytes) | Output::Write(connection, bytes) => {
                 self.node_writes(node, connection, &bytes, outputs);
             }
@@ -103,7 +104,8 @@
             caller.watch = None;
             return;
         }
-        // A fetch of the list leaves the watch open; a new watch replaces it.
+        // A call that fetches the server list leaves the node's watch open; a call that opens a watch
+        // replaces it.
         caller.watch = caller.watch.filter(|_| request == DiscoveryRequest::FetchList);
         let call = DiscoveryCall { node, incarnation: caller.incarnation, epoch: call.epoch };
         self.schedule_in(DISCOVERY_CALL_US, Event::DiscoveryCallArrived(call, request));
--- a/crates/stonevane-sim/src/simulation/recorder.rs
+++ b/crates/stonevane-sim/src/simulation/recorder.rs
@@ -25,7 +25,8 @@
 }
 
 impl Recorder {
-    /// Begins a history that is audited by `rules`; `keeps_text` is whether its lines are kept.
+    /// Begins a history, which is audited by `rules`. `keeps_text` states whether the text of the history is
+    /// kept.
     pub fn new(rules: &Rules, keeps_text: bool) -> Recorder {
         let auditor = Auditor::new(rules.clone());
         let mut recorder = Recorder { auditor, lines: 1, digest: 0, keeps_text, text: String::new() };
@@ -54,7 +55,8 @@
     }
 }
 
-/// Returns the digest's input for a record. Any change here breaks comparison with earlier versions' digests.
+/// Returns the text of a record that enters the digest. A change to this text makes digests incomparable with
+/// those of earlier versions.
 fn digested(now: u64, record: &HistoryRecord) -> String {
     let event = record.event as u8;
     let fields = (now, event, &record.request, &record.node, &record.value, record.number);
--- a/crates/stonevane-sim/src/simulation/servers.rs
+++ b/crates/stonevane-sim/src/simulation/servers.rs
@@ -10,7 +10,8 @@
 use crate::server::{COLD_SHARE, Server, WARM_UP_US, Work};
 use crate::stream::{Chunk, Peer, StreamId};
 
-/// Longest time after a client left within which a node may still forward its request, microseconds.
+/// Longest time after a client has left for which a node may still forward the client's request,
+/// microseconds.
 const FORWARD_AFTER_LEAVE_US: u64 = 300_000;
 /// Upper bound of the delay between an answer and extra bytes after it, microseconds.
 const MAX_EXTRA_BYTES_DELAY_US: u64 = 3_000;
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Checks that the client had not left long before the attempt's first byte arrived.
+    /// Checks that the client had not left more than [`FORWARD_AFTER_LEAVE_US`] before the attempt's first
+    /// byte arrived.
     fn check_forwarded(&mut self, id: &str, first_byte_at: u64) {
         let left_at = self.abandoned.remove(id);
         if let Some(left_at) = left_at.filter(|left_at| first_byte_at > left_at + FORWARD_AFTER_LEAVE_US) {
@@ -75,7 +77,7 @@
         self.totals.origin_requests += u64::from(is_origin);
         self.totals.origin_rejected += u64::from(!has_slot);
         if is_origin && request.is_write && work.effect == Effect::Ran {
-            // Caches drop their copies, so each later fetch returns the new version.
+            // Caches drop their copies of the edited key, so the next fetch returns the new version.
             for cache in self.servers.iter_mut().filter(|server| !server.is_origin) {
                 cache.versions.remove(&request.key);
             }
@@ -109,7 +111,8 @@
         self.record(attempt);
     }
 
-    /// Answers a request whose work is done, unless the process or the stream has ended since.
+    /// Answers a request whose work is done, unless the server's process or the stream has ended since the
+    /// work began.
     pub(super) fn work_done(&mut self, id: StreamId, incarnation: u64, request: &ServerRequest, work: &Work) {
         let Some(stream) = self.streams.get(&id) else { return };
         let Peer::Server(number) = stream.peer else { return };
@@ -120,7 +123,7 @@
         }
         let is_truncated = server.truncates_next_answer();
         let version = match server.is_origin && !request.is_write {
-            // The origin answers a read with the version that it holds at that time.
+            // The origin answers a read with the version that it holds when the work is done.
             true => server.versions.get(&request.key).copied().unwrap_or(0),
             false => work.version,
         };
@@ -207,7 +210,7 @@
         self.send_to_node(id, Chunk::End);
     }
 
-    /// Closes all connections to a server at its end.
+    /// Closes the server's end of all its connections.
     pub(super) fn close_connections(&mut self, server: usize) {
         let peer = Peer::Server(server);
         for id in self.streams_where(|stream| stream.peer == peer && stream.is_peer_open) {
--- a/crates/stonevane-sim/src/simulation/settings.rs
+++ b/crates/stonevane-sim/src/simulation/settings.rs
@@ -10,9 +10,11 @@
 
 /// Maximum number of a node's attempts for a request.
 const MAX_ATTEMPTS: u32 = 4;
-/// Time after SIGTERM within which a node may still accept a request and wait for its answer, microseconds.
+/// Time after SIGTERM within which a node may still accept a request, microseconds; it then waits for the
+/// request's answer.
 const TERM_ACCEPT_WINDOW_US: u64 = 450_000;
-/// Staleness limit of server lists, microseconds; the platform allows a large fleet more.
+/// Longest time for which a node's server list may be out of date, microseconds, in a normal and in a large
+/// fleet; the platform allows a large fleet more.
 const LIST_STALENESS_US: u64 = 6_000_000;
 const LARGE_FLEET_LIST_STALENESS_US: u64 = 10_000_000;
 /// Maximum number of a node's open connections to a server.
@@ -33,8 +35,8 @@
     Rules {
         classes: REQUEST_KINDS.iter().map(class).collect(),
         origin: OriginRule { capacity_us_per_s: 4e6, ..OriginRule::default() },
-        // A plan may kill a node that still waits for a request accepted after SIGTERM, which is no fault of
-        // the node.
+        // A plan may kill a node that accepted a request after SIGTERM and still waits for its answer, which
+        // is no fault of the node.
         kill_grace_us: TERM_ACCEPT_WINDOW_US + REQUEST_KINDS[READ].deadline_us,
         shutdown_limit_us: 3_200_000,
         max_attempts: MAX_ATTEMPTS,
@@ -57,7 +59,7 @@
     }
 }
 
-/// Returns the settings of a node, by its index.
+/// Returns the settings of the node with the index `node`.
 pub fn deployment(plan: &Plan, node: usize) -> Deployment {
     let is_large = plan.discovery_call_us.is_some();
     let settings = Settings {
--- a/crates/stonevane-sim/src/simulation/verdict.rs
+++ b/crates/stonevane-sim/src/simulation/verdict.rs
@@ -11,7 +11,7 @@
 pub struct Options {
     /// A deliberate bug of the core (mutation testing).
     pub mutant: Option<Mutant>,
-    /// Whether the history is kept as text.
+    /// Whether [`Verdict::history`] keeps the text of the history.
     pub keeps_history: bool,
 }
 
@@ -33,11 +33,11 @@
 /// Invariants of a run, checked in addition to the auditor's rules.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Invariant {
-    /// A run ends: events don't schedule one another forever.
+    /// A run ends within the maximum number of events, so events don't schedule one another forever.
     Termination,
     /// A node holds no requests, attempts or memory at the end of the run.
     NoLeftovers,
-    /// Clients are served again after the last fault.
+    /// Clients are served again after the last fault: at least 90 % of their reads at the end of the load.
     Progress,
     /// A node logs no error.
     NoErrorLogged,
@@ -84,9 +84,9 @@
 pub struct Violation {
     /// The invariant that was violated.
     pub invariant: Invariant,
-    /// Details: the node or request concerned, and the measured values.
+    /// Node or request that violates the invariant, and the measured values.
     pub detail: String,
-    /// Simulated time, microseconds.
+    /// Simulated time at which the violation was detected, microseconds.
     pub at_us: u64,
 }
 
@@ -107,19 +107,19 @@
 pub struct Verdict {
     /// The auditor's report.
     pub report: Report,
-    /// Violated invariants, with the first violation of each.
+    /// First violation of each violated invariant.
     pub violations: Vec<Violation>,
     /// Number of requests that clients generated.
     pub requests: usize,
-    /// Number of requests that were served.
+    /// Number of requests that a node answered with a value or a receipt.
     pub served: usize,
-    /// Counters over the whole fleet.
+    /// Counters of connections, origin requests and discovery calls over the whole fleet.
     pub totals: FleetTotals,
-    /// Number of simulated events.
+    /// Number of events that the run handled.
     pub steps: u64,
-    /// Simulated time, microseconds.
+    /// Simulated time at the end of the run, microseconds.
     pub simulated_us: u64,
-    /// Digest of the history.
+    /// Digest of the history; runs with the same plan and mutant have the same digest.
     pub digest: u64,
     /// Text of the history, one JSON record per line; empty unless [`Options::keeps_history`] is set.
     pub history: String,
--- a/crates/stonevane-sim/src/stream.rs
+++ b/crates/stonevane-sim/src/stream.rs
@@ -12,31 +12,32 @@
 /// Peer at the other end of a node's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Peer {
-    /// A client.
+    /// A client of the node.
     Client,
-    /// A server, by its index; the origin has the last one.
+    /// A server, by its index; the origin has the highest index.
     Server(usize),
 }
 
 /// A stream: the state of the node's end and of the peer's end, with the unread bytes at each.
 pub struct Stream {
     pub node: usize,
-    /// The node's incarnation that the stream belongs to.
+    /// Incarnation of the node at the time when the stream was opened.
     pub incarnation: u64,
-    /// The node's id of the connection; 0 until the node has accepted it.
+    /// Connection id in the node's core; 0 until the node has accepted the stream.
     pub connection: ConnId,
     pub peer: Peer,
     pub is_node_open: bool,
     pub is_peer_open: bool,
-    /// Whether the stream has a slot in the server's connection table; requests on a stream without one are
-    /// rejected.
+    /// Whether the stream has a slot in the server's connection table; the server rejects requests on a
+    /// stream without a slot.
     pub has_server_slot: bool,
     /// Whether the node has closed its writing side and discards what still arrives.
     pub is_half_closed: bool,
-    /// Written bytes that the node's machine has not taken yet; lost if the node closes first.
+    /// Bytes that the node has written and its machine has not taken yet; they are lost if the node closes
+    /// the stream first.
     pub unflushed: Option<Vec<u8>>,
-    /// Time of the latest delivery scheduled to each end; later chunks are not delivered before it, which
-    /// keeps the order.
+    /// Simulated times of the latest delivery scheduled to each end; later chunks are delivered no earlier,
+    /// which keeps their order.
     pub last_delivery_to_node: u64,
     pub last_delivery_to_peer: u64,
     /// Bytes that arrived at the node and are unread, and whether the end of the stream has arrived.
@@ -51,7 +52,7 @@
     pub last_answered: Option<usize>,
     /// Whether the client never sends a request.
     pub is_silent: bool,
-    /// A client's request to be sent as soon as the node accepts the stream.
+    /// Request that the client sends as soon as the node accepts the stream.
     pub waiting_request: Option<usize>,
 }
 
@@ -92,10 +93,10 @@
 /// A delivery on a stream.
 #[derive(Debug, Clone)]
 pub enum Chunk {
-    /// Bytes.
+    /// Bytes in the order of their writing.
     Bytes(Vec<u8>),
-    /// The end of the stream.
+    /// The end of the stream, because the sender closed it.
     End,
-    /// The end of the stream, because the process was killed.
+    /// The end of the stream, because the sender's process was killed.
     Reset,
 }
