--- a/crates/stonevane-emulators/src/cache.rs
+++ b/crates/stonevane-emulators/src/cache.rs
@@ -1,5 +1,5 @@
 //! A cache server. It stores copies, queues work, warms up after a restart, becomes overloaded if it receives
-//! too much work meanwhile, drops repeats of an idempotency key, drains, and limits its connections.
+//! too much work while it warms up, drops repeats of an idempotency key, drains, and limits its connections.
 
 mod connection;
 mod copies;
@@ -24,11 +24,11 @@
 
 pub use self::spec::CacheSpec;
 
-/// Divisor of a read's work that gives the work of a miss.
+/// The work of a miss is the work of a read that hits, divided by this.
 const MISS_WORK_DIVISOR: u64 = 10;
-/// Minimum share of its capacity with which a server works while it warms up.
+/// Minimum share of the server's capacity that is available while it warms up.
 const MIN_WARM_UP_SHARE: f64 = 0.01;
-/// Number of misses that are remembered until the origin fills them.
+/// Maximum number of requests that missed and are remembered, so that the origin may fill their copies.
 const MAX_MISSES: usize = 4096;
 
 /// Event counts of a cache server since it was created; a restart keeps them.
@@ -46,7 +46,7 @@
     pub falls: u64,
 }
 
-/// An emulated cache server.
+/// An emulated cache server, with one listener for each node.
 pub struct Cache {
     /// Capacity, limits and times of the server.
     pub spec: CacheSpec,
@@ -62,7 +62,8 @@
     copies: Copies,
     cores: Cores,
     recent_work: WorkWindow,
-    /// Start of the process, for one that warms up; `None` for one that started warm.
+    /// Start time of a process that warms up, in microseconds of the monotonic clock; `None` for a process
+    /// that started warm.
     started_us: Option<u64>,
     draining: bool,
     overloaded: bool,
@@ -73,14 +74,14 @@
     answers: PendingAnswers<Answer>,
 }
 
-/// Data that is recorded when an answer is written.
+/// Data of an answer that the history records once the answer is written.
 struct Answer {
     request: String,
     value: String,
     version: u64,
 }
 
-/// The newest requests that missed, with their keys; only they may be filled.
+/// The newest requests that missed, with their keys. Only for these may the origin fill a copy.
 #[derive(Default)]
 struct Misses {
     keys: HashMap<String, String>,
@@ -152,12 +153,14 @@
         }
     }
 
-    /// Returns the start of the process and the length of its warm-up; zeros for one that started warm.
+    /// Returns the start time of the process and the length of its warm-up; zeros for a process that started
+    /// warm.
     fn warm_up(&self, spec: &CacheSpec) -> (u64, u64) {
         self.started_us.map_or((0, 0), |started_us| (started_us, spec.warm_up_us))
     }
 
-    /// Adds an attempt's work to the window and returns whether that overloads a process that warms up.
+    /// Adds an attempt's work to the window. Returns whether the added work overloads the process, which is
+    /// possible only while it warms up.
     fn becomes_overloaded(&mut self, spec: &CacheSpec, now: u64, work_us: u64) -> bool {
         let (started_us, warm_us) = self.warm_up(spec);
         let window_us = self.recent_work.add(now, work_us, spec.overload_window_us);
@@ -339,7 +342,7 @@
         missed
     }
 
-    /// Removes the copy of a key that has changed at the origin.
+    /// Removes the copy of a key that has been written at the origin.
     pub(crate) fn invalidate(&self, key: &str) {
         lock(&self.state).copies.remove(key);
     }
--- a/crates/stonevane-emulators/src/cache/copies.rs
+++ b/crates/stonevane-emulators/src/cache/copies.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 
-/// Number of invalidations above which the expired ones are removed.
+/// Number of remembered invalidations above which the expired ones are removed.
 const MAX_INVALIDATIONS: usize = 65_536;
 
 /// A time to live, with the time at which it begins.
@@ -39,7 +39,7 @@
     expires_us: u64,
 }
 
-/// A lower bound for the versions of a key's copies, with its expiry.
+/// The lowest version that may be stored for a key, with the expiry of this bound.
 #[derive(Default)]
 struct Invalidation {
     below: u64,
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Returns the version of a copy, and its value if a node filled it; removes an expired one.
+    /// Returns the version of a copy, and its value if a node filled the copy. An expired copy is removed,
+    /// and not returned.
     pub(super) fn get(&mut self, key: &str, now: u64) -> Option<(u64, Option<Bytes>)> {
         let expired = |filled: &Filled| filled.expires_us <= now;
         if self.by_key.get(key)?.filled.as_ref().is_some_and(expired) {
@@ -95,7 +96,8 @@
         }
     }
 
-    /// Stores a node's copy, unless a newer one is stored or its version has been invalidated.
+    /// Stores a copy sent by a node, unless a newer copy is stored or the version of the sent copy has been
+    /// invalidated.
     pub(super) fn fill(&mut self, key: &str, fill: Fill) {
         let Fill { version, value, lifetime } = fill;
         let invalidated = self.min_version(key, lifetime.now).is_some_and(|min| version < min);
@@ -115,7 +117,8 @@
         }
     }
 
-    /// Removes a copy older than `version`, and rejects such copies until the lifetime expires.
+    /// Removes the copy of a key if it is older than `version`, and rejects fills older than `version` until
+    /// the lifetime expires.
     pub(super) fn invalidate_below(&mut self, key: &str, version: u64, lifetime: Lifetime) {
         if self.by_key.get(key).is_some_and(|copy| copy.version < version) {
             self.remove(key);
--- a/crates/stonevane-emulators/src/cache/spec.rs
+++ b/crates/stonevane-emulators/src/cache/spec.rs
@@ -15,7 +15,7 @@
     pub kind: String,
     /// Number of requests that are processed concurrently.
     pub cores: usize,
-    /// Mean work of a read that hits and of a write; a miss takes a tenth of it.
+    /// Mean work of a write and of a read that hits. A read that misses takes a tenth of this.
     pub work_us: u64,
     /// Coefficient of variation of the work.
     pub work_cv: f64,
@@ -27,8 +27,8 @@
     pub slow_start_share: f64,
     /// Length of the warm-up after a restart.
     pub warm_up_us: u64,
-    /// Multiple of its capacity above which a server that warms up becomes overloaded, over a window of
-    /// `overload_window_us`.
+    /// A server that warms up becomes overloaded when its work exceeds this multiple of its current capacity
+    /// over a window of `overload_window_us`.
     pub overload_multiple: f64,
     /// Length of the window over which `overload_multiple` is measured.
     pub overload_window_us: u64,
--- a/crates/stonevane-emulators/src/client.rs
+++ b/crates/stonevane-emulators/src/client.rs
@@ -42,14 +42,14 @@
 /// Time for which the clients wait for unsolicited bytes at the end of a load.
 const UNSOLICITED_WAIT: Duration = Duration::from_millis(20);
 
-/// A node as the clients reach it, with its idle connections.
+/// A node to which clients connect, with the idle connections to it.
 struct Target {
     name: String,
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
     /// Time before which no connections are made to the node, in microseconds.
     avoided_until: AtomicU64,
-    /// Time at which the node began to terminate, in microseconds; `u64::MAX` if it does not.
+    /// Time at which the node began to terminate, in microseconds; `u64::MAX` if it is not terminating.
     terminating_since: AtomicU64,
 }
 
@@ -63,7 +63,7 @@
     attempts_sent: AtomicU64,
 }
 
-/// Outcome of one attempt for its client.
+/// Outcome of one attempt, as the client observes it.
 enum AttemptOutcome {
     Answered(Answer),
     /// No connection was established, so nothing was sent.
@@ -135,8 +135,9 @@
         self.check_idle_connections().await;
     }
 
-    /// Sends the planned requests in a loop on `connections` connections until the time `until`, each
-    /// connection's next one when the previous one has ended.
+    /// Sends the planned requests in a loop on `connections` connections until the time `until` (in
+    /// microseconds of the monotonic clock). Each connection sends its next request when its previous one has
+    /// ended.
     pub async fn run_closed_loop(self: &Arc<Self>, planned: &[Planned], connections: usize, until: u64) {
         let next = Arc::new(AtomicU64::new(0));
         let mut tasks = JoinSet::new();
@@ -259,7 +260,8 @@
             let mut target_index = if message.resent { self.reachable_node(node) } else { node };
             let connection = match self.idle_connection(target_index) {
                 Some(connection) if !message.resent => connection,
-                // Other idle connections may be closed as well: a resent message needs a new one.
+                // The node may have closed other idle connections as well, so a resent message needs a new
+                // connection.
                 _ => {
                     target_index = self.reachable_node(node);
                     match self.connect(target_index).await {
@@ -287,7 +289,7 @@
         let command = message.command(remaining_ms);
         let started_us = MonotonicClock::now();
         if connection.stream.write_all(&command).await.is_err() {
-            // Its last byte was not written, so the node has not received the request.
+            // The last byte of the message was not written, so the node has not received the request.
             return AttemptOutcome::Lost;
         }
         let sent_us = MonotonicClock::now();
--- a/crates/stonevane-emulators/src/client/load.rs
+++ b/crates/stonevane-emulators/src/client/load.rs
@@ -51,15 +51,16 @@
 pub struct Load {
     /// Mean rate of a Poisson process of requests, per second.
     pub requests_per_s: f64,
-    /// Length of the load, in milliseconds.
+    /// Time during which the load sends requests, in milliseconds.
     pub duration_ms: u64,
     /// Periods of increased load.
     pub peaks: Vec<LoadPeak>,
     /// Number of keys. The weight of the n-th key is 1 / (n + offset) ^ zipf.
     pub keys: usize,
-    /// Exponent of the key popularity.
+    /// Exponent of the key popularity distribution; 0 makes all keys equally popular.
     pub zipf: f64,
-    /// Offset of the key popularity; a greater offset makes the most popular keys more alike.
+    /// Offset in the key popularity distribution; a greater offset makes the popularity of the most popular
+    /// keys more even.
     pub offset: f64,
     /// Classes among which the requests are distributed.
     pub classes: Vec<LoadClass>,
@@ -67,9 +68,9 @@
     pub tenants: Vec<Tenant>,
     /// Maximum number of retries of a request.
     pub retries: u32,
-    /// Share of clients that obey the Retry-After of a rejection, from 0 to 1.
+    /// Share of clients that wait for the Retry-After of a rejection before they retry, from 0 to 1.
     pub obeys_retry_after: f64,
-    /// Wait before a retry without an obeyed Retry-After, in milliseconds.
+    /// Wait before a retry if the client obeys no Retry-After, in milliseconds.
     pub backoff_ms: u64,
     /// Share of clients that give up halfway to the deadline, from 0 to 1.
     pub impatient: f64,
--- a/crates/stonevane-emulators/src/client/message.rs
+++ b/crates/stonevane-emulators/src/client/message.rs
@@ -17,7 +17,7 @@
     key: String,
     /// The idempotency key; empty if there is none.
     token: String,
-    /// Value of a write; unique, so that the audit detects mixed-up writes.
+    /// Value of a write. Each value is unique, so that the audit detects writes whose values were mixed up.
     value: Vec<u8>,
     /// Remaining time to the deadline when the message is created, in milliseconds.
     timeout_ms: u64,
--- a/crates/stonevane-emulators/src/client/plan.rs
+++ b/crates/stonevane-emulators/src/client/plan.rs
@@ -26,7 +26,7 @@
     pub token: u64,
     /// Whether the client gives up halfway to the deadline.
     pub impatient: bool,
-    /// Whether the client obeys Retry-After.
+    /// Whether the client waits for the Retry-After of a rejection before it retries.
     pub honours: bool,
 }
 
--- a/crates/stonevane-emulators/src/discovery.rs
+++ b/crates/stonevane-emulators/src/discovery.rs
@@ -62,17 +62,18 @@
 /// An emulated discovery service.
 pub struct Discovery {
     endpoints: Mutex<Endpoints>,
-    /// Index of the endpoint list, which wakes the watches when it changes.
+    /// Index of the endpoint list. A change of the index wakes the watches.
     index: watch::Sender<u64>,
     fault: watch::Sender<DiscoveryFault>,
-    /// Number of active cuts for each node; a node with any is cut off from discovery.
+    /// Number of active cuts for each node; a node with at least one cut is cut off from discovery.
     cuts: watch::Sender<BTreeMap<String, usize>>,
     addresses: Mutex<BTreeMap<String, SocketAddr>>,
     calls: Mutex<CallQueue>,
     spec: DiscoverySpec,
-    /// Number of changes announced so far, from which each change takes its order.
+    /// Number of changes announced so far; its value numbers each new change, so that an older change is not
+    /// applied over a newer one.
     changes: AtomicU64,
-    /// Offset of the clock in the reports, in milliseconds.
+    /// Offset of the clock with which discovery reports times, against the real Unix time, in milliseconds.
     skew_ms: Mutex<i64>,
     recorder: Recorder,
 }
@@ -120,7 +121,8 @@
         lock(&self.endpoints).snapshot(node, self.skew_ms()).body
     }
 
-    /// Sets the offset of the clock in the reports.
+    /// Sets the offset of the clock with which discovery reports times, against the real Unix time, in
+    /// milliseconds.
     pub fn step_clock(&self, offset_ms: i64) {
         *lock(&self.skew_ms) = offset_ms;
     }
@@ -134,7 +136,8 @@
         self.fault.send_replace(fault);
     }
 
-    /// Cuts a node off in both directions, or lifts one cut. Existing connections stay open and silent.
+    /// Adds a cut between a node and discovery, or lifts one if `cut` is `false`. While a node has cuts, its
+    /// connections stay open and silent.
     pub fn set_cut(&self, node: &str, cut: bool) {
         self.cuts.send_modify(|cuts| {
             let count = cuts.entry(node.into()).or_default();
@@ -142,7 +145,7 @@
         });
     }
 
-    /// Waits until a node is cut off (`cut`), or until no cut is left.
+    /// Waits until a node has a cut if `cut` is `true`, or until it has none if `cut` is `false`.
     async fn wait_for_cut(&self, node: &str, cut: bool) {
         let is_cut = |cuts: &BTreeMap<String, usize>| cuts.get(node).is_some_and(|count| *count > 0);
         let _ = self.cuts.subscribe().wait_for(|cuts| is_cut(cuts) == cut).await;
--- a/crates/stonevane-emulators/src/discovery/list.rs
+++ b/crates/stonevane-emulators/src/discovery/list.rs
@@ -23,7 +23,8 @@
     pub status: String,
     /// Relative weight of the server in load balancing.
     pub weight: f32,
-    /// Time of the last start, in microseconds of the monotonic clock; 0 if long ago.
+    /// Time at which the server last started, in microseconds of the monotonic clock; 0 if it has run since
+    /// before the scenario.
     pub since: u64,
     /// Index of the list at the entry's last change.
     pub index: u64,
@@ -80,7 +81,8 @@
         self.index
     }
 
-    /// Begins a change of a server; `false` if a newer one has already been applied.
+    /// Begins a change of a server; returns `false` if a newer change of this server has already been
+    /// applied.
     pub(super) fn begin_change(&mut self, name: &str, order: u64) -> bool {
         let newest = self.newest_changes.entry(name.to_owned()).or_default();
         if *newest > order {
--- a/crates/stonevane-emulators/src/origin.rs
+++ b/crates/stonevane-emulators/src/origin.rs
@@ -24,7 +24,8 @@
 
 /// Divisor of a write's work that gives the work of a repeat that is dropped.
 const REPEAT_WORK_DIVISOR: u64 = 10;
-/// Maximum number of cache servers that one fetch fills, among those that missed for its request.
+/// Maximum number of cache servers that one fetch fills; only cache servers that missed for the same request
+/// are filled.
 const FILLED_CACHES: usize = 2;
 
 struct State {
@@ -39,7 +40,7 @@
     falls: u64,
     reads: u64,
     writes: u64,
-    /// Time before which nothing is answered, not even a rejection, in microseconds.
+    /// Time until which the origin answers nothing, not even with a rejection, in microseconds.
     stopped_until: u64,
 }
 
@@ -58,7 +59,7 @@
     Failed,
 }
 
-/// Event counts of the origin since it was started.
+/// Event counts of the origin since its start.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
     /// Reads received.
@@ -67,7 +68,7 @@
     pub writes: u64,
     /// Number of times that overload stopped the origin.
     pub falls: u64,
-    /// Highest work within a window, as a multiple of the capacity.
+    /// Highest work within one overload window, as a multiple of the origin's capacity.
     pub peak: f64,
 }
 
--- a/crates/stonevane-emulators/src/origin/spec.rs
+++ b/crates/stonevane-emulators/src/origin/spec.rs
@@ -21,8 +21,8 @@
     pub cross_zone_rtt_us: BTreeMap<String, u64>,
     /// Longest wait in the queue; an attempt that would wait longer is rejected.
     pub queue_us: u64,
-    /// Multiple of its capacity above which the origin is overloaded and stops, over a window of
-    /// `overload_window_us`.
+    /// The origin is overloaded and stops when its work exceeds this multiple of its capacity over a window
+    /// of `overload_window_us`.
     pub overload_multiple: f64,
     /// Length of the window over which `overload_multiple` is measured.
     pub overload_window_us: u64,
--- a/crates/stonevane-emulators/src/peers.rs
+++ b/crates/stonevane-emulators/src/peers.rs
@@ -21,8 +21,8 @@
 pub const MAX_DATAGRAM: usize = 256;
 /// Length of the receive buffer, in bytes; above [`MAX_DATAGRAM`], so that longer datagrams are detected.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// Number of nodes up to which each node reaches each other one under a separate address, as the platform may
-/// do. In larger clusters all nodes reach a node at the same address.
+/// Largest number of nodes for which each node reaches each other node under a separate address, as the
+/// platform may do. In larger clusters all nodes reach a given node at the same address.
 const MAX_NODES_WITH_SEPARATE_ADDRESSES: usize = 8;
 
 /// Counts of datagrams by their outcome.
@@ -144,7 +144,8 @@
         Ok(PeerNetwork { network, addresses, broadcast })
     }
 
-    /// Returns the addresses at which a node reaches the nodes, by their numbers and including itself.
+    /// Returns the addresses at which a node reaches each node, indexed by node number and including the node
+    /// itself.
     pub fn peers(&self, node: usize) -> &[SocketAddr] {
         &self.addresses[node.min(self.addresses.len() - 1)]
     }
@@ -154,12 +155,12 @@
         self.broadcast
     }
 
-    /// Activates conditions and returns the number to pass to [`PeerNetwork::lift`].
+    /// Activates network conditions and returns the identifier to pass to [`PeerNetwork::lift`].
     pub fn apply(&self, conditions: NetworkConditions) -> u64 {
         lock(&self.network.conditions).apply(conditions)
     }
 
-    /// Deactivates the conditions with a number that [`PeerNetwork::apply`] returned.
+    /// Deactivates network conditions by the identifier that [`PeerNetwork::apply`] returned.
     pub fn lift(&self, number: u64) {
         lock(&self.network.conditions).lift(number);
     }
--- a/crates/stonevane-emulators/src/peers/conditions.rs
+++ b/crates/stonevane-emulators/src/peers/conditions.rs
@@ -42,7 +42,7 @@
     pub(super) max_delay: Duration,
 }
 
-/// All active conditions, by the numbers that [`ActiveConditions::apply`] returned.
+/// All active conditions, by the identifiers that [`ActiveConditions::apply`] returned.
 #[derive(Debug, Default)]
 pub(super) struct ActiveConditions {
     last_number: u64,
--- a/crates/stonevane-emulators/src/postgres/session.rs
+++ b/crates/stonevane-emulators/src/postgres/session.rs
@@ -19,7 +19,7 @@
 use super::{PgFault, Postgres};
 use crate::server::lock;
 
-/// Secret of all sessions; cancel requests identify a session by its process id.
+/// Cancel secret, the same for all sessions; cancel requests identify a session by its process id.
 const CANCEL_SECRET: i32 = 7;
 /// Length of the length field and the code of the first message, in bytes.
 const STARTUP_HEADER_BYTES: usize = 8;
--- a/crates/stonevane-emulators/src/postgres/statement.rs
+++ b/crates/stonevane-emulators/src/postgres/statement.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Removes all casts, and takes the types of the parameters from theirs.
+/// Removes all casts, and takes the types of the parameters from the casts applied to them.
 fn strip_casts(sql: &str) -> Statement {
     let mut types = BTreeMap::new();
     let (mut plain, mut rest) = (String::new(), sql);
--- a/crates/stonevane-emulators/src/record.rs
+++ b/crates/stonevane-emulators/src/record.rs
@@ -17,8 +17,9 @@
 
 /// The monotonic clock that all processes of a machine share, and a heartbeat of this process's event loop.
 ///
-/// The event loop polls its sockets between two heartbeats, so data that is read now arrived after the last
-/// heartbeat but one. This bounds the uncertainty of an event's time, also after the process was paused.
+/// The event loop polls its sockets between two heartbeats, so data that is read now arrived after the
+/// heartbeat before the last one. This bounds the uncertainty of an event's time, even after the process was
+/// paused.
 #[derive(Clone)]
 pub struct MonotonicClock {
     heartbeats: Arc<Heartbeats>,
--- a/crates/stonevane-emulators/src/request.rs
+++ b/crates/stonevane-emulators/src/request.rs
@@ -8,7 +8,8 @@
 
 use crate::server::Arrival;
 
-/// Number of pending answers above which the oldest are evicted, as some answers are never written.
+/// Maximum number of pending answers. Some answers are never written, so the oldest are evicted above this
+/// number.
 const MAX_PENDING_ANSWERS: usize = 50_000;
 
 /// A read or a write of a key.
@@ -102,7 +103,7 @@
     arguments.get(index).and_then(|argument| std::str::from_utf8(argument).ok())
 }
 
-/// The idempotency keys of recent writes, each with the version that its write made.
+/// The idempotency keys of recent writes, each with the version that the write created.
 #[derive(Default)]
 pub(crate) struct IdempotencyKeys {
     writes: HashMap<String, RecentWrite>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Answers by the number of their attempt, until they are written or can no longer be written.
+/// Answers by attempt number, kept until the answer is written or can no longer be written.
 pub(crate) struct PendingAnswers<A> {
     answers: BTreeMap<u64, A>,
 }
--- a/crates/stonevane-emulators/src/server/connection.rs
+++ b/crates/stonevane-emulators/src/server/connection.rs
@@ -43,7 +43,7 @@
     /// Time at which the reply is written, in microseconds of the monotonic clock.
     pub(crate) due_us: u64,
     pub(crate) bytes: Bytes,
-    /// Number of the attempt that the reply answers; 0 if it answers none.
+    /// Number of the attempt that the reply answers; 0 if the reply answers no attempt.
     pub(crate) number: u64,
 }
 
@@ -57,7 +57,8 @@
     /// Removes a complete request from the buffer and returns its reply; `None` while none is complete.
     fn take_request(&mut self, buffer: &mut BytesMut, arrival: Arrival) -> Result<Option<Reply>, Malformed>;
 
-    /// Called when a reply is about to be written; returns its bytes if they were not known before.
+    /// Called when a reply is about to be written. Returns the bytes of the reply if they were not known
+    /// before.
     fn on_reply(&mut self, reply: &Reply) -> Option<Bytes>;
 
     /// Called in place of [`Protocol::on_reply`] for a reply that a fault keeps from arriving complete.
@@ -112,7 +113,8 @@
     pending: VecDeque<Reply>,
     /// Arrival time of the first byte in `input`.
     first_byte: Option<TimeInterval>,
-    /// Start of the writes since the last read: requests may have arrived unread from then on.
+    /// Time at which the first write since the last read began. Requests may have arrived unread from then
+    /// on.
     unread_since: Option<u64>,
     idle_since: u64,
 }
--- a/crates/stonevane-emulators/src/server/listeners.rs
+++ b/crates/stonevane-emulators/src/server/listeners.rs
@@ -59,7 +59,8 @@
         self.by_node.get(node).map(|listener| listener.address)
     }
 
-    /// Sets the fault for one node, or for all if `node` is `None`; has no effect where it is already active.
+    /// Sets the fault for one node, or for all if `node` is `None`; has no effect on nodes where the same
+    /// fault is already active.
     pub(crate) fn set_fault(&self, node: Option<&str>, fault: Fault) {
         let selected = |name: &String| node.is_none_or(|node| node == name);
         for (_, listener) in self.by_node.iter().filter(|(name, _)| selected(name)) {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// Opens a new listener; connections in the old one's accept queue are reset.
+    /// Opens a new listener; connections in the accept queue of the old listener are reset.
     async fn reopen(&mut self) {
         for filler in self.fillers.drain(..) {
             filler.abort();
--- a/crates/stonevane-lab/src/active_faults.rs
+++ b/crates/stonevane-lab/src/active_faults.rs
@@ -1,4 +1,4 @@
-//! Server faults of overlapping steps: each step adds its own fault and removes only that one. No I/O, no
+//! Server faults of overlapping steps: each step adds its own fault and removes only its own. No I/O, no
 //! clock.
 
 use std::collections::BTreeMap;
@@ -14,16 +14,16 @@
     fault: Fault,
 }
 
-/// All faults in force.
+/// All server faults in force.
 #[derive(Debug, Default)]
 pub struct ActiveFaults {
     last_number: u64,
     active: BTreeMap<u64, ActiveFault>,
 }
 
-/// Returns the rank of a fault; the highest-ranked one is observed when several are in force. A dead process
-/// ranks above an unreachable machine, and that above refused connections. Among equals the newest is
-/// observed.
+/// Returns the rank of a fault; if several faults are in force, the highest-ranked one is observed. A dead
+/// process ranks above an unreachable machine, which ranks above refused connections. Among faults of equal
+/// rank the newest is observed.
 fn precedence(fault: Fault) -> u8 {
     match fault {
         Fault::Dead => 4,
@@ -43,7 +43,7 @@
         self.last_number
     }
 
-    /// Removes the fault with this number.
+    /// Removes the fault with the number that [`ActiveFaults::begin`] returned.
     pub fn end(&mut self, number: u64) {
         self.active.remove(&number);
     }
--- a/crates/stonevane-lab/src/chart.rs
+++ b/crates/stonevane-lab/src/chart.rs
@@ -55,7 +55,7 @@
             }
             continue;
         }
-        // A server's own overload or stop is recorded without an end.
+        // The overload or stop of a server by itself is recorded without an end.
         let momentary = label.ends_with("fell over") || label.ends_with("stopped");
         let until_s = if momentary { *at } else { f64::INFINITY };
         spans.push(Span { from_s: *at, until_s, label: label.clone() });
--- a/crates/stonevane-lab/src/faulty_member.rs
+++ b/crates/stonevane-lab/src/faulty_member.rs
@@ -1,5 +1,5 @@
-//! A faulty member of a fleet, which runs the nodes' membership machine with a deliberate fault on its own
-//! socket, and forged datagrams.
+//! Runs a faulty member of a fleet: the nodes' membership state machine with a deliberate fault, on a socket
+//! of its own. Also generates forged datagrams.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 const RECEIVE_BUFFER_BYTES: usize = 512;
 /// Exclusive upper bound on the length of forged noise. Some of it is longer than the network carries.
 const MAX_NOISE_BYTES: u64 = 300;
-/// Nonce of forged instances, which no member has.
+/// Nonce of forged instances; no real member uses it.
 const FORGED_NONCE: u32 = 666;
 /// Number of forged records of dead members in a datagram.
 const FORGED_DEAD_RECORDS: usize = 5;
@@ -23,13 +23,13 @@
 /// A member with a deliberate fault.
 #[derive(Debug, Clone)]
 pub struct FaultyMember {
-    /// Configuration of the membership machine.
+    /// Configuration of the membership state machine.
     pub config: MemberConfig,
     /// Address on which the member receives datagrams.
     pub listen: SocketAddr,
     /// Addresses of the members, indexed by number.
     pub peers: Vec<SocketAddr>,
-    /// Fault of the membership machine.
+    /// Fault of the membership state machine.
     pub mutant: Mutant,
 }
 
--- a/crates/stonevane-lab/src/fleet.rs
+++ b/crates/stonevane-lab/src/fleet.rs
@@ -32,8 +32,8 @@
 
 pub use self::rules::rules;
 
-/// Returns a loopback address for one fleet. It is derived from the process id and a counter, so that fleets
-/// that run at the same time don't share one.
+/// Returns a loopback address for one fleet. The address is derived from the process id and a counter, so
+/// that fleets that run at the same time don't share one.
 pub fn lab_ip() -> IpAddr {
     static LABS: AtomicU32 = AtomicU32::new(0);
     let lab = LABS.fetch_add(1, Ordering::Relaxed);
@@ -75,10 +75,10 @@
     nodes: Mutex<NodeSet>,
     /// Configuration with which each node starts, by node number.
     configs: Vec<String>,
-    /// Name of each node and the address to which clients connect, by node number.
+    /// Name of each node and the address to which its clients connect, by node number.
     pub targets: Vec<(String, SocketAddr)>,
     faults: Mutex<ActiveFaults>,
-    /// Successors that have not started yet, with the number of the fault that keeps each down.
+    /// Successors that have not started yet, each with the number of the fault that keeps it down.
     standby: Mutex<BTreeMap<String, u64>>,
     /// Delay after which discovery reports a change.
     discovery_delay: Mutex<Duration>,
@@ -108,7 +108,7 @@
         self.record(Event::Fault, words);
     }
 
-    /// Records an event of which the lab is the recorder.
+    /// Records an event that the lab itself observes.
     fn record(&self, event: Event, state: &str) {
         self.recorder.record(HistoryRecord {
             time: MonotonicClock::moment(),
--- a/crates/stonevane-lab/src/fleet/config.rs
+++ b/crates/stonevane-lab/src/fleet/config.rs
@@ -10,7 +10,7 @@
 pub(super) const KEY_BYTE: u8 = 0x5a;
 /// Length of the key that the nodes share, in bytes.
 pub(super) const KEY_LEN_BYTES: usize = 32;
-/// Limit on attempts in the settings if the scenario has none.
+/// Limit on the attempts of a request in the settings, if the scenario has no limit.
 const UNLIMITED_ATTEMPTS: u32 = 100;
 /// Smallest quota of a tenant, in requests per second.
 const MIN_QUOTA_PER_S: f64 = 20.0;
--- a/crates/stonevane-lab/src/fleet/cuts.rs
+++ b/crates/stonevane-lab/src/fleet/cuts.rs
@@ -12,19 +12,20 @@
 /// Largest share of lost datagrams under mild conditions, in which membership must not declare a live member
 /// dead.
 const MAX_MILD_LOSS: f64 = 0.1;
-/// Mild conditions delay datagrams by at most the protocol period divided by this.
+/// Divisor of the protocol period that gives the longest delay under mild conditions.
 const MILD_DELAY_DIVISOR: u32 = 20;
 
-/// A server fault that one node observes, in force.
+/// An active server fault that one node observes.
 struct ServerFault {
     server: String,
     number: u64,
 }
 
-/// A one-way cut in force.
+/// An active cut in one direction.
 pub(super) struct Cut {
     faults: Vec<ServerFault>,
-    /// Number of the network conditions that drop datagrams between nodes.
+    /// Identifier of the network conditions that drop datagrams between nodes; `None` if no datagrams are
+    /// cut.
     conditions: Option<u64>,
     from: Vec<usize>,
     to: Vec<usize>,
@@ -32,7 +33,7 @@
     without_discovery: Vec<String>,
 }
 
-/// A partition in force.
+/// An active partition.
 pub(super) struct Partition {
     faults: Vec<ServerFault>,
     cuts: Vec<Cut>,
@@ -43,13 +44,13 @@
 }
 
 impl Fleet {
-    /// Cuts the traffic from some nodes and servers to others, in this direction only.
+    /// Cuts the traffic from the nodes and servers in `from` to those in `to`, in this direction only.
     pub(super) fn begin_cut(&self, from: &[String], to: &[String]) -> Cut {
         let nodes = |names: &[String]| NodeSelector(names.to_vec()).numbers(self.targets.len());
         let (from_nodes, to_nodes) = (nodes(from), nodes(to));
         let mut faults = Vec::new();
-        // If requests of a node don't reach a server, nothing is served. If answers of the server don't reach
-        // the node, the server does the work and its answer breaks off.
+        // If requests of a node don't reach a server, the server does nothing. If answers of the server don't
+        // reach the node, the server does the work and the node receives an incomplete answer.
         self.cut_servers(&mut faults, &from_nodes, to, Fault::Silent);
         self.cut_servers(&mut faults, &to_nodes, from, Fault::Stall);
         let conditions = (!from_nodes.is_empty() && !to_nodes.is_empty()).then(|| {
@@ -57,7 +58,7 @@
             self.peers.apply(NetworkConditions { from, to, loss: 1.0, ..NetworkConditions::default() })
         });
         self.record_cut(&from_nodes, &to_nodes, "cut");
-        // A cut in either direction keeps a node from getting answers of discovery.
+        // A cut in either direction keeps a node from getting answers from discovery.
         let cut_from_discovery = |nodes: &[usize], others: &[String]| {
             let cut = others.iter().any(|name| name == DISCOVERY);
             if cut { node_names(nodes) } else { Vec::new() }
--- a/crates/stonevane-lab/src/fleet/membership.rs
+++ b/crates/stonevane-lab/src/fleet/membership.rs
@@ -24,8 +24,8 @@
 const FORGE_BURSTS_PER_S: u64 = 200;
 /// Time limit for reading a view.
 const VIEW_TIMEOUT: Duration = Duration::from_millis(500);
-/// Smallest interval between reads of one node's view, per node of the fleet. It limits the load that reading
-/// puts on the nodes of a large fleet.
+/// Smallest interval between two reads of the same node's view, for each node in the fleet: 100 nodes make
+/// the interval 100 times as long. It limits the load of the reads on the nodes of a large fleet.
 const MIN_VIEW_INTERVAL_PER_NODE: Duration = Duration::from_millis(2);
 
 impl Fleet {
--- a/crates/stonevane-lab/src/fleet/node_set.rs
+++ b/crates/stonevane-lab/src/fleet/node_set.rs
@@ -12,7 +12,7 @@
 pub(super) struct NodeSet {
     states: NodeStates,
     nodes: Vec<Node>,
-    /// Last incarnation of each node that was ready; 0 if none was.
+    /// Last incarnation of each node that became ready; 0 if the node was never ready.
     last_ready: Vec<Incarnation>,
 }
 
@@ -73,7 +73,8 @@
     }
 
     /// Returns whether a starting incarnation became ready, or `None` while it is still starting. `pinged_at`
-    /// is the time in microseconds at which a PING was sent that it answered.
+    /// is the time in microseconds at which the lab sent the PING that the incarnation answered; `None`
+    /// without an answer.
     pub(super) fn settle_start(
         &mut self,
         node: usize,
@@ -111,7 +112,7 @@
         Some(incarnation)
     }
 
-    /// Kills an incarnation that exceeded its shutdown limit.
+    /// Marks an incarnation that exceeded its shutdown limit as ended, and kills its process.
     pub(super) fn kill_overdue(&mut self, node: usize, incarnation: Incarnation) {
         self.states.mark_ended(node, incarnation);
         self.nodes[node].kill();
--- a/crates/stonevane-lab/src/fleet/node_steps.rs
+++ b/crates/stonevane-lab/src/fleet/node_steps.rs
@@ -15,7 +15,7 @@
 use crate::node::{PauseRecord, ping};
 use crate::scenario::NodeAction;
 
-/// Time after its shutdown limit at which a node is killed, in microseconds.
+/// Time between a node's shutdown limit and its kill, in microseconds.
 const KILL_MARGIN_US: u64 = 50_000;
 /// Time limit for a node to become ready, in microseconds.
 const READY_TIMEOUT_US: u64 = 10_000_000;
@@ -109,7 +109,7 @@
             {
                 let mut nodes = lock(&self.nodes);
                 nodes.check(node);
-                // Another step may have killed it.
+                // Another step may have killed the node.
                 if !nodes.is(node, incarnation, State::Ending) {
                     return;
                 }
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends a step's hold on a node, which starts again with `config` unless another step holds it.
+    /// Ends a step's hold on a node. The node starts again with `config` unless another step holds it.
     async fn release(&self, node: usize, config: &str) {
         let started = lock(&self.nodes).release(node, config);
         let name = &self.targets[node].0;
@@ -164,7 +164,7 @@
     ) -> io::Result<()> {
         let config = &self.configs[node];
         let mut old_config: serde_json::Value = serde_json::from_str(config)?;
-        // These sockets stay bound until the end, so that nothing else takes their addresses.
+        // These sockets stay bound until the end of the step, so that no other socket takes their addresses.
         let unused = moved.iter().map(|_| UdpSocket::bind((self.targets[node].1.ip(), 0)));
         let unused = unused.collect::<io::Result<Vec<_>>>()?;
         let peers = old_config["peers"]
--- a/crates/stonevane-lab/src/fleet/servers.rs
+++ b/crates/stonevane-lab/src/fleet/servers.rs
@@ -7,12 +7,13 @@
 use super::Fleet;
 use crate::active_faults::ActiveFaults;
 
-/// Time after discovery announces a drain for which the server still serves, because nodes may send to it
-/// during their grace period.
+/// Time for which a draining server still serves after discovery announces the drain: nodes may send requests
+/// to the server during their grace period.
 const DRAIN_GRACE: Duration = Duration::from_millis(700);
 
 impl Fleet {
-    /// Injects a server fault. Returns its number. Discovery reports a dead process after its delay.
+    /// Injects a server fault and returns the fault's number. Discovery reports a dead process after the
+    /// discovery delay.
     pub(super) fn begin_fault(&self, server: &str, node: Option<&str>, fault: Fault) -> u64 {
         let mut faults = lock(&self.faults);
         let was_alive = !faults.is_dead(server);
@@ -25,7 +26,7 @@
         number
     }
 
-    /// Removes a server fault. A process that restarts is cold.
+    /// Removes a server fault. A process that restarts is in slow start.
     pub(super) fn end_fault(&self, server: &str, number: u64) {
         let mut faults = lock(&self.faults);
         let was_dead = faults.is_dead(server);
--- a/crates/stonevane-lab/src/fleet/start.rs
+++ b/crates/stonevane-lab/src/fleet/start.rs
@@ -50,8 +50,9 @@
     discovery: Arc<Discovery>,
 }
 
-/// Addresses of the nodes. They stay bound until the nodes start, so that no other socket of the lab takes
-/// one. After that nothing else can take them, because no other lab uses this lab's IP address.
+/// Addresses of the nodes. The sockets stay bound until the nodes start, so that no other socket of the lab
+/// takes one of the addresses. After that no other program can take them, because no other lab uses this
+/// lab's IP address.
 struct ReservedAddresses {
     /// Name of each node and the address to which clients connect.
     clients: Vec<(String, SocketAddr)>,
@@ -63,10 +64,10 @@
     sockets: Vec<UdpSocket>,
 }
 
-/// Node kinds by membership version, each with its own operator file.
+/// Kinds of nodes, one for each membership version, each with its own operator file.
 struct NodeKinds {
     current: NodeKind,
-    /// Kind that sends only membership messages of version 1.
+    /// Kind of the nodes that send only membership messages of version 1.
     version_1: NodeKind,
     version_1_nodes: Vec<usize>,
 }
@@ -189,7 +190,7 @@
         Cache::start(spec, listens, self.clock, self.recorder.clone()).await
     }
 
-    /// Stores the most popular keys in a cache, as many as the scenario's `warm_keys` says.
+    /// Stores the most popular keys in a cache, up to the share that the scenario's `warm_keys` sets.
     fn preload(&self, cache: &Cache) {
         for rank in 0..(self.scenario.load.keys as f64 * self.scenario.warm_keys) as usize {
             cache.preload(&format!("{:016x}", key(rank)), 0);
--- a/crates/stonevane-lab/src/lifecycle.rs
+++ b/crates/stonevane-lab/src/lifecycle.rs
@@ -33,7 +33,7 @@
 pub struct Paused {
     /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// Whether no other step was pausing it.
+    /// Whether the process was running before, because no other step was pausing it.
     pub was_running: bool,
 }
 
@@ -43,7 +43,7 @@
     incarnation: Incarnation,
     /// Number of steps that hold the node down.
     holds: usize,
-    /// Number of steps that pause this incarnation.
+    /// Number of steps that pause the current incarnation.
     pauses: usize,
 }
 
@@ -111,8 +111,8 @@
         alive.then_some(node.incarnation)
     }
 
-    /// Marks an incarnation as ended, by itself or after a signal. Returns whether it was the current one and
-    /// alive.
+    /// Marks an incarnation as ended, by itself or after a signal. Returns whether the incarnation was the
+    /// current one and alive.
     pub fn mark_ended(&mut self, node: usize, incarnation: Incarnation) -> bool {
         let (state, present) = self.get(node);
         let ended = present == incarnation && state != State::Dead;
--- a/crates/stonevane-lab/src/node.rs
+++ b/crates/stonevane-lab/src/node.rs
@@ -36,7 +36,7 @@
     }
 }
 
-/// Implementation that runs in the place of a node.
+/// Implementation of a node: the daemon, or a stub.
 #[derive(Debug, Clone)]
 pub enum NodeKind {
     /// A daemon process.
@@ -77,7 +77,7 @@
 
 /// End of an incarnation.
 pub struct Ended {
-    /// Interval in which it ended.
+    /// Interval in which the incarnation ended.
     pub time: TimeInterval,
     /// Exit status; `None` for a stub node.
     pub status: Option<ExitStatus>,
--- a/crates/stonevane-lab/src/run.rs
+++ b/crates/stonevane-lab/src/run.rs
@@ -18,7 +18,8 @@
 use crate::scenario::{Expectation, Scenario};
 use crate::summary::{Summary, summarise};
 
-/// Protocol periods at the end of a run, after convergence, in which views are still read.
+/// Number of protocol periods after convergence, at the end of a run, in which the lab still reads the nodes'
+/// views of the members.
 const MEMBERSHIP_TAIL_PERIODS: u64 = 8;
 /// Time between scheduling the load and its first request, in microseconds.
 const LOAD_START_DELAY_US: u64 = 20_000;
@@ -42,7 +43,7 @@
     pub load: Option<f64>,
     /// Whether the short form of the scenario is played, see [`Scenario::shortened`].
     pub short: bool,
-    /// Implementation that runs in the place of the nodes.
+    /// Implementation of the nodes.
     pub kind: NodeKind,
     /// Whether membership is disabled even if the scenario enables it, as in a control run.
     pub without_fleet: bool,
@@ -83,8 +84,8 @@
             scenario.membership = None;
         }
         if let Some(spec) = &scenario.membership {
-            // The load lasts until views have had time to converge after the last step, and are read for a
-            // few more periods.
+            // The load lasts until the nodes' views of the members have had time to converge after the last
+            // step, plus a few more protocol periods in which the views are read.
             let end = scenario.steps.iter().map(|step| step.at + step.duration).max().unwrap_or_default();
             let bounds = spec.bounds_for(scenario.nodes + spec.absent_members);
             let periods = bounds.convergence + MEMBERSHIP_TAIL_PERIODS;
--- a/crates/stonevane-lab/src/scenario.rs
+++ b/crates/stonevane-lab/src/scenario.rs
@@ -41,9 +41,9 @@
     pub cache: CacheSpec,
     /// Capacity and behaviour of the origin.
     pub origin: OriginSpec,
-    /// Store of record in the place of the origin; `None` if the origin is used.
+    /// Store of record that replaces the origin; `None` if the origin is used.
     pub store: Option<StoreSpec>,
-    /// Share of the keys, the most popular first, that caches hold at the start.
+    /// Share of the keys that caches hold at the start, from 0 to 1; the most popular keys are held.
     pub warm_keys: f64,
     /// Names of the zones. Nodes and caches are assigned to them in turn; the origin is in the first.
     pub zones: Vec<String>,
@@ -69,7 +69,7 @@
     pub load: Load,
     /// Each tenant's share of the fleet's capacity, in the order of the load's tenants.
     pub tenant_shares: Vec<f64>,
-    /// A tenant's quota, as a multiple of its share of the rate.
+    /// Quota of each tenant, as a multiple of the tenant's share of the request rate.
     pub quota: f64,
     /// Factor by which the short form scales all times, 0.05 to 1.
     pub short: f64,
@@ -85,7 +85,7 @@
     pub startup_limit: bool,
 }
 
-/// A store of record in the place of the origin: a PostgreSQL emulator, or a SQLite file.
+/// A store of record that replaces the origin: a PostgreSQL emulator, or a SQLite file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreSpec {
     /// Whether a SQLite file is used instead of the PostgreSQL emulator. Nothing outside the nodes observes
--- a/crates/stonevane-lab/src/scenario/action.rs
+++ b/crates/stonevane-lab/src/scenario/action.rs
@@ -70,7 +70,7 @@
     pub duration: Duration,
     /// Action of the step.
     pub action: Action,
-    /// Label in the history and the chart: the scenario's words for the action and its targets.
+    /// Label of the step in the history and the chart: the scenario's words for the action and its targets.
     pub label: String,
 }
 
@@ -118,7 +118,7 @@
     },
     /// Nodes receive forged datagrams.
     Forge {
-        /// Nodes that receive them.
+        /// Nodes that receive the forged datagrams.
         nodes: NodeSelector,
         /// Datagrams per second to each node.
         per_s: u64,
@@ -150,7 +150,7 @@
         duplicate: f64,
         /// Shortest delay of a datagram.
         min_delay: Duration,
-        /// Longest delay of a datagram.
+        /// Longest delay of a datagram; if it exceeds `min_delay`, datagrams may overtake each other.
         max_delay: Duration,
     },
     /// Nodes and servers of different groups can't reach each other.
--- a/crates/stonevane-lab/src/scenario/members.rs
+++ b/crates/stonevane-lab/src/scenario/members.rs
@@ -6,7 +6,7 @@
 
 use super::NodeSelector;
 
-/// Number of members for which the convergence bound grows by one protocol period.
+/// Number of members for each additional protocol period of the convergence bound.
 const NODES_PER_CONVERGENCE_PERIOD: u64 = 12;
 
 /// Membership settings of a scenario.
@@ -16,24 +16,27 @@
     pub period: Duration,
     /// Whether nodes authenticate datagrams with a shared key.
     pub authenticated: bool,
-    /// Whether nodes adapt to their own local health.
+    /// Whether nodes lengthen timeouts: by their own local health, and for suspicions that few members have
+    /// confirmed.
     pub uses_local_health: bool,
     /// Nodes that send messages of version 1, as before an upgrade.
     pub version_1_nodes: NodeSelector,
-    /// Bounds without the part that grows with the number of members, see [`MembershipSpec::bounds_for`].
+    /// Bounds without the part that grows with the number of members; [`MembershipSpec::bounds_for`] adds
+    /// it.
     pub bounds: MembershipBounds,
     /// Number of members, counted from the last, that never start. No node may consider them alive.
     pub absent_members: usize,
-    /// Faulty member that runs in the place of a node.
+    /// Faulty member that takes part in membership instead of a correct one; `None` if all members are
+    /// correct.
     pub faulty_member: Option<FaultyMemberSpec>,
 }
 
-/// A faulty member that runs in the place of a node.
+/// A faulty member that takes part in membership instead of a correct one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FaultyMemberSpec {
     /// Number of the node.
     pub node: usize,
-    /// Fault of the membership machine.
+    /// Fault of the membership state machine.
     pub mutant: Mutant,
 }
 
--- a/crates/stonevane-lab/src/scenario/read_step.rs
+++ b/crates/stonevane-lab/src/scenario/read_step.rs
@@ -204,8 +204,8 @@
         self.table.unknown_value("do", word, known);
     }
 
-    /// Returns the index in `names` of the name under a key. Reports an unknown name; `None` if it is unknown
-    /// or the key is absent.
+    /// Returns the index in `names` of the name that a key holds. Reports an unknown name; returns `None` if
+    /// the name is unknown or the key is absent.
     fn index_of(&self, key: &str, names: &[String]) -> Option<usize> {
         let name = self.table.text(key)?;
         let names: Vec<&str> = names.iter().map(String::as_str).collect();
@@ -217,7 +217,7 @@
         found
     }
 
-    /// Does the same as [`Self::index_of`] for a required key, whose absence is reported.
+    /// Like [`Self::index_of`], for a required key: an absent key is reported too.
     fn required(&self, key: &str, names: &[String]) -> Option<usize> {
         if !self.table.has(key) {
             self.table.missing(key);
--- a/crates/stonevane-lab/src/stub.rs
+++ b/crates/stonevane-lab/src/stub.rs
@@ -31,8 +31,8 @@
 const REBIND_PAUSE: Duration = Duration::from_millis(2);
 /// Extra reads that [`NodeFault::Floods`] sends: more than the capacity of a cold server.
 const FLOOD_READS: usize = 80;
-/// Extra reads that [`NodeFault::FloodsTogether`] sends: those of one node are within the capacity of a cold
-/// server, those of two nodes exceed it.
+/// Extra reads that [`NodeFault::FloodsTogether`] sends. The reads of one node are within the capacity of a
+/// cold server; the reads of two nodes together exceed it.
 const SHARED_FLOOD_READS: usize = 20;
 /// Extra attempts that [`NodeFault::ExceedsAttemptLimit`] makes.
 const EXCESS_ATTEMPTS: usize = 4;
@@ -65,7 +65,7 @@
     /// Serves clients until `terminate` holds `true`.
     pub async fn run(self, fault: NodeFault, mut terminate: watch::Receiver<bool>) {
         let listener = loop {
-            // The previous incarnation may still hold the address for a moment.
+            // The listener of the previous incarnation may still hold the address for a moment.
             match TcpListener::bind(self.listen).await {
                 Ok(listener) => break listener,
                 Err(_) if *terminate.borrow() || terminate.has_changed().is_err() => return,
@@ -208,8 +208,8 @@
         }
     }
 
-    /// Returns the cache to which a read of a key is sent: the key's own, or the next one in order that is
-    /// available.
+    /// Returns the cache to which a read of a key is sent: the cache to which the key is assigned, or else
+    /// the next available one in order.
     fn cache_for(&self, key: &str) -> Option<SocketAddr> {
         let caches = &self.node.caches;
         let own = (u64::from_str_radix(key, 16).unwrap_or(0) >> 7) as usize % caches.len();
@@ -221,8 +221,8 @@
         order.find(usable).map(|cache| cache.address)
     }
 
-    /// Sends a read `count` times to the first cache at once. This breaks the slow-start rule if the cache is
-    /// cold.
+    /// Sends a read to the first cache, `count` times concurrently. This breaks the slow-start rule if the
+    /// cache is cold.
     async fn flood(&self, words: &[Bytes], count: usize) {
         let server = self.node.caches[0].address;
         let mut reads = JoinSet::new();
--- a/crates/stonevane-lab/src/stub/fault.rs
+++ b/crates/stonevane-lab/src/stub/fault.rs
@@ -19,9 +19,10 @@
     ResendsUnsafe,
     /// Draining: still sends to a server that drains.
     IgnoresDrains,
-    /// Slow start: exceeds the capacity of a cold server alone.
+    /// Slow start: one node's reads exceed the capacity of a cold server.
     Floods,
-    /// Slow start: exceeds the capacity of a cold server only together with another node.
+    /// Slow start: the reads of one node stay within the capacity of a cold server, but those of two nodes
+    /// together exceed it.
     FloodsTogether,
     /// Attempt integrity: sends a read with the key of the previous one.
     MixesKeys,
--- a/crates/stonevane-lab/src/summary.rs
+++ b/crates/stonevane-lab/src/summary.rs
@@ -81,11 +81,11 @@
     pub busy: u64,
     /// Attempts that missed.
     pub misses: u64,
-    /// Most work in one second, as a share of a second's capacity. For the origin, the window of its overload
-    /// rule.
+    /// Highest work in one second, as a share of the work that the server can do in a second. For the origin,
+    /// measured over the window of its overload rule instead.
     pub peak: f64,
-    /// Most work in one window of the slow-start rule while the server warmed up, as a share of what the rule
-    /// allows.
+    /// Highest work in one window of the slow-start rule while the server warmed up, as a share of the work
+    /// that the rule allows.
     pub cold_peak: f64,
     /// Number of times that the server became overloaded or stopped.
     pub falls: u64,
@@ -117,7 +117,7 @@
     pub calls: u64,
     /// Calls that were rejected.
     pub rejected: u64,
-    /// Rejected calls that followed a rejected call of the same node.
+    /// Rejected calls that directly followed another rejected call of the same node.
     pub rejected_again: u64,
 }
 
--- a/crates/stonevane-lab/src/summary/reader.rs
+++ b/crates/stonevane-lab/src/summary/reader.rs
@@ -13,7 +13,7 @@
 const RECOVERED_SHARE: f64 = 0.95;
 /// Largest index of an interval; later events count in this one.
 const MAX_INTERVAL_INDEX: u64 = 100_000;
-/// Largest number of faults that are listed.
+/// Maximum number of faults that the summary lists.
 const MAX_FAULTS: usize = 1_000;
 /// Length of the window of a cache's peak load, in microseconds.
 const PEAK_WINDOW_US: u64 = 1_000_000;
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Counts a call to discovery.
+    /// Counts a call to discovery, and whether it was rejected.
     fn call(&mut self, record: &HistoryRecord) {
         let rejected = record.state == "turned-away";
         let before = self.last_call_rejected.insert(record.node.clone(), rejected).unwrap_or(false);
--- a/crates/stonevane-store/src/breaker.rs
+++ b/crates/stonevane-store/src/breaker.rs
@@ -13,7 +13,8 @@
     pub min_open: Micros,
     /// The longest duration of the open state, which doubles with each failed probe.
     pub max_open: Micros,
-    /// Fraction of the duration, up to which a random time is added so that nodes do not probe in step.
+    /// Largest random addition to the duration of the open state, as a fraction of that duration. It keeps
+    /// nodes from probing the store at the same time.
     pub jitter: f64,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// State of the breaker.
+/// State of the breaker, which decides whether calls reach the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// Calls pass.
@@ -59,7 +60,8 @@
     },
 }
 
-/// A circuit breaker.
+/// A circuit breaker before one store. Its user reports the outcome of each call that passed with
+/// [`Breaker::answered`], [`Breaker::failed`] or [`Breaker::abandoned`].
 #[derive(Debug, Clone)]
 pub struct Breaker {
     limits: Limits,
@@ -91,12 +93,14 @@
         }
     }
 
-    /// A call was answered, with a value or with an error.
+    /// Closes the breaker and resets its failure count, because a call was answered, with a value or with an
+    /// error.
     pub fn answered(&mut self) {
         self.state = State::Closed { failures: 0 };
     }
 
-    /// A call was not answered in time, or its connection was lost. `random` is a random number from 0 to 1.
+    /// Counts a call that was not answered in time, or that lost its connection. Opens the breaker at the
+    /// failure threshold, or if a probe is in progress. `random` is a random number from 0 to 1.
     pub fn failed(&mut self, now: Micros, random: f64) {
         match self.state {
             State::Closed { failures } if failures + 1 < self.limits.failure_threshold => {
@@ -111,7 +115,8 @@
         }
     }
 
-    /// The probe was abandoned before its outcome was known: the next call is the probe.
+    /// Lets the next call be the probe, because the present probe was abandoned before its outcome was known.
+    /// Has no effect if no probe is in progress.
     pub fn abandoned(&mut self, now: Micros) {
         if let State::HalfOpen { wait } = self.state {
             self.state = State::Open { until: now, wait };
--- a/crates/stonevane-store/src/contract.rs
+++ b/crates/stonevane-store/src/contract.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::mpsc;
 
-/// The future of a call to a store.
+/// Result of a call to a store, as a boxed future that can be sent between threads.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
 /// The operations of a store of record. Dropping a call's future abandons the call; an edit that has begun
@@ -25,8 +25,8 @@
     /// Reads the store's version and its numbers of entries.
     fn stats(&self) -> StoreFuture<'_, StoreStats>;
 
-    /// Number of calls that the store has answered so far, errors included. While it grows, the store has not
-    /// stopped, even if some calls time out.
+    /// Number of calls that the store has answered so far, errors included. While this number grows, the
+    /// store has not stopped, even if some calls time out.
     fn answered(&self) -> u64;
 
     /// Subscribes to all changes from now on, including those of other programs, until the receiver is
@@ -42,7 +42,7 @@
 pub struct StoreStats {
     /// The newest version, which equals the number of edits so far.
     pub version: u64,
-    /// Number of keys.
+    /// Number of keys that the store holds.
     pub zones: u64,
     /// Number of recorded idempotency keys, including expired ones that have not been deleted yet.
     pub tokens: u64,
@@ -55,7 +55,7 @@
 /// The longest idempotency key, in bytes.
 pub const MAX_TOKEN_BYTES: usize = 512;
 
-/// A zone as the store holds it.
+/// A zone as the store holds it: a key with its value, version and time of change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
     /// The key, at most [`MAX_KEY_BYTES`] long.
@@ -76,8 +76,8 @@
     pub key: String,
     /// The new value, at most [`MAX_VALUE_BYTES`] long.
     pub value: Vec<u8>,
-    /// The idempotency key, at most [`MAX_TOKEN_BYTES`] long. A repeat with the same one returns the first
-    /// receipt and changes nothing.
+    /// The idempotency key, at most [`MAX_TOKEN_BYTES`] long; `None` for an edit without one. Sending the
+    /// same edit again with the same idempotency key returns the first receipt and changes nothing.
     pub token: Option<String>,
     /// Time for which the store remembers the idempotency key, milliseconds.
     pub remember_ms: u64,
@@ -88,7 +88,7 @@
 pub struct Receipt {
     /// The version that the edit created.
     pub version: u64,
-    /// Whether this was a repeat of an earlier edit, and changed nothing.
+    /// Whether the edit repeated an earlier one with the same idempotency key, and changed nothing.
     pub repeat: bool,
 }
 
@@ -101,7 +101,8 @@
     pub version: u64,
 }
 
-/// The error of a call to a store.
+/// Reasons why a call to a store failed. [`StoreError::is_certainly_not_applied`] tells whether an edit may
+/// be sent again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreError {
     /// The key, value or idempotency key exceeds its bounds; nothing was done.
@@ -130,7 +131,8 @@
     TimedOut,
     /// No connection to the store could be established; nothing was done.
     Unreachable,
-    /// The answer came from a replica that lags behind a receipt that this program holds; nothing was done.
+    /// The answer came from a lagging replica: its version is older than a receipt that this program holds.
+    /// Nothing was done.
     Behind,
     /// The store closed before it answered; whether an edit was applied is unknown.
     Closed,
--- a/crates/stonevane-store/src/copies.rs
+++ b/crates/stonevane-store/src/copies.rs
@@ -1,11 +1,11 @@
 //! Invalidates the copies of a zone that caches hold, after an edit. Each cache of the key's placement is
-//! sent an invalidation repeatedly, until it acknowledges it, its process is known to have ended, or the
-//! lifetime of the copy has passed.
+//! sent an invalidation repeatedly, until the cache acknowledges it, the cache's process is known to have
+//! ended, or the lifetime of the copy has passed.
 //!
-//! Fills and invalidations carry the store's version, and a cache keeps the newest, so neither their order
-//! nor a repeat matters: a fill that was fetched before an edit can't undo the invalidation after it (the
-//! leases of R. Nishtala et al., "Scaling Memcache at Facebook", 3.2.1, with versions in place of tokens). No
-//! I/O, no clock.
+//! Fills and invalidations carry the store's version, and a cache keeps the newest version, so neither the
+//! order of messages nor a repeat matters: a fill that was fetched before an edit can't undo the invalidation
+//! after the edit (the leases of R. Nishtala et al., "Scaling Memcache at Facebook", 3.2.1, with versions in
+//! place of tokens). No I/O, no clock.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -21,9 +21,11 @@
 pub struct Limits {
     /// The most pending invalidations, over all caches.
     pub max_pending: usize,
-    /// The longest time for which a cache keeps a copy.
+    /// The longest time for which a cache keeps a copy, microseconds. An invalidation is not sent again once
+    /// this time has passed since the edit.
     pub lifetime: Micros,
-    /// The first and the longest wait before an invalidation is sent again; the wait doubles each time.
+    /// The first and the longest wait before an invalidation is sent again, microseconds; the wait doubles
+    /// each time.
     pub resend_wait: (Micros, Micros),
 }
 
@@ -33,10 +35,10 @@
     }
 }
 
-/// An invalidation to send: the cache drops its copy of a key if that is older than a version.
+/// An invalidation to send: the cache drops its copy of the key if the copy is older than the version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Invalidation<C> {
-    /// The cache to send it to.
+    /// The cache that receives the invalidation.
     pub cache: C,
     /// The key whose copy is dropped.
     pub key: String,
@@ -59,7 +61,8 @@
 pub struct Copies<C> {
     limits: Limits,
     pending: BTreeMap<(C, String), Pending>,
-    /// Times at which pending invalidations are next sent or expire. Entries of settled ones may remain.
+    /// Times at which pending invalidations are next sent or expire. Entries of completed invalidations may
+    /// remain.
     send_queue: BinaryHeap<Reverse<(Micros, C, String)>>,
     /// Number of caches that each edit waits for.
     caches_left: HashMap<EditId, usize>,
@@ -73,8 +76,8 @@
         Copies { limits, pending, send_queue, caches_left: HashMap::new(), completed: Vec::new() }
     }
 
-    /// An edit has created a version of a key: older copies at these caches are to be dropped. Returns
-    /// `false`, and records nothing, where that would exceed [`Limits::max_pending`].
+    /// Records that an edit has created a version of a key, and that these caches must drop older copies.
+    /// Returns `false`, and records nothing, if [`Limits::max_pending`] would be exceeded.
     pub fn edited(&mut self, now: Micros, edit: EditId, key: &str, version: u64, caches: &[C]) -> bool {
         let added =
             caches.iter().filter(|cache| !self.pending.contains_key(&(**cache, key.to_owned()))).count();
@@ -92,7 +95,7 @@
             let pending = self.pending.entry((*cache, key.to_owned())).or_insert_with(new_entry);
             pending.edits.push((version, edit));
             pending.version = pending.version.max(version);
-            // A copy that was filled just before this edit lives for the whole lifetime from now.
+            // A copy filled just before this edit expires one whole lifetime from now.
             (pending.expires, pending.next_send) = (now.saturating_add(self.limits.lifetime), now);
             pending.resend_wait = self.limits.resend_wait.0.max(1);
             self.send_queue.push(Reverse((now, *cache, key.to_owned())));
@@ -128,12 +131,12 @@
         self.send_queue.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// A cache has acknowledged that it holds no copy of a key older than a version.
+    /// Records that a cache holds no copy of a key older than a version.
     pub fn acknowledged(&mut self, cache: C, key: &str, version: u64) {
         self.settle(&(cache, key.to_owned()), version);
     }
 
-    /// A cache's process has ended, so it holds no copies.
+    /// Completes all invalidations at a cache whose process has ended, and which therefore holds no copies.
     pub fn ended(&mut self, cache: C) {
         let from = (cache, String::new());
         let of_cache = self.pending.range(from..).map(|(copy, _)| copy).take_while(|copy| copy.0 == cache);
@@ -148,18 +151,18 @@
         std::mem::take(&mut self.completed)
     }
 
-    /// Stops tracking an edit that no caller waits for. Its invalidations are still sent.
+    /// Stops tracking an edit whose caller no longer waits. Its invalidations are still sent.
     pub fn forget(&mut self, edit: EditId) {
         self.caches_left.remove(&edit);
     }
 
-    /// Number of pending invalidations.
+    /// Number of pending invalidations; at most [`Limits::max_pending`].
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Completes the edits up to a version at one cache. Removes the invalidation if it is of no later
-    /// version.
+    /// Marks the edits up to a version as completed at one cache. Removes the pending invalidation unless it
+    /// is for a later version.
     fn settle(&mut self, copy: &(C, String), version: u64) {
         let Some(pending) = self.pending.get_mut(copy) else { return };
         let (settled, left): (Vec<_>, Vec<_>) = pending.edits.drain(..).partition(|edit| edit.0 <= version);
--- a/crates/stonevane-store/src/flight.rs
+++ b/crates/stonevane-store/src/flight.rs
@@ -39,11 +39,11 @@
     Started(FlightId),
     /// The caller has joined a flight in progress.
     Waiting(FlightId),
-    /// A limit is reached, or the joiner already waits: the caller is to be rejected.
+    /// A limit is reached, or the same joiner already waits: the caller is to be rejected.
     Rejected,
 }
 
-/// A completed flight.
+/// A completed flight, with the joiners to answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CompletedFetch<K> {
     /// The key that was fetched.
@@ -71,7 +71,7 @@
     joinable: HashMap<K, FlightId>,
     /// All flights of each key, including those that may not be joined any more.
     by_key: HashMap<K, Vec<FlightId>>,
-    /// The flight of each joiner, and its position there.
+    /// The flight of each joiner, and the joiner's position in that flight.
     joiners: HashMap<JoinerId, (FlightId, u64)>,
     /// The deadlines of joiners. Entries of joiners that left may remain.
     deadlines: BinaryHeap<Reverse<(Micros, JoinerId)>>,
@@ -155,8 +155,8 @@
         })
     }
 
-    /// Removes the joiners whose deadline has passed. Returns them, each of which is to be answered, and the
-    /// flights left without joiners, which are to be cancelled.
+    /// Removes the joiners whose deadline has passed. Returns two lists: these joiners, which are to be
+    /// answered, and the flights left without joiners, which are to be cancelled.
     pub fn expire(&mut self, now: Micros) -> (Vec<JoinerId>, Vec<FlightId>) {
         let mut expired = Vec::new();
         while let Some(Reverse((deadline, joiner))) = self.deadlines.peek().copied()
@@ -174,7 +174,8 @@
         (expired, cancelled)
     }
 
-    /// Completes a flight, with a value or an error. `None` where it was cancelled.
+    /// Completes a flight whose fetch returned a value or an error. `None` if the flight was cancelled
+    /// before.
     pub fn complete(&mut self, id: FlightId) -> Option<CompletedFetch<K>> {
         let flight = self.remove_flight(id)?;
         let joiners: Vec<_> = flight.joiners.into_values().collect();
@@ -184,7 +185,8 @@
         Some(CompletedFetch { key: flight.key, joiners, cacheable: !flight.overlaps_edit })
     }
 
-    /// An edit of a key begins. Returns `false`, and records nothing, where [`Limits::edits`] is reached.
+    /// Records that an edit of a key begins. Returns `false`, and records nothing, if [`Limits::edits`] is
+    /// reached.
     pub fn edit_begins(&mut self, key: &K) -> bool {
         if self.edit_count >= self.limits.edits {
             return false;
@@ -197,8 +199,8 @@
         true
     }
 
-    /// An edit of a key has its receipt, has failed, or has an unknown outcome: later callers start a new
-    /// fetch.
+    /// Records that an edit of a key has its receipt, has failed, or has an unknown outcome: later callers
+    /// start a new fetch.
     pub fn edit_ended(&mut self, key: &K) {
         let Some(count) = self.edits.get_mut(key) else { return };
         *count -= 1;
@@ -209,8 +211,8 @@
         self.joinable.remove(key);
     }
 
-    /// Another program's edit of a key has been committed. A fetch in flight may return the old or the new
-    /// value, so no cache may keep it, and later callers start a new fetch.
+    /// Records that another program's edit of a key has been committed. A fetch in flight may return the old
+    /// or the new value, so no cache may keep it, and later callers start a new fetch.
     pub fn changed(&mut self, key: &K) {
         self.mark_overlapping(key);
         self.joinable.remove(key);
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Number of flights.
+    /// Number of flights in progress; at most [`Limits::flights`].
     pub fn in_flight(&self) -> usize {
         self.flights.len()
     }
--- a/crates/stonevane-store/src/following.rs
+++ b/crates/stonevane-store/src/following.rs
@@ -38,7 +38,7 @@
         self.version
     }
 
-    /// Takes in the payload of a notification. A malformed one counts as a gap.
+    /// Processes the payload of a received notification. A malformed payload counts as a gap.
     pub fn receive(&mut self, payload: &str) -> Notification {
         let parsed =
             payload.split_once(' ').and_then(|(version, key)| Some((version.parse::<u64>().ok()?, key)));
@@ -52,13 +52,14 @@
         }
     }
 
-    /// Whether changes up to the store's version were missed. An older version, as of a lagging replica that
-    /// has taken over, counts as none missed.
+    /// Whether the store's version shows that changes were missed. A store version older than the cursor, as
+    /// of a lagging replica that has taken over, does not.
     pub fn is_behind(&self, store_version: u64) -> bool {
         store_version > self.version
     }
 
-    /// Advances over changes read from the store, oldest first. Returns those that were not reported before.
+    /// Moves the cursor past changes read from the store, which must be sorted oldest first. Returns the
+    /// changes that were not reported before.
     pub fn advance(&mut self, changes: Vec<Change>) -> Vec<Change> {
         let mut unreported = Vec::with_capacity(changes.len());
         for change in changes {
--- a/crates/stonevane-store/src/postgres.rs
+++ b/crates/stonevane-store/src/postgres.rs
@@ -24,7 +24,7 @@
 use crate::following::{ChangeCursor, Notification, notification_payload};
 use crate::reconnect::{self, Decision, Reconnect};
 
-/// Migrations of the schema, each from the version before it. There is no downgrade.
+/// Migrations of the schema: each one leads from the previous version to the next. There is no downgrade.
 const MIGRATIONS: [&str; 1] = ["CREATE TABLE counter (id BIGINT PRIMARY KEY, version BIGINT NOT NULL);
      INSERT INTO counter (id, version) VALUES (1, 0);
      CREATE TABLE zones (key TEXT PRIMARY KEY, value BYTEA NOT NULL, version BIGINT NOT NULL,
@@ -33,15 +33,15 @@
        version BIGINT NOT NULL, expires BIGINT NOT NULL);
      CREATE INDEX zones_by_version ON zones (version);
      CREATE INDEX edits_by_expiry ON edits (expires);"];
-/// Advisory lock held during a migration, so that of several nodes that start together only one migrates.
+/// Advisory lock held during a migration: if several nodes start together, only one of them migrates.
 const MIGRATION_LOCK_ID: i64 = 0x5356_4e45;
 /// The underlying library, for benchmarks that compare with it.
 pub use tokio_postgres;
 
 /// The LISTEN/NOTIFY channel on which each edit announces its version and key.
 pub const CHANNEL: &str = "stonevane";
-/// Length of the queues of notifications and of changes for a subscriber. A notification that does not fit is
-/// dropped; the gap is then read from the store, this many changes at a time.
+/// Length of a subscriber's notification queue and of its change queue. A notification that does not fit is
+/// dropped; the missing changes are then read from the store, at most this many at a time.
 const NOTIFICATION_QUEUE_LENGTH: usize = 1_024;
 /// Interval at which a subscriber that receives no notification reads the store's version: a notification may
 /// have been lost on a dead connection that the client still considers open.
@@ -61,7 +61,7 @@
     pub statement_timeout: Duration,
     /// Waits between attempts to connect.
     pub reconnect: reconnect::Limits,
-    /// Seed of the random part of the waits.
+    /// Seed of the random part of the waits between attempts to connect.
     pub seed: u64,
 }
 
@@ -134,7 +134,7 @@
 struct Session {
     client: Client,
     statements: Statements,
-    /// Start of the attempt that opened it, microseconds since the epoch of [`Inner`].
+    /// Start of the attempt that opened the connection, microseconds since the epoch of [`Inner`].
     opened_at: u64,
 }
 
@@ -151,7 +151,7 @@
     reconnect: Mutex<(Reconnect, Rand64)>,
     /// The newest version for which this program has a receipt.
     newest_receipt: AtomicU64,
-    /// Number of answers of the server.
+    /// Number of statements that the server has answered, as counted by [`Inner::count_answer`].
     answered: AtomicU64,
     epoch: Instant,
     last_sweep: Mutex<Instant>,
@@ -160,8 +160,8 @@
 /// A store on a PostgreSQL server. The first call opens the first connection.
 pub struct Postgres(Arc<Inner>);
 
-/// A connection taken from the pool. Dropped without [`Lease::return_to_pool`], it cancels its statement and
-/// closes.
+/// A connection taken from the pool. If it is dropped without [`Lease::return_to_pool`], its statement is
+/// cancelled and the connection is closed.
 struct Lease {
     inner: Arc<Inner>,
     session: Option<Session>,
@@ -191,7 +191,7 @@
     }
 }
 
-/// An attempt to connect. Dropped before it has finished, it is reported as abandoned.
+/// An attempt to connect. If it is dropped before it has finished, it is reported as abandoned.
 struct ConnectAttempt<'a> {
     inner: &'a Inner,
     started: u64,
@@ -420,7 +420,8 @@
         let failed = |e: tokio_postgres::Error| store_error(&e, false);
         let (now, digest) = (unix_ms(), xxh3_64(&edit.value) as i64);
         // Statements are pipelined, and executed in order: an edit takes three round trips instead of seven.
-        // The lock on the counter's row serializes all edits, so that what is read after it is committed.
+        // The lock on the counter's row serializes all edits, so the statements after the lock read
+        // only committed data.
         let recorded = async {
             match &edit.token {
                 Some(token) => client.query_opt(&statements.find_recorded_edit, &[token, &now]).await,
@@ -556,7 +557,8 @@
                 if let AsyncMessage::Notification(notification) = message
                     && notification.channel() == CHANNEL
                 {
-                    // If the queue is full, the notification is lost, and the next one shows the gap.
+                    // If the queue is full, this notification is lost, and the next notification shows the
+                    // gap.
                     let _ = payloads.try_send(notification.payload().to_owned());
                 }
             }
--- a/crates/stonevane-store/src/quick.rs
+++ b/crates/stonevane-store/src/quick.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// The pause of inline reads, adapted to the durations of past ones.
+/// Decides whether reads may run inline, from the durations of past inline reads.
 #[derive(Debug, Clone)]
 pub struct InlineReadPolicy {
     limits: Limits,
@@ -45,7 +45,7 @@
         now >= self.paused_until
     }
 
-    /// Takes the duration of an inline read into account.
+    /// Records the duration of an inline read, which may pause inline reads or shorten later pauses.
     pub fn record(&mut self, now: Micros, duration: Micros) {
         if duration > self.limits.slow_threshold {
             self.paused_until = now.saturating_add(self.next_pause);
--- a/crates/stonevane-store/src/reconnect.rs
+++ b/crates/stonevane-store/src/reconnect.rs
@@ -9,8 +9,8 @@
 /// Bounds of the wait between attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Wait after the first failure; doubles with each further one. The actual wait is drawn at random
-    /// between half of this and one and a half times it.
+    /// Wait after the first failure, microseconds; doubles with each further failure. The actual wait is
+    /// drawn at random between half and one and a half times this value.
     pub min_wait: Micros,
     /// The longest wait, before the random draw.
     pub max_wait: Micros,
@@ -44,13 +44,13 @@
 }
 
 impl Reconnect {
-    /// A state without failures.
+    /// A state without failures, in which any number of connections may be opened.
     pub fn new(limits: Limits) -> Self {
         Reconnect { limits, failures: 0, not_before: 0, attempt: None }
     }
 
-    /// Decides whether a connection may be opened now. After a failure, [`Decision::Connect`] begins the only
-    /// attempt.
+    /// Decides whether a connection may be opened now. After a failure, [`Decision::Connect`] begins an
+    /// attempt, and no other attempt may begin while it is in progress.
     pub fn decide(&mut self, now: Micros) -> Decision {
         if self.failures == 0 {
             return Decision::Connect;
@@ -65,14 +65,14 @@
         Decision::Connect
     }
 
-    /// A connection was established: the server accepts them.
+    /// Records that a connection was established, which ends the backoff.
     pub fn connected(&mut self) {
         (self.failures, self.attempt) = (0, None);
     }
 
-    /// An attempt that began at `started` failed, or a connection opened then was lost. `random` is a random
-    /// number from 0 to 1. While the server is known to fail, only the failure of the present attempt counts:
-    /// losing an older connection adds nothing.
+    /// Records that an attempt that began at `started` failed, or that the connection opened by it was lost.
+    /// `random` is a random number from 0 to 1. While the server is known to fail, only the failure of the
+    /// present attempt counts: losing an older connection adds nothing.
     pub fn failed(&mut self, started: Micros, now: Micros, random: f64) {
         let is_attempt = self.attempt == Some(started);
         if !is_attempt && self.failures > 0 {
@@ -85,7 +85,8 @@
         self.not_before = now.saturating_add(wait as Micros);
     }
 
-    /// An attempt that began at `started` was abandoned before its outcome was known.
+    /// Records that the attempt that began at `started` was abandoned before its outcome was known, so that
+    /// another attempt may begin.
     pub fn abandoned(&mut self, started: Micros) {
         if self.attempt == Some(started) {
             self.attempt = None;
--- a/crates/stonevane-store/src/reconnect/tests.rs
+++ b/crates/stonevane-store/src/reconnect/tests.rs
@@ -55,7 +55,7 @@
                     reconnect.abandoned(started);
                     attempt = None;
                 }
-                // The loss of an older connection adds nothing.
+                // The loss of an older connection does not count as a further failure.
                 (3, _) => reconnect.failed(u64::MAX, now, random),
                 _ => {}
             }
--- a/crates/stonevane-store/src/sqlite/file.rs
+++ b/crates/stonevane-store/src/sqlite/file.rs
@@ -14,7 +14,7 @@
 /// SQLite's `application_id`, which marks a file as a store of this program: "SVNE".
 pub const APPLICATION_ID: u32 = 0x5356_4e45;
 
-/// Migrations of the schema, each from the version before it. There is no downgrade.
+/// Migrations of the schema: each one leads from the previous version to the next. There is no downgrade.
 const MIGRATIONS: [&str; 2] = [
     "CREATE TABLE counter (id INTEGER PRIMARY KEY CHECK (id = 1), version INTEGER NOT NULL) STRICT;
      INSERT INTO counter VALUES (1, 0);
--- a/crates/stonevane-store/src/sqlite/mod.rs
+++ b/crates/stonevane-store/src/sqlite/mod.rs
@@ -40,7 +40,7 @@
     /// Time for which the first edit of a transaction waits for others. Zero: only edits already queued share
     /// it.
     pub batch_delay: Duration,
-    /// Time to wait for the lock of another process on the file.
+    /// Time for which a call waits while another process locks the file.
     pub busy_timeout: Duration,
     /// The largest size of the file, in pages (by default 4 KiB each).
     pub max_pages: u32,
@@ -137,7 +137,7 @@
         Ok(Sqlite { write_queue, read_queue, writer, readers, inline_reader, answered, path: path.into() })
     }
 
-    /// Path of the file.
+    /// Path of the file, as passed to [`Sqlite::open`].
     pub fn path(&self) -> &Path {
         &self.path
     }
