--- a/crates/stonevane-lab/src/lib.rs
+++ b/crates/stonevane-lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! Runs real node processes between emulators on loopback, applies a scripted load and faults, and audits the
 //! history.
 //!
-//! A [`Scenario`] is read from a file; [`run`] plays it once with a seed. All figures are computed from the
+//! A [`Scenario`] is read from a file; [`run()`] plays it once with a seed. All figures are computed from the
 //! history that the emulators write, so a saved history yields the same figures again.
 
 mod active_faults;
