--- a/crates/stonevane-capacity/src/cpu.rs
+++ b/crates/stonevane-capacity/src/cpu.rs
@@ -2,7 +2,7 @@
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// One in this many calls is timed.
+/// Number of calls out of which [`CpuMeter`] times one.
 const SAMPLING_INTERVAL: u64 = 16;
 
 /// Processor time that the calling thread has used, in nanoseconds.
@@ -19,7 +19,7 @@
 }
 
 impl CpuMeter {
-    /// Runs a call and times it if it is one of the sampled calls.
+    /// Runs `call` and returns its result; reads the clock only for every 16th call.
     pub fn run<T>(&mut self, call: impl FnOnce() -> T) -> T {
         self.calls += 1;
         if !self.calls.is_multiple_of(SAMPLING_INTERVAL) {
--- a/crates/stonevane-capacity/src/fit.rs
+++ b/crates/stonevane-capacity/src/fit.rs
@@ -1,6 +1,6 @@
 //! Least-squares lines through measured points, and the first size at which a curve deviates from its line.
 
-/// A size and a value.
+/// A measured point: size and value, each in the unit of the caller.
 pub type Point = (f64, f64);
 
 /// A least-squares line, `intercept + slope * size`.
@@ -8,7 +8,7 @@
 pub struct Line {
     /// Value at size 0.
     pub intercept: f64,
-    /// Increase per unit of size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
     /// Root mean square of the vertical distances of the points from the line.
     pub residual: f64,
@@ -53,15 +53,15 @@
 pub struct Deviation {
     /// Smallest size whose point lies off the line through all smaller sizes.
     pub size: f64,
-    /// Value of that line at `size`.
+    /// Value at `size` of the line through all smaller sizes.
     pub expected: f64,
     /// Measured value at `size`.
     pub found: f64,
 }
 
-/// Finds the first point whose distance from the line through all smaller sizes exceeds `tolerance`, as a
-/// fraction of the larger of the expected and the measured value. Points must be sorted by size. Two points
-/// always lie on their line, so the third is the first that can deviate.
+/// Finds the first point that lies off the line through all smaller sizes. `tolerance` is the largest
+/// accepted vertical distance, as a fraction of the larger of the expected and the measured value. Points
+/// must be sorted by size. Two points always lie on their line, so the third is the first that can deviate.
 pub fn first_deviation(points: &[Point], tolerance: f64) -> Option<Deviation> {
     (2..points.len()).find_map(|index| {
         let (size, found) = points[index];
--- a/crates/stonevane-capacity/src/limits.rs
+++ b/crates/stonevane-capacity/src/limits.rs
@@ -1,12 +1,12 @@
 //! Memory limit of a measurement: at most half of the machine's memory. The check itself is pure.
 
-/// Bytes of a megabyte in messages.
+/// Bytes in a megabyte, the unit of memory in error messages.
 const BYTES_PER_MB: u64 = 1 << 20;
 
 /// Memory of the machine, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineMemory {
-    /// Total memory.
+    /// Total memory (`MemTotal`).
     pub total: u64,
     /// Memory that can be allocated without swapping.
     pub available: u64,
@@ -37,7 +37,7 @@
 /// Error of a measurement that needs more memory than its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TooMuchMemory {
-    /// Size of the measurement.
+    /// Size that was to be measured, in the role's unit.
     pub size: u64,
     /// Memory that the measurement needs, in bytes.
     pub needed: u64,
@@ -55,7 +55,7 @@
 
 impl std::error::Error for TooMuchMemory {}
 
-/// Checks the memory that a size needs against the limit, both in bytes.
+/// Checks the memory `needed` by a measurement of `size` against the limit `allowed`, both in bytes.
 ///
 /// # Errors
 /// If `needed` exceeds `allowed`.
--- a/crates/stonevane-capacity/src/model/discovery.rs
+++ b/crates/stonevane-capacity/src/model/discovery.rs
@@ -10,7 +10,8 @@
 const CHANGES_BY_REGION: Mechanism = Mechanism::Missing("changes told once a region and on from there");
 const LISTS_BY_REGION: Mechanism = Mechanism::Missing("lists by region, or from a neighbour");
 
-/// Bytes of `changes` list changes delivered to every node; `change` is the size of one, in bytes.
+/// Bytes delivered for `changes` changes of the server list, each sent to every node; `change` is the size of
+/// one change, in bytes.
 fn delivered_bytes(changes: f64, change: &Value) -> f64 {
     changes * TARGET.nodes * change.value
 }
--- a/crates/stonevane-capacity/src/model/figures.rs
+++ b/crates/stonevane-capacity/src/model/figures.rs
@@ -27,7 +27,7 @@
 pub struct Value {
     /// Value, in the unit of the metric.
     pub value: f64,
-    /// Source of the value, as the tables print it.
+    /// Text that the tables print for the source of the value: the measurement or the fitted line.
     pub source: String,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl Measurements {
-    /// Creates it from the lines of the CSV files.
+    /// Creates the measurements from the lines of all CSV files.
     pub fn new(lines: Vec<Line>) -> Measurements {
         Measurements { lines }
     }
@@ -49,10 +49,11 @@
         self.lines.iter().filter(same).filter(|line| line.value.is_finite())
     }
 
-    /// Returns a metric at a size: the value recorded for that size, or else the line through all sizes.
+    /// Returns the value of a metric at `size`: the recorded value, or if there is none, the value on
+    /// the line through all recorded sizes.
     ///
     /// # Errors
-    /// If that size is not recorded and there are fewer than two sizes to fit a line through.
+    /// If `size` is not recorded and fewer than two sizes are, so that no line can be fitted.
     pub fn at(&self, role: Role, metric: &'static str, size: f64) -> Result<Value, MissingMetric> {
         let exact = self.finite_lines(role, metric).find(|line| line.size as f64 == size);
         if let Some(line) = exact {
@@ -64,14 +65,15 @@
         self.on_line(role, metric, size, |size| size, |_| true)
     }
 
-    /// Text for the slope of the line through all sizes of a metric; empty if there is no line.
+    /// Formats the slope of the line through all sizes of a metric; empty if there are fewer than two sizes.
     fn slope(&self, role: Role, metric: &str) -> String {
         let points: Vec<Point> =
             self.finite_lines(role, metric).map(|line| (line.size as f64, line.value)).collect();
         fit::line(&points).map_or(String::new(), |line| format!("; {} a size", number(line.slope)))
     }
 
-    /// Returns a metric on the line through the sizes that were measured with every participant running.
+    /// Returns the value of a metric at `size`, on the line through the sizes that were measured with every
+    /// participant running.
     ///
     /// # Errors
     /// If there are fewer than two such sizes.
@@ -79,8 +81,8 @@
         self.on_line(role, metric, size, |size| size, |line| line.basis == Basis::Measured)
     }
 
-    /// Returns a metric that grows with the logarithm of the size, on the line through the sizes that were
-    /// measured with every participant running.
+    /// Returns the value at `size` of a metric that grows with the logarithm of the size, on the line through
+    /// the sizes that were measured with every participant running.
     ///
     /// # Errors
     /// If there are fewer than two such sizes.
@@ -111,7 +113,7 @@
     }
 }
 
-/// Unit of size that a slope refers to.
+/// Unit of size that a slope refers to; `scale` maps a size to the horizontal axis of the fit.
 fn slope_unit(scale: fn(f64) -> f64) -> &'static str {
     if scale(10.0) == 10.0 { "size" } else { "power of ten" }
 }
--- a/crates/stonevane-capacity/src/model/link.rs
+++ b/crates/stonevane-capacity/src/model/link.rs
@@ -5,7 +5,7 @@
 use super::target::TARGET;
 use crate::roles::Role;
 
-/// Datagrams to an unreachable region for each failed direct probe: the probe and one retry.
+/// Datagrams that a failed direct probe sends to an unreachable region: the probe and one retry.
 const FAILED_PROBE_DATAGRAMS: f64 = 2.0;
 
 const FLAT: Mechanism = Mechanism::Today("flat membership: peers are probed wherever they are");
--- a/crates/stonevane-capacity/src/model/node.rs
+++ b/crates/stonevane-capacity/src/model/node.rs
@@ -5,18 +5,18 @@
 use super::target::{Budget, TARGET};
 use crate::roles::Role;
 
-/// Largest rate of gossip that a member sends, in bytes per second: to six others, four times a second, 256
-/// bytes each.
+/// Maximum rate at which a member sends gossip, in bytes per second: datagrams of 256 bytes to six other
+/// members, four times a second.
 const GOSSIP_CAP_BYTES_PER_S: f64 = 6.0 * 4.0 * 256.0;
-/// Response length of the measurement of forwarded requests, in bytes: the measured size nearest to the
-/// target's mean.
+/// Response length, in bytes, at which the cost of forwarding is looked up: the measured length nearest to
+/// the target's mean response length.
 const MEASURED_RESPONSE_BYTES: f64 = 900_000.0;
-/// Bytes of one address in `peers`, including its quotes and comma.
+/// Bytes of one address in the setting `peers`, including quotes and comma.
 const PEER_BYTES: f64 = 22.0;
 /// Extra datagrams of a probe that fails directly and succeeds indirectly: one retry, and for each of three
 /// other members a request, its probe, the acknowledgement and the reply.
 const INDIRECT_PROBE_DATAGRAMS: f64 = 13.0;
-/// Membership updates of a restart (left, alive again); a death or a start is one update.
+/// Membership updates caused by a restart: left, then alive again. A death or a start causes one update.
 const UPDATES_PER_RESTART: f64 = 2.0;
 
 const FLAT: Mechanism = Mechanism::Today("flat membership; the daemon refuses more than 4,096 peers");
@@ -99,12 +99,12 @@
         })
     }
 
-    /// Bytes per second of membership on an ordinary day.
+    /// Membership traffic of a node on an ordinary day, in bytes per second.
     fn membership_bytes_per_s(&self) -> f64 {
         self.steady_bytes.value + TARGET.node_restarts() * self.restart_bytes.value
     }
 
-    /// Microseconds of processor time per second of membership on an ordinary day.
+    /// Processor time that membership takes on an ordinary day, in microseconds per second.
     fn membership_us_per_s(&self) -> f64 {
         self.steady_us.value + TARGET.node_restarts() * self.restart_us.value
     }
--- a/crates/stonevane-capacity/src/model/page.rs
+++ b/crates/stonevane-capacity/src/model/page.rs
@@ -5,12 +5,12 @@
 
 use super::row::{Component, Row};
 
-/// Header of a component's table.
+/// Column titles of a component's table, as a Markdown line.
 const HEADER: &str =
     "| when | kind | what | at the target | formula | measured figures | budget | ratio | carried by |";
 const SEPARATOR: &str = "| --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// Header and name of the table of loads that exceed their budgets.
+/// Column titles of the table of loads that exceed their budgets, as a Markdown line.
 const OVER_BUDGET_HEADER: &str = "| ratio | whom | when | what | at the target | budget | carried by |";
 const OVER_BUDGET_SEPARATOR: &str = "| --- | --- | --- | --- | --- | --- | --- |";
 const OVER_BUDGET: &str = "over the budget";
@@ -56,14 +56,14 @@
     )
 }
 
-/// Lines of a component's table, with its header.
+/// Formats the table of one component, header included, as Markdown lines.
 fn lines(component: Component, rows: &[Row]) -> Vec<String> {
     let own = rows.iter().filter(|row| row.component == component).map(line);
     [HEADER.to_owned(), SEPARATOR.to_owned()].into_iter().chain(own).collect()
 }
 
-/// Lines of the rows that exceed their budgets, the highest ratio first, without the operators' own
-/// estimates.
+/// Formats the table of the rows that exceed their budgets, highest ratio first. Rows of
+/// [`Component::Estimates`] are left out.
 fn over_budget_lines(rows: &[Row]) -> Vec<String> {
     let over_budget =
         |row: &&Row| row.component != Component::Estimates && row.ratio().is_some_and(|ratio| ratio > 1.0);
@@ -89,13 +89,13 @@
         .collect()
 }
 
-/// Lines of all tables with their names, in the order of the page.
+/// Returns the name and the Markdown lines of every table, in the order of the page.
 fn all_lines(rows: &[Row]) -> Vec<(&'static str, Vec<String>)> {
     let components = Component::ALL.into_iter().map(|component| (component.name(), lines(component, rows)));
     [(OVER_BUDGET, over_budget_lines(rows))].into_iter().chain(components).collect()
 }
 
-/// Formats all tables with the marks that delimit them in the page.
+/// Formats all tables as Markdown, each between the marks that delimit it in the page.
 pub fn tables(rows: &[Row]) -> String {
     let block = |(name, lines): (&str, Vec<String>)| {
         format!("{}\n{}\n{END_MARK}\n", begin_mark(name), lines.join("\n"))
--- a/crates/stonevane-capacity/src/model/row.rs
+++ b/crates/stonevane-capacity/src/model/row.rs
@@ -5,9 +5,9 @@
 /// Component of the fleet; each has its own table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Component {
-    /// Node, which runs the daemon.
+    /// One node, which runs the daemon.
     Node,
-    /// Cache server, under the load of all nodes.
+    /// One cache server, under the load that all nodes put on it.
     Server,
     /// Discovery service as a whole.
     Discovery,
@@ -15,7 +15,7 @@
     ControlMachine,
     /// Link between two regions, in one direction.
     Link,
-    /// Operators' own estimates, recomputed.
+    /// Not a component: the operators' own estimates, recomputed from the measurements.
     Estimates,
 }
 
@@ -30,7 +30,7 @@
         Component::Estimates,
     ];
 
-    /// Returns the title of its table in the page.
+    /// Returns the title of the component's table in the page.
     pub fn name(self) -> &'static str {
         match self {
             Component::Node => "node",
@@ -61,7 +61,7 @@
 }
 
 impl Situation {
-    /// Returns its text in the page.
+    /// Returns the name of the situation in the page.
     pub fn name(self) -> &'static str {
         match self {
             Situation::OrdinaryDay => "ordinary day",
@@ -74,7 +74,7 @@
     }
 }
 
-/// Kind of a load.
+/// Kind of a load; it determines what the value of a row counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Quantity {
     /// Number of records or connections held.
@@ -92,7 +92,7 @@
 }
 
 impl Quantity {
-    /// Returns its word in the page.
+    /// Returns the word for the kind in the page.
     pub fn name(self) -> &'static str {
         match self {
             Quantity::State => "state",
@@ -108,14 +108,14 @@
 /// Mechanism that carries a load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Exists today.
+    /// The mechanism exists; the text names it.
     Today(&'static str),
-    /// Does not exist yet; names what would be needed.
+    /// No mechanism exists yet; the text names the one that would be needed.
     Missing(&'static str),
 }
 
 impl Mechanism {
-    /// Returns its text in the page.
+    /// Returns the text for the mechanism in the page, which also says whether the mechanism exists.
     pub fn description(self) -> String {
         match self {
             Mechanism::Today(label) => label.into(),
@@ -133,24 +133,25 @@
     pub situation: Situation,
     /// Kind of the load.
     pub quantity: Quantity,
-    /// Description of the load.
+    /// Description of the load, as the table prints it.
     pub label: &'static str,
-    /// Amount, in `unit`.
+    /// Computed load, in `unit`.
     pub value: f64,
     /// Unit of `value` and `budget`.
     pub unit: &'static str,
     /// Formula of `value`, in words.
     pub formula: &'static str,
-    /// Sources of the measured values in it; empty if the formula uses only the target.
+    /// Sources of the measured values that the formula uses; empty if it uses only the target.
     pub sources: Vec<String>,
-    /// Largest allowed value, in `unit`.
+    /// Largest allowed value, in `unit`; `None` if the load has no budget.
     pub budget: Option<f64>,
     /// Mechanism that carries the load.
     pub mechanism: Mechanism,
 }
 
 impl Row {
-    /// Returns the value as a fraction of its budget.
+    /// Returns the value as a fraction of the budget, above 1 if it exceeds the budget; `None` if the load
+    /// has no budget.
     pub fn ratio(&self) -> Option<f64> {
         self.budget.map(|budget| self.value / budget)
     }
@@ -178,12 +179,12 @@
         Rows { component, situation: Situation::OrdinaryDay, rows: Vec::new() }
     }
 
-    /// Sets the situation of the rows that are added from now on.
+    /// Sets the situation of the rows that later calls of `add` create.
     pub fn set_situation(&mut self, situation: Situation) {
         self.situation = situation;
     }
 
-    /// Adds a row; `sources` are the measured values in its formula.
+    /// Adds a row; `sources` are the measured values that the formula uses.
     pub fn add(&mut self, amount: Amount, sources: &[&Value], budget: Option<f64>, mechanism: Mechanism) {
         let Amount { quantity, label, value, unit, formula } = amount;
         let sources = sources.iter().map(|value| value.source.clone()).collect();
@@ -207,7 +208,6 @@
     }
 }
 
-/// Short constructor of an [`Amount`].
 pub(super) fn amount(
     quantity: Quantity,
     label: &'static str,
--- a/crates/stonevane-capacity/src/model/server.rs
+++ b/crates/stonevane-capacity/src/model/server.rs
@@ -5,9 +5,9 @@
 use super::target::TARGET;
 use crate::roles::Role;
 
-/// Nodes of the measured fleet that has about as many servers as one zone of a region.
+/// Number of nodes in the measured fleet that has about as many servers as one zone.
 const ZONE_SIZED_NODES: f64 = 300.0;
-/// Servers of the fleet of [`ZONE_SIZED_NODES`].
+/// Number of servers in the measured fleet of [`ZONE_SIZED_NODES`] nodes.
 const ZONE_SIZED_SERVERS: f64 = 70.0;
 
 const SUBSET: Mechanism = Mechanism::Today("a subset of servers by region, where `[regions]` is set");
--- a/crates/stonevane-capacity/src/model/target.rs
+++ b/crates/stonevane-capacity/src/model/target.rs
@@ -26,13 +26,13 @@
     pub bits: f64,
     /// Purges per second.
     pub purges: f64,
-    /// Bytes of one purge, a hash.
+    /// Bytes of one purge message, which holds a hash.
     pub purge_bytes: f64,
     /// Configuration changes per day.
     pub changes_a_day: f64,
     /// Bytes of one configuration change.
     pub change_bytes: f64,
-    /// Tenants in the settings: an assumption, not the operators' number.
+    /// Number of tenants in the settings: assumed by this model, not specified by the operators.
     pub tenants: f64,
     /// Machines that fail, are restarted or are replaced per day.
     pub restarts_a_day: f64,
@@ -40,7 +40,7 @@
     pub cut_s: f64,
 }
 
-/// The operators' target.
+/// Planned fleet as the operators specified it, except for the assumed number of tenants.
 pub const TARGET: Target = Target {
     nodes: 18_000.0,
     servers: 4_200.0,
@@ -97,14 +97,14 @@
     }
 }
 
-/// Budget of control on each node, and the number of control machines.
+/// Limits of control traffic and control work on each node, and the number of control machines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Budget {
-    /// Processor time per node, in microseconds per second: 1.7 % of a core.
+    /// Processor time for control work per node, in microseconds per second: 1.7 % of a core.
     pub cpu: f64,
-    /// Memory per node, in bytes.
+    /// Memory for control work per node, in bytes.
     pub memory: f64,
-    /// Traffic per node, in bytes per second.
+    /// Control traffic per node, in bytes per second.
     pub bytes: f64,
     /// Open sockets per node.
     pub sockets: f64,
@@ -113,7 +113,7 @@
 }
 
 impl Budget {
-    /// The operators' budget, with the daemon's limit on sockets.
+    /// Budget as the operators specified it; `sockets` is the daemon's limit.
     pub const OPERATORS: Budget =
         Budget { cpu: 17_000.0, memory: 64e6, bytes: 3_000.0, sockets: 1_024.0, machines: 30.0 };
 }
--- a/crates/stonevane-capacity/src/report.rs
+++ b/crates/stonevane-capacity/src/report.rs
@@ -3,7 +3,7 @@
 use crate::fit::{self, Point};
 use crate::roles::{Basis, Measurement};
 
-/// Significant digits of a printed number.
+/// Number of significant digits that [`number`] prints.
 const SIGNIFICANT_DIGITS: i32 = 4;
 
 /// Formats a number with four significant digits, without trailing zeros; "not reached" if it is not finite.
@@ -30,7 +30,7 @@
     format!("{role} {size} {unit}: {}", values.collect::<Vec<_>>().join(", "))
 }
 
-/// Points of one metric over the sizes, without values that are not finite.
+/// Points (size, value) of one metric; values that are not finite are left out.
 fn points(measurements: &[Measurement], metric: &str) -> Vec<Point> {
     let value = |measurement: &Measurement| {
         let figure = measurement.values.iter().find(|figure| figure.metric == metric)?;
--- a/crates/stonevane-capacity/src/roles/discovery.rs
+++ b/crates/stonevane-capacity/src/roles/discovery.rs
@@ -6,17 +6,17 @@
 
 use super::{MeasureError, MetricValue, listing, node};
 
-/// Most nodes: more than twice the target.
+/// Maximum number of nodes that can be measured: more than twice the target.
 pub const LARGEST: u64 = 40_000;
 /// Servers in the list of the measured fleet; the number of calls does not depend on it.
 const SERVERS: u64 = 3;
-/// Servers in the target's list, from which the bytes of the responses are computed.
+/// Servers in the list at the target; the response sizes are computed from its length.
 const TARGET_SERVERS: u64 = 4_200;
 /// Length of the phase after the start, in seconds.
 const START_S: u64 = 10;
 /// Length of the phase after the loss of all watches, in seconds.
 const LOST_WATCHES_S: u64 = 30;
-/// Memory of one core with its list, in bytes.
+/// Estimated memory of one node's core with its server list, in bytes.
 const CORE_BYTES: u64 = 48 * 1024;
 
 /// Estimated memory that a measurement needs, in bytes.
@@ -26,9 +26,9 @@
 
 struct Fleet {
     cores: Vec<Core>,
-    /// Calls in each second of the phase.
+    /// Number of calls in each second of the phase.
     calls: Vec<u64>,
-    /// Calls of the phase that request a full list.
+    /// Number of calls in the phase that request a full list.
     full_lists: u64,
 }
 
@@ -93,7 +93,7 @@
     }
 }
 
-/// Measures the calls of `nodes` nodes.
+/// Measures the discovery calls of a fleet of `nodes` nodes at the start and after the loss of all watches.
 ///
 /// # Errors
 /// If the generated list cannot be parsed.
--- a/crates/stonevane-capacity/src/roles/listing.rs
+++ b/crates/stonevane-capacity/src/roles/listing.rs
@@ -8,8 +8,8 @@
 const ZONES: u64 = 57;
 /// Servers in each cell.
 const SERVERS_PER_CELL: u64 = 16;
-/// Unix time of the first server's last start, in milliseconds; each next server started one millisecond
-/// later.
+/// Unix time at which the first server last started, in milliseconds; each following server started one
+/// millisecond after the one before.
 const FIRST_START_MS: u64 = 1_790_000_000_000;
 
 /// List entry of one server.
@@ -59,13 +59,13 @@
     to_json(&List { index: 1, snapshot: true, endpoints })
 }
 
-/// List update for one server that is draining or active again, as JSON.
+/// List update that sets the status of one server to draining or active, as JSON.
 pub fn server_change(index: u64, server: u64, draining: bool) -> String {
     let status = if draining { "leaving" } else { "active" };
     to_json(&List { index, snapshot: false, endpoints: vec![entry(server, status)] })
 }
 
-/// Names of all zones, in the order of their numbers.
+/// Names of all zones in the generated lists, `zone-00` first.
 pub fn zone_names() -> Vec<String> {
     (0..ZONES).map(|zone| format!("zone-{zone:02}")).collect()
 }
--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -12,37 +12,37 @@
 
 /// One second, in microseconds.
 const SECOND: Micros = 1_000_000;
-/// Interval in which all members start, at random times.
+/// Length of the interval in which the members start, each at a random time.
 const START_SPREAD: Micros = 2 * SECOND;
 /// Shortest network delay of a datagram.
 const MIN_DELAY: Micros = 200;
 /// Exclusive upper bound of the network delay of a datagram.
 const DELAY_LIMIT: Micros = 10_200;
-/// Measurement window of the start: the first minute.
+/// Length of the measurement window at the start of the fleet.
 const START_WINDOW: Micros = 60 * SECOND;
-/// Longest wait until the gossip of the start ends.
+/// Maximum time to wait for the gossip of the start to end.
 const START_TIMEOUT: Micros = 1_200 * SECOND;
 /// Rate of gossip-only datagrams, per member and second, below which the gossip counts as ended.
 const QUIET_GOSSIP_RATE: f64 = 0.01;
-/// Measurement window of the steady state.
+/// Length of the measurement window in the steady state.
 const STEADY_WINDOW: Micros = 30 * SECOND;
 /// Number of measured restarts.
 const RESTART_COUNT: u16 = 10;
 /// Time from one restart to the next.
 const RESTART_INTERVAL: Micros = 4 * SECOND;
-/// Drain of a restarting process, from the order to leave to its end.
+/// Time from the order to leave until a restarting process ends.
 const RESTART_DRAIN_TIME: Micros = SECOND / 2;
-/// Time from the order to leave to the start of the successor.
+/// Time from the order to leave until the successor of the process starts.
 const RESTART_TIME: Micros = 2 * SECOND;
-/// Measurement window of the restarts; their gossip has ended by its end.
+/// Length of the measurement window for the restarts; by its end their gossip has ended.
 const RESTART_WINDOW: Micros = 70 * SECOND;
 /// Members that are killed at once, without leaving.
 const DEATH_COUNT: u16 = 3;
-/// Longest wait until all other members know of the deaths.
+/// Maximum time to wait until all other members know of the deaths.
 const DEATH_TIMEOUT: Micros = 180 * SECOND;
-/// Offset of a datagram's kind in its bytes.
+/// Offset of the kind byte in a datagram.
 const KIND_OFFSET: usize = 2;
-/// Kind of a datagram that carries only gossip.
+/// Value of the kind byte of a datagram that carries only gossip.
 const KIND_GOSSIP: u8 = 4;
 
 enum Action {
@@ -101,9 +101,9 @@
 struct Process {
     machine: Option<Machine>,
     next_wake: Micros,
-    /// Number of other members that it knows.
+    /// Number of other members that this member knows.
     known: u32,
-    /// Start of the current one-second interval, and the bytes sent in it.
+    /// Start of the current one-second interval, and the bytes that this member sent in it.
     current_second: (Micros, u64),
 }
 
@@ -116,7 +116,7 @@
     processes: Vec<Process>,
     outputs: Outputs,
     traffic: Traffic,
-    /// Number of members that know all others, and when the last of them did.
+    /// Number of members that know all others, and the time at which the last of them came to know all.
     fully_informed: (u32, Micros),
     deaths: Vec<Death>,
     false_deaths: u64,
@@ -269,14 +269,15 @@
         self.traffic.peak_bytes_per_s = self.traffic.peak_bytes_per_s.max(process.current_second.1);
     }
 
-    /// Runs for a duration and returns the traffic and processor time in it.
+    /// Runs for `duration` and returns the traffic and processor time of all members in it.
     fn run_window(&mut self, duration: Micros) -> Result<Traffic, MeasureError> {
         self.traffic = Traffic::default();
         self.run_until(self.now + duration)?;
         Ok(self.traffic)
     }
 
-    /// Runs until the gossip of the start ends and returns when that was; `None` if it does not end in time.
+    /// Runs until the gossip of the start ends and returns the time of its end; `None` if it does not end
+    /// within [`START_TIMEOUT`].
     fn run_until_quiet(&mut self) -> Result<Option<Micros>, MeasureError> {
         let duration = 5 * SECOND;
         while self.now < START_TIMEOUT {
--- a/crates/stonevane-capacity/src/roles/membership/mod.rs
+++ b/crates/stonevane-capacity/src/roles/membership/mod.rs
@@ -8,11 +8,12 @@
 
 use crate::roles::{Conditions, MeasureError, MetricValue};
 
-/// Most members: a member number has 16 bits.
+/// Maximum number of members that can be measured: a member number has 16 bits.
 pub const LARGEST: u64 = u16::MAX as u64;
-/// Fewest members: smaller fleets have too few other members for indirect probes.
+/// Minimum number of members that can be measured: smaller fleets have too few members for indirect probes.
 pub const SMALLEST: u64 = 5;
-/// Memory of one member's record of another, including its share of queues and of the simulator, in bytes.
+/// Estimated memory of one record in a member table, in bytes, with a share of the queues and of the
+/// simulator.
 const RECORD_BYTES: u64 = 320;
 /// Memory that does not depend on the number of members, in bytes.
 const BASE_BYTES: u64 = 64 << 20;
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -1,8 +1,8 @@
 //! Real members, one after another, each among modelled peers.
 //!
 //! A modelled peer answers each probe with the digest of the real member's own table, as a peer with the same
-//! table does. All peers together probe the real member once per period on average. For each gossip datagram
-//! that the real member sends it receives one with as many records, because in a fleet of equal members a
+//! table does. All peers together probe the real member once per period on average. The real member receives
+//! one gossip datagram for each that it sends, with as many records, because in a fleet of equal members a
 //! member receives on average what it sends. Metrics that need the whole fleet (the time until all members
 //! know of a death) are not measured.
 
@@ -19,7 +19,7 @@
 use crate::limits;
 use crate::roles::{MeasureError, MetricValue};
 
-/// Number of real members.
+/// Number of real members that are measured one after another; the results are their means.
 pub const REAL_MEMBERS: u16 = 4;
 
 /// One second, in microseconds.
@@ -28,19 +28,19 @@
 const MIN_DELAY: Micros = 200;
 /// Exclusive upper bound of the network delay of a datagram.
 const DELAY_LIMIT: Micros = 10_200;
-/// Measurement window of the start: the first minute.
+/// Length of the measurement window at the start of the member.
 const START_WINDOW: Micros = 60 * SECOND;
-/// Longest wait until the gossip of the start ends.
+/// Maximum time to wait for the gossip of the start to end.
 const START_TIMEOUT: Micros = 7_200 * SECOND;
-/// Measurement window of the steady state.
+/// Length of the measurement window in the steady state.
 const STEADY_WINDOW: Micros = 60 * SECOND;
 /// Number of measured restarts of peers.
 const RESTART_COUNT: u16 = 10;
 /// Time from one restart to the next.
 const RESTART_INTERVAL: Micros = 4 * SECOND;
-/// Time from the record that a member left to the record of its successor.
+/// Time between the gossip that a peer left and the gossip that it is alive again.
 const RESTART_TIME: Micros = 2 * SECOND;
-/// Measurement window of the restarts; their gossip has ended by its end.
+/// Length of the measurement window for the restarts; by its end their gossip has ended.
 const RESTART_WINDOW: Micros = 70 * SECOND;
 /// Member number of the real member.
 const REAL_MEMBER: MemberId = 0;
@@ -61,13 +61,13 @@
     rng: Rand64,
     machine: Machine,
     outputs: Outputs,
-    /// Times of events, with the index of each action in `actions`.
+    /// Pending events: the time of each and the index of its action in `actions`.
     queue: BinaryHeap<Event>,
     actions: Vec<Option<Action>>,
     free_indices: Vec<usize>,
     event_order: u64,
     next_wake: Micros,
-    /// Last sequence number of the peers' datagrams.
+    /// Sequence number of the last datagram from a peer.
     sequence: u64,
     /// Records of all members, the same at every peer.
     records: Vec<Record>,
@@ -181,7 +181,7 @@
         Ok(())
     }
 
-    /// Handles a datagram of the real member as a peer.
+    /// Handles a datagram from the real member as peer `to` would.
     fn handle_datagram(&mut self, to: MemberId, bytes: &[u8]) -> Result<(), MeasureError> {
         let message = Message::read(bytes, None, self.members).map_err(|e| {
             MeasureError::UnexpectedBehavior(format!("the real member sent a malformed datagram: {e:?}"))
@@ -265,7 +265,8 @@
         Ok(())
     }
 
-    /// Runs for a duration; returns the datagrams and bytes sent and the processor time in microseconds.
+    /// Runs for `duration`; returns the datagrams and bytes that the real member sent, and its processor time
+    /// in microseconds.
     fn run_window(&mut self, duration: Micros) -> Result<[f64; 3], MeasureError> {
         (self.datagrams, self.bytes, self.gossip_datagrams, self.cpu) = (0, 0, 0, CpuMeter::default());
         self.run_until(self.now + duration)?;
--- a/crates/stonevane-capacity/src/roles/mod.rs
+++ b/crates/stonevane-capacity/src/roles/mod.rs
@@ -22,7 +22,7 @@
 pub enum Basis {
     /// By running the daemon's code for every participant of that size.
     Measured,
-    /// By running the daemon's code for some participants, among modelled ones.
+    /// By running the daemon's code for some participants; a model stands for the others.
     Sampled,
     /// By arithmetic from the protocol or from other metrics of the same measurement, without running
     /// anything.
@@ -30,7 +30,7 @@
 }
 
 impl Basis {
-    /// Returns its name in tables and CSV files.
+    /// Returns the name of the basis in tables and CSV files.
     pub fn name(self) -> &'static str {
         match self {
             Basis::Measured => "measured",
@@ -59,12 +59,12 @@
         MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Measured, value }
     }
 
-    /// Creates a value that was measured at some participants among modelled ones.
+    /// Creates a value that was measured at some participants while the others were modelled.
     pub fn sampled(metric: &'static str, unit: &'static str, value: f64) -> MetricValue {
         MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Sampled, value }
     }
 
-    /// Creates a value that was computed.
+    /// Creates a value that was computed without running anything.
     pub fn counted(metric: &'static str, unit: &'static str, value: f64) -> MetricValue {
         MetricValue { metric: metric.into(), unit: unit.into(), basis: Basis::Counted, value }
     }
@@ -90,7 +90,7 @@
     Memory(TooMuchMemory),
     /// The size is out of bounds for the role.
     Size {
-        /// Role to be measured.
+        /// Role that was to be measured.
         role: Role,
         /// Requested size.
         size: u64,
@@ -166,7 +166,7 @@
         Role::Passage,
     ];
 
-    /// Returns its name on the command line and in CSV files.
+    /// Returns the role's name on the command line and in CSV files.
     pub fn name(self) -> &'static str {
         match self {
             Role::Membership => "membership",
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Looks up a role by its name.
+    /// Looks up a role by the name that [`Role::name`] returns; `None` if there is no such role.
     pub fn from_name(name: &str) -> Option<Role> {
         Role::ALL.into_iter().find(|role| role.name() == name)
     }
 
-    /// Returns the unit of its size.
+    /// Returns the unit in which the role's size is counted.
     pub fn size_unit(self) -> &'static str {
         match self {
             Role::Membership | Role::ServerConnections | Role::Discovery => "nodes",
@@ -194,12 +194,12 @@
         }
     }
 
-    /// Returns the smallest size that it can be measured at.
+    /// Returns the smallest size at which the role can be measured.
     pub fn smallest(self) -> u64 {
         if self == Role::Membership { membership::SMALLEST } else { 1 }
     }
 
-    /// Returns the largest size that it can be measured at.
+    /// Returns the largest size at which the role can be measured.
     pub fn largest(self) -> u64 {
         match self {
             Role::Membership => membership::LARGEST,
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Checks whether it can be measured at a size, without starting anything.
+    /// Checks whether the role can be measured at `size`; runs nothing.
     ///
     /// # Errors
     /// If the size is out of bounds or needs more memory than the limit.
@@ -238,7 +238,7 @@
         Ok(())
     }
 
-    /// Measures it at a size.
+    /// Measures the role at `size`.
     ///
     /// # Errors
     /// If [`Role::check`] fails, the memory limit is exceeded during the measurement, or the measured code
--- a/crates/stonevane-capacity/src/roles/node.rs
+++ b/crates/stonevane-capacity/src/roles/node.rs
@@ -18,20 +18,20 @@
 pub const START: Micros = 1_790_000_100_000_000;
 /// One second, in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// Time that a connection takes to open, in microseconds.
+/// Time that a simulated connection to a server takes to open, in microseconds.
 const CONNECT_DELAY: Micros = 300;
-/// Time that a server takes to respond, in microseconds.
+/// Time that a simulated server takes to respond, in microseconds.
 const RESPONSE_DELAY: Micros = 2_000;
-/// Idle time after which servers close a connection, a rule of the platform, in microseconds.
+/// Idle time after which cache servers close a connection, in microseconds; the platform prescribes it.
 pub const IDLE_TIMEOUT: Micros = 15_000_000;
 /// Time after a response during which a server connection is not reused: the operator file's default.
 const CONNECTION_REST: Duration = Duration::from_millis(15);
-/// Most bytes of a response that are read at once.
+/// Maximum number of response bytes that one read returns.
 const READ_LIMIT_BYTES: usize = 64 * 1024;
 /// Quota that never rejects a request, in requests per second.
 const QUOTA_PER_S: f64 = 1e9;
 
-/// Deployment of `nodes` nodes with the platform's defaults.
+/// Returns the deployment of a fleet of `nodes` nodes, with the platform's defaults.
 pub fn deployment(nodes: u32) -> Deployment {
     let class = RequestClass {
         latency_objective: SECOND,
@@ -60,7 +60,8 @@
     }
 }
 
-/// Start configuration of a core that already has the list `known`.
+/// Returns the configuration of a core that starts with the server list `known` and has a limit of `sockets`
+/// sockets.
 pub fn setup(deployment: Deployment, known: EndpointList, sockets: usize, seed: u64) -> CoreConfig {
     CoreConfig {
         deployment,
@@ -116,7 +117,7 @@
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     sequence: u64,
     response: Vec<u8>,
-    /// Responses that were not read completely, with the offset of the next byte.
+    /// Connections with a partly read response, each with the offset of the next byte to read.
     unread: Vec<(ConnId, usize)>,
 }
 
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Sends a request of the next client for a random key out of `keys`.
+    /// Sends a request from the next client, for a random one of `keys` keys.
     pub fn send_request(&mut self, keys: u64) {
         self.counters.requests += 1;
         let client = self.clients[self.counters.requests as usize % self.clients.len()];
@@ -203,7 +204,7 @@
         self.feed(Input::Bytes(client, &resp::encode_command(&arguments)));
     }
 
-    /// Passes a response to the core from an offset on, as far as the read budget of the core allows.
+    /// Passes the response bytes from `offset` to the core, as many as the core's read budget allows.
     fn read(&mut self, id: ConnId, mut offset: usize) {
         let response = std::mem::take(&mut self.response);
         while offset < response.len() {
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Processes all events that are due until a time.
+    /// Processes all events that are due by `end` and advances the simulated time to `end`.
     pub fn run_until(&mut self, end: Micros) {
         loop {
             let event_at = self.queue.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -9,19 +9,19 @@
 use crate::cpu;
 use crate::limits;
 
-/// Most servers: the longest list that the daemon accepts.
+/// Maximum number of servers that can be measured: the longest list that the daemon accepts.
 pub const LARGEST: u64 = 26_000;
-/// Nodes of the fleet that share the servers.
+/// Number of nodes that share the servers.
 const NODES: u32 = 18_000;
 /// Number of measured requests.
 const REQUESTS: u64 = 2_000;
-/// Number of requests before the measured ones, so that the module has learned of some servers.
+/// Number of requests before the measured ones, so that the decision module has statistics of some servers.
 const WARMUP_REQUESTS: u64 = 200;
 /// Time between a response and the next request, in microseconds.
 const REQUEST_GAP_US: u64 = 1_285;
 /// Time between a request and its response, in microseconds.
 const RESPONSE_TIME_US: u64 = 2_000;
-/// Number of cores that are built to measure the memory of one.
+/// Number of `Core` instances that are built to determine the memory of one.
 const CORE_COUNT: u64 = 24;
 /// Requests per second of one node at the target.
 const REQUESTS_PER_S: f64 = 778.0;
--- a/crates/stonevane-capacity/src/roles/passage.rs
+++ b/crates/stonevane-capacity/src/roles/passage.rs
@@ -5,17 +5,17 @@
 use super::node::{self, DrivenNode, SECOND};
 use super::{MeasureError, MetricValue, listing};
 
-/// Longest value that the node forwards, in bytes.
+/// Largest response value that can be measured, in bytes: the longest that the node forwards.
 pub const LARGEST: u64 = 4 * 1024 * 1024;
 /// Cache servers of a region.
 const REGION_SERVERS: u64 = 150;
-/// Nodes of the fleet.
+/// Number of nodes in the fleet.
 const NODES: u32 = 18_000;
 /// Requests per second of one node at the peak.
 const REQUESTS_PER_S: f64 = 778.0;
-/// Time for the decision module to learn of the servers before the measurement, in seconds.
+/// Time before the measurement in which the decision module gathers statistics of the servers, in seconds.
 const WARMUP_S: u64 = 1;
-/// Length of the measurement, in seconds.
+/// Simulated time of the measurement, in seconds.
 const MEASURED_S: u64 = 4;
 /// Number of keys that requests draw from.
 const KEY_COUNT: u64 = 1 << 40;
--- a/crates/stonevane-capacity/src/roles/reload.rs
+++ b/crates/stonevane-capacity/src/roles/reload.rs
@@ -9,9 +9,9 @@
 use super::{MeasureError, MetricValue, listing, node};
 use crate::cpu;
 
-/// Most tenants: settings of a few megabytes.
+/// Maximum number of tenants that can be measured; their settings are a few megabytes long.
 pub const LARGEST: u64 = 100_000;
-/// Cache servers that the node knows during the reloads.
+/// Number of cache servers in the node's list during the reloads.
 const SERVERS: u64 = 4_200;
 /// Number of reloads; the median time is reported.
 const REPETITIONS: usize = 9;
@@ -21,7 +21,8 @@
     (96 << 20) + tenants * 2_048
 }
 
-/// Settings with `tenants` tenants as JSON; the quota of the first one makes each text different.
+/// Settings with `tenants` tenants as JSON. `quota` is the quota of the first tenant; callers vary it so
+/// that each reload changes the settings.
 fn settings_json(tenants: u64, quota: u64) -> String {
     let mut tenant_list = String::new();
     for tenant in 0..tenants {
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -5,7 +5,7 @@
 use super::node::{self, DrivenNode, SECOND};
 use super::{MeasureError, MetricValue, listing};
 
-/// Most nodes: more than twice the target.
+/// Maximum number of nodes that can be measured: more than twice the target.
 pub const LARGEST: u64 = 40_000;
 /// Nodes at the target; the ratio of nodes to servers is the same at every size.
 const TARGET_NODES: u64 = 18_000;
@@ -19,7 +19,7 @@
 const REQUESTS_PER_S: f64 = 778.0;
 /// Number of keys that requests draw from.
 const KEY_COUNT: u64 = 1 << 40;
-/// Simulated time until the number of connections is stable, in seconds.
+/// Simulated time before the count, in seconds; by its end the number of connections is stable.
 const SETTLING_S: u64 = 16;
 /// Simulated time in which connections are counted, in seconds.
 const COUNTED_S: u64 = 8;
@@ -42,11 +42,11 @@
     (nodes * TARGET_SERVERS / TARGET_NODES).max(1)
 }
 
-/// Connections of one node to servers.
+/// Connections of one node to all cache servers, averaged over [`COUNTED_S`].
 struct ConnectionCount {
-    /// Mean number held, to all servers together.
+    /// Mean number of open connections, to all servers together.
     connections: f64,
-    /// Mean number opened per second.
+    /// Mean number of connections opened per second.
     opened: f64,
 }
 
@@ -84,7 +84,7 @@
 /// Measures one node of a fleet of `nodes` nodes.
 ///
 /// # Errors
-/// If fewer than 90 % of its requests reach a server.
+/// If the number of attempts is below 90 % of the number of requests.
 pub fn measure(nodes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let server_count = servers(nodes);
     let all = count_connections(nodes, server_count, DAEMON_SOCKETS, seed)?;
--- a/crates/stonevane-capacity/src/roles/server_list.rs
+++ b/crates/stonevane-capacity/src/roles/server_list.rs
@@ -12,11 +12,11 @@
 use super::{MeasureError, MetricValue, listing, node};
 use crate::cpu;
 
-/// Most servers: the daemon rejects a list longer than 4 MB.
+/// Maximum number of servers that can be measured: the daemon rejects a list longer than 4 MB.
 pub const LARGEST: u64 = 26_000;
-/// Length of one read of the daemon, in bytes.
+/// Bytes per read, as in the daemon.
 const READ_BYTES: usize = 4096;
-/// Nodes of the fleet that share the servers.
+/// Number of nodes that share the servers.
 const NODES: u32 = 18_000;
 /// Number of measurements; the median time is reported.
 const REPETITIONS: usize = 9;
@@ -38,7 +38,7 @@
     format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{}", chunk(&format!("{list}\n")))
 }
 
-/// Reader of a watch, built as in the daemon.
+/// Reader of a watch response, composed of the same parsers as in the daemon.
 #[derive(Default)]
 struct Watch {
     raw: BytesMut,
