--- a/crates/stonevane-capacity/src/roles/membership/full.rs
+++ b/crates/stonevane-capacity/src/roles/membership/full.rs
@@ -20,7 +20,7 @@
 const DELAY_LIMIT: Micros = 10_200;
 /// Length of the measurement window at the start of the fleet.
 const START_WINDOW: Micros = 60 * SECOND;
-/// Maximum time to wait for the gossip of the start to end.
+/// Simulated time, from zero, after which the measurement stops waiting for the gossip of the start to end.
 const START_TIMEOUT: Micros = 1_200 * SECOND;
 /// Rate of gossip-only datagrams, per member and second, below which the gossip counts as ended.
 const QUIET_GOSSIP_RATE: f64 = 0.01;
--- a/crates/stonevane-capacity/src/roles/membership/sampled.rs
+++ b/crates/stonevane-capacity/src/roles/membership/sampled.rs
@@ -30,7 +30,7 @@
 const DELAY_LIMIT: Micros = 10_200;
 /// Length of the measurement window at the start of the member.
 const START_WINDOW: Micros = 60 * SECOND;
-/// Maximum time to wait for the gossip of the start to end.
+/// Simulated time, from zero, after which the measurement stops waiting for the gossip of the start to end.
 const START_TIMEOUT: Micros = 7_200 * SECOND;
 /// Length of the measurement window in the steady state.
 const STEADY_WINDOW: Micros = 60 * SECOND;
--- a/crates/stonevane-capacity/src/roles/node_state.rs
+++ b/crates/stonevane-capacity/src/roles/node_state.rs
@@ -117,7 +117,7 @@
 /// Measures a node with `servers` cache servers.
 ///
 /// # Errors
-/// If a request is not placed.
+/// If the generated list cannot be parsed or a request is not placed.
 pub fn measure(servers: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let memory = core_memory(servers)?;
     let [placement_ns, outcome_ns] = placements(servers, false, seed)?;
--- a/crates/stonevane-capacity/src/roles/passage.rs
+++ b/crates/stonevane-capacity/src/roles/passage.rs
@@ -32,7 +32,7 @@
 /// Measures requests with responses of `bytes` bytes.
 ///
 /// # Errors
-/// If fewer than 90 % of the response bytes arrive.
+/// If the generated list cannot be parsed, or fewer than 90 % of the response bytes arrive.
 pub fn measure(bytes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let known = serde_json::from_str(&listing::full_list(REGION_SERVERS));
     let known = known.map_err(|e| {
--- a/crates/stonevane-capacity/src/roles/server_connections.rs
+++ b/crates/stonevane-capacity/src/roles/server_connections.rs
@@ -84,7 +84,7 @@
 /// Measures one node of a fleet of `nodes` nodes.
 ///
 /// # Errors
-/// If the number of attempts is below 90 % of the number of requests.
+/// If the generated list cannot be parsed, or the number of attempts is below 90 % of the number of requests.
 pub fn measure(nodes: u64, seed: u64) -> Result<Vec<MetricValue>, MeasureError> {
     let server_count = servers(nodes);
     let all = count_connections(nodes, server_count, DAEMON_SOCKETS, seed)?;
