--- a/crates/stonevane-experiment/src/matrix.rs
+++ b/crates/stonevane-experiment/src/matrix.rs
@@ -23,15 +23,16 @@
     pub name: String,
     /// Scenarios, in the order of the file.
     pub scenarios: Vec<NamedScenario>,
-    /// Digest of the texts of all scenarios. A folder accepts no results of scenarios with another digest.
+    /// Digest of the texts of all scenarios. A folder that holds results for one digest is refused for an
+    /// experiment with another digest.
     pub digest: String,
     /// Seeds with which each setting is run.
     pub seeds: Vec<u64>,
-    /// Numbers of nodes; `None` for the number in the scenario.
+    /// Fleet sizes, in nodes; `None` for the size in the scenario.
     pub nodes: Vec<Option<usize>>,
     /// Loads, as multiples of the scenario's request rate.
     pub loads: Vec<f64>,
-    /// Whether the short forms of the scenarios are run.
+    /// Whether the short forms of the scenarios are run, see [`Scenario::shortened`].
     pub short: bool,
     /// Operator files; the single variant [`NO_OPERATOR`] if the experiment names none.
     pub operators: Vec<OperatorVariant>,
@@ -53,7 +54,7 @@
 /// An operator file of an experiment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorVariant {
-    /// Name of the variant.
+    /// Name by which [`Setting::operator`] refers to the file.
     pub name: String,
     /// Text of the operator file; empty for a run without one.
     pub text: String,
@@ -77,7 +78,7 @@
 pub struct Setting {
     /// Name of the scenario, as in the experiment file.
     pub scenario: String,
-    /// Number of nodes; `None` for the number in the scenario.
+    /// Fleet size, in nodes; `None` for the size in the scenario.
     pub nodes: Option<usize>,
     /// Load in thousandths of the scenario's request rate.
     pub load_per_mille: u64,
@@ -139,7 +140,8 @@
         read::experiment(text, find)
     }
 
-    /// All settings, in the order of the file. Those of a search have the scenario's request rate.
+    /// All settings, in the order of the file. The settings of a search have load 1, the scenario's request
+    /// rate.
     pub fn settings(&self) -> Vec<Setting> {
         let loads: &[f64] = if self.search.is_some() { &[1.0] } else { &self.loads };
         let mut settings = Vec::new();
@@ -158,7 +160,8 @@
         settings
     }
 
-    /// All cells, ordered by seed first, so that an interrupted experiment has results for every setting.
+    /// All cells: every setting with the first seed, then every setting with the second, and so on, so that
+    /// an interrupted experiment has results for every setting.
     pub fn cells(&self) -> Vec<Cell> {
         let settings = self.settings();
         let mut cells = Vec::new();
--- a/crates/stonevane-experiment/src/report.rs
+++ b/crates/stonevane-experiment/src/report.rs
@@ -85,7 +85,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 #[serde(into = "[usize; 4]")]
 pub struct RunCounts {
-    /// Runs with a result.
+    /// Runs with a result, including those that failed with an error.
     pub played: usize,
     /// Runs in which all rules and expectations hold.
     pub holds: usize,
@@ -121,7 +121,7 @@
     pub seed: u64,
     /// Build of the run.
     pub build: Build,
-    /// Error, violated rules or part of the requests served.
+    /// First line of the error, codes of the violated rules, or fraction of the requests served.
     pub what: String,
     /// Command that repeats the run.
     pub command: String,
@@ -136,7 +136,7 @@
 /// Results of one setting.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Section {
-    /// The setting.
+    /// Scenario, fleet size, load and operator file of the runs.
     pub setting: Setting,
     /// Numbers of runs of each build, A first.
     pub runs: Vec<RunCounts>,
@@ -152,9 +152,9 @@
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(into = "(Setting, Build, String)")]
 pub struct SearchResult {
-    /// The setting.
+    /// Setting that was searched, with load 1.
     pub setting: Setting,
-    /// The build.
+    /// Build that was searched.
     pub build: Build,
     /// Bounds of the greatest load at which the expectations hold, as text, in multiples of the scenario's
     /// request rate.
--- a/crates/stonevane-experiment/src/report/command.rs
+++ b/crates/stonevane-experiment/src/report/command.rs
@@ -6,7 +6,7 @@
 use crate::results::Build;
 use crate::runner::{Folder, operator_path, scenario_path};
 
-/// Returns the command line that repeats a run.
+/// Returns the `stonevane lab run` command line that repeats the run of a cell with a build.
 pub(super) fn repeat(experiment: &Experiment, folder: &Folder, cell: &Cell, build: Build) -> String {
     let setting = &cell.setting;
     let scenario = match experiment.is_file(&setting.scenario) {
--- a/crates/stonevane-experiment/src/report/pictures.rs
+++ b/crates/stonevane-experiment/src/report/pictures.rs
@@ -48,8 +48,8 @@
     picture("over time", &panels, &spans, seconds)
 }
 
-/// Median over all runs of a value of each interval; NaN, a gap in the curve, for an interval that no run
-/// has.
+/// Returns the curve of the median of `value` over all runs, per interval. An interval that no run has
+/// becomes NaN, a gap in the curve.
 fn median_curve(build: &BuildRuns<'_>, colour: usize, value: &dyn Fn(&Interval) -> f64) -> Curve {
     let longest = build.runs.iter().map(|run| run.steps.len()).max().unwrap_or(0);
     let at = |index: usize| {
@@ -88,8 +88,8 @@
     picture("latency", &[panel], &[], 1.0)
 }
 
-/// Median over all runs of each percentile of the request times of a class, as points of percent and
-/// milliseconds.
+/// Returns, for each percentile of the request times of a class, the median over all runs, as points
+/// (percent, milliseconds).
 fn percentile_points(runs: &[&RunResult], class: &str) -> Vec<(f64, f64)> {
     let count = runs.iter().filter_map(|run| run.marks_ms.get(class)).map(Vec::len).max().unwrap_or(0);
     let point = |index: usize| {
--- a/crates/stonevane-experiment/src/results.rs
+++ b/crates/stonevane-experiment/src/results.rs
@@ -14,9 +14,9 @@
 /// A build of the daemon in an experiment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Build {
-    /// The first build.
+    /// The baseline of the comparison, or the only build.
     A,
-    /// The build that A is compared with.
+    /// The build that is compared with A: differences are B minus A.
     B,
 }
 
@@ -43,21 +43,22 @@
     pub build: Build,
     /// Figures of the run, by the names that expectations use.
     pub figures: BTreeMap<String, f64>,
-    /// Whether all rules and expectations hold.
+    /// Whether all rules and expectations hold and no emulator was faulty.
     pub holds: bool,
     /// Number of rule violations.
     pub broken: usize,
-    /// Number of emulator faults.
+    /// Number of faults of emulated servers. If it is not 0, neither the rule violations nor their absence is
+    /// reliable.
     pub faulty: usize,
     /// Codes of the rule violations, sorted and without duplicates.
     pub codes: Vec<String>,
-    /// Intervals of the run, in order of time.
+    /// Request outcomes and server load per interval, from the start of the load.
     pub steps: Vec<Interval>,
-    /// Percentiles of the request times of each class, in milliseconds.
+    /// Percentiles 0, 2, 4 ... 100 of the request times of each class, in milliseconds.
     pub marks_ms: BTreeMap<String, Vec<f64>>,
-    /// Injected faults: seconds from the start, and description.
+    /// Injected faults: seconds from the start of the load, and label.
     pub faults: Vec<(f64, String)>,
-    /// Error that prevented the run; there are no figures then.
+    /// Error with which the run failed; a failed run has no figures.
     pub error: Option<String>,
     /// Duration of the run, in seconds.
     pub took_s: f64,
--- a/crates/stonevane-experiment/src/runner/builds.rs
+++ b/crates/stonevane-experiment/src/runner/builds.rs
@@ -19,9 +19,9 @@
 /// A build, as stored in `builds.json`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BuildFile {
-    /// Path of its program.
+    /// Path of the daemon program of the build.
     pub path: PathBuf,
-    /// Digest of its program.
+    /// Digest of the contents of the program.
     pub digest: String,
 }
 
@@ -37,9 +37,9 @@
 /// The builds of an experiment.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Builds {
-    /// The first build.
+    /// The baseline of the comparison, or the only build.
     pub a: BuildFile,
-    /// The build that `a` is compared with.
+    /// The build that is compared with `a`; `None` for an experiment with a single build.
     pub b: Option<BuildFile>,
 }
 
@@ -58,7 +58,7 @@
         first.into_iter().chain(self.b.iter().map(|build| (Build::B, build))).collect()
     }
 
-    /// Returns the file of a build.
+    /// Returns the path and digest of a build; `None` if the experiment does not have the build.
     pub fn get(&self, build: Build) -> Option<&BuildFile> {
         match build {
             Build::A => Some(&self.a),
--- a/crates/stonevane-experiment/src/runner/folder.rs
+++ b/crates/stonevane-experiment/src/runner/folder.rs
@@ -38,7 +38,7 @@
         Ok(Folder { path: path.into(), builds, runs })
     }
 
-    /// Returns the runs of a setting with a build.
+    /// Returns the results of all runs of a setting with a build, one per seed.
     pub fn runs_of(&self, setting: &Setting, build: Build) -> Vec<&RunResult> {
         self.runs.iter().filter(|run| run.cell.setting == *setting && run.build == build).collect()
     }
@@ -98,7 +98,7 @@
         return Err(ExperimentError::Unusable(cause));
     }
     let ResultsFile { runs, complete_bytes } = read_results(&results_path)?;
-    // Removes a last line that an interruption has truncated.
+    // Removes a truncated last line, as left by a kill during its write.
     with_path(&results_path, results.set_len(complete_bytes as u64))?;
     copy_inputs(experiment, &path)?;
     Ok((Folder { path, builds: builds.clone(), runs }, results))
--- a/crates/stonevane-experiment/src/runner/player.rs
+++ b/crates/stonevane-experiment/src/runner/player.rs
@@ -26,10 +26,10 @@
     started_at: Instant,
     /// Number of runs executed since `started_at`.
     executed: usize,
-    /// Total time that these runs took beyond the length of their load.
+    /// Time that the runs executed since `started_at` took beyond the length of their load, in total.
     overhead: Duration,
-    /// Number of all runs of the experiment; for a search, the number of runs at a single load, since the number of
-    /// loads is not known in advance.
+    /// Number of all runs of the experiment; for a search, the number of runs at a single load, since the
+    /// number of loads is not known in advance.
     total: usize,
 }
 
@@ -168,9 +168,9 @@
         ));
     }
 
-    /// Estimates the time that the remaining runs take, from the length of their load and the average
-    /// overhead of the runs executed so far. A search has no known number of runs, so that the elapsed time
-    /// is given instead.
+    /// Returns the time that the remaining runs are expected to take, as text for a progress line: estimated
+    /// from the length of their load and the average overhead of the runs executed so far. The number of runs
+    /// of a search is not known in advance: for a search the text gives the elapsed time instead.
     fn time_left(&self) -> String {
         if self.experiment.search.is_some() {
             return format!(" ({:.0} s so far)", self.started_at.elapsed().as_secs_f64());
--- a/crates/stonevane-scale/src/budget.rs
+++ b/crates/stonevane-scale/src/budget.rs
@@ -29,9 +29,9 @@
 /// A quantity that a budget bounds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BudgetItem {
-    /// Convergence within the time limit of its phase.
+    /// Convergence of the fleet (see [`Figures::converged_s`]) within the time limit of the phase.
     Converged,
-    /// Rest of all nodes within the time limit of its phase.
+    /// All nodes at rest (see [`Figures::rested_s`]) within the time limit of the phase.
     Rested,
     /// Processor time, in microseconds per node and second.
     Cpu,
@@ -46,11 +46,12 @@
 /// A quantity that exceeds its budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Excess {
-    /// The quantity.
+    /// Quantity that is above its bound or was not reached.
     pub item: BudgetItem,
     /// Measured value; `None` if the phase timed out.
     pub figure: Option<f64>,
-    /// Bound of the budget; `None` if the state only had to be reached.
+    /// Upper bound from the budget; `None` for [`BudgetItem::Converged`] and [`BudgetItem::Rested`], which
+    /// only have to be reached.
     pub bound: Option<f64>,
 }
 
@@ -72,8 +73,8 @@
     }
 }
 
-/// Returns all quantities that exceed the budget. A phase that timed out exceeds it; the later phases were
-/// not measured and are not listed.
+/// Returns all quantities that exceed the budget. A phase that timed out counts as exceeding the budget; the
+/// phases after it were not measured, and their quantities are not listed.
 pub fn excesses(budget: &Budget, figures: &Figures) -> Vec<Excess> {
     let unreached = |item| vec![Excess { item, figure: None, bound: None }];
     if figures.converged_s.is_none() {
--- a/crates/stonevane-scale/src/coordinator.rs
+++ b/crates/stonevane-scale/src/coordinator.rs
@@ -37,7 +37,8 @@
     pub memory_limit_bytes: u64,
     /// Limit on the file descriptors of a process.
     pub max_descriptors: u64,
-    /// Memory costs for the estimate that is checked before the fleet starts.
+    /// Memory costs from which the memory of a fleet is estimated; the estimate is checked against the limit
+    /// before the fleet starts.
     pub costs: MemoryCosts,
     /// Set by SIGINT and SIGTERM; interrupts the run.
     pub interrupt: Interrupt,
@@ -86,7 +87,7 @@
 }
 
 impl RunError {
-    /// Whether the input is invalid; nothing was started then.
+    /// Whether the input is invalid. In that case no process was started.
     pub fn is_invalid_input(&self) -> bool {
         matches!(self, RunError::Layout(_) | RunError::LimitExceeded(_))
     }
@@ -219,7 +220,8 @@
         })
     }
 
-    /// Measures the rates over [`Plan::window`], with the fleet at rest, and the memory at its end.
+    /// Measures the rates over [`Plan::window`], with the fleet at rest, and the memory at the end of the
+    /// window.
     fn sample_window(&mut self, figures: &mut Figures) -> Result<(), RunError> {
         let start = self.sample()?;
         let deadline = Instant::now() + self.plan.window;
--- a/crates/stonevane-scale/src/discovery_service.rs
+++ b/crates/stonevane-scale/src/discovery_service.rs
@@ -1,5 +1,5 @@
-//! Discovery for the stub nodes: the lab's discovery emulator on its own thread, with a list that does not
-//! change.
+//! Discovery for the stub nodes: the lab's discovery emulator on its own thread, with a list of cache
+//! servers that does not change.
 
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/stonevane-scale/src/figures.rs
+++ b/crates/stonevane-scale/src/figures.rs
@@ -20,7 +20,7 @@
     pub udp_bytes: u64,
     /// Bytes exchanged with discovery, in both directions, without IP and TCP headers.
     pub tcp_bytes: u64,
-    /// Wake-ups of the membership state machine that were late by more than half of its period.
+    /// Wake-ups of the membership state machines that were late by more than half of the protocol period.
     pub stalls: u64,
     /// Number of times a node declared a live node dead.
     pub false_deaths: u64,
@@ -31,9 +31,9 @@
 pub struct Rates {
     /// Datagrams per second, counted at the sender.
     pub datagrams: f64,
-    /// Bytes of those datagrams per second.
+    /// Bytes of datagrams per second, without IP and UDP headers, counted at the sender.
     pub udp_bytes: f64,
-    /// Bytes per second exchanged with discovery.
+    /// Bytes per second exchanged with discovery, in both directions, without IP and TCP headers.
     pub tcp_bytes: f64,
     /// Microseconds of processor time per second.
     pub cpu_us: f64,
@@ -89,8 +89,8 @@
     pub death_known_s: Option<f64>,
     /// Number of times a node declared a live node dead, in the whole run.
     pub false_deaths: u64,
-    /// Wake-ups that were late by more than half of the period, in the whole run: a sign that the machine was
-    /// overloaded.
+    /// Wake-ups of the membership state machines that were late by more than half of the protocol period, in
+    /// the whole run: a sign that the machine was overloaded.
     pub stalls: u64,
     /// Whether all figures are within the budget.
     pub within_budget: bool,
--- a/crates/stonevane-scale/src/layout.rs
+++ b/crates/stonevane-scale/src/layout.rs
@@ -22,17 +22,17 @@
     /// Some regions would have no node.
     #[error("{regions} regions and {nodes} nodes: some regions would have no node")]
     EmptyRegions {
-        /// Requested regions.
+        /// Requested number of regions.
         regions: u32,
-        /// Requested nodes.
+        /// Requested number of nodes.
         nodes: u32,
     },
     /// The number of workers is out of range.
     #[error("--workers is {workers}; accepted are 1 to {max}")]
     WorkerCount {
-        /// Requested workers.
+        /// Requested number of worker processes.
         workers: u32,
-        /// Maximum: the number of nodes, at most [`MAX_WORKERS`].
+        /// Maximum: the smaller of the number of nodes and [`MAX_WORKERS`].
         max: u32,
     },
     /// A membership domain has more members than a datagram can identify.
@@ -109,17 +109,17 @@
         Ok(layout)
     }
 
-    /// Number of nodes.
+    /// Number of nodes in the fleet.
     pub fn nodes(&self) -> u32 {
         self.nodes
     }
 
-    /// Number of regions.
+    /// Number of regions; at least 1, at most one per node.
     pub fn regions(&self) -> u32 {
         self.regions
     }
 
-    /// Number of workers.
+    /// Number of worker processes; at least 1, at most [`MAX_WORKERS`].
     pub fn workers(&self) -> u32 {
         self.workers
     }
@@ -159,7 +159,7 @@
         if self.domain_per_region { self.nodes.div_ceil(self.regions) } else { self.nodes }
     }
 
-    /// Number of nodes of the largest worker.
+    /// Number of nodes that the worker with the most nodes runs.
     pub fn largest_worker(&self) -> u32 {
         self.nodes.div_ceil(self.workers)
     }
--- a/crates/stonevane-scale/src/limits.rs
+++ b/crates/stonevane-scale/src/limits.rs
@@ -4,7 +4,7 @@
 
 /// One mebibyte, in bytes.
 pub const MIB: u64 = 1 << 20;
-/// Limit on the memory of a run: the memory of the machine divided by this.
+/// The default and maximum memory limit of a run is the machine's memory divided by this.
 const MEMORY_DIVISOR: u64 = 2;
 /// File descriptors of a process besides those of its nodes: standard streams, the event loop, a listener.
 const PROCESS_DESCRIPTORS: u64 = 64;
@@ -66,7 +66,7 @@
     /// The fleet is estimated to need more memory than the limit.
     #[error("{nodes} hollow nodes need about {} MiB of memory; the limit is {} MiB", mib(*needed), limit / MIB)]
     MemoryNeeded {
-        /// Stub nodes.
+        /// Number of stub nodes in the fleet.
         nodes: u32,
         /// Estimated need, in bytes.
         needed: u64,
@@ -76,9 +76,9 @@
     /// A process would need more file descriptors than the limit.
     #[error("{nodes} hollow nodes: {process} needs {needed} descriptors; the limit is {limit}")]
     DescriptorsNeeded {
-        /// Stub nodes.
+        /// Number of stub nodes in the fleet.
         nodes: u32,
-        /// Role of the process.
+        /// Role of the process: a worker or the coordinator.
         process: &'static str,
         /// File descriptors that the process needs.
         needed: u64,
--- a/crates/stonevane-scale/src/message.rs
+++ b/crates/stonevane-scale/src/message.rs
@@ -21,7 +21,8 @@
         /// Index of this worker, from 0.
         worker: u32,
     },
-    /// Starts the nodes.
+    /// Starts the worker's nodes, each after its [`Plan::start_delay`]. Not answered; [`Report::Progress`]
+    /// follows as the nodes converge.
     Start {
         /// UDP address of every node of the fleet, ordered by node number.
         peers: Vec<SocketAddr>,
@@ -30,8 +31,9 @@
     },
     /// Takes a sample; answered with [`Report::Sample`].
     Sample,
-    /// Kills a node: its worker ends it and answers with [`Report::Killed`]. The other nodes of all workers
-    /// report when they have declared it dead.
+    /// Kills a node, sent to all workers. The worker that runs the node ends it and answers with
+    /// [`Report::Killed`]; [`Progress::informed`] of each worker then counts the nodes that have declared the
+    /// killed node dead.
     Kill {
         /// Number of the node in the fleet.
         number: u32,
@@ -51,9 +53,9 @@
     Progress(Progress),
     /// The answer to [`Command::Sample`].
     Sample(Sample),
-    /// The node has been killed: its sockets are closed.
+    /// The answer to [`Command::Kill`] from the worker that ran the node: the node's sockets are closed.
     Killed {
-        /// Time at which its sockets were closed.
+        /// Time at which the node's sockets were closed; the time to detect its death counts from here.
         at: Micros,
     },
     /// The worker has failed and exits.
--- a/crates/stonevane-scale/src/plan.rs
+++ b/crates/stonevane-scale/src/plan.rs
@@ -12,7 +12,8 @@
 use crate::Micros;
 use crate::layout::{Layout, LayoutError};
 
-/// Purpose of a random number: each one has its own stream.
+/// Purpose of a random number. Each purpose has its own random stream, so that the numbers drawn for one
+/// don't depend on how many are drawn for another.
 #[derive(Debug, Clone, Copy)]
 enum Purpose {
     Machine = 1,
@@ -24,13 +25,13 @@
 /// Membership settings, as in the `[fleet]` table of the operator file.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Membership {
-    /// Protocol period.
+    /// Protocol period: a node sends one probe in each.
     pub period: Micros,
-    /// Probe timeout.
+    /// Probe timeout, after which indirect probes are requested from other members.
     pub answer: Micros,
     /// Number of members that send indirect probes after a direct probe has timed out.
     pub indirect: usize,
-    /// Suspicion multiplier.
+    /// Suspicion multiplier, see [`stonevane_membership::MemberConfig::suspicion_multiplier`].
     pub suspicion: f64,
     /// Whether timeouts are lengthened while the local health score is above 0.
     pub heeds_health: bool,
@@ -106,7 +107,7 @@
     pub caches: u32,
     /// Membership settings of all nodes.
     pub membership: Membership,
-    /// Length of the window in which rates are measured.
+    /// Length of the window in which the cost of the fleet at rest is measured.
     pub window: Duration,
     /// Time limit of each phase: convergence, rest, detection of a death.
     pub phase: Duration,
--- a/crates/stonevane-scale/src/processes.rs
+++ b/crates/stonevane-scale/src/processes.rs
@@ -27,8 +27,8 @@
 
 struct Worker {
     child: Child,
-    /// Queue of the thread that writes to the worker's input, so that a worker that does not read blocks only
-    /// its own thread.
+    /// Queue of the thread that writes to the worker's input. If the worker does not read, only this thread
+    /// blocks.
     commands: Sender<Vec<u8>>,
 }
 
--- a/crates/stonevane-scale/src/stub_driver.rs
+++ b/crates/stonevane-scale/src/stub_driver.rs
@@ -60,7 +60,8 @@
         *lock(&self.progress)
     }
 
-    /// Updates the counts for a change of one node's progress, which may also be lost again.
+    /// Updates the counts after the progress of one node has changed. A count also decreases: a node may
+    /// leave a state that it had reached.
     fn count_change(&self, before: NodeProgress, after: NodeProgress) {
         let now = self.clock.now();
         let mut progress = lock(&self.progress);
@@ -81,7 +82,8 @@
 pub struct Anomalies {
     /// Number of times the node declared a live node dead.
     pub false_deaths: u64,
-    /// Wake-ups of its membership state machine that were late by more than half of its period.
+    /// Wake-ups of the node's membership state machine that were late by more than half of the protocol
+    /// period.
     pub stalls: u64,
 }
 
@@ -90,8 +92,8 @@
     state: Mutex<State>,
     socket: UdpSocket,
     shared: Arc<Shared>,
-    /// Signalled when the node has handled an input of discovery, which may have moved its next timeout
-    /// forward.
+    /// Notified when the node has handled an input from discovery: its next timeout may now be earlier than
+    /// the one that [`StubDriver::run`] sleeps for.
     rescheduled: Notify,
 }
 
@@ -181,14 +183,14 @@
         }
     }
 
-    /// Has the node watch for the death of `victim`.
+    /// Marks the node `victim` as killed, see [`StubNode::watch_for`], and updates the progress counts.
     pub fn watch_for(&self, victim: u32) {
         let mut state = lock(&self.state);
         state.node.watch_for(victim);
         self.update_progress(&mut state);
     }
 
-    /// Cancels its calls to discovery and removes the node from the progress counts.
+    /// Cancels the node's calls to discovery and removes the node from the progress counts.
     pub fn stop(&self) {
         let mut state = lock(&self.state);
         state.discovery.cancel_all();
--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -31,7 +31,7 @@
     pub domain: Range<u32>,
     /// Membership settings.
     pub membership: Membership,
-    /// Random numbers of the membership state machine.
+    /// Nonce and seed of the membership state machine.
     pub machine_seed: MachineSeed,
     /// Seed of the core.
     pub core_seed: u64,
@@ -175,7 +175,8 @@
         }
     }
 
-    /// Marks a node as killed: its death is progress and not a false death.
+    /// Marks the node `victim` as killed: declaring it dead counts as progress ([`NodeProgress::informed`])
+    /// and not as a false death.
     pub fn watch_for(&mut self, victim: u32) {
         self.victim = Some(victim);
     }
@@ -190,7 +191,7 @@
         }
     }
 
-    /// State in which this node sees another one; `None` if it does not know the node or the node is not in
+    /// State in which this node sees the node `number`; `None` if `number` is unknown to this node or outside
     /// its domain.
     pub fn state_of(&self, number: u32) -> Option<State> {
         let inside = self.domain.contains(&number);
@@ -202,13 +203,14 @@
         self.false_deaths
     }
 
-    /// Wake-ups of the membership state machine that were late by more than half of its period.
+    /// Wake-ups of the membership state machine that were late by more than half of the protocol period.
     pub fn stalls(&self) -> u64 {
         self.stalls
     }
 
     fn handle_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
-        // The membership state machine treats such a delay as a stall of its own process.
+        // The membership state machine treats a delay of more than half a period as a stall of its own
+        // process.
         if now.saturating_sub(self.machine.next_wake_at()) > self.period / 2 {
             self.stalls += 1;
         }
