--- a/crates/stonevane-scale/src/stub_node.rs
+++ b/crates/stonevane-scale/src/stub_node.rs
@@ -209,7 +209,7 @@
     }
 
     fn handle_machine(&mut self, now: Micros, input: MachineInput<'_>, outputs: &mut Outputs) {
-        // The membership state machine treats a delay of more than half a period as a stall of its own
+        // The membership state machine treats a delay of more than half a period as a pause of its own
         // process.
         if now.saturating_sub(self.machine.next_wake_at()) > self.period / 2 {
             self.stalls += 1;
