--- a/crates/stonevane/src/arguments.rs
+++ b/crates/stonevane/src/arguments.rs
@@ -7,7 +7,7 @@
 use tracing_subscriber::EnvFilter;
 use tracing_subscriber::filter::ParseError;
 
-/// An argument value that can't be used. Clap prints the value and the flag before this text.
+/// An argument value that can't be used. Clap prints the flag and the value before the error's text.
 #[derive(Debug, thiserror::Error)]
 pub enum ArgumentError {
     /// A seed is not a whole number.
@@ -34,7 +34,7 @@
         /// The command that lists the known mutants.
         command: &'static str,
     },
-    /// A server has no `=`.
+    /// A `NAME=ADDRESS` value has no `=`.
     #[error("must have the form NAME=ADDRESS, for example s-1=127.0.0.1:7001")]
     NamedAddress,
     /// An address is not an IP address with a port.
@@ -42,12 +42,13 @@
     Address(String),
 }
 
-/// Parses log levels: a level, or levels by package.
+/// Parses log levels: one level for all packages, or levels by package, for example
+/// `warn,stonevane_emulators=debug`.
 pub fn log_levels(text: &str) -> Result<EnvFilter, ParseError> {
     text.parse()
 }
 
-/// Parses `A..B` (inclusive; `A..=B` is the same) or one seed.
+/// Parses a range of seeds `A..B` (both ends included; `A..=B` means the same), or a single seed.
 pub fn seeds(text: &str) -> Result<RangeInclusive<u64>, ArgumentError> {
     let seed = |text: &str| text.trim_start_matches('=').parse::<u64>();
     let (first, last) = match text.split_once("..") {
@@ -69,7 +70,7 @@
     number.ok_or(ArgumentError::Positive)
 }
 
-/// Parses a server, `NAME=ADDRESS`.
+/// Parses the name and the address of a server, `NAME=ADDRESS`.
 pub fn named_address(text: &str) -> Result<(String, SocketAddr), ArgumentError> {
     let (name, address) = text.split_once('=').ok_or(ArgumentError::NamedAddress)?;
     let address = address.parse().map_err(|_| ArgumentError::Address(address.to_owned()))?;
--- a/crates/stonevane/src/bench.rs
+++ b/crates/stonevane/src/bench.rs
@@ -19,13 +19,13 @@
     /// Compare the node with a bare relay in its place: requests per second, latencies, CPU time per request.
     #[command(after_help = "Example: stonevane bench lab --rounds 3 --for-s 2 --connections 16")]
     Lab {
-        /// Rounds; each program and the relay are measured once per round.
+        /// Number of rounds; each program and the relay are measured once per round.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=50))]
         rounds: u64,
         /// Duration of each measurement, in seconds.
         #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u64).range(1..=60))]
         for_s: u64,
-        /// Client connections; each sends its next request as soon as the response to the last one arrives.
+        /// Number of client connections; each sends its next request as soon as the previous one is answered.
         #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u64).range(1..=64))]
         connections: u64,
         /// Socket limit of the node. A connection is paused after each response, so a low limit makes the
@@ -39,18 +39,19 @@
         #[arg(long, value_name = "FILE")]
         beside: Option<PathBuf>,
     },
-    /// Compare the store with bare SQLite and a bare PostgreSQL client: reads, single edits, edits that share
-    /// a transaction.
+    /// Compare the store with bare SQLite and a bare PostgreSQL client: reads and edits per second, one at a
+    /// time and concurrent.
     #[command(after_help = "Example: stonevane bench store --rounds 3")]
     Store {
-        /// Rounds; each operation is measured once per round.
+        /// Number of rounds; each operation is measured once per round.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=50))]
         rounds: u64,
     },
-    /// Send a stampede of misses to a fleet with a slow store of record, with and without shared fetches.
+    /// Send concurrent misses on a few keys to a fleet with a slow store of record, and compare shared
+    /// fetches (concurrent reads of a key share one store query) with a query for each read.
     #[command(after_help = "Example: stonevane bench stampede --rounds 3")]
     Stampede {
-        /// Rounds; each runs the load once with and once without shared fetches.
+        /// Number of rounds; each runs the load once with and once without shared fetches.
         #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u64).range(1..=50))]
         rounds: u64,
         /// Path of the daemon's program [default: stonevane-node in the folder of this program].
@@ -64,7 +65,7 @@
         #[arg(long, default_value_t = 1_000_000, value_parser = clap::value_parser!(u64).range(4..=10_000_000))]
         events: u64,
     },
-    /// Measure the auditor on a large generated history without violations.
+    /// Measure how many events per second the auditor checks, on a generated history without violations.
     #[command(after_help = "Example: stonevane bench audit --events 1000000")]
     Audit {
         /// Approximate number of events in the history.
--- a/crates/stonevane/src/bench/history.rs
+++ b/crates/stonevane/src/bench/history.rs
@@ -16,7 +16,7 @@
 const REQUEST_INTERVAL_US: u64 = 500;
 /// Time between two events of a request.
 const EVENT_INTERVAL_US: u64 = 50;
-/// Width of the interval in which an event happened.
+/// Width of the time interval recorded for an event, which happened at an unknown time within it.
 const UNCERTAINTY_US: u64 = 40;
 /// Number of distinct keys that are read.
 const KEYS: u64 = 5_000;
--- a/crates/stonevane/src/bench/nodes.rs
+++ b/crates/stonevane/src/bench/nodes.rs
@@ -1,4 +1,5 @@
-//! `stonevane bench lab`: alternates between the node and a bare relay in its place under the same load.
+//! `stonevane bench lab`: measures the node, and a bare relay in the node's place, in turns under the same
+//! load.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -16,7 +17,7 @@
 /// A cache server that responds without delay, all keys preloaded, and a read-only load.
 const SCENARIO: &str = "name = \"bench\"\n[fleet]\nnodes = 1\ncaches = 1\nwarm_keys = 1\n[fleet.cache]\n\
     work_ms = 0\ncores = 64\n[load]\nper_s = 20000\nfor_ms = 1000\nedits = 0\nretries = 0\n";
-/// Load before the measurement starts, in which connections are opened.
+/// Duration of the load before the measurement starts, during which connections are opened.
 const WARM_UP_US: u64 = 300_000;
 const SEED: u64 = 1;
 
@@ -52,13 +53,13 @@
     p99_ms: f64,
     /// CPU time of the measured process per request, in microseconds.
     cpu_us: f64,
-    /// CPU time of the lab per request, in microseconds.
+    /// CPU time of the lab (this process: clients and emulators) per request, in microseconds.
     lab_cpu_us: f64,
     /// Requests that were not served.
     other: u64,
 }
 
-/// Figures divided by those of the relay in the same round, one entry per round.
+/// A candidate's figures divided by the relay's figures of the same round, one entry per round.
 #[derive(Default)]
 struct Ratios {
     rates: Vec<f64>,
@@ -182,7 +183,7 @@
     ) -> BenchResult<(f64, f64)> {
         let clock = MonotonicClock::default();
         let _heartbeat = tokio::spawn(clock.clone().run_heartbeat());
-        // The fleet has a node even when the relay is measured; it is idle then.
+        // The fleet has a node even when the relay is measured; that node is idle then.
         let node = match program {
             Some(program) => program.to_owned(),
             None => std::env::current_exe()?.with_file_name("stonevane-node"),
@@ -224,7 +225,7 @@
     }
 }
 
-/// Starts the relay in a separate process, as the node is, so that its CPU time can be read.
+/// Starts the relay in a separate process, so that its CPU time can be read separately from the lab's.
 fn start_relay(server: SocketAddr) -> std::io::Result<(Process, SocketAddr)> {
     let mut child = Command::new(std::env::current_exe()?)
         .args(["stand-in", "relay", "--server", &server.to_string()])
--- a/crates/stonevane/src/bench/store/sqlite.rs
+++ b/crates/stonevane/src/bench/store/sqlite.rs
@@ -15,9 +15,9 @@
 
 struct Stores {
     bare: rusqlite::Connection,
-    /// Runs reads on its reader threads.
+    /// Store that runs reads on its own reader threads.
     threaded: Arc<Sqlite>,
-    /// Runs reads on the caller's thread.
+    /// Store that runs reads on the caller's thread.
     on_caller: Arc<Sqlite>,
 }
 
--- a/crates/stonevane/src/error.rs
+++ b/crates/stonevane/src/error.rs
@@ -6,9 +6,9 @@
 
 use stonevane_config::ConfigError;
 
-/// Exit code if a rule or an expectation is broken.
+/// Exit code if a rule or an expectation is broken, and of [`CommandError::Damaged`].
 const BROKEN: u8 = 1;
-/// Exit code if the input is invalid.
+/// Exit code if the input is invalid, for example an argument, a file or a scenario.
 pub const UNUSABLE: u8 = 2;
 /// Exit code if the command could not be completed.
 pub const NOT_RUN: u8 = 3;
@@ -19,7 +19,7 @@
     /// A rule or an expectation is broken; the details were printed already.
     #[error("a rule or an expectation is broken")]
     Broken,
-    /// A check failed, for the given reason.
+    /// A store is damaged, or did not do what the command requires of it; the text gives the reason.
     #[error("{0}")]
     Damaged(String),
     /// The input is invalid.
@@ -30,7 +30,7 @@
     Config {
         /// Name of the file.
         file: String,
-        /// All errors in it, with their places.
+        /// All errors in the file, each with its line and column.
         errors: Vec<ConfigError>,
     },
     /// The command could not be completed.
--- a/crates/stonevane/src/fleet.rs
+++ b/crates/stonevane/src/fleet.rs
@@ -18,7 +18,8 @@
 /// Subcommands of `stonevane fleet`.
 #[derive(Subcommand)]
 pub enum Fleet {
-    /// Simulate fleets of members with faults drawn from seeds; exit with code 1 if a rule is broken.
+    /// Simulate the membership protocol with faults drawn from seeds; exit with code 1 if a rule of
+    /// membership is broken.
     #[command(after_help = "Examples:
   stonevane fleet simulate --seeds 1..2000
   stonevane fleet simulate --seeds 1..40 --mutant no-repair     a mutant, which must be detected
@@ -27,8 +28,8 @@
   stonevane fleet simulate --seeds 1..5 --members 1000
   stonevane fleet simulate --mutants                            the mutants, one per line")]
     Simulate(Simulate),
-    /// Measure simulated fleets: detection time, false deaths and traffic by packet loss and share of slow
-    /// members.
+    /// Measure simulated fleets: time to detect a death, false deaths (healthy members declared dead) and
+    /// traffic, by packet loss and share of slow members.
     #[command(
         after_help = "Example: stonevane fleet measure --members 16,64,300,1000 --seconds 600 --csv fleet.csv"
     )]
@@ -36,7 +37,7 @@
     /// Show what nodes report of the other members: a table for each node, dead and suspected members first.
     #[command(after_help = "Example: stonevane fleet status 127.0.0.1:7950")]
     Status(NodeQuery),
-    /// Poll nodes and print a line for each change of a member's state.
+    /// Poll nodes and print a line for each change of a member's state or of the link to it.
     #[command(after_help = "Example: stonevane fleet watch 127.0.0.1:7950 --every-ms 500")]
     Watch {
         #[command(flatten)]
@@ -52,7 +53,7 @@
     /// find a link that is broken in one direction.
     #[command(after_help = "Example: stonevane fleet explain n7 127.0.0.1:7950 127.0.0.1:7951")]
     Explain {
-        /// The member: its number (for example `n7`) or its address in `peers`.
+        /// Member to explain: its number (for example `n7`), or its address as in the `peers` setting.
         node: String,
         #[command(flatten)]
         query: NodeQuery,
--- a/crates/stonevane/src/fleet/measure.rs
+++ b/crates/stonevane/src/fleet/measure.rs
@@ -21,7 +21,7 @@
 /// Arguments of `stonevane fleet measure`.
 #[derive(Args)]
 pub struct Measure {
-    /// Fleet sizes, separated by commas.
+    /// Fleet sizes in members, separated by commas.
     #[arg(long, value_delimiter = ',', default_value = "16,64,300", value_parser = clap::value_parser!(u64).range(3..=2_000))]
     members: Vec<u64>,
     /// Shares of datagrams that are lost, each from 0 to 1, separated by commas.
@@ -37,13 +37,15 @@
     /// Seed of the first fleet; each further fleet takes the next number.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Measure each fleet also with members that ignore their own health.
+    /// Measure each fleet a second time without the Lifeguard extensions, which lengthen a member's timeouts,
+    /// for example if its own health is poor.
     #[arg(long)]
     without_health: bool,
     /// Write the table to a CSV file as well.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// Draw detection time and false deaths over loss, with a curve for each size and share of slow members.
+    /// Write an SVG chart of detection time and false deaths over packet loss, with a curve for each size and
+    /// share of slow members.
     #[arg(long, value_name = "FILE.svg")]
     chart: Option<PathBuf>,
 }
--- a/crates/stonevane/src/fleet/simulate.rs
+++ b/crates/stonevane/src/fleet/simulate.rs
@@ -18,7 +18,7 @@
 
 /// Maximum number of failing seeds that are printed.
 const MAX_PRINTED: usize = 10;
-/// Maximum number of runs in the search for a smaller plan.
+/// Maximum number of simulation runs in the search for a smaller plan.
 const MAX_SHRINK_RUNS: usize = 1_000;
 
 /// Arguments of `stonevane fleet simulate`.
@@ -36,7 +36,8 @@
     /// Inject a mutant (a deliberate fault of the membership machine; see --mutants).
     #[arg(long, value_parser = mutant)]
     mutant: Option<Mutant>,
-    /// Let members ignore their own health.
+    /// Disable the Lifeguard extensions, which lengthen a member's timeouts, for example if its own health is
+    /// poor.
     #[arg(long)]
     without_health: bool,
     /// Shrink the plan of the first failing seed and print the smallest plan with the same failure.
--- a/crates/stonevane/src/fleet/status/print.rs
+++ b/crates/stonevane/src/fleet/status/print.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-/// States in the order in which the table lists them, most severe first; others come last.
+/// States that the table lists first, the most severe at the top; members in other states follow.
 const STATES: [&str; 4] = ["dead", "suspect", "left", "unknown"];
 
 /// Returns a string field; empty if it is missing.
@@ -17,7 +17,7 @@
     report["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
-/// Formats a duration in milliseconds; `never` for null.
+/// Formats a JSON number of milliseconds as a duration in ms, s or min; `never` for null.
 fn ago(value: &Value) -> String {
     match value.as_u64() {
         None => "never".into(),
@@ -67,7 +67,7 @@
     }
 }
 
-/// Prints the node's own state and its datagram counters.
+/// Prints the number of members in each state, the node's own health and its datagram counters.
 fn print_head(node: SocketAddr, report: &Value) {
     let count = |state: &str| members(report).iter().filter(|member| text(member, "state") == state).count();
     let states: Vec<_> = ["alive", "suspect", "dead", "left", "unknown"]
--- a/crates/stonevane/src/lab.rs
+++ b/crates/stonevane/src/lab.rs
@@ -19,9 +19,11 @@
 pub enum Lab {
     /// List the built-in scenarios, one per line, the name first.
     List,
-    /// Run a scenario and print its figures and the verdict on the four rules.
+    /// Run a scenario, audit its history, and print its figures, its expectations and the verdict of the
+    /// audit.
     Run(run::Run),
-    /// Run a matrix of scenarios, seeds, loads and operator files, with one build or comparing two.
+    /// Run all combinations of the scenarios, seeds, loads and operator files in an experiment file, with one
+    /// build of the daemon or with two to compare.
     Experiment(experiment::Experiment),
     /// Print the report of an experiment and write it to report.html in its folder.
     #[command(after_help = "Example: stonevane lab report baseline")]
@@ -32,7 +34,8 @@
         #[arg(long)]
         json: bool,
     },
-    /// Audit a recorded history against the four rules.
+    /// Audit a recorded history: check it against the rules for nodes, for example that each request gets
+    /// exactly one final answer, in time.
     #[command(after_help = "Example: stonevane lab audit run.jsonl")]
     Audit {
         /// History file (JSON lines).
--- a/crates/stonevane/src/lab/experiment.rs
+++ b/crates/stonevane/src/lab/experiment.rs
@@ -28,7 +28,7 @@
     /// Path of the daemon's program [default: stonevane-node in the folder of this program].
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
-    /// Path of another build of the daemon to compare it with.
+    /// Path of another build of the daemon, to compare with the first.
     #[arg(long, value_name = "FILE")]
     against: Option<PathBuf>,
 }
--- a/crates/stonevane/src/lab/run.rs
+++ b/crates/stonevane/src/lab/run.rs
@@ -14,7 +14,7 @@
 use crate::error::{CommandError, read_file, require};
 use crate::node_program;
 
-/// Number of the node that the faulty member replaces.
+/// Index, from 0, of the node that a faulty member replaces.
 const FAULTY_MEMBER: usize = 1;
 
 /// Arguments of `stonevane lab run`.
@@ -29,7 +29,7 @@
 pub struct Run {
     /// Name of a built-in scenario (see `lab list`), or a scenario file (TOML).
     scenario: String,
-    /// Seed [default: the scenario's].
+    /// Seed of all random choices [default: the scenario's].
     #[arg(long)]
     seed: Option<u64>,
     /// Number of nodes [default: the scenario's].
@@ -38,8 +38,8 @@
     /// Factor on the scenario's request rate, for example 1.5.
     #[arg(long, value_name = "TIMES")]
     load: Option<f64>,
-    /// Run the scenario's short form: the same events in a part of the time, checked against the rules and
-    /// looser expectations.
+    /// Run the scenario's short form: the same events with all times scaled down, checked against the audit's
+    /// rules and the expectations for the short form.
     #[arg(long)]
     short: bool,
     /// Operator file for all nodes.
@@ -51,24 +51,24 @@
     /// Record the history to this file (JSON lines).
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
-    /// Draw goodput, refusals, origin load and the coldest server's load over time.
+    /// Write an SVG chart of goodput, refusals, origin load and the coldest server's load over time.
     #[arg(long, value_name = "FILE.svg")]
     chart: Option<PathBuf>,
     /// Path of the daemon's program [default: stonevane-node in the folder of this program].
     #[arg(long, value_name = "FILE")]
     node_program: Option<PathBuf>,
-    /// Replace the nodes by faulty stub nodes that break a rule in this way, to test the auditor (`honest`
-    /// for correct ones).
+    /// Replace the nodes by stub nodes with this fault, to test whether the auditor detects it (`honest`:
+    /// stub nodes without a fault; an unknown name prints the list).
     #[arg(long, value_name = "CRIME", value_parser = node_fault)]
     crooked: Option<NodeFault>,
     /// Control run: disable membership among the nodes, even if the scenario enables it.
     #[arg(long)]
     without_fleet: bool,
-    /// Control run: disable the startup limit, with which nodes that start together hold back.
+    /// Control run: disable the startup limit, which limits the first attempts of nodes that start together.
     #[arg(long)]
     without_ramp: bool,
-    /// Replace one node by a faulty member with this mutant of membership, to test the auditor
-    /// (`fleet simulate --mutants` lists the mutants).
+    /// Replace one node by a member with this mutant (a deliberate fault of the membership machine), to test
+    /// whether the auditor detects it; `fleet simulate --mutants` lists the mutants.
     #[arg(long, value_name = "MUTANT", value_parser = crate::fleet::mutant)]
     crooked_member: Option<Mutant>,
 }
--- a/crates/stonevane/src/main.rs
+++ b/crates/stonevane/src/main.rs
@@ -64,16 +64,18 @@
     /// Run real nodes among emulators with scripted faults, and audit the histories.
     #[command(subcommand)]
     Lab(lab::Lab),
-    /// Simulate fleets of the node's core with faults drawn from seeds, to search for broken rules.
+    /// Simulate fleets of the node's core (its decision logic without I/O) with faults drawn from seeds, to
+    /// search for broken rules.
     #[command(subcommand)]
     Sim(sim::Sim),
-    /// Simulate membership among the nodes, and show what running nodes report of it.
+    /// Simulate the membership protocol among the nodes, and show how running nodes see the other members.
     #[command(subcommand)]
     Fleet(fleet::Fleet),
-    /// Measure the cost of fleets of many thousands of nodes, by role and size.
+    /// Measure the cost of large fleets: one role of a node (for example membership) at several sizes, or
+    /// whole fleets of stub nodes.
     #[command(subcommand)]
     Scale(scale::Scale),
-    /// Run one emulator (or a load client) by hand until interrupted.
+    /// Run one emulator of a server, a bare relay or a load client in the foreground.
     #[command(subcommand)]
     StandIn(stand_in::StandIn),
     /// Create, check, import, export, monitor and crash-test a store of record.
@@ -81,7 +83,8 @@
     Store(store::Store),
     /// Build and run a demo fleet of nodes, caches, a store of record and discovery until interrupted.
     Demo(demo::Demo),
-    /// Measure the node, the store, the history writer and the auditor, and compare them with bare baselines.
+    /// Measure the node, the store, the history writer and the auditor, and compare the node with a bare
+    /// relay and the store with bare database clients.
     #[command(subcommand)]
     Bench(bench::Bench),
 }
--- a/crates/stonevane/src/node_program.rs
+++ b/crates/stonevane/src/node_program.rs
@@ -27,8 +27,8 @@
     Build,
 }
 
-/// Returns the given path, or the program in the folder of this program. Under `cargo run` the latter is
-/// built first.
+/// Returns the given path, or the program in the folder of this program. Under `cargo run`, builds that
+/// program first.
 pub fn find(path: Option<&Path>) -> Result<PathBuf, ProgramError> {
     if let Some(path) = path {
         return match path.is_file() {
@@ -39,7 +39,7 @@
     let own = std::env::current_exe().map_err(ProgramError::OwnPath)?;
     let folder = own.parent().unwrap_or(Path::new("."));
     let program = folder.join(NAME);
-    // `cargo run` builds only this package; the daemon is in another one.
+    // `cargo run` builds only this package; the daemon is in another package.
     if let Some(cargo) =
         std::env::var_os("CARGO").filter(|_| std::env::var_os("CARGO_MANIFEST_DIR").is_some())
     {
--- a/crates/stonevane/src/parallel.rs
+++ b/crates/stonevane/src/parallel.rs
@@ -65,8 +65,8 @@
     work.finish()
 }
 
-/// Like [`map`] with a given number of threads. Calls `progress` on the calling thread every `interval` with
-/// the number of results so far.
+/// Like [`map`], but with the given number of threads. Every `interval`, calls `progress` on the calling
+/// thread with the number of results so far.
 pub fn map_with_progress<R: Send>(
     numbers: &RangeInclusive<u64>,
     threads: u64,
--- a/crates/stonevane/src/scale.rs
+++ b/crates/stonevane/src/scale.rs
@@ -11,7 +11,8 @@
 /// Subcommands of `stonevane scale`.
 #[derive(Subcommand)]
 pub enum Scale {
-    /// Measure the cost of one role at several sizes, and how it grows.
+    /// Measure the cost of one role of a node (for example membership) at several sizes, and how the cost
+    /// grows.
     Measure(measure::Measure),
     /// Print the capacity tables from recorded measurements.
     Table(table::Table),
--- a/crates/stonevane/src/scale/measure.rs
+++ b/crates/stonevane/src/scale/measure.rs
@@ -1,7 +1,7 @@
 //! `stonevane scale measure`: measures one role at several sizes, and how its figures grow.
 //!
-//! Each size is measured in a separate process: heap memory that one size has left behind would be reused by
-//! the next and be missing from its memory figure.
+//! Each size is measured in a separate process: heap memory left over from one size would be reused for the
+//! next size and be missing from that size's memory figure.
 
 use std::fs::OpenOptions;
 use std::path::{Path, PathBuf};
@@ -30,18 +30,18 @@
     /// Write all figures to a CSV file.
     #[arg(long, value_name = "FILE")]
     csv: Option<PathBuf>,
-    /// Draw all figures over the sizes as SVG.
+    /// Write an SVG chart of all figures over the sizes.
     #[arg(long, value_name = "FILE")]
     chart: Option<PathBuf>,
     /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Relative tolerance, between 0 and 1: growth counts as linear while each point lies this close to the
-    /// line through the smaller sizes.
+    /// Relative tolerance, between 0 and 1: a figure's growth counts as linear up to the size whose point
+    /// still lies this close to the line through the smaller sizes.
     #[arg(long, default_value = "0.1")]
     tolerance: String,
-    /// Role membership: the largest fleet in which every member runs the real state machine. In larger fleets
-    /// a few real members are measured among modelled peers.
+    /// For role `membership`: largest fleet in which every member runs the real state machine. In larger
+    /// fleets only a few members run it, and their peers are modelled.
     #[arg(long, default_value_t = 3_000, value_name = "MEMBERS")]
     full_up_to: u64,
     /// Measure in this process and write CSV to standard output; passed to the process that measures one
@@ -199,7 +199,8 @@
     Ok(())
 }
 
-/// Describes the failure of a size's process: the message that it printed, or else its exit status.
+/// Describes why the process that measures a size failed: its error message, or its exit status if it printed
+/// none.
 fn failure(size: u64, output: &Output) -> String {
     let message = String::from_utf8_lossy(&output.stderr);
     let message = message.trim().trim_start_matches("stonevane: ");
@@ -209,7 +210,7 @@
     }
 }
 
-/// Draws a panel for each figure.
+/// Returns an SVG chart with a panel for each figure, over the sizes.
 fn chart(role: Role, measured: &[Measurement]) -> String {
     let metrics = measured.first().map_or(&[][..], |first| &first.values);
     let panels: Vec<Panel> = metrics.iter().map(|figure| panel(role, figure, measured)).collect();
--- a/crates/stonevane/src/scale/run.rs
+++ b/crates/stonevane/src/scale/run.rs
@@ -36,27 +36,29 @@
 run could not be completed (nothing is left running)."
 )]
 pub struct Run {
-    /// Stub nodes of each fleet: one number, or several in increasing order.
+    /// Number of stub nodes: one number, or several in increasing order, each for a fleet of its own.
     #[arg(long, value_delimiter = ',', required = true, value_name = "N[,N...]")]
     nodes: Vec<u32>,
     /// Number of regions: contiguous blocks of node numbers of nearly equal size. Without
-    /// --membership-per-region, membership spans all regions, and their number changes no message.
+    /// --membership-per-region, membership spans all regions, and the number of regions has no effect on the
+    /// messages sent.
     #[arg(long, default_value_t = 1)]
     regions: u32,
-    /// Make each region a separate membership domain: its nodes know no node outside it, and a death needs to
-    /// be known within the region only.
+    /// Make each region a separate membership domain: its nodes know only the nodes of their region, and a
+    /// death must become known only there.
     #[arg(long)]
     membership_per_region: bool,
     /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Worker processes [default: one for each 64 nodes, at most one per processor].
+    /// Number of worker processes [default: one for each 64 nodes, at most one per processor].
     #[arg(long)]
     workers: Option<u32>,
-    /// Cache servers in the server list from discovery.
+    /// Number of cache servers in the server list from discovery.
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u32).range(1..=65_536))]
     caches: u32,
-    /// Membership period, in milliseconds; all other settings have the defaults of the operator file.
+    /// Protocol period of membership, in milliseconds: a node probes one member per period. All other
+    /// membership settings have the defaults of the operator file.
     #[arg(long, default_value_t = 1_000, value_name = "MS")]
     period_ms: u64,
     /// Time for which rates are measured once the fleet is at rest, in seconds.
@@ -70,16 +72,16 @@
     /// maximum.
     #[arg(long, value_name = "MB")]
     memory_mb: Option<u64>,
-    /// Budget: CPU time per node and second, in microseconds.
+    /// Budget: maximum CPU time per node and second, in microseconds.
     #[arg(long, default_value_t = 17_000, value_name = "US")]
     budget_cpu_us: u64,
-    /// Budget: resident memory per node, in MiB.
+    /// Budget: maximum resident memory per node, in MiB.
     #[arg(long, default_value_t = 64, value_name = "MB")]
     budget_memory_mb: u64,
-    /// Budget: UDP and TCP bytes per node and second.
+    /// Budget: maximum of UDP and TCP bytes per node and second.
     #[arg(long, default_value_t = 3_072, value_name = "BYTES")]
     budget_bytes: u64,
-    /// Budget: time until all nodes know of a death, in seconds.
+    /// Budget: maximum time until all nodes know of a death, in seconds.
     #[arg(long, default_value_t = 8.0, value_parser = positive, value_name = "SECONDS")]
     budget_death_s: f64,
     /// Print each line as a JSON object.
@@ -96,7 +98,7 @@
 /// Run one worker process of a fleet of stub nodes.
 #[derive(Args)]
 pub struct Worker {
-    /// Process id of the parent; the worker is killed (SIGKILL) when it ends.
+    /// Process id of the parent; the worker is killed (SIGKILL) when the parent ends.
     #[arg(long, value_name = "PID")]
     ends_with: Option<u32>,
 }
--- a/crates/stonevane/src/sim.rs
+++ b/crates/stonevane/src/sim.rs
@@ -13,8 +13,8 @@
 /// Subcommands of `stonevane sim`.
 #[derive(Subcommand)]
 pub enum Sim {
-    /// Simulate the plans of a range of seeds, or one plan with each of the seeds; exit with code 1 if one
-    /// fails.
+    /// Simulate the plan (fleet, load and faults) generated from each seed, or one plan from a file with each
+    /// seed; exit with code 1 if a seed fails.
     #[command(after_help = "Examples:
   stonevane sim run --seeds 1..2000
   stonevane sim run --seeds 1..40 --mutant reset-not-run         a mutant of the core, which must be detected
@@ -53,7 +53,7 @@
         /// Inject a mutant (a deliberate fault of the core; see `sim mutants`).
         #[arg(long, value_parser = mutant)]
         mutant: Option<Mutant>,
-        /// Maximum number of simulation runs.
+        /// Maximum number of simulation runs in the search.
         #[arg(long, default_value_t = 2_000)]
         runs: usize,
     },
--- a/crates/stonevane/src/sim/run.rs
+++ b/crates/stonevane/src/sim/run.rs
@@ -26,7 +26,7 @@
     /// Seeds to simulate: an inclusive range `A..B`, or a single seed.
     #[arg(long, value_parser = seeds, default_value = "1..200")]
     seeds: RangeInclusive<u64>,
-    /// Number of nodes, instead of the number drawn from the seed.
+    /// Number of nodes, instead of the number in the plan; faults of nodes beyond it are dropped.
     #[arg(long, value_parser = clap::value_parser!(u64).range(1..=200))]
     nodes: Option<u64>,
     /// Simulate the plan in this JSON file instead of plans generated from the seeds; each seed runs it with
--- a/crates/stonevane/src/stand_in.rs
+++ b/crates/stonevane/src/stand_in.rs
@@ -24,9 +24,10 @@
 use crate::arguments::named_address;
 use crate::error::CommandError;
 
-/// Name of the only node that an emulator run by hand serves; every client counts as that node.
+/// Node name of all clients: emulators listen on one address per node, and an emulator started by this
+/// command has only one address.
 const ANY_NODE: &str = "any";
-/// Capacity of the queue of list changes read from standard input.
+/// Capacity, in lines, of the queue of list changes read from standard input.
 const CHANGE_QUEUE_LENGTH: usize = 16;
 
 /// Arguments that all emulators of servers share.
@@ -55,7 +56,8 @@
 /// The emulators, and the load client.
 #[derive(Subcommand)]
 pub enum StandIn {
-    /// Run a cache server with hits and misses, a queue, deduplication of retries and a connection limit.
+    /// Run an emulated cache server with hits and misses, a queue, deduplication of retries and a connection
+    /// limit.
     #[command(after_help = "Example: stonevane stand-in cache --listen 127.0.0.1:7001 --name s-1 --cold")]
     Cache {
         #[command(flatten)]
@@ -70,7 +72,7 @@
         #[arg(long)]
         cold: bool,
     },
-    /// Run an origin with fixed capacity and a queue, which stops when overrun.
+    /// Run an emulated origin with fixed capacity and a queue; it stops for a time when overloaded.
     #[command(
         after_help = "Example: stonevane stand-in origin --listen 127.0.0.1:7010 --cache 127.0.0.1:7001"
     )]
@@ -87,8 +89,8 @@
         #[arg(long, default_value_t = 60)]
         read_ms: u64,
     },
-    /// Run a discovery server with its list and watch. Change the list on standard input, one line per
-    /// change: `NAME active|leaving|left`.
+    /// Run an emulated discovery server with a server list and a watch for its changes. Change the list on
+    /// standard input, one line per change: `NAME active|leaving|left`.
     #[command(after_help = "Example:
   stonevane stand-in discovery --listen 127.0.0.1:8500 --server s-1=127.0.0.1:7001 --origin o=127.0.0.1:7010")]
     Discovery {
@@ -101,7 +103,7 @@
         #[arg(long, value_name = "NAME=ADDRESS", value_parser = named_address)]
         origin: Vec<(String, SocketAddr)>,
     },
-    /// Send load to one or more nodes, drawn from a seed, and print a summary for each class.
+    /// Send load to one or more nodes, drawn from a seed, and print a summary for each request class.
     #[command(after_help = "Example: stonevane stand-in client --node 127.0.0.1:6379 --per-s 200 --for-s 10")]
     Client(Client),
     /// Run a bare relay in place of a node: forward each read to one server, without any routing decision.
@@ -115,7 +117,7 @@
     },
 }
 
-/// Starts a history that begins with the default rules.
+/// Creates a history file; its first record holds the default audit rules.
 fn recorder(path: &Path) -> io::Result<(Recorder, Writer)> {
     let (recorder, writer) = Recorder::to(File::create(path)?);
     recorder.record(HistoryRecord {
@@ -146,7 +148,7 @@
             return client.run(&runtime);
         }
         let writer = runtime.block_on(self.serve()).map_err(CommandError::not_run)?;
-        // The emulator's tasks hold recorders, which keep the writer running.
+        // Ends the emulator's tasks, whose recorders would keep the writer running.
         drop(runtime);
         writer.map_or(Ok(()), finish).map_err(CommandError::not_run)
     }
@@ -198,7 +200,7 @@
                 tokio::select! { () = interrupted() => {}, () = relay::relay(listener, server) => {} }
                 Ok(None)
             }
-            // `run` handles it without `serve`.
+            // `run` handles the client without calling `serve`.
             StandIn::Client(_) => Ok(None),
         }
     }
--- a/crates/stonevane/src/stand_in/client.rs
+++ b/crates/stonevane/src/stand_in/client.rs
@@ -17,7 +17,7 @@
 /// Arguments of `stonevane stand-in client`.
 #[derive(Args)]
 pub struct Client {
-    /// Node to send requests to (repeatable).
+    /// Address of a node to send requests to (repeatable).
     #[arg(long, value_name = "ADDRESS", required = true)]
     node: Vec<SocketAddr>,
     /// Requests per second over all nodes.
@@ -51,7 +51,7 @@
         Ok(())
     }
 
-    /// Returns a scenario with this load.
+    /// Returns a scenario with the load that the arguments describe.
     fn scenario(&self) -> Result<Scenario, CommandError> {
         let (per_s, for_ms) = (self.per_s, self.for_s.saturating_mul(1_000));
         let text = format!("name = \"by hand\"\n[load]\nper_s = {per_s:?}\nfor_ms = {for_ms}\n");
--- a/crates/stonevane/src/store.rs
+++ b/crates/stonevane/src/store.rs
@@ -64,12 +64,14 @@
 
 Exit code 1 if the last poll had no answer.")]
     Top(Top),
-    /// Apply edits from standard input, one `TOKEN KEY VALUE` per line, and print a line for each receipt.
+    /// Apply edits from standard input, one `TOKEN KEY VALUE` per line, and print `TOKEN VERSION REPEAT` for
+    /// each applied edit (REPEAT: whether the token had been applied before).
     Put {
         /// Store file.
         file: PathBuf,
     },
-    /// Kill a writing process repeatedly, and check that no receipt is lost and no edit applied twice.
+    /// Kill a writing process repeatedly, and check that no confirmed edit is lost and no edit is applied
+    /// twice.
     #[command(after_help = "Example: stonevane store torture scratch.db --kills 1000")]
     Torture {
         /// Store file to create; it must not exist.
--- a/crates/stonevane/src/store/top.rs
+++ b/crates/stonevane/src/store/top.rs
@@ -21,7 +21,7 @@
 const SLOWEST_WINDOW_POLLS: usize = 60;
 /// Number of polls between two headers.
 const HEADER_INTERVAL_POLLS: u64 = 20;
-/// Bounds of the time limit of a poll, which otherwise is the interval between polls.
+/// Bounds of the time limit of each call to the store; between them the limit is the interval between polls.
 const MIN_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -44,7 +44,7 @@
 /// Result of one poll.
 struct Sample {
     figures: Result<StoreStats, StoreError>,
-    /// Response time of the store.
+    /// Response time of the call for the store's statistics.
     took: Duration,
     /// Changes since the previous poll, the oldest first.
     changes: Vec<Change>,
@@ -169,7 +169,7 @@
     time.as_secs_f64() * 1e3
 }
 
-/// Returns the keys that changed last, the newest first.
+/// Returns the keys of at most [`MAX_PRINTED_KEYS`] latest changes, the newest first.
 fn newest_keys(sample: &Sample) -> Vec<&str> {
     sample.changes.iter().rev().take(MAX_PRINTED_KEYS).map(|change| change.key.as_str()).collect()
 }
