--- a/crates/stonevane-core/tests/common/mod.rs
+++ b/crates/stonevane-core/tests/common/mod.rs
@@ -19,12 +19,12 @@
     core_with(store, sockets, rest, |_| {})
 }
 
-/// Such a core with adjusted settings.
+/// A core as from [`core`], with adjusted settings.
 pub fn core_with(store: bool, sockets: usize, rest: Duration, adjust: impl FnOnce(&mut Deployment)) -> Core {
     core_seeded(1, store, sockets, rest, adjust)
 }
 
-/// Such a core with adjusted settings and the given random seed.
+/// A core as from [`core`], with adjusted settings and the given random seed.
 pub fn core_seeded(
     seed: u64,
     store: bool,
@@ -35,7 +35,7 @@
     Core::new(START, CoreConfig { seed, ..config_with(store, sockets, rest, adjust) })
 }
 
-/// The configuration of such a core.
+/// The configuration of the core that [`core_with`] returns.
 pub fn config_with(
     store: bool,
     sockets: usize,
--- a/crates/stonevane-core/tests/crossings.rs
+++ b/crates/stonevane-core/tests/crossings.rs
@@ -1,6 +1,7 @@
 //! Races between two events, in both orders: a server drains, is excluded or times out, or a client
-//! disconnects, while a request waits or is being written. Guards against requests at servers that no longer
-//! accept them, requests of disconnected clients, second answers, and entries that are left behind.
+//! disconnects, while a request waits or is being written. Guards against requests sent to servers that no
+//! longer accept requests, requests sent for disconnected clients, a second answer to one request, and
+//! entries that are left behind.
 #![allow(missing_docs)]
 
 mod common;
@@ -154,7 +155,8 @@
             harness.feed(Input::Opened(conn));
             assert_eq!(harness.attempt_ports(), [7]);
         } else {
-            // A request sent before the drain stays, a later one goes to the other cache.
+            // A request that was sent before the drain stays at its server. A later request goes to the other
+            // cache.
             harness.feed(Input::Opened(conn));
             harness.drain_cache();
             harness.connect_and_request("2");
@@ -177,7 +179,7 @@
         [1, 7],
         "a withdrawn request has not run and goes to the other cache"
     );
-    // The other order: the request is completely written before the drain.
+    // The other order: the request is completely written before the drain starts.
     let mut harness = Harness::new();
     harness.connect_and_request("1");
     harness.drain_cache();
@@ -210,8 +212,8 @@
         harness.advance(20_000);
         assert_eq!(harness.attempt_ports(), [if drains { 7 } else { 1 }]);
     }
-    // A pause shorter than the drain grace, while no other timer is due: with long latency objectives there
-    // are few.
+    // A process pause shorter than the drain grace, during which no other timer is due. Long latency
+    // objectives leave few timers.
     let long = |deployment: &mut stonevane_policy::settings::Deployment| {
         deployment.settings.classes[0].latency_objective = 60_000_000;
     };
@@ -222,7 +224,7 @@
     assert_eq!(harness.attempts.len(), 0, "a pause shorter than the drain grace was not detected");
     harness.advance(20_000);
     assert_eq!(harness.attempts.len(), 1);
-    // The same with a short drain grace.
+    // The same race with a short drain grace.
     let short = |deployment: &mut stonevane_policy::settings::Deployment| {
         deployment.settings.classes[0].latency_objective = 60_000_000;
         deployment.settings.drain_grace = 250_000;
@@ -272,7 +274,7 @@
     harness.feed(Input::List(0, leaves));
     harness.feed(Input::List(0, full_list(40, "active", 0)));
     assert!(!ports(&mut harness).contains(&1), "an older list undid the drain");
-    // A list of a newer version does undo it, and so does an entry of a new server process.
+    // A list of a newer version does undo the drain, and so does an entry of a new server process.
     let newer = vec![server("cache", 1, "active", 0)];
     harness.feed(Input::List(0, EndpointList { version: 42, snapshot: false, endpoints: newer }));
     assert!(ports(&mut harness).contains(&1));
@@ -284,7 +286,7 @@
 
 #[test]
 fn a_waiting_request_of_a_disconnected_client_is_never_sent() {
-    // While its connection opens.
+    // The client disconnects while the server connection for its request opens.
     let mut harness = Harness::new();
     harness.opens_at_once = false;
     let client = harness.connect_and_request("1");
@@ -293,7 +295,7 @@
     harness.feed(Input::Opened(conn));
     assert_eq!(harness.attempts.len(), 0);
     harness.assert_nothing_left();
-    // While its request is being written.
+    // The client disconnects while its request is being written.
     let mut harness = Harness::new();
     harness.flushes_at_once = false;
     let client = harness.connect_and_request("1");
@@ -301,7 +303,8 @@
     harness.feed(Input::Closed(client));
     assert!(harness.closed.contains(&conn), "the write was not cancelled");
     harness.assert_nothing_left();
-    // While the core catches up after a process pause. A resting connection is in the same state.
+    // The client disconnects while the core catches up after a process pause. A request that waits for a
+    // resting connection is in the same state.
     let mut harness = Harness::new();
     harness.advance(1_000_000);
     let client = harness.client();
@@ -311,7 +314,7 @@
     harness.advance(50_000);
     assert_eq!(harness.attempts.len(), 0);
     harness.assert_nothing_left();
-    // Behind a full pipeline.
+    // The client disconnects while its request waits behind a full pipeline.
     let mut harness = Harness::new();
     let client = harness.client();
     let commands: Vec<u8> =
@@ -356,7 +359,7 @@
         let mut harness = Harness::new();
         let client = harness.connect_and_request("1");
         let conn = harness.attempts[0];
-        // Just before its deadline, so that all three events happen within 1 us.
+        // Advances to just before the deadline of the request, so that all three events happen within 1 us.
         harness.advance(899_999);
         for event in order {
             match event {
@@ -381,8 +384,8 @@
     }
 }
 
-/// A core at its connection limit, in which a second request of the first client waits for a resting
-/// connection. Returns the clients too.
+/// Returns a core at its connection limit, in which a second request of the first client waits for a resting
+/// connection, and the clients.
 fn with_resting_connection() -> (Harness, Vec<ConnId>) {
     let mut harness = Harness::of(core(false, 32, Duration::from_millis(15)));
     // Enough replies for the policy to raise the server's limit on concurrent requests.
@@ -394,7 +397,7 @@
     }
     harness.attempts.clear();
     let mut clients = Vec::new();
-    // Until the limit allows no further connection.
+    // Connects clients until the limit allows no further connection.
     while harness.core.resource_counts().server_connections + harness.core.resource_counts().clients < 15 {
         let id_text = clients.len().to_string();
         clients.push(harness.connect_and_request(&id_text));
--- a/crates/stonevane-core/tests/crowd.rs
+++ b/crates/stonevane-core/tests/crowd.rs
@@ -1,6 +1,6 @@
-//! Eviction under many misbehaving clients. Guards against misbehaving clients that hold all connections, so
-//! that well-behaved ones are not served, and against connections that stay unavailable after they have
-//! disconnected.
+//! Eviction under many misbehaving clients. Guards against misbehaving clients that hold all client
+//! connections, so that well-behaved clients are not served, and against capacity that stays taken after the
+//! misbehaving clients have disconnected.
 #![allow(missing_docs)]
 
 mod common;
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Behavior {
     Silent,
-    /// Sends the beginning of a command.
+    /// Sends the beginning of a command and never the rest.
     PartialCommand,
     /// Sends one request and keeps the connection open.
     OneRequest,
@@ -187,8 +187,8 @@
     }
 }
 
-/// A load balancer in front of the node has a smaller connection limit. Idle clients must not fill it
-/// permanently.
+/// A load balancer in front of the node has a smaller connection limit than the node, so the node's own table
+/// never fills. Guards against idle clients that permanently take all connections of the load balancer.
 #[test]
 fn a_load_balancer_with_a_smaller_limit_does_not_fill_with_idle_clients() {
     const LOAD_BALANCER_CONNECTIONS: usize = 80;
@@ -249,7 +249,7 @@
     assert!(harness.core.accepts());
     assert_eq!(harness.evicted.len(), 1, "one free connection is enough");
     assert!(harness.open.contains(&served_client), "a served client stays while there are silent ones");
-    // The waiting clients connect one after another, each after the eviction of another one.
+    // The waiting clients connect one after another, each after the node has evicted an idle client.
     for waiting_client in 0..30 {
         assert!(harness.core.accepts(), "client {waiting_client} is not accepted");
         let id = harness.connect();
--- a/crates/stonevane-core/tests/discovery.rs
+++ b/crates/stonevane-core/tests/discovery.rs
@@ -1,6 +1,6 @@
-//! Repetition of calls to discovery. A change counts as notified 6 s after discovery has it and can be
-//! reached. Guards against timeouts that, for some settings and sequence of failing calls, leave the next
-//! call too late for that.
+//! Repetition of calls to discovery. The protocol counts a node as notified of a change 6 s after discovery
+//! has the change and can be reached. Guards against timeouts that, for some settings and sequence of failing
+//! calls, start the next call too late for this limit.
 #![allow(missing_docs)]
 
 mod common;
@@ -17,13 +17,14 @@
 use stonevane_policy::Micros;
 use stonevane_policy::settings::Deployment;
 
-/// Latest time after a change at which the change counts as notified (protocol).
+/// Latest time after a change at which the protocol counts the node as notified, in microseconds.
 const MAX_NOTIFICATION_DELAY: Micros = 6_000_000;
-/// Time in which a reachable service that is not overloaded answers a call. An agent answers at once.
+/// Time in which a reachable service that is not overloaded answers a call, in microseconds. An agent answers
+/// at once.
 const ANSWER_TIME: Micros = 500_000;
-/// Slack of all time limits on sockets (protocol).
+/// Tolerance that the protocol allows for every time limit on a socket, in microseconds.
 const SLACK: Micros = 50_000;
-/// Longest time that the settings accept (`settings::check`).
+/// Longest time that the settings accept (`settings::check`), in microseconds.
 const MAX_SETTING_TIME: Micros = 86_400_000_000;
 
 /// Settings that determine the timeouts.
@@ -33,17 +34,19 @@
     drain_grace: Micros,
 }
 
-/// A failing call: its events, each after a fraction of its timeout, and its end.
+/// A failing call: its events, each after a fraction of the timeout that runs at that moment, and how it
+/// ends.
 #[derive(Debug, Clone)]
 struct Failure {
-    /// Fractions of the timeout before each event: the connection, pieces of the head, lines.
+    /// Fractions of the timeout before each event. Events are the established connection, each piece of the
+    /// response head, and each line.
     gaps: Vec<f64>,
-    /// Number of pieces in which the head arrives.
+    /// Number of pieces in which the response head arrives.
     pieces: usize,
-    /// Whether lines contain changes; otherwise they are empty.
+    /// Whether the lines contain changes of the server list; otherwise they are empty.
     changes: bool,
-    /// Fraction of the next timeout after which the connection breaks; `None`: it stays silent until the
-    /// timeout.
+    /// Fraction of the next timeout after which the connection breaks. `None`: the connection stays silent
+    /// until the timeout.
     breaks: Option<f64>,
 }
 
@@ -54,11 +57,12 @@
     timing: Timing,
     /// Number of the call at whose start new settings are applied, and the settings.
     reload: Option<(usize, Timing)>,
-    /// Number of the call at whose start discovery moves.
+    /// Number of the call at whose start the discovery address changes.
     move_at: Option<usize>,
     /// Failures of successive calls, repeated cyclically.
     failures: Vec<Failure>,
-    /// Number of the call and fraction of its duration from which on discovery answers.
+    /// Time from which discovery answers: the number of a call, and the fraction of the duration of that
+    /// call.
     answerable: (usize, f64),
 }
 
@@ -78,7 +82,7 @@
     call: DiscoveryCall,
     events: Vec<(Micros, CallEvent)>,
     end: (Micros, CallEnd),
-    /// Time of the last event, or of the start before the first event.
+    /// Time of the last event of the call; before the first event, the start of the call.
     silent_since: Micros,
 }
 
@@ -126,9 +130,9 @@
     now: Micros,
     started: usize,
     current_call: Option<CallInProgress>,
-    /// Time at which a watch on pushed lists is reopened, and its call.
+    /// Time at which a watch on pushed lists is reopened, and the call that reopens it.
     reconnect: Option<(Micros, DiscoveryCall)>,
-    /// Time from which discovery can be reached, and time by which a call must be answered.
+    /// Time from which discovery can be reached, and the latest time for the answer to a call.
     answerable: Option<(Micros, Micros)>,
     answered: Option<Micros>,
     /// Log of the calls, for the failure message.
@@ -189,8 +193,8 @@
             current_call = failure.run(self.now, call, Some(from));
             let watched = current_call.events.iter().any(|(_, event)| *event == CallEvent::Head);
             let grace = self.deployment.settings.drain_grace;
-            // A change at an agent counts as notified at once. A change that a silent watch misses counts
-            // after the usual time.
+            // With an agent, the node counts as notified of a change at once. If a silent watch misses the
+            // change, the usual limit applies.
             let within = if case.has_agent && !watched {
                 MAX_NOTIFICATION_DELAY.min(grace + SLACK)
             } else {
@@ -262,7 +266,7 @@
     deployment.settings.drain_grace = timing.drain_grace;
 }
 
-/// Runs a case until discovery answers a call, or until the time by which it should have.
+/// Runs a case until discovery answers a call. Fails at the latest time for that answer.
 fn check_answered_in_time(case: &Case) -> Result<(), TestCaseError> {
     let mut harness = Harness::new(case);
     harness.feed(Input::Wake);
@@ -323,7 +327,7 @@
             has_agent,
             seed,
             timing,
-            // Not during the last call, which a reload or a move would cancel.
+            // A reload or a move during the last call would cancel that call, so neither happens then.
             reload: reload.filter(|(at, _)| *at < answerable.0),
             move_at: move_at.filter(|at| *at < answerable.0),
             failures,
--- a/crates/stonevane-core/tests/first_call.rs
+++ b/crates/stonevane-core/tests/first_call.rs
@@ -1,6 +1,6 @@
 //! Start time of a node's first call to discovery. Guards against nodes that start together and overload the
-//! discovery service with simultaneous calls, and against a first call that is too late for the next change
-//! of the list.
+//! discovery service with simultaneous calls, and against a first call so late that the node misses the
+//! notification limit for the next change of the list.
 #![allow(missing_docs)]
 
 mod common;
@@ -14,11 +14,12 @@
 use stonevane_server_model::service::CallQueue;
 
 const SECOND: Micros = 1_000_000;
-/// Latest time after a change at which the change counts as notified (protocol).
+/// Latest time after a change at which the protocol counts the node as notified, in microseconds.
 const MAX_NOTIFICATION_DELAY: Micros = 6 * SECOND;
-/// Timeout of a call. The service still processes a call that has timed out.
+/// Timeout of a call, in microseconds. The service still processes a call that has timed out.
 const ANSWER_TIMEOUT: Micros = 2 * SECOND;
-/// Longest processing time of the service's queue: with more ahead of it, a call is rejected.
+/// Processing time of the calls in the service's queue, in microseconds, above which it rejects a further
+/// call.
 const MAX_QUEUE_TIME: Micros = 6 * SECOND;
 
 /// Number of nodes that share the discovery service.
--- a/crates/stonevane-core/tests/passage.rs
+++ b/crates/stonevane-core/tests/passage.rs
@@ -1,5 +1,5 @@
 //! Streaming of long values. Guards against wrong or reordered bytes at any piece sizes, a buffer that grows
-//! with a slow reader, and a value that breaks off without the client being able to tell.
+//! with a slow reader, and a value that is cut off without a sign to the client.
 #![allow(missing_docs)]
 
 mod common;
@@ -22,10 +22,10 @@
     client: ConnId,
     /// Bytes written to the client.
     written: Vec<u8>,
-    /// Length of the current write to the client.
+    /// Length of the write to the client that is in progress.
     writing: Option<usize>,
     closed: HashSet<ConnId>,
-    /// Server connections with a written request, and its key.
+    /// Server connections with a written request, each with the key of that request.
     attempts: Vec<(ConnId, String)>,
     /// Whether writes to the client complete only on a call of `flush`.
     flushes_manually: bool,
@@ -152,7 +152,8 @@
         let mut left: Vec<&[u8]> = answers.iter().map(Vec::as_slice).collect();
         let mut piece_sizes = piece_sizes.iter().copied().cycle();
         for _ in 0..100_000 {
-            // The last value first: it waits for those before it, and is not read beyond its buffer.
+            // The last value arrives first: it waits for the values before it, and the core stops reading it
+            // when its buffer is full.
             for index in (0..left.len()).rev() {
                 left[index] = harness.receive(conns[index], left[index], &mut piece_sizes.by_ref().take(3));
             }
@@ -207,7 +208,8 @@
     }
     while harness.flush() {}
     assert!(harness.now > START + 2_000_000 && harness.written == expected_answer(&long));
-    // The connection of a client that reads nothing is closed, and so is the server connection.
+    // The core closes the connection of a client that reads nothing, and the server connection of its
+    // request.
     let conn = harness.send_requests(&["bb"])[0];
     harness.receive(conn, &reply, &mut std::iter::empty());
     harness.now += 5_000_000;
@@ -228,7 +230,7 @@
 #[test]
 fn a_value_that_breaks_off_is_an_error_before_a_part_is_written_and_closes_the_client_afterwards() {
     let long = answer(&value(300_000));
-    // Behind another pending answer: the client has received nothing of it.
+    // The cut-off value is behind another pending answer: the client has received none of its bytes.
     let mut harness = Harness::new();
     let conns = harness.send_requests(&["aa", "bb"]);
     harness.receive(conns[1], &long[..50_000], &mut std::iter::empty());
@@ -236,7 +238,8 @@
     assert!(!harness.closed.contains(&harness.client));
     harness.receive(conns[0], common::HIT, &mut std::iter::empty());
     assert_eq!(String::from_utf8_lossy(&harness.written), "$5\r\nvalue\r\n-ERR failed\r\n");
-    // As the first answer: the client has received a part, and its connection is closed.
+    // The cut-off value is the first answer: the client has received a part of it, so the core closes the
+    // client's connection.
     let conn = harness.send_requests(&["cc"])[0];
     harness.receive(conn, &long[..50_000], &mut std::iter::empty());
     harness.feed(Input::Closed(conn));
--- a/crates/stonevane-core/tests/rest.rs
+++ b/crates/stonevane-core/tests/rest.rs
@@ -1,6 +1,7 @@
-//! Resting server connections: after a reply no request is written for the resting time, even if the
-//! connection limit allows no other connection. Guards against a request that is written too early, and
-//! against one that fails or is answered wrongly while it waits for a resting connection.
+//! Tests of the resting time: after a reply no request is written to that server connection for the resting
+//! time, even if the connection limit allows no other connection. Guards against a request that is written
+//! too early, and against a request that fails or gets a wrong answer while it waits for a resting
+//! connection.
 #![allow(missing_docs)]
 
 mod common;
@@ -91,8 +92,8 @@
         }
     }
 
-    /// A core with as many server connections as the limit allows, all of them resting, and the time at which
-    /// the first has rested.
+    /// Returns a core with as many server connections as the limit allows, all of them resting, and the time
+    /// at which the first of these connections may be used again.
     fn with_full_table(clients: usize, idle_timeout: u64) -> (Harness, u64) {
         let mut harness = Harness::new(clients, idle_timeout);
         // Enough replies for the policy to raise the cache's limit on concurrent requests.
@@ -136,7 +137,8 @@
     let (mut harness, _) = Harness::with_full_table(10, 10_000_000);
     let (opened, served) = (harness.opened, harness.served);
     harness.send_requests(10);
-    // A duplicate of the reply on every connection that a request may be waiting for.
+    // Sends a duplicate of the reply on every server connection, since a request may be waiting for any of
+    // them.
     let all: Vec<_> = harness.last_reply_at.keys().copied().collect();
     for id in all {
         harness.feed(Input::Bytes(id, HIT));
@@ -149,8 +151,8 @@
 
 #[test]
 fn requests_do_not_wait_for_connections_whose_idle_time_ends_before_they_have_rested() {
-    // A request that is written as the server closes the connection ends as a reset, and the server may have
-    // run it.
+    // If the server closes the connection while a request is being written to it, the request ends as a
+    // reset: the server may have executed it.
     let (mut harness, _) = Harness::with_full_table(10, 2 * REST_US);
     let (opened, served) = (harness.opened, harness.served);
     harness.send_requests(10);
--- a/crates/stonevane-core/tests/start_times.rs
+++ b/crates/stonevane-core/tests/start_times.rs
@@ -1,5 +1,6 @@
-//! Start times of servers at a node whose wall clock is wrong. Guards against servers in slow start that
-//! count as warmed up, or the reverse, because their start times are from another clock.
+//! Start times of servers at a node whose wall clock is wrong. Discovery states start times by its own clock.
+//! Guards against a node that compares them with its own clock, so that a server in slow start counts as
+//! warmed up, or the reverse.
 #![allow(missing_docs)]
 
 mod common;
@@ -11,7 +12,7 @@
 
 const SECOND_US: u64 = 1_000_000;
 const HOUR_US: u64 = 3_600 * SECOND_US;
-/// Duration of slow start by the settings' default, in microseconds.
+/// Duration of slow start under the default settings, in microseconds.
 const SLOW_START_US: u64 = 10 * SECOND_US;
 /// Start of the tests by the clock of discovery.
 const NOW: u64 = START + 10 * HOUR_US;
@@ -68,7 +69,7 @@
         self.core.handle(time.saturating_add_signed(self.clock_offset), input, &mut self.out);
     }
 
-    /// Applies a delta. Returns how many of its servers are in slow start.
+    /// Applies a delta. Returns how many servers of the delta are in slow start.
     fn apply_delta(&mut self, time: u64, version: u64, endpoints: Vec<Endpoint>) -> usize {
         self.handle_at(time, Input::List(0, EndpointList { version, snapshot: false, endpoints }));
         in_slow_start(&self.out)
@@ -91,12 +92,12 @@
             1,
             "off by {clock_offset} us"
         );
-        // Listed again without a change.
+        // The same server is listed again without a change.
         let later = started + SECOND_US + SLOW_START_US / 2;
         assert_eq!(node.apply_delta(later, 3, vec![endpoint(3, started)]), 1, "off by {clock_offset} us");
         let warmed_up = started + 2 * SECOND_US + SLOW_START_US;
         assert_eq!(node.apply_delta(warmed_up, 4, vec![endpoint(3, started)]), 0, "off by {clock_offset} us");
-        // Restarted.
+        // The server has restarted.
         let restarted = warmed_up + SECOND_US;
         assert_eq!(
             node.apply_delta(restarted + SECOND_US, 5, vec![endpoint(3, restarted)]),
--- a/crates/stonevane-core/tests/subset.rs
+++ b/crates/stonevane-core/tests/subset.rs
@@ -1,5 +1,5 @@
-//! The endpoint subset in the core. Guards against use of servers outside the subset, and against loss of the
-//! state of these servers: drain, exclusion, restart and zone.
+//! The endpoint subset in the core. Guards against use of servers outside the subset, and against a server
+//! that loses its state (drain, exclusion, restart or zone) while it is outside.
 #![allow(missing_docs)]
 
 mod common;
@@ -166,9 +166,9 @@
     ports.into()
 }
 
-/// Reads that are enough to use every server of the subset.
+/// Number of reads that is enough to use every server of the subset.
 const READS: usize = 200;
-/// Reads until a server that starts at the first of them has warmed up.
+/// Number of reads after which a server that starts at the first read has warmed up.
 const WARM_UP_READS: usize = 600;
 
 #[test]
@@ -197,7 +197,7 @@
     let mut harness = Harness::new(Some(regions(1)), endpoints);
     harness.send_request();
     let cache = harness.awaiting_reply.pop().unwrap();
-    // A miss.
+    // The cache server replies with a miss.
     harness.feed(Input::Bytes(cache, b"*3\r\n$-1\r\n$-1\r\n$-1\r\n"));
     assert_eq!(harness.attempt_ports.last(), Some(&ORIGIN));
 }
@@ -258,12 +258,13 @@
     let mut harness = Harness::new(Some(regions(1)), all_endpoints());
     harness.apply_delta(2, endpoint(201, "c", "leaving"));
     harness.ports_used_by(READS);
-    // A full list from before the drain does not undo it: neither while the server is outside the subset ...
+    // A full list from before the drain does not undo the drain: neither while the server is outside the
+    // subset ...
     harness.apply_list(1, true, all_endpoints());
     harness.apply_delta(3, endpoint(101, "a", "leaving"));
     harness.apply_delta(4, endpoint(102, "b", "leaving"));
     assert_eq!(harness.ports_used_by(READS), set([202]));
-    // ... nor once it is inside.
+    // ... nor after the server has entered the subset.
     let mut earlier_list = all_endpoints();
     earlier_list.retain(|server| server.zone == "c" || server.name == "s-900");
     harness.apply_list(1, true, earlier_list);
@@ -293,7 +294,8 @@
     harness.apply_delta(4, endpoint(102, "b", "left"));
     harness.ports_used_by(READS / 2);
     let restarted = harness.attempt_ports.iter().filter(|port| **port == 201).count();
-    // Half of the keys belong to the server. In slow start it gets a part of them.
+    // Half of the keys belong to the server. In slow start it receives only some of the requests for these
+    // keys.
     assert!(restarted < READS / 8, "{restarted} of {} reads went to the server in slow start", READS / 2);
 }
 
@@ -305,7 +307,7 @@
     endpoints.extend((0..unused_servers).map(|number| endpoint(300 + number, "d", "active")));
     let mut regions = regions(1);
     regions.others.push(Region { name: "east".into(), zones: vec!["d".into()] });
-    // In node 0's order of regions, which depends on their names, this one comes after the north.
+    // In node 0's order of regions, which depends on the region names, this region comes after the north.
     let mut harness = Harness::with_nodes(400, Some(regions), endpoints);
     harness.ports_used_by(10);
     if fallback {
@@ -321,13 +323,13 @@
 
 #[test]
 fn a_server_in_slow_start_gets_the_share_of_its_regions_nodes_and_in_a_fallback_that_of_all_nodes() {
-    // In its home region the node is one of two: its share of the budget exceeds the requests that a server
-    // in slow start gets by its keys.
+    // In its home region the node is one of two nodes, and its share of the slow-start budget exceeds the
+    // number of requests for the keys of the server in slow start.
     let home = requests_in_slow_start(false, 8);
-    // In a fallback it is one of 400: the 50 requests per second of each node are divided by ten servers, and
-    // halved.
+    // In a fallback region the node is one of 400 nodes: the 50 requests per second of each node are divided
+    // by ten servers, and halved.
     let fallback = requests_in_slow_start(true, 8);
-    // The same with the requests divided among 42 servers.
+    // The same fallback, with the requests divided among 42 servers.
     let fallback_of_many = requests_in_slow_start(true, 40);
     assert!(
         home > 25 && (3..=10).contains(&fallback) && fallback_of_many <= 2,
@@ -348,7 +350,7 @@
         set([101, 102, 201, 202]),
         "they get a part, the rest still goes to the north"
     );
-    // They warm up without another list.
+    // The servers warm up without another list.
     harness.ports_used_by(WARM_UP_READS);
     assert_eq!(harness.ports_used_by(READS), set([101, 102]));
 }
--- a/crates/stonevane-core/tests/table.rs
+++ b/crates/stonevane-core/tests/table.rs
@@ -1,5 +1,5 @@
-//! The origin's connection table, which all nodes share. Guards against idle connections of some nodes that
-//! fill it, so that requests of the others are rejected.
+//! The origin's connection table, which all nodes share. Guards against nodes whose idle connections fill the
+//! table, so that the origin rejects requests of the other nodes.
 #![allow(missing_docs)]
 
 mod common;
@@ -34,7 +34,7 @@
 struct Harness {
     nodes: Vec<Core>,
     events: BinaryHeap<Reverse<(u64, Event)>>,
-    /// Connections to the origin and whether it accepted them.
+    /// Whether the origin accepted each connection, by node and connection.
     origin_connections: HashMap<(usize, ConnId), bool>,
     now: u64,
     requests_sent: Vec<u64>,
--- a/crates/stonevane-node/tests/module_imports.rs
+++ b/crates/stonevane-node/tests/module_imports.rs
@@ -11,7 +11,7 @@
 /// sources.
 struct Package {
     name: &'static str,
-    /// The check must find more modules than this.
+    /// A number of modules that the check must exceed, so that it can't pass on a few.
     fewer_modules: usize,
     importer: &'static str,
     imported: &'static str,
--- a/crates/stonevane-node/tests/node/capacity.rs
+++ b/crates/stonevane-node/tests/node/capacity.rs
@@ -6,8 +6,8 @@
 use crate::harness::*;
 use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// Keeps idle clients that have been served for longer than the test takes. By default they are evicted for
-/// new clients after 10 ms, and a busy machine may accept the new ones later than that.
+/// Keeps idle clients that have been served for longer than the test takes. By default they may be evicted
+/// for new clients after 10 ms, and a busy machine may accept the new clients later than that.
 const KEEP_SERVED_CLIENTS: &str = "version = 1\n[clients]\nspare_ms = 15000\n";
 
 #[test]
@@ -22,7 +22,7 @@
     // Longer than the default of 10 ms, so that the outcome does not depend on when the others connect.
     std::thread::sleep(Duration::from_millis(30));
     let begun = std::time::Instant::now();
-    // More than the connection table holds, so that the last of them wait in the listen queue.
+    // More clients than the connection table holds, so that the last of them wait in the listen queue.
     let mut silent: Vec<_> = (0..40).map(|_| node.client()).collect();
     let mut trickling = silent.pop().unwrap().out;
     let trickle = std::thread::spawn(move || {
@@ -116,7 +116,7 @@
     let node =
         Node::start_with_shell_prefix(discovery, &cache_and_origin(cache.address, origin.address), 64, "");
     let one_minute_read = |id: &str| command(&["OBJ.GET", "aa", id, "c=read,t=acme,d=60000"]);
-    // More than the connections that are not reserved for rejections.
+    // More clients than there are connections that are not reserved for rejections.
     let mut busy: Vec<_> = (0..28).map(|_| node.client()).collect();
     busy.iter_mut().enumerate().for_each(|(id, client)| client.send(&one_minute_read(&id.to_string())));
     for _ in 0..20 {
--- a/crates/stonevane-node/tests/node/cold_start.rs
+++ b/crates/stonevane-node/tests/node/cold_start.rs
@@ -1,4 +1,4 @@
-//! Many node processes in front of one server in slow start share one budget for it.
+//! Many node processes in front of one server in slow start. They share one budget of calls to this server.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -18,8 +18,8 @@
 /// Number of keys that every process requests.
 const POPULAR_KEYS: usize = 3;
 
-/// Calls that a server at the beginning of its slow start bears within `OVERLOAD_WINDOW`, with an allowance
-/// for random variation.
+/// Number of calls that a server at the beginning of its slow start can handle within `OVERLOAD_WINDOW`, with
+/// an allowance for random variation.
 fn budget() -> f64 {
     let capacity = 2.0 * QUOTA_PER_S / SERVERS as f64;
     let calls = OVERLOAD_MULTIPLE * capacity * SLOW_START_SHARE * OVERLOAD_WINDOW.as_secs_f64();
--- a/crates/stonevane-node/tests/node/crossings/discovery.rs
+++ b/crates/stonevane-node/tests/node/crossings/discovery.rs
@@ -31,7 +31,7 @@
     let discovery = ManualDiscovery::new();
     let known = server_list(5, true, &two_cache_entries(first.address, second.address, "active"));
     let node = Node::start_with_settings(discovery.address, &known, 256, "", &long_poll_interval());
-    // Both stay open and silent.
+    // Both watches stay open and silent.
     let _silent = discovery.open_watch(&[server_list(5, false, &[])]);
     let _without_updates = discovery.open_watch(&["\n".into()]);
     // An update that the silent watch missed counts as received six seconds after the watch fell silent.
@@ -53,7 +53,7 @@
     set_socket_linger(&reset, Some(Duration::ZERO)).unwrap();
     drop(reset);
     call().write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n{{{").unwrap();
-    // Calls without an answer, which the node gives up.
+    // Two calls without an answer, which the node abandons.
     let _unanswered = (call(), call());
     let _watch =
         discovery.open_watch(&[server_list(6, false, &[entry("s-1", first.address, "std", "leaving")])]);
@@ -69,7 +69,7 @@
     let (_, mut late) = discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a call to discovery");
     let (_, mut next) = discovery.calls.recv_timeout(TEST_TIMEOUT).expect("a second call beside the first");
     let drained = server_list(6, false, &[entry("s-1", first.address, "std", "leaving")]);
-    // In pieces, the first of which arrives before the node can tell which call is answered first.
+    // The answer arrives in pieces, the first of them before the node can tell which call is answered first.
     let answer = [watch_head(), chunk(&drained)].concat();
     late.write_all(&answer[..5]).unwrap();
     late.write_all(&answer[5..]).unwrap();
@@ -120,7 +120,7 @@
         pauses.push(ended.elapsed());
         let _ = next.shutdown(Shutdown::Both);
     }
-    // The limit is half a second. A busy machine may exceed it sometimes, but not each time.
+    // The limit is half a second. A busy machine may exceed it in some pauses, but not in all.
     let shortest = pauses[4..].iter().min().unwrap();
     assert!(*shortest < Duration::from_millis(500), "{pauses:?}");
     let _watch =
@@ -159,8 +159,8 @@
         };
         let mut old_watch = old.open_watch(&[]);
         node.reload(Ok(new.address));
-        // Versions of the new discovery start anew. The old one sends a list after the new one has been
-        // called.
+        // Versions of the new discovery start anew. The old discovery sends a list after the node has called
+        // the new one.
         let (call, mut watch) = new.calls.recv_timeout(TEST_TIMEOUT).unwrap();
         assert_eq!(call, "GET /v1/servers?watch=1 HTTP/1.1", "the node requests the whole list");
         let again = server_list(99, true, &two_cache_entries(first.address, second.address, "active"));
--- a/crates/stonevane-node/tests/node/crossings/full_table.rs
+++ b/crates/stonevane-node/tests/node/crossings/full_table.rs
@@ -1,10 +1,10 @@
-//! Idle clients fill the descriptor table; a kept connection ends while it is used.
+//! Races in a full descriptor table: idle clients fill it, or a kept connection ends while it is being used.
 
 use super::*;
 
-/// Bytes that an idle client sends first. Half a command is not among them: it protects its connection from
-/// eviction for a second, and with so many reconnecting at once new clients are rejected (`tests/crowd.rs` of
-/// the core).
+/// Bytes that an idle client sends first. Half a command is not a variant: it protects the connection from
+/// eviction for a second, and with so many clients reconnecting at once the node rejects new clients
+/// (`tests/crowd.rs` of the core).
 #[derive(Clone, Copy, Debug)]
 enum FirstBytes {
     Nothing,
@@ -73,7 +73,7 @@
         for silent in [false, true] {
             let (cache, origin, discovery) =
                 (cache(|_| Action::Respond(hit("again"))), failing_origin(), ManualDiscovery::new());
-            // The server of the known list does not listen any more.
+            // The server of the known list no longer listens.
             let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
             // Exactly as many descriptors as the configuration allows.
             let shell_prefix = "ulimit -n 64;";
@@ -92,7 +92,7 @@
                     held.extend(Some(call).filter(|_| silent));
                 }
             }
-            // Discovery is back. Calls from while it was silent are never answered.
+            // Discovery is back. Calls that the node made while discovery was silent are never answered.
             while discovery.calls.try_recv().is_ok() {}
             let servers = [
                 entry("s-1", cache.address, "std", "active"),
@@ -126,7 +126,7 @@
         let mut client = node.client();
         assert_eq!(client.request(&get("aa", "1")).unwrap(), "aa");
         assert_eq!(client.request(&put("aa", "2", "v")).unwrap(), "ok");
-        // A connection is reused only after 15 ms, which can't be observed from outside.
+        // The node reuses a connection only 15 ms after the response, which can't be observed from outside.
         std::thread::sleep(Duration::from_millis(50));
         node.pause();
         let requests = [get("bb", "3"), put("bb", "4", "v")].concat();
--- a/crates/stonevane-node/tests/node/crossings/leaving_clients.rs
+++ b/crates/stonevane-node/tests/node/crossings/leaving_clients.rs
@@ -33,7 +33,7 @@
     let node =
         Node::start_with_mgmt(discovery, &cache_and_origin(cache.address, origin.address), &temp_folder());
     let mut clients = Vec::new();
-    // In this order: each is accepted before the next is sent.
+    // The order is fixed: the node accepts each request before the next is sent.
     for n in 1..=40 {
         let mut client = node.client();
         client.send(&put(&format!("{n:x}"), &n.to_string(), "v"));
@@ -79,12 +79,13 @@
         let node =
             Node::start_with_mgmt_and_command(discovery, &known, &temp_folder(), &shell_prefix, |_| {});
         let mut client = node.client();
-        // Their deadline is far later than the end of the test, so only the disconnect ends them.
+        // The deadline of these reads is far later than the end of the test, so only the disconnect ends
+        // them.
         let read = |n: u32| command(&["OBJ.GET", &format!("{n:x}"), &n.to_string(), "c=read,t=acme,d=60000"]);
         let all: Vec<u8> = (0..300).flat_map(read).collect();
         client.send(&all);
         node.wait_for_metric("in_flight", 16);
-        // Most of the requests are unread in the socket, ahead of its end.
+        // Most of the requests are still unread in the socket when the client disconnects.
         disconnect(client, reset);
         node.wait_for_metric("in_flight", 0);
         latch.open();
@@ -122,7 +123,7 @@
     assert!(seen < 60, "all requests were sent on");
 }
 
-/// How an attempt ends, so that another one follows.
+/// How a first attempt ends, so that another attempt follows.
 #[derive(Clone, Copy, Debug)]
 enum FirstEnd {
     Busy,
@@ -131,8 +132,8 @@
     OriginBusy,
 }
 
-/// Number of further attempts of a request whose first attempt ends in this way. Before that end the client
-/// stays (`None`) or disconnects, by a reset (`Some(true)`) or a close (`Some(false)`).
+/// Number of further attempts of a request whose first attempt ends as `first_end`. Before that end the
+/// client stays connected (`None`) or disconnects, by a reset (`Some(true)`) or a close (`Some(false)`).
 fn further_attempts(first_end: FirstEnd, disconnect_by_reset: Option<bool>) -> usize {
     let (attempts, latch) = (Arc::new(AtomicUsize::new(0)), Latch::default());
     let (counted, held) = (attempts.clone(), latch.clone());
--- a/crates/stonevane-node/tests/node/crossings/mod.rs
+++ b/crates/stonevane-node/tests/node/crossings/mod.rs
@@ -34,7 +34,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         rustix::net::listen(&listener, 0).unwrap();
-        // The queue is full once a connection is not established in time.
+        // The queue is full when a new connection is not established in time.
         let mut held = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
             held.push(stream);
@@ -46,7 +46,7 @@
     /// Accepts connections from now on, and returns the node's first one.
     pub fn accept(self) -> TcpStream {
         (0..self.queued).for_each(|_| drop(self.listener.accept().unwrap()));
-        // A connection that found the queue full is retried by the kernel.
+        // The kernel retries a connection that found the queue full.
         self.listener.set_nonblocking(true).unwrap();
         let end = Instant::now() + TEST_TIMEOUT;
         let stream = loop {
--- a/crates/stonevane-node/tests/node/crossings/shutdown.rs
+++ b/crates/stonevane-node/tests/node/crossings/shutdown.rs
@@ -12,8 +12,8 @@
     let mut half = node.client();
     let request = get("cc", "3");
     half.send(&request[..9]);
-    // While the process is stopped: a request on a kept connection, the rest of a request that was sent in
-    // part, a request on a connection that is not accepted yet, and SIGTERM.
+    // Four events happen while the process is stopped: a request on a kept connection, the rest of a request
+    // that was sent in part, a request on a connection that is not accepted yet, and SIGTERM.
     node.pause();
     known.send(&get("bb", "2"));
     half.send(&request[9..]);
--- a/crates/stonevane-node/tests/node/harness/node_process.rs
+++ b/crates/stonevane-node/tests/node/harness/node_process.rs
@@ -21,7 +21,7 @@
     discovery: SocketAddr,
 }
 
-/// A configuration whose initial server list is `known`.
+/// A configuration whose initial server list is `known` and whose limit of sockets is `sockets`.
 pub fn config(discovery: SocketAddr, known: &str, sockets: usize, settings: &str) -> String {
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"0a","limits":{{"sockets":{sockets},"memory_mb":16}},"known":{known},"settings":{settings}}}"#
@@ -76,7 +76,7 @@
         Node::start_with_settings(discovery, known, sockets, shell_prefix, settings())
     }
 
-    /// Starts a node whose discovery pushes server lists.
+    /// Starts a node whose discovery service pushes server lists to it.
     pub fn start_with_pushed_lists(discovery: SocketAddr, known: &str) -> Node {
         let settings = settings().replace(r#""discovery":"ask""#, r#""discovery":"push""#);
         Node::start_with_settings(discovery, known, 256, "", &settings)
@@ -238,7 +238,6 @@
         self.send_signal("HUP");
     }
 
-    /// Opens a new client connection.
     pub fn client(&self) -> Client {
         Client::connect(self.address)
     }
--- a/crates/stonevane-node/tests/node/harness/servers.rs
+++ b/crates/stonevane-node/tests/node/harness/servers.rs
@@ -16,7 +16,7 @@
     RespondAfter(Receiver<()>, Vec<u8>),
     /// Responds with these bytes and closes the connection.
     RespondAndClose(Vec<u8>),
-    /// Responds with the first bytes, and 3 ms later with the others.
+    /// Responds with the bytes of the first field, and 3 ms later with those of the second.
     RespondInTwoWrites(Vec<u8>, Vec<u8>),
     /// Responds with these bytes once the latch is open.
     RespondWhenOpen(Latch, Vec<u8>),
@@ -57,7 +57,6 @@
 }
 
 impl EmulatedServer {
-    /// Waits for the next request.
     pub fn next_request(&self) -> ReceivedRequest {
         std::iter::from_fn(|| self.received.recv_timeout(TEST_TIMEOUT).ok())
             .find(|seen| !seen.words.is_empty())
--- a/crates/stonevane-node/tests/node/malformed_responses.rs
+++ b/crates/stonevane-node/tests/node/malformed_responses.rs
@@ -108,7 +108,7 @@
     );
 }
 
-/// A well-formed response of the origin, with a malformed load header that must do no harm.
+/// A well-formed response of the origin whose load header is malformed. The node must serve the response.
 fn well_formed_response() -> Vec<u8> {
     http_response(200, "X-Backend-Load: ,inflight=NaN,=what\r\n", "made")
 }
--- a/crates/stonevane-node/tests/node/origin.rs
+++ b/crates/stonevane-node/tests/node/origin.rs
@@ -1,5 +1,6 @@
-//! A late first response on a new connection to the origin, which includes the time of the handshake, does
-//! not delay further fetches.
+//! The first response on a new connection to the origin includes the time of the handshake, so it may be
+//! late. Guards against fetches that are delayed by this late response although reused connections have shown
+//! that the origin is fast.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -14,7 +15,7 @@
 /// Delay of the first response on a connection. It lies between the latency from which the origin counts as
 /// slow (0.8 of the shorter latency objective, 2 s) and the longer objective, 8 s.
 const FIRST_RESPONSE_DELAY: Duration = Duration::from_millis(1_800);
-/// Longer than an idle connection to the origin is kept.
+/// Idle time after which the node has closed a connection to the origin.
 const IDLE_TIME: Duration = Duration::from_millis(600);
 
 /// Settings of one node of 300, whose next fetch waits for more than 7 s after one slow response of the
@@ -49,8 +50,8 @@
     assert!(reused, "no connection was used twice");
 }
 
-/// Whether a fetch is sent at once after one whose response was late by [`FIRST_RESPONSE_DELAY`]. `warm`:
-/// reused connections have shown the latency of the origin before.
+/// Returns whether a fetch is sent at once after a fetch whose response was late by [`FIRST_RESPONSE_DELAY`].
+/// With `warm`, reused connections have shown the latency of the origin before.
 fn fetch_follows_a_late_first_response(warm: bool) -> bool {
     let cache = cache(|_| Action::Respond(miss()));
     let (delays, latch) = (Arc::new(AtomicBool::new(!warm)), Latch::default());
--- a/crates/stonevane-node/tests/node/process.rs
+++ b/crates/stonevane-node/tests/node/process.rs
@@ -73,8 +73,8 @@
 
 #[test]
 fn on_sigterm_the_last_response_is_written_completely_before_the_node_exits() {
-    // Guards against a node that counts one client too few and exits with the response to the last one
-    // unwritten, as seen in the lab with overlapping faults.
+    // Guards against a node that counts one client too few and exits before the response to the last client
+    // is written. Overlapping faults in the lab caused this.
     let long = "v".repeat(400_000);
     let value = long.clone();
     let cache = cache(move |_| Action::Respond(hit(&value)));
@@ -82,7 +82,7 @@
     let (discovery, _updates, _calls) = quiet_discovery();
     let mut node = Node::start(discovery, &cache_and_origin(cache.address, origin.address));
     let mut client = node.client();
-    // More than the buffers of both ends hold.
+    // More requests than the buffers of both ends hold responses for.
     for id in 1..=24 {
         client.send(&get("aa", &id.to_string()));
     }
@@ -91,7 +91,7 @@
     while std::net::TcpStream::connect(node.address).is_ok() {
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    // The node accepts nothing any more. The pause leaves time for many of its checks whether it may exit.
+    // The node no longer accepts connections. During this pause it checks many times whether it may exit.
     std::thread::sleep(std::time::Duration::from_millis(200));
     for id in 1..=24 {
         let answer = client.read_response();
--- a/crates/stonevane-node/tests/node/readiness.rs
+++ b/crates/stonevane-node/tests/node/readiness.rs
@@ -48,7 +48,7 @@
     // A retry after a fraction of this interval would come after half a minute at the earliest.
     let settings = settings().replace(r#""askWithinUs":1000000"#, r#""askWithinUs":1000000000"#);
     let list = chunk(&cache_and_origin(cache.address, origin.address));
-    // Three calls fail.
+    // The first three calls fail.
     let busy = || http_response(503, "", "");
     let (discovery, _updates, calls) = discovery(vec![busy(), busy(), busy(), [watch_head(), list].concat()]);
     let node = Node::start_with_settings(discovery, &server_list(0, true, &[]), 256, "", &settings);
--- a/crates/stonevane-node/tests/node/requests.rs
+++ b/crates/stonevane-node/tests/node/requests.rs
@@ -167,8 +167,8 @@
 
 #[test]
 fn values_longer_than_clients_may_send_are_passed_on() {
-    // Guards against such responses being read as malformed, as seen in a run with slow clients, where a
-    // quarter of the responses were longer.
+    // Guards against a node that treats responses with such long values as malformed, as seen in a run with
+    // slow clients, where a quarter of the responses were longer than clients may send.
     let long = "v".repeat(400_000);
     let value = long.clone();
     let cache = cache(move |words| Action::Respond(if words[1] == "aa" { hit(&value) } else { miss() }));
@@ -196,8 +196,8 @@
     let writer =
         std::thread::spawn(move || (0..200).try_for_each(|id| out.write_all(&get("aa", &id.to_string()))));
     let mut other = node.client();
-    // The decision module may reject while the one server looks full; a stalled node would send no response
-    // at all.
+    // The decision module may reject requests while the only cache server seems full. A stalled node would
+    // send no response at all.
     let served =
         (0..100_000).filter(|id| other.request(&get("bb", &format!("o{id}"))).unwrap().len() == 60_000);
     assert_eq!(served.take(5).count(), 5);
--- a/crates/stonevane-node/tests/node/service.rs
+++ b/crates/stonevane-node/tests/node/service.rs
@@ -40,7 +40,7 @@
         assert_eq!(node.mgmt_call("GET", "/ready").0, 200);
     }
     assert!(began.elapsed() < Duration::from_secs(1), "{:?} for 20 calls", began.elapsed());
-    // A call that arrives byte by byte is one call.
+    // The management address handles a call that arrives byte by byte as one call.
     let mut stream = TcpStream::connect(mgmt).unwrap();
     stream.set_nodelay(true).unwrap();
     for byte in b"PUT /cache-servers/disable/nobody HTTP/1.1\r\n\r\n" {
@@ -136,7 +136,7 @@
     updates.send(chunk(&server_list(7, false, &active))).unwrap();
     node.wait_for_metric("cache_servers_known", 2);
     assert_eq!(served(&node, 200), ["two"]);
-    // Neither a reload of the settings nor a new process of the node reinstates it.
+    // Neither a reload of the settings nor a new process of the node reinstates the excluded server.
     node.reload(Err(&node.config_text));
     node.wait_for_metric("reloads_ok", 1);
     assert_eq!(served(&node, 300), ["two"]);
@@ -312,7 +312,7 @@
     let clients = spawn_clients(address, &stop);
     for _ in 0..2 {
         old.wait_until_nonzero("served.read");
-        // Excluded and reinstated at one process: the other one follows within a second.
+        // The server is excluded and reinstated at one process. The other process follows within a second.
         let name = "s-1";
         assert_eq!(old.mgmt_call("PUT", &format!("/cache-servers/disable/{name}")).0, 200);
         let new = start_successor(&listener, discovery, &known, &tmpdir);
@@ -374,7 +374,7 @@
     assert_eq!(new.mgmt_call("GET", "/ready").0, 200);
     assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
     drop(old);
-    // Now the only process, it drains as usual: new clients are still served meanwhile.
+    // This process is now the only one and drains as usual: new clients are still served meanwhile.
     assert_eq!(Client::connect(listener.local_addr().unwrap()).request(&get("aa", "1")).unwrap(), "value");
     new.terminate();
     assert_eq!(Client::connect(listener.local_addr().unwrap()).request(&get("aa", "2")).unwrap(), "value");
--- a/crates/stonevane-node/tests/node/subset.rs
+++ b/crates/stonevane-node/tests/node/subset.rs
@@ -52,7 +52,7 @@
     client: Client,
     updates: Sender<Vec<u8>>,
     _calls: Receiver<String>,
-    /// Number of reads so far, part of each key and id.
+    /// Number of reads so far. It is a part of each key and id, so that they are unique.
     reads: usize,
 }
 
@@ -85,7 +85,6 @@
         self.updates.send(chunk(&server_list(index, snapshot, entries))).unwrap();
     }
 
-    /// Waits until a log line contains this text.
     fn wait_until_logged(&self, text: &str) {
         let line = std::iter::from_fn(|| self.process.log.recv_timeout(TEST_TIMEOUT).ok())
             .find(|l| l.contains(text));
@@ -282,7 +281,7 @@
     );
     node.wait_until_logged("south has 0 usable cache servers, too few");
     assert_eq!(node.read(READS_PER_NODE), names(["n-2"]));
-    // ... or inside it.
+    // ... or inside the subset.
     let older = [servers.entry_with_status("n-1", "active"), servers.entry_with_status("n-2", "active")];
     node.send_update(4, true, &older);
     node.send_update(
--- a/crates/stonevane-node/tests/node/time_left.rs
+++ b/crates/stonevane-node/tests/node/time_left.rs
@@ -1,5 +1,6 @@
-//! An attempt states to its server at most the time (`d`, in ms) that the client has left at that moment.
-//! This holds for cache servers and the origin, for the first attempt and for each kind of further attempt.
+//! An attempt states to its server the time (`d`, in ms) that is left for the client's request, never more
+//! than is left at that moment. This holds for cache servers and the origin, for the first attempt and for
+//! each kind of further attempt.
 //!
 //! The tests do not depend on the machine's speed. An emulated server delays a response, and the next attempt
 //! may state at most the client's time minus the time that the test measured between the arrival of the
@@ -15,7 +16,7 @@
 use crate::harness::*;
 use crate::{cache_and_origin, failing_origin, quiet_discovery};
 
-/// The time left that the test's clients state.
+/// Time left that the test's clients state in their requests.
 const CLIENT_TIME_LEFT_MS: u64 = 8_000;
 /// Time for which an emulated server delays its response.
 const RESPONSE_DELAY: Duration = Duration::from_millis(300);
@@ -32,7 +33,8 @@
     values[0].parse().unwrap()
 }
 
-/// Opens the latch after [`RESPONSE_DELAY`], and returns the most that a later attempt may state.
+/// Opens the latch after [`RESPONSE_DELAY`], and returns the highest time left, in ms, that a later attempt
+/// may state.
 fn open_after_delay(latch: &Latch) -> u64 {
     let arrived = Instant::now();
     std::thread::sleep(RESPONSE_DELAY);
@@ -51,8 +53,8 @@
     );
 }
 
-/// An action that emulated servers may share. The first request at any of them gets `first` once the latch is
-/// open, the others get `then` at once.
+/// An action that emulated servers may share. The first request at any of these servers gets `first` once the
+/// latch is open, every other request gets `then` at once.
 fn delay_first_response(
     latch: &Latch,
     first: Vec<u8>,
--- a/crates/stonevane-node/tests/node/upgrade.rs
+++ b/crates/stonevane-node/tests/node/upgrade.rs
@@ -111,7 +111,7 @@
     assert_eq!(process, node.pid().to_string());
     assert!(tmpdir.join("spardeal-beside").join(format!("{name}.lock")).exists());
 
-    // The new process takes the capacity that the released one gives up: 130 connections.
+    // The new process takes over the capacity that the released process gives up: 130 connections.
     released.write_status("1 draining 20 1000 1\n");
     let draining = wait_until_published(&tmpdir, &node, "serving", |connections| connections > beside);
     assert_eq!(draining - beside, 130);
@@ -158,7 +158,7 @@
 /// Waits until the node stops accepting: a new connection stays in the queue of the shared socket, and this
 /// process can accept it.
 fn wait_until_not_accepting(listener: &TcpListener) {
-    // The node shares this socket, which is non-blocking there too.
+    // The node shares this socket, so the socket becomes non-blocking in the node too.
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
     let end = Instant::now() + TEST_TIMEOUT;
--- a/crates/stonevane-node/tests/store.rs
+++ b/crates/stonevane-node/tests/store.rs
@@ -141,8 +141,8 @@
 #[test]
 fn two_hundred_concurrent_misses_of_one_key_send_one_query_to_the_postgresql_server() {
     let (server, folder) = (start_postgres(&[("aa", "area")]), TempFolder::new());
-    // The stall limit allows the slow answers below, which are long enough for all requests to arrive before
-    // the first answer, also on a slow machine. With 150 ms some arrived later.
+    // The stall limit allows the slow answers below. They are long enough for all requests to arrive before
+    // the first answer, also on a slow machine. With answers of 150 ms some requests arrived later.
     let node = start_with_stall_limit(&server, &folder, 6_000, "");
     // The first request loads the schema and opens the connection.
     assert_eq!(node.client().request(&get("bb", "first")).unwrap(), "");
@@ -171,7 +171,8 @@
     assert_eq!(node.client().request(&get("aa", "0")).unwrap(), "area");
     server.set_fault(PgFault::Stall);
     let begun = Instant::now();
-    // Calls before the circuit breaker opens take their full time limit. It opens on the third.
+    // Calls before the circuit breaker opens take their full time limit. The breaker opens on the third such
+    // call.
     request_until(&node, "stalls", |id| get("aa", id), |answer| answer.starts_with("-BUSY "));
     let mut slowest = Duration::ZERO;
     let (mut with_retry_time, mut turn) = (0, 0);
@@ -183,7 +184,7 @@
         let miss = client.request(&get("aa", &format!("m{turn}"))).unwrap();
         let edit = client.request(&put("bb", &format!("e{turn}"), "area")).unwrap();
         slowest = slowest.max(sent.elapsed());
-        // An edit may be the probe of the breaker. Its outcome is then unknown.
+        // An edit may be the probe of the circuit breaker. The outcome of that edit is then unknown.
         assert!(
             miss.starts_with("-BUSY") && (edit.starts_with("-BUSY") || edit.starts_with("-ERR")),
             "{miss} {edit}"
@@ -210,8 +211,8 @@
 #[test]
 fn a_read_after_another_nodes_edit_does_not_share_a_fetch_from_before_the_edit() {
     let (server, folder) = (start_postgres(&[("aa", "old")]), TempFolder::new());
-    // The cache server lacks the key. At the second request it knows of version 2 and states it with the
-    // miss.
+    // The cache server lacks the key. At the second request the server knows of version 2 and states this
+    // version with the miss.
     let misses = |words: &[String]| {
         let known_version: &[u8] = if words[2] == "late" { b"$6\r\nmiss:2\r\n" } else { b"$-1\r\n" };
         Action::Respond([b"*3\r\n$-1\r\n", known_version, b"$-1\r\n"].concat())
@@ -325,7 +326,7 @@
     assert!(terminate_and_read_store_line(&mut node).contains("3 queries"));
     let again = start_with_store_file(&folder, cache.address);
     assert_eq!(again.client().request(&get("aa", "7")).unwrap(), "area-2");
-    // A further node on the same file.
+    // A second node uses the same store file.
     let other = start_with_store_file(&folder, cache.address);
     assert_eq!(other.client().request(&put("aa", "8", "area-2")).unwrap(), receipt, "on any node");
 }
