--- a/crates/stonevane-audit/tests/model/generator.rs
+++ b/crates/stonevane-audit/tests/model/generator.rs
@@ -64,7 +64,8 @@
             ];
             let effect = Some(effect[usize::from(variant % 6)]);
             let (origin, work_us) = (server == "o", 150 * MS);
-            // The attempt's own class counts if it comes before its request; variant 19 makes the two differ.
+            // The class in the attempt's record counts if that record precedes the request's. In variant 19
+            // the two records differ in their class.
             let class = CLASSES[usize::from(request + u8::from(variant == 19)) % 4].into();
             let token = if variant == 18 { "t".into() } else { String::new() };
             let digest = if variant == 17 { String::new() } else { "d".into() };
--- a/crates/stonevane-audit/tests/model/main.rs
+++ b/crates/stonevane-audit/tests/model/main.rs
@@ -12,7 +12,8 @@
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 use stonevane_audit::*;
 
-/// Runs both on `cases` random histories; returns the codes of all findings of the model.
+/// Runs the auditor and the model on `cases` random histories; returns the codes of all findings of the
+/// model.
 fn compare(focus: Focus, cases: u32) -> BTreeSet<String> {
     let config = ProptestConfig { cases, failure_persistence: None, ..ProptestConfig::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
--- a/crates/stonevane-audit/tests/model/model.rs
+++ b/crates/stonevane-audit/tests/model/model.rs
@@ -102,7 +102,7 @@
         findings
     }
 
-    /// Returns the attempts of a record's request before it.
+    /// Returns the attempts of the request of the record at `at` that precede this record.
     fn attempts_before(&self, at: usize) -> Vec<(usize, &'a HistoryRecord)> {
         self.of(Event::Attempt, &self.lines[at].request, at)
     }
@@ -227,7 +227,7 @@
                 && self.is_known(notified, until)
         };
         let is_known = |notified: &usize| is_known_by(*notified, at);
-        // The first notification of its drain since it was last active.
+        // The first notification of the server's drain since the server was last active.
         let is_active = |notified: &usize| self.lines[*notified].status == "active";
         let last_active = (0..at).filter(is_known).rfind(is_active).map_or(0, |notified| notified + 1);
         let Some(down) = (last_active..at).find(is_known).map(|notified| &self.lines[notified]) else {
@@ -253,7 +253,7 @@
             kill.time.latest >= sent.time.earliest && kill.time.earliest <= sent.deadline + ANSWER_SLACK_US
         };
         let killed = self.lines.iter().any(|record| has_state(record, "killed") && is_in_time(record));
-        // From its first kill since it was ready until it is ready again.
+        // A node is down from its first kill after it was ready until it is ready again.
         let is_down_from = |kill: usize| {
             let ready_before = self.lines[..kill].iter().rposition(|record| has_state(record, "ready"));
             let since = ready_before.map_or(0, |ready| ready + 1);
--- a/crates/stonevane-audit/tests/rules/attempts.rs
+++ b/crates/stonevane-audit/tests/rules/attempts.rs
@@ -104,7 +104,8 @@
     has_findings(max_four, &attempts(&["busy"; 5]), &["too-many"]);
     has_findings(max_four, &attempts(&["void", "busy", "busy", "busy", "busy"]), &[]);
     has_findings(r#""max_attempts":0"#, &attempts(&["busy"; 9]), &[]);
-    // A resend, as after a close that crossed the request, allows the same number of attempts again.
+    // The client sends the request again, as it does after a connection closed while the request was on its
+    // way. The node may then make the maximum number of attempts once more.
     let again =
         r#""event":"ask","request":"a","node":"n0","class":"read","key":"k","until":1000000,"again":true"#;
     has_findings(max_four, &attempts(&["busy"; 8]).at(35, again), &[]);
--- a/crates/stonevane-audit/tests/rules/builder.rs
+++ b/crates/stonevane-audit/tests/rules/builder.rs
@@ -25,7 +25,7 @@
 }
 
 thread_local! {
-    /// The check that is disabled, if any, and whether a test has seen other findings than expected.
+    /// The auditor's check that is disabled, if any, and whether a test has seen unexpected findings since.
     pub static MUTATION: Cell<(Option<&'static str>, bool)> = const { Cell::new((None, false)) };
 }
 
@@ -71,8 +71,8 @@
         self.sent((t, t), r, "n0", server, &format!(r#""effect":"{effect}","work_us":10000"#))
     }
 
-    /// Adds an attempt that matches its request, with the moments of its first and last byte; `rest` has
-    /// further keys.
+    /// Adds an attempt that matches its request. `t` has the moments of the attempt's first and last byte,
+    /// `rest` further keys of the JSON record.
     pub fn sent(mut self, t: (u64, u64), r: &str, node: &str, server: &str, rest: &str) -> Self {
         let number = self.lines.len() + 1;
         self.last_attempts.insert(format!("{r} {server}"), number);
--- a/crates/stonevane-audit/tests/rules/emulators.rs
+++ b/crates/stonevane-audit/tests/rules/emulators.rs
@@ -23,7 +23,7 @@
     read.clone().reply(25, "a", "s1", "v-a", 0).has_findings_and_faults(&[], &["replied-twice"]);
     let number = r#""event":"reply","server":"s1","request":"a","number":77,"value":"w""#;
     read.clone().at(25, number).has_findings_and_faults(&[], &["reply-to-none"]);
-    // A reply after its request is no longer tracked.
+    // The auditor no longer tracks the request when the second reply arrives.
     let late =
         History::new().request(0, "a", "read").attempt(9, "a", "s1", "ran").answered(10, "a", "failed");
     late.reply(9_000 * MS, "a", "s1", "v", 0).has_findings_and_faults(&[], &[]);
--- a/crates/stonevane-audit/tests/rules/values.rs
+++ b/crates/stonevane-audit/tests/rules/values.rs
@@ -18,7 +18,7 @@
         history.reply(t + 6, "r", "s1", "old", 6).served(t + 7, "r", "old")
     };
     read(edit(0), 4).has_findings(&["stale"]);
-    // Requested before or at the moment of the receipt: both values are correct.
+    // The read is requested before or at the moment of the edit's receipt: both values are correct.
     read(edit(0), 3).has_findings(&[]);
     read(edit(0), 0).has_findings(&[]);
 }
--- a/crates/stonevane-capacity/tests/roles.rs
+++ b/crates/stonevane-capacity/tests/roles.rs
@@ -121,7 +121,7 @@
     assert_eq!(value(&fleet, "start_calls"), 50.0);
     assert_eq!(value(&fleet, "lost_calls"), 50.0);
     assert!(value(&fleet, "lost_busiest") < 30.0, "{}", value(&fleet, "lost_busiest"));
-    // Each node has a list and requests only the changes since.
+    // No node requests the whole list again: each kept its list and requests only the changes since then.
     assert_eq!(value(&fleet, "lost_whole"), 0.0);
     assert_eq!(value(&fleet, "change_lines"), 50.0);
 }
--- a/crates/stonevane-config/tests/faults.rs
+++ b/crates/stonevane-config/tests/faults.rs
@@ -21,7 +21,8 @@
     let uncommented: Vec<_> = uncommented.collect();
     assert!(uncommented.iter().filter(|line| line.contains(" = ")).count() > 4);
     let offered = Operator::parse(&uncommented.join("\n")).unwrap();
-    // Without its section the store is off. Apart from the path, the shipped section shows the defaults.
+    // The store is off in a file without the section `[store]`. The section in the shipped file shows the
+    // defaults, except for the path.
     let minimal = Operator::parse("[store]\nsqlite = 'zones.db'\n[fleet]").unwrap();
     assert!(offered.store.is_some() && offered.fleet.is_some() && offered == minimal);
     assert_eq!(Operator { store: None, fleet: None, ..offered }, Operator::default());
--- a/crates/stonevane-emulators/tests/sockets.rs
+++ b/crates/stonevane-emulators/tests/sockets.rs
@@ -176,7 +176,8 @@
     cache.preload("a", 0);
     cache.restart();
     let mut client = Client::to(cache.address("n0")).await;
-    // A miss takes 100 ms, a tenth of a read's work. In slow start the limit is about 2.6 s of work in 2 s.
+    // A miss takes 100 ms of work, a tenth of the work of a read. In slow start the cache is overloaded by
+    // more than about 2.6 s of work in 2 s.
     for at in 0..40 {
         client.send(&["OBJ.GET", "a", &at.to_string(), "c=read"]).await;
     }
@@ -315,7 +316,7 @@
     }
 }
 
-/// A watch, with the text received on it so far.
+/// A connection that watches discovery, and the text received on it so far.
 struct Watch(TcpStream, String);
 
 impl Watch {
--- a/crates/stonevane-lab/tests/faulty_nodes.rs
+++ b/crates/stonevane-lab/tests/faulty_nodes.rs
@@ -11,8 +11,8 @@
     [[fault]]\ndo = \"drain\"\nto = \"cache-1\"\nat_ms = 300\nfor_ms = 2600\n";
 const TERM: &str = "name = \"term\"\n[load]\nper_s = 200\nfor_ms = 1500\nedits = 0\n[fleet]\nnodes = 1\n\
     [fleet.cache]\nwork_ms = 60\ncores = 64\n[[fault]]\ndo = \"node-term\"\nto = \"n0\"\nat_ms = 700\nfor_ms = 100\n";
-/// One cache restarts cold. Its capacity is then about 1.8 s of work in 2 s, so that 5.5 s of work break the
-/// rule. It serves only misses, each of which is 10 ms of work.
+/// Scenario in which one cache restarts cold. The cache then has a capacity of about 1.8 s of work in 2 s, so
+/// 5.5 s of work in 2 s break the rule. The cache serves only misses, each of which is 10 ms of work.
 const COLD: &str = "name = \"cold\"\n[load]\nper_s = 20\nfor_ms = 3600\nedits = 0\nretries = 0\nkeys = 5000\nzipf = 0\n[fleet]\nlate_ms = 20\n\
     warm_keys = 1\nmax_attempts = 0\n[fleet.cache]\nwork_ms = 100\ncores = 2\ncold_share = 0.35\nwarm_ms = 7500\n\
     [fleet.origin]\nslots = 200\n\
--- a/crates/stonevane-membership/tests/machine.rs
+++ b/crates/stonevane-membership/tests/machine.rs
@@ -242,7 +242,8 @@
         "{:?}",
         known(0)
     );
-    // Replays all datagrams of the old instance, to members that knew it and to one that did not.
+    // Replays all datagrams of the old instance of member 3, to members that knew that instance and to one
+    // that did not.
     fleet.members[3] = Some(Machine::new(fleet.now, MemberConfig { nonce: 78, seed: 10, ..config(3, 4) }));
     fleet.run_until(9 * SECOND);
     let rejected = fleet.machine(0).status().counts.rejected_old;
--- a/crates/stonevane-policy/tests/common/mod.rs
+++ b/crates/stonevane-policy/tests/common/mod.rs
@@ -69,7 +69,7 @@
         Node::seeded(settings, servers, 7)
     }
 
-    /// Like [`Node::just_started`], with the seed of its random generator.
+    /// Like [`Node::just_started`], with a given seed for the policy's random generator.
     pub fn seeded(settings: Settings, servers: u32, seed: u64) -> Self {
         let policy = Policy::new(settings, seed);
         let mut node = Node { policy, now: 60 * SECOND, actions: Vec::new(), timers: Vec::new() };
@@ -110,7 +110,7 @@
         self.outcome_on(request, attempt, server, status, false)
     }
 
-    /// Like [`Node::outcome`], with whether the request was the first on its connection.
+    /// Like [`Node::outcome`]; also states whether the request was the first on its connection.
     pub fn outcome_on(
         &mut self,
         request: RequestId,
--- a/crates/stonevane-policy/tests/fleet/discovery.rs
+++ b/crates/stonevane-policy/tests/fleet/discovery.rs
@@ -8,8 +8,8 @@
 use crate::common::*;
 
 /// Discovery as a single queue. It also answers calls whose caller has timed out, and rejects calls only if
-/// the queue is long. With six or more nodes, answering one call of each takes
-/// [`Discovery::TIME_FOR_ALL_NODES`].
+/// the queue is long. With six or more nodes, it takes [`Discovery::TIME_FOR_ALL_NODES`] to answer one call
+/// from every node.
 struct Discovery {
     /// Service time of a call.
     service_time: Micros,
@@ -35,14 +35,14 @@
 enum DueEvent {
     Timer,
     Rejected,
-    /// Timeout of the call with this number.
+    /// The call with this number timed out at its node.
     TimedOut(usize),
     Answered(usize),
 }
 
 /// Breaks the watches of `count` nodes at the same time. Returns the sorted times after which nodes have a
-/// list again, and the number of calls they make. A call that has timed out stays in the queue, and its
-/// answer counts until a later call has timed out too.
+/// list again, and the number of calls that all nodes make. A call that has timed out stays in the queue of
+/// discovery, and its answer counts until a later call of the same node has timed out too.
 fn restore_lists(count: u64) -> (Vec<Micros>, usize) {
     let settings = Settings { poll_discovery: true, nodes: count as u32, ..settings() };
     let mut discovery = Discovery { service_time: Discovery::TIME_FOR_ALL_NODES / count.max(6), free_at: 0 };
@@ -59,7 +59,7 @@
     let begin = 60 * SECOND;
     for (id, policy) in nodes.iter_mut().enumerate() {
         for action in notify(policy, begin, ListUpdate::Full) {
-            // The first watch is already established.
+            // Only timers are kept: the first watch of the node is already established.
             if let Action::Timer { after, .. } = action {
                 events.push(Reverse((begin + after, id, DueEvent::Timer)));
             }
--- a/crates/stonevane-policy/tests/fleet/origin.rs
+++ b/crates/stonevane-policy/tests/fleet/origin.rs
@@ -18,9 +18,9 @@
 /// Interval between requests of the whole fleet.
 const REQUEST_INTERVAL: Micros = 6_250;
 const REQUESTS: u64 = 1_600;
-/// One in this number of requests is a write, the others are reads that miss.
+/// Requests per write: one request in this number is a write, the others are reads that miss.
 const REQUESTS_PER_WRITE: u64 = 8;
-/// Time from its arrival within which a write is in time.
+/// Time after its arrival by which a write must be answered.
 const WRITE_DEADLINE: Micros = 300 * MS;
 
 /// A scheduled event of a node: a response of a server, or a timer if the server is 0.
@@ -142,7 +142,8 @@
 
 #[test]
 fn writes_meet_their_deadline_despite_more_misses_than_the_origin_can_answer() {
-    // Each of 300 nodes must first see a slow response itself, and gets one request in two seconds.
+    // With 300 nodes fewer writes are in time: each node must see a slow response itself before it limits its
+    // fetches, and gets only one request in two seconds.
     for (count, min_in_time) in [(4, 0.9), (64, 0.9), (300, 0.6)] {
         let (in_time, reads) = run_writes_with_misses(count);
         println!("{count} nodes: {in_time:.3} of the writes in time, {reads} misses fetched in ten seconds");
--- a/crates/stonevane-policy/tests/fleet/slow_start.rs
+++ b/crates/stonevane-policy/tests/fleet/slow_start.rs
@@ -20,7 +20,7 @@
         policy.handle(now, Event::ServerList { kind: ListUpdate::Full, servers }, &mut Vec::new());
     }
     let mut attempts = [0u32; 13];
-    // The hot key is one whose first server, once warmed up, is the server in slow start.
+    // The hot key is one that nodes would send to server 1 first if server 1 were not in slow start.
     let warmed_up = Node::new(settings(), 12).policy;
     let hot = key_with_first_server(warmed_up, 1);
     for id in 1..=1_200u64 {
@@ -37,7 +37,7 @@
     (f64::from(attempts[1]), f64::from(attempts[2..].iter().sum::<u32>()) / 11.0)
 }
 
-/// Returns a key that a node sends to `first` first.
+/// Returns a key whose first choice in the node's rendezvous order is the server `first`.
 fn key_with_first_server(mut policy: Policy, first: ServerId) -> Key {
     let is_sent_there = |key: &u64| {
         let mut out = Vec::new();
@@ -54,8 +54,8 @@
         println!(
             "{count} nodes: {starting} attempts at the server in slow start, {others:.1} at each other server"
         );
-        // Its capacity is 0.35 to 0.5 of that of a warmed-up server, and it fails under three times its
-        // capacity.
+        // The server in slow start has 0.35 to 0.5 of the capacity of a warmed-up server, and fails under a
+        // load of three times its own capacity.
         assert!(
             starting <= others,
             "{count} nodes: {starting} attempts at the server in slow start, {others} at the others"
--- a/crates/stonevane-policy/tests/fleet/startup.rs
+++ b/crates/stonevane-policy/tests/fleet/startup.rs
@@ -15,9 +15,9 @@
 const SERVICE_TIME: Micros = 110 * MS;
 /// Reads that arrive all at once when the fleet starts.
 const WAITING_READS: u64 = 2_400;
-/// Interval between the reads after them.
+/// Interval between the reads that arrive after the waiting reads.
 const READ_INTERVAL: Micros = 2_381;
-/// Number of all reads.
+/// Number of reads in total: the waiting reads and those that arrive later.
 const READS: u64 = 2_820;
 
 /// A scheduled event of a node: a response of a server, or a timer if the server is 0.
--- a/crates/stonevane-policy/tests/hash.rs
+++ b/crates/stonevane-policy/tests/hash.rs
@@ -1,4 +1,4 @@
-//! Guards against a `KeyHasher`, which hashes one key with many servers, that differs from `unit_hash`.
+//! Guards against a difference between `KeyHasher`, which hashes one key with many servers, and `unit_hash`.
 #![allow(missing_docs)]
 
 use proptest::prelude::*;
--- a/crates/stonevane-policy/tests/operations.rs
+++ b/crates/stonevane-policy/tests/operations.rs
@@ -40,7 +40,7 @@
     assert_eq!(reads(&mut node, 3_000, 200, 2), 0);
     node.event(Event::Settings { settings: Box::new(settings()), previous_positions: Vec::new() });
     assert_eq!(reads(&mut node, 4_000, 200, 2), 0);
-    // It is not used as a last resort either when all other servers are excluded.
+    // Server 2 is not used even if all other servers are excluded too.
     for id in [1, 3, 4] {
         exclude(&mut node, id, true);
     }
@@ -117,7 +117,8 @@
     let second = sent_to(&node.request(read(2, 6))).unwrap();
     let again = node.outcome(2, 0, second, AttemptStatus::Reset);
     assert!(send_count(&again) == 0 && failed(&again, 2), "this request arrived as a non-idempotent one");
-    // A non-idempotent request stays one after its class has become idempotent.
+    // A request that was non-idempotent when it arrived stays non-idempotent after its class has become
+    // idempotent.
     let mut node = Node::new(settings(), 3);
     let non_idempotent = write(1, 2);
     node.request(non_idempotent);
@@ -201,7 +202,8 @@
 
 #[test]
 fn processes_of_a_node_share_its_origin_limits() {
-    // Calls to the origin sent at once by processes that each have a share of the node.
+    // Number of calls to the origin that the processes of one node send at once. Each process has the given
+    // share of the node's limits.
     let calls = |shares: &[f64]| -> usize {
         let processes = shares.iter().map(|share| {
             let mut node = Node::new(settings(), 3);
--- a/crates/stonevane-policy/tests/scenarios/admission.rs
+++ b/crates/stonevane-policy/tests/scenarios/admission.rs
@@ -33,8 +33,8 @@
 
 #[test]
 fn far_too_slow_servers_get_well_under_half_of_the_quotas() {
-    // Guards against an admission floor of 0.6 of the quotas: it keeps servers overloaded after they have
-    // become eight times slower.
+    // Guards against a minimum of 0.6 of the quotas for the admission level: servers that have become eight
+    // times slower then stay overloaded.
     let mut settings = settings();
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }];
     let mut node = Node::new(settings, 300);
@@ -112,7 +112,8 @@
     let (mut sent, mut requested) = ([0, 0], [0, 0]);
     for id in 1..=400u64 {
         node.advance(250 * MS);
-        // The tenants send 3.3 and 0.67 requests per second; the node's share of each quota is 1.
+        // The tenants send 3.3 and 0.67 requests per second; the node's share of each quota is 1 request per
+        // second.
         let tenant = usize::from(id % 6 == 0);
         let actions = node.request(Request { tenant, ..read(id, id) });
         (requested[tenant], sent[tenant]) = (requested[tenant] + 1, sent[tenant] + send_count(&actions));
--- a/crates/stonevane-policy/tests/scenarios/balancing.rs
+++ b/crates/stonevane-policy/tests/scenarios/balancing.rs
@@ -129,7 +129,8 @@
 
 #[test]
 fn a_server_filled_by_other_nodes_is_skipped_by_its_live_weight() {
-    // Guards against queues of twelve requests per core, of which each node sees only one of its own.
+    // Guards against queues of twelve requests per core that no node notices, because each node sees only one
+    // request of its own in the queue.
     let config = Settings { weights_are_live: true, may_duplicate: false, ..settings() };
     let mut node = Node::new(config, 3);
     let first = sent_to(&node.request(read(1, 9))).unwrap();
--- a/crates/stonevane-policy/tests/scenarios/coalescing.rs
+++ b/crates/stonevane-policy/tests/scenarios/coalescing.rs
@@ -4,7 +4,8 @@
 
 use crate::common::*;
 
-/// Returns a node after 200 misses of one key, and the number of those that were fetched from the origin.
+/// Returns a node after 200 misses of one key, and the number of these misses that caused a call to the
+/// origin.
 fn stampede(coalesce_fetches: bool) -> (Node, usize) {
     let tenants = vec![Tenant { quota_per_s: 300.0 }];
     let mut node = Node::new(Settings { coalesce_fetches, tenants, ..settings() }, 40);
@@ -22,7 +23,7 @@
     assert!(stampede(false).1 < 20, "each miss counts as a call, and the origin limits block most");
     let (mut node, fetched) = stampede(true);
     assert_eq!(fetched, 200);
-    // One call is in flight, so the limit allows one fetch less of other keys.
+    // One call is in flight, so the concurrency limit allows one fetch fewer for other keys.
     let mut sent = 0;
     for id in 301..=330 {
         let first = sent_to(&node.request(read(id, 100 + id))).unwrap();
--- a/crates/stonevane-policy/tests/scenarios/deadlines.rs
+++ b/crates/stonevane-policy/tests/scenarios/deadlines.rs
@@ -31,7 +31,8 @@
 
 #[test]
 fn a_read_without_late_weight_ends_at_its_objective_unless_a_fetch_is_in_flight() {
-    // Guards against responses that are too late to count and delay the next ones.
+    // Guards against requests that run on after their latency objective: their responses no longer count, and
+    // they delay the next requests.
     let mut node = Node::new(Settings { may_cancel: true, may_duplicate: false, ..settings() }, 3);
     node.request(read(1, 9));
     let at_objective = node.advance(760 * MS);
--- a/crates/stonevane-policy/tests/scenarios/discovery.rs
+++ b/crates/stonevane-policy/tests/scenarios/discovery.rs
@@ -22,8 +22,8 @@
     // time at which every node counts as notified of the drain.
     let known_after = 6 * SECOND;
     for seed in 0..50 {
-        // Holds for any staleness limit. The backoff is derived from it, because it stands for the time that
-        // discovery takes for one call of each node.
+        // The time of the replacement holds for any staleness limit. The backoff is derived from that limit,
+        // which serves as the time that discovery takes to answer one call from every node.
         for staleness_limit in [1, SECOND, 10 * SECOND, 86_400 * SECOND] {
             for silent_for in [2_500 * MS, 4_000 * MS] {
                 let settings =
--- a/crates/stonevane-policy/tests/scenarios/origin_limits.rs
+++ b/crates/stonevane-policy/tests/scenarios/origin_limits.rs
@@ -27,7 +27,7 @@
         "the delay does not match the end of the unavailability: {delay}"
     );
     assert!(retry_after(&node.request(write(3, 1)), 3) >= 400 * MS);
-    // After that time a single call is allowed, and more as the origin answers.
+    // After the period of unavailability a single call is allowed, and more as the origin answers.
     node.advance(401 * MS);
     let mut out = 0;
     for id in 10..20 {
@@ -49,7 +49,7 @@
     node.event(Event::OriginUnavailable { duration: 400 * MS });
     node.outcome(1, 0, ORIGIN, AttemptStatus::Error);
     assert!(failed(&node.actions, 1) && !rejected(&node.actions, 1));
-    // The origin is available again before the time is over.
+    // The origin is reported available again before the announced period of unavailability is over.
     node.event(Event::OriginUnavailable { duration: 0 });
     assert_eq!(sent_to(&node.request(write(2, 1))), Some(ORIGIN));
 }
--- a/crates/stonevane-policy/tests/scenarios/slow_start.rs
+++ b/crates/stonevane-policy/tests/scenarios/slow_start.rs
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_hot_key_does_not_go_to_a_server_in_slow_start() {
-    // Guards against one request for a hot key from each of many nodes, which overloads a server in slow
-    // start.
+    // Guards against an overload of a server in slow start by many nodes that each send it one request for
+    // the same hot key.
     let goes_to_starting_server = |hot: bool| {
         let tenants = vec![Tenant { quota_per_s: 100_000.0 }];
         let settings = Settings { nodes: 1000, initial_capacity: 0.9, tenants, ..settings() };
--- a/crates/stonevane-policy/tests/slow_start_budget.rs
+++ b/crates/stonevane-policy/tests/slow_start_budget.rs
@@ -13,13 +13,13 @@
 
 /// Time at which servers start.
 const SERVER_START: Micros = 100 * SECOND;
-/// Default duration of the requests after that.
+/// Default time for which requests continue after the servers have started.
 const DURATION_AFTER_START: Micros = 12 * SECOND;
 /// Number of distinct keys in the requests.
 const KEYS: u64 = 100_000;
 /// Offset added to each rank in Zipf's law, which flattens the popularity of the first keys.
 const ZIPF_OFFSET: f64 = 10.0;
-/// Response time of every server. A server in slow start misses every key, the origin has them all.
+/// Response time of every server. A server in slow start misses every key; the origin has every key.
 const RESPONSE_TIME: Micros = 15 * MS;
 
 #[derive(Debug, Clone, Copy)]
@@ -28,22 +28,22 @@
     servers: u32,
     /// Requests per second of all nodes together.
     requests_per_s: f64,
-    /// Share of the capacity of all servers, once warmed up, that these requests use.
+    /// Share of the total capacity of all servers, if warmed up, that the requests use.
     utilization: f64,
     /// Servers that start at the same time, and are in slow start afterwards.
     starting_servers: u32,
-    /// Other servers that are removed at that time, so that their keys move to the remaining ones.
+    /// Servers that are removed at [`SERVER_START`], so that their keys move to the remaining servers.
     removed_servers: u32,
-    /// Factor on the request rate in the two seconds after that time.
+    /// Factor on the request rate in the two seconds after [`SERVER_START`].
     burst_factor: f64,
-    /// Whether nodes ran before that time; otherwise they start together with the servers.
+    /// Whether the nodes ran before [`SERVER_START`]; otherwise they start together with the servers.
     nodes_ran_before: bool,
     /// Share of its capacity that a server has at its start.
     initial_capacity: f64,
     overload_window: Micros,
-    /// Duration of the requests before the servers start.
+    /// Time for which requests are sent before the servers start.
     duration_before_start: Micros,
-    /// Duration of the requests afterwards.
+    /// Time for which requests are sent after the servers have started.
     duration_after_start: Micros,
     /// Exponent of Zipf's law for the popularity of keys; `None` for equal popularity.
     zipf_exponent: Option<f64>,
@@ -112,7 +112,7 @@
             while times[first] + scenario.overload_window <= *time {
                 first += 1;
             }
-            // The capacity is that of the window's start.
+            // The server's capacity at the start of the window counts.
             let age = (times[first] - SERVER_START) as f64 / settings.slow_start_duration as f64;
             let capacity_share =
                 (scenario.initial_capacity + (1.0 - scenario.initial_capacity) * age).min(1.0);
--- a/crates/stonevane-policy/tests/subset.rs
+++ b/crates/stonevane-policy/tests/subset.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns the random deviation to allow for a sum of many small shares: four standard deviations.
+/// Returns the accepted deviation of a random count from its mean: four standard deviations.
 fn tolerance(mean: f64) -> f64 {
     4.0 * mean.sqrt() + 1.0
 }
@@ -177,8 +177,8 @@
     assert!(undivided < limit / 4.0, "{undivided} in flight, limit {limit} for all nodes");
 }
 
-/// Returns the calls to the origin that a node makes for a burst of writes, after it has served writes for
-/// some seconds.
+/// Returns the number of calls to the origin that a node makes at once for a burst of writes, after it has
+/// served writes for some seconds.
 fn calls_of_a_burst(fleet: &Fleet, divided: bool) -> usize {
     let mut policy = Policy::new(fleet.settings(0, divided), 1);
     let mut out = Vec::new();
--- a/crates/stonevane-store/tests/flight.rs
+++ b/crates/stonevane-store/tests/flight.rs
@@ -109,7 +109,7 @@
     joiners: Vec<(u64, u64)>,
     joinable: bool,
     overlaps_edit: bool,
-    /// The version that the store has read for it.
+    /// The version that the store has read for this flight.
     read: Option<u64>,
 }
 
--- a/crates/stonevane-store/tests/store.rs
+++ b/crates/stonevane-store/tests/store.rs
@@ -88,7 +88,7 @@
     let mut all = tokio::task::JoinSet::new();
     for at in 0..40 {
         let store = store.clone();
-        // One edit in four is a conflict, which must not make others fail.
+        // One edit in four reuses an idempotency key and conflicts, which must not make the other edits fail.
         let token = if at % 4 == 0 { "taken".to_owned() } else { format!("t{at}") };
         all.spawn(async move { (at, store.edit(edit(&format!("k{at}"), "v", Some(&token))).await) });
     }
--- a/crates/stonevane-subset/tests/selector.rs
+++ b/crates/stonevane-subset/tests/selector.rs
@@ -86,7 +86,7 @@
     assert_eq!(selector.membership("z"), Membership::LastResort);
     assert!(selector.update([outside_regions, in_region]));
     assert_eq!(selector.membership("z"), Membership::Outside);
-    // A draining server outside all regions does not make it a last resort.
+    // The selector does not become a last resort if the only server is outside all regions and draining.
     selector.update([Server { usable: false, ..outside_regions }]);
     assert!(!selector.last_resort());
 }
@@ -225,7 +225,8 @@
         for usable in &before {
             update(&mut fewer, usable);
         }
-        // Both selectors have the same history: the peak of each region is part of the state.
+        // Both selectors get the same updates up to here, because the peak number of servers in each region
+        // is part of a selector's state.
         update(&mut fewer, &[6; 5]);
         let mut more = fewer.clone();
         let mut one_more = usable.clone();
--- a/crates/stonevane/tests/fleet.rs
+++ b/crates/stonevane/tests/fleet.rs
@@ -57,8 +57,8 @@
     });
     for (mutant, (codes, json)) in outcomes {
         assert!(json["report"]["membership"]["views"].as_u64().unwrap() > 50);
-        // Replayed datagrams are ignored, and the other members forward updates as well, so these two are
-        // harmless.
+        // Two faulty members are harmless: replayed datagrams are ignored, and updates that one member does
+        // not forward reach the fleet through the other members.
         let harmless = matches!(mutant, None | Some("replays" | "forwards-nothing"));
         assert_eq!(codes.is_empty(), harmless, "{mutant:?}: {codes:?}");
         if mutant == Some("lies-of-incarnations") {
--- a/crates/stonevane/tests/scenarios.rs
+++ b/crates/stonevane/tests/scenarios.rs
@@ -8,8 +8,8 @@
 
 use common::{node, run, stonevane, text};
 
-/// Runs a scenario, a long one in its short form. An error holds whether a rule was broken, and a
-/// description.
+/// Runs a scenario, in its short form if it is a long one. An error states whether a rule was broken, and
+/// describes the failure.
 fn check_scenario(name: &str) -> Result<(), (bool, String)> {
     let long = ["busy-", "store-", "cold-"].iter().any(|kind| name.starts_with(kind));
     let more: &[&str] = if long { &["--short"] } else { &[] };
@@ -21,9 +21,9 @@
     Err((json["report"]["broken"] != 0, format!("{name}: exit {code:?}, {parts:?}\n{printed}")))
 }
 
-/// Scenarios wait most of the time, so two run at once per core (at most 6). The rules must hold under any
-/// machine load. Expectations can depend on speed: a scenario that misses one runs again alone, and must hold
-/// then.
+/// Scenarios wait most of the time, so two run at once per core (at most 6). The audit rules must hold under
+/// any machine load. A scenario's expectations can depend on the machine's speed: a scenario that misses an
+/// expectation runs again alone, and must then meet all of them.
 #[test]
 fn every_scenario_holds_with_the_real_node() {
     let listed = text(&stonevane(&["lab", "list"]).stdout);
