--- a/crates/stonevane-audit/tests/rules/attempts.rs
+++ b/crates/stonevane-audit/tests/rules/attempts.rs
@@ -44,7 +44,7 @@
     edit(r#","digest":"d1""#, "").has_findings(&["wrong-body"]);
     // Histories of earlier versions have no digests in the records of requests.
     edit("", r#","digest":"d2""#).has_findings(&[]);
-    // A request is sent with the key and class of another one.
+    // The key and class of the attempt differ from those of its request.
     let other = r#""event":"ask","request":"b","node":"n0","class":"read","key":"l","until":1000000"#;
     let mixed = History::new().request(1, "a", "read").at(1, other).attempt(5, "b", "s1", "ran");
     mixed.answered(9, "a", "failed").answered(9, "b", "failed").has_findings(&["wrong-key", "wrong-class"]);
@@ -69,7 +69,7 @@
     early.classes.insert("a".into(), "read".into());
     early.clone().attempt(10, "a", "s1", "ran").answered(95, "a", "failed").has_findings(&[]);
     early.attempt(9, "a", "s1", "ran").answered(95, "a", "failed").has_findings(&["too-early"]);
-    // A history that is truncated just before the record of the request.
+    // The history is truncated just before the record of the request, which follows that of the attempt.
     let history = History::new().read(0, "a").attempt(50, "b", "s1", "ran").text();
     let truncated = history.lines().take(6).collect::<Vec<_>>().join("\n");
     let report = audit(truncated.as_bytes()).unwrap();
--- a/crates/stonevane-audit/tests/rules/duplicate_effects.rs
+++ b/crates/stonevane-audit/tests/rules/duplicate_effects.rs
@@ -37,7 +37,7 @@
         .attempt(10, "a", "o", "busy")
         .answered(30, "a", "refused")
         .has_findings(&[]);
-    // The attempt arrives after the rejection.
+    // The attempt arrives after the client got the rejection.
     let after_rejection = |effect| {
         History::new().request(0, "a", "once").answered(30, "a", "refused").attempt(40, "a", "o", effect)
     };
--- a/crates/stonevane-audit/tests/rules/final_answer.rs
+++ b/crates/stonevane-audit/tests/rules/final_answer.rs
@@ -34,7 +34,8 @@
 #[test]
 pub fn answers_within_each_bound_and_clients_that_left_are_no_findings() {
     History::new().request(0, "a", "read").answered(1_050 * MS, "a", "failed").has_findings(&[]);
-    // The answer may have come in time, so nothing is proven.
+    // The answer may have come in time, because the interval of its record begins at the latest permitted
+    // moment; so nothing is proven.
     let rest = r#""event":"answer","request":"a","outcome":"failed""#;
     History::new().request(0, "a", "read").between((1_050 * MS, 1_400 * MS), rest).has_findings(&[]);
     History::new().request(0, "a", "read").at(500, r#""event":"gone","request":"a""#).has_findings(&[]);
@@ -66,7 +67,7 @@
     let read =
         History::new().request(0, "a", "read").attempt(20, "a", "s1", "ran").at(50, closed).at(60, again);
     read.reply(80, "a", "s1", "v", 0).served(90, "a", "v").has_findings(&["lost"]);
-    // The resend, not the first send, may have caused the attempt.
+    // The second send of the request, not the first, may have caused the attempt.
     let either = History::new().request(0, "a", "read").at(50, closed).between((58, 70), again);
     let either = either.attempt(62, "a", "s1", "ran").reply(80, "a", "s1", "v", 0);
     either.served(90, "a", "v").has_findings(&[]);
@@ -104,7 +105,7 @@
     // The end of another node excuses nothing.
     let other = r#""event":"node","node":"n1","state":"killed""#;
     History::new().at(10, other).request(810, "a", "read").at(820, closed).has_findings(&["lost"]);
-    // A second kill during the start: the outage lasts from the first end until the node is ready.
+    // The node is killed again while it starts: its outage lasts from the first kill until it is ready.
     let twice = History::new().node(1, "killed").node(5, "starting").node(9, "killed").node(11, "starting");
     twice.request(20, "a", "read").node(30, "ready").has_findings(&[]);
 }
--- a/crates/stonevane-policy/tests/origin_congestion.rs
+++ b/crates/stonevane-policy/tests/origin_congestion.rs
@@ -8,10 +8,10 @@
 
 /// Number of nodes: large, so that a single slow response delays the next fetch of a node.
 const NODES: u32 = 300;
-/// Shortest and longest latency objective of the classes.
+/// Shortest latency objective of the classes; [`LONGEST_OBJECTIVE`] is the longest.
 const SHORTEST_OBJECTIVE: Micros = 100 * MS;
 const LONGEST_OBJECTIVE: Micros = 800 * MS;
-/// Response times of a slow and of a fast origin.
+/// Response time of a slow origin; [`FAST_RESPONSE`] is that of a fast one.
 const SLOW_RESPONSE: Micros = 90 * MS;
 const FAST_RESPONSE: Micros = 20 * MS;
 /// Time for which a response on a reused connection is evidence of the speed of the origin: eight times the
--- a/crates/stonevane-policy/tests/scenarios/balancing.rs
+++ b/crates/stonevane-policy/tests/scenarios/balancing.rs
@@ -36,7 +36,8 @@
         targets.push(sent_to(&node.request(read(id, 9))).unwrap());
     }
     assert_eq!(&targets[..4], [first; 4], "within the floor of the bound the order holds");
-    // Guards against a floor that one node uses alone: the busiest server then gets seven times the mean.
+    // Guards against a single node that uses the whole floor of the load bound, which is meant for all nodes
+    // that share the server: the busiest server then gets seven times the mean load.
     assert_ne!(targets[4], first, "over the bound the next server is used");
 }
 
@@ -65,8 +66,8 @@
 
 #[test]
 fn fewer_servers_are_skipped_while_the_origin_limits_are_saturated() {
-    // Guards against queues at a few servers while the origin has capacity, and blocked fetches while it has
-    // none.
+    // Guards against queues at a few cache servers while the origin has capacity for more misses, and against
+    // blocked fetches while the origin has none.
     let sent_before_skip = |saturated: bool| {
         let mut node = Node::new(Settings { nodes: 8, ..settings() }, 4);
         for id in (1..=30).filter(|_| saturated) {
--- a/crates/stonevane-policy/tests/scenarios/coalescing.rs
+++ b/crates/stonevane-policy/tests/scenarios/coalescing.rs
@@ -48,7 +48,8 @@
         let first = sent_to(&node.request(read(id, 9))).unwrap();
         send_count(&node.outcome(id, 0, first, AttemptStatus::Miss))
     };
-    // The limit of seven concurrent fetches shows whether a call was counted.
+    // The concurrency limit is seven, so the number of fetches that are sent shows whether a call was
+    // counted.
     assert_eq!(fetch(&mut node, 401), 1, "a new call");
     let write_request = Request { key: 9, ..write(402, 1) };
     assert_eq!(sent_to(&node.request(write_request)), Some(ORIGIN));
--- a/crates/stonevane-policy/tests/scenarios/retry.rs
+++ b/crates/stonevane-policy/tests/scenarios/retry.rs
@@ -40,7 +40,7 @@
             let next = sent_to(&node.outcome(id, 1, again, status)).expect("the read is retried again");
             assert_ne!(first, next, "the second retry goes to another server");
             node.outcome(id, 2, next, AttemptStatus::Served);
-            // The server serves its other requests.
+            // The server that fails this request serves its other requests.
             for good in 1..=2 {
                 let server = sent_to(&node.request(read(100 * id + good, id))).unwrap();
                 assert_eq!(server, first, "the server was ejected or treated as in slow start");
